--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -7,10 +7,12 @@
 use crate::dialect::Dialect;
 use crate::gossip::Event;
 use crate::group::{self, Group};
-use crate::ledger::Number;
-use crate::owner::{self, Asker, Ticket};
+use crate::ledger::AllocationId;
+use crate::owner::{self, Requester, Ticket};
 use crate::place::Place;
-use crate::placement::{Answer, Grant, NoPlace, Request, Scope, Snapshot, Unplaced, Verdict};
+use crate::placement::{
+    Answer, Decision, Grant, RejectReason, Rejection, Request, Scope, Snapshot,
+};
 use crate::run::Run;
 use crate::view::{Tag, View};
 use hickory_policy::queue::Ahead;
@@ -53,13 +55,13 @@
 const TARGETS_LOOK: Duration = Duration::from_millis(5);
 
 /// What comes of asking.
-type Outcome<D, S, C> = Result<Place<D, S, C>, Unplaced>;
+type Outcome<D, S, C> = Result<Place<D, S, C>, Rejection>;
 
 /// A request for a place that is under way. Dropping it withdraws it.
 struct Inquiry<'a, D: Dialect, S: Store, C: Clock> {
     run: &'a Run<D, S, C>,
     group: Group,
-    number: Number,
+    number: AllocationId,
     answers: UnboundedReceiver<Answer>,
     /// Targets that are left out.
     tried: Vec<Tag>,
@@ -77,7 +79,7 @@
     wait_targets(run).await;
     let groups = group::count_groups(run.core.view().targets_of(&run.service).len());
     let first = rand::random_range(0..groups);
-    let mut unplaced = Unplaced { why: NoPlace::NoTarget, survey: Survey::default() };
+    let mut unplaced = Rejection { reason: RejectReason::NoTarget, survey: Survey::default() };
     for step in 0..groups.min(GROUPS_TRIED) {
         let group = Group { service: run.service.clone(), index: (first + step) % groups };
         match Inquiry::open(run, group, tried).run().await {
@@ -92,14 +94,14 @@
 /// configuration before them, and would refuse what it could serve a moment later.
 async fn wait_targets<D: Dialect, S: Store, C: Clock>(run: &Run<D, S, C>) {
     let until = run.core.now() + TARGETS_WAIT.min(run.time_left() / TARGETS_WAIT_PART);
-    while !run.core.knows_targets() && run.core.now() < until {
+    while !run.core.has_targets() && run.core.now() < until {
         tokio::time::sleep(TARGETS_LOOK).await;
     }
 }
 
 impl<'a, D: Dialect, S: Store, C: Clock> Inquiry<'a, D, S, C> {
     fn open(run: &'a Run<D, S, C>, group: Group, tried: &[Tag]) -> Self {
-        let number = run.core.ledger().next_number();
+        let number = run.core.ledger().next_id();
         let answers = run.core.expect_answer(number);
         let tried = tried.to_vec();
         Self { run, group, number, answers, tried, returned: 0, is_placed: false, is_queued: false }
@@ -110,11 +112,11 @@
         Request {
             service: self.group.service.clone(),
             group: self.group.index,
-            prompt: run.job.demand.prompt,
+            prompt: run.job.head.prompt,
             goal: run.job.route.goal,
             goal_left: run.due().saturating_duration_since(now),
             limit_left: run.first_deadline().saturating_duration_since(now),
-            gap: run.job.route.gap,
+            max_token_gap: run.job.route.gap,
             zone: run.core.settings.zone.clone(),
             tried: self.tried.clone(),
         }
@@ -171,14 +173,14 @@
     /// Decides by this node's own requests; nothing where it waits.
     async fn try_alone(&mut self) -> Option<Outcome<D, S, C>> {
         let time = match self.decide_alone() {
-            Verdict::Answered(answer) => {
+            Decision::Answered(answer) => {
                 let taken = self.take(answer, Decider::Alone);
                 if taken.is_some() {
                     return taken;
                 }
                 ALONE_AGAIN
             }
-            Verdict::Wait(time, survey) => {
+            Decision::Wait(time, survey) => {
                 self.note_queued(survey);
                 time.max(ALONE_AGAIN)
             }
@@ -192,7 +194,11 @@
         let request = self.request();
         if *owner == core.settings.node {
             let ticket = Ticket { node: owner.clone(), number: self.number };
-            owner::take_ask(core, Asker { ticket, address: core.settings.peers }, request);
+            owner::handle_request(
+                core,
+                Requester { ticket, address: core.settings.peers },
+                request,
+            );
         } else if let Some(to) = core.find_peer(owner) {
             core.send(to, Event::Ask(self.number, request));
         }
@@ -211,15 +217,15 @@
                 None
             }
             // This node may know a target that the owner has not heard of.
-            Answer::Refused(unplaced)
-                if unplaced.why == NoPlace::NoTarget && decider != Decider::Alone =>
+            Answer::Rejected(unplaced)
+                if unplaced.reason == RejectReason::NoTarget && decider != Decider::Alone =>
             {
                 match self.decide_alone() {
-                    Verdict::Answered(answer) => self.take(answer, Decider::Alone),
-                    Verdict::Wait(..) => Some(Err(unplaced)),
+                    Decision::Answered(answer) => self.take(answer, Decider::Alone),
+                    Decision::Wait(..) => Some(Err(unplaced)),
                 }
             }
-            Answer::Refused(unplaced) => Some(Err(unplaced)),
+            Answer::Rejected(unplaced) => Some(Err(unplaced)),
         }
     }
 
@@ -236,7 +242,7 @@
         };
         self.is_placed = true;
         core.metrics.placed(decider);
-        place.book();
+        place.publish();
         Some(place)
     }
 
@@ -244,25 +250,25 @@
     fn try_others(&mut self, unusable: Option<Tag>) {
         let core = &self.run.core;
         log::info!(
-            request = self.run.job.demand.attempt.as_str(),
+            request = self.run.job.head.attempt.as_str(),
             group = self.group.index;
             "the granted target takes no work"
         );
         self.withdraw();
         self.returned += 1;
         self.tried.extend(unusable);
-        self.number = core.ledger().next_number();
+        self.number = core.ledger().next_id();
         self.answers = core.expect_answer(self.number);
         self.is_queued = false;
     }
 
-    fn decide_alone(&self) -> Verdict {
+    fn decide_alone(&self) -> Decision {
         let core = &self.run.core;
         let request = self.request();
         let scope = Scope::Alone(core.count_nodes());
         let snapshot = Snapshot::open(core, core.now(), &request.service, scope);
         snapshot.map_or_else(
-            || Verdict::refused(NoPlace::NoTarget, Survey::default()),
+            || Decision::refused(RejectReason::NoTarget, Survey::default()),
             |snapshot| snapshot.decide(&request, Ahead::default()),
         )
     }
@@ -276,7 +282,7 @@
     fn withdraw(&self) {
         let core = &self.run.core;
         core.forget_answer(self.number);
-        core.ledger().end(core.now(), self.number);
+        core.ledger().finish(core.now(), self.number);
         let ticket = Ticket { node: core.settings.node.clone(), number: self.number };
         core.owner().withdraw(core.now(), &ticket);
         core.tell_owners(&self.group, &Event::Ended(self.number));
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One sending of a request to a target, up to the head of the answer.
 
 use crate::core::Core;
-use crate::dialect::{Answer, Dialect, Helper, Sending};
+use crate::dialect::{Dialect, Helper, ResponseHead, TargetRequest};
 use crate::place::Place;
 use crate::view::Tag;
 use bytes::Bytes;
@@ -52,8 +52,8 @@
     #[display("not sent: {_0}")]
     NotSent(String),
     /// A target says that it has not run, and may name the one at fault.
-    #[display("not run, status {status}{}", name_fault(*at_fault))]
-    NotRun { status: StatusCode, at_fault: Option<SocketAddr> },
+    #[display("not run, status {status}{}", name_refusing_target(*refusing_target))]
+    NotRun { status: StatusCode, refusing_target: Option<SocketAddr> },
     /// A target reserved no memory for it.
     #[display("not sent: {detail}")]
     NotReserved { target: Tag, detail: String },
@@ -71,8 +71,8 @@
     Stalled,
 }
 
-fn name_fault(at_fault: Option<SocketAddr>) -> String {
-    at_fault.map_or_else(String::new, |target| format!(", because of {target}"))
+fn name_refusing_target(refusing_target: Option<SocketAddr>) -> String {
+    refusing_target.map_or_else(String::new, |target| format!(", because of {target}"))
 }
 
 impl Failure {
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 pub(crate) struct Opened {
     pub(crate) exchange: Exchange,
-    pub(crate) answer: Answer,
+    pub(crate) answer: ResponseHead,
 }
 
 /// Sends and waits for the head of the answer.
@@ -109,24 +109,24 @@
         Error::NotSent(text) => Failure::NotSent(text),
         Error::Unknown(text) => Failure::Unknown(text),
     })?;
-    let answer = D::read_answer(&exchange.head.headers);
+    let answer = D::parse_response_head(&exchange.head.headers);
     check(&answer, exchange.head.status, terms)?;
     Ok(Opened { exchange, answer })
 }
 
 /// Whether an answer is this request's, and says that it ran.
-fn check(answer: &Answer, status: StatusCode, terms: &Terms<'_>) -> Result<(), Failure> {
+fn check(answer: &ResponseHead, status: StatusCode, terms: &Terms<'_>) -> Result<(), Failure> {
     let is_foreign = answer.attempt.as_deref().is_some_and(|attempt| attempt != terms.attempt);
     if is_foreign {
         return Err(Failure::Spoiled("it bears another id"));
     }
-    if answer.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(Failure::NotRun { status, at_fault: answer.at_fault });
+    if answer.has_not_run || status == StatusCode::MISDIRECTED_REQUEST {
+        return Err(Failure::NotRun { status, refusing_target: answer.refusing_target });
     }
-    if status.is_success() && !answer.signed {
+    if status.is_success() && !answer.is_signed {
         return Err(Failure::Spoiled("it is not signed"));
     }
-    if status.is_success() && answer.encoded {
+    if status.is_success() && answer.is_encoded {
         return Err(Failure::Spoiled("its body is encoded"));
     }
     if status.is_informational() || status.is_redirection() {
@@ -144,7 +144,7 @@
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
-    let sending = Sending {
+    let sending = TargetRequest {
         time_left: terms.time_left,
         target,
         account: terms.account,
@@ -152,6 +152,6 @@
         resume_after: terms.resume_after,
         helpers: terms.helpers,
     };
-    D::write_send(&sending, request.headers_mut());
+    D::write_target_headers(&sending, request.headers_mut());
     request
 }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -5,7 +5,7 @@
 use crate::give::Giving;
 use crate::gossip::{Outgoing, PeerStates};
 use crate::items::Items;
-use crate::ledger::{Ledger, Number};
+use crate::ledger::{AllocationId, Ledger};
 use crate::news::{Lag, News};
 use crate::owner::Owner;
 use crate::placement::Answer;
@@ -65,33 +65,33 @@
     pub(crate) member: OnceLock<Member<Metered<S, C>, C>>,
     items: Mutex<Items>,
     news: Mutex<News>,
-    giving: Mutex<Giving>,
+    transfers: Mutex<Giving>,
     view: RwLock<Arc<View>>,
     ledger: Mutex<Ledger>,
     membership: Mutex<Membership>,
     peer_states: Mutex<PeerStates>,
     owner: Mutex<Owner>,
-    silences: Mutex<HashMap<id::Node, Silence>>,
-    expected: Mutex<HashMap<Number, UnboundedSender<Answer>>>,
+    owner_timeouts: Mutex<HashMap<id::Node, Silence>>,
+    pending_answers: Mutex<HashMap<AllocationId, UnboundedSender<Answer>>>,
     ejection: Mutex<Ejection<Tag>>,
     suspects: Mutex<Suspects>,
     budgets: Mutex<HashMap<id::Service, Budget>>,
-    store_away: AtomicBool,
+    is_store_unreachable: AtomicBool,
     draining_since: OnceLock<Instant>,
     revisions: Mutex<(Revision, Revision)>,
     /// Since when this node has been told what runs where.
-    running: Mutex<Running>,
+    uptime: Mutex<Running>,
     outgoing: UnboundedSender<Outgoing>,
     /// Until the task that sends takes it.
-    unsent: Mutex<Option<UnboundedReceiver<Outgoing>>>,
+    outgoing_receiver: Mutex<Option<UnboundedReceiver<Outgoing>>>,
     /// News of members waits to be told.
-    pub(crate) members_due: Notify,
+    pub(crate) membership_notify: Notify,
     /// Newer revisions wait to be told.
-    pub(crate) revisions_due: Notify,
+    pub(crate) revision_notify: Notify,
     /// Something may have changed for prompts that wait.
-    pub(crate) queue_due: Notify,
+    pub(crate) queue_notify: Notify,
     pub(crate) stage: watch::Sender<Stage>,
-    active: AtomicUsize,
+    active_requests: AtomicUsize,
     dialect: PhantomData<fn() -> D>,
 }
 
@@ -103,7 +103,7 @@
     pub(crate) fn open(settings: Settings, store: S, clock: C, metrics: Metrics) -> Self {
         let now = clock.now();
         let incarnation = id::Incarnation(clock.wall_ms());
-        let (outgoing, unsent) = unbounded_channel();
+        let (outgoing, outgoing_receiver) = unbounded_channel();
         let membership = open_membership(&settings, incarnation, now);
         Self {
             bounds: RwLock::new(Arc::new(settings.bounds.clone())),
@@ -116,28 +116,28 @@
             member: OnceLock::new(),
             items: Mutex::default(),
             news: Mutex::default(),
-            giving: Mutex::default(),
+            transfers: Mutex::default(),
             view: RwLock::default(),
             ledger: Mutex::default(),
             membership: Mutex::new(membership),
             peer_states: Mutex::default(),
             owner: Mutex::default(),
-            silences: Mutex::default(),
-            expected: Mutex::default(),
+            owner_timeouts: Mutex::default(),
+            pending_answers: Mutex::default(),
             ejection: Mutex::default(),
             suspects: Mutex::default(),
             budgets: Mutex::default(),
-            store_away: AtomicBool::new(false),
+            is_store_unreachable: AtomicBool::new(false),
             draining_since: OnceLock::new(),
             revisions: Mutex::default(),
-            running: Mutex::new(Running { since: now, ticked: now }),
+            uptime: Mutex::new(Running { since: now, ticked: now }),
             outgoing,
-            unsent: Mutex::new(Some(unsent)),
-            members_due: Notify::new(),
-            revisions_due: Notify::new(),
-            queue_due: Notify::new(),
+            outgoing_receiver: Mutex::new(Some(outgoing_receiver)),
+            membership_notify: Notify::new(),
+            revision_notify: Notify::new(),
+            queue_notify: Notify::new(),
             stage: watch::channel(Stage::Serving).0,
-            active: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
             dialect: PhantomData,
         }
     }
@@ -182,8 +182,8 @@
         lock(&self.suspects)
     }
 
-    pub(crate) fn giving(&self) -> MutexGuard<'_, Giving> {
-        lock(&self.giving)
+    pub(crate) fn transfers(&self) -> MutexGuard<'_, Giving> {
+        lock(&self.transfers)
     }
 
     pub(crate) fn items(&self) -> MutexGuard<'_, Items> {
@@ -192,7 +192,7 @@
 
     /// Changes the items and reads them anew where that was news. Targets whose
     /// entries go are kept for a while where `may_lapse`.
-    pub(crate) fn update(&self, may_lapse: bool, change: impl FnOnce(&mut Items) -> bool) {
+    pub(crate) fn update_items(&self, may_lapse: bool, change: impl FnOnce(&mut Items) -> bool) {
         let mut items = self.items();
         if !change(&mut items) {
             return;
@@ -210,7 +210,7 @@
         let next = Arc::new(next);
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = next.clone();
         *lock(&self.revisions) = (items.newest(D::OPERATOR_PREFIX), items.newest(D::TARGET_PREFIX));
-        self.revisions_due.notify_one();
+        self.revision_notify.notify_one();
         drop(items);
         if !next.changes.is_empty() {
             self.log_changes(&next);
@@ -223,7 +223,7 @@
     }
 
     /// Whether any target's entry is known yet.
-    pub(crate) fn knows_targets(&self) -> bool {
+    pub(crate) fn has_targets(&self) -> bool {
         let (_, targets) = self.revisions();
         targets > Revision::default()
     }
@@ -240,7 +240,7 @@
     }
 
     /// Notes the newest revision of operators' data that a peer has.
-    pub(crate) fn hear(&self, told: Revision) {
+    pub(crate) fn note_operator_revision(&self, told: Revision) {
         let (known, _) = self.revisions();
         if told > known {
             lock(&self.news).hear(self.now(), told, known);
@@ -254,16 +254,16 @@
     }
 
     /// Notes whether the store answered.
-    pub(crate) fn note_store(&self, answered: bool) {
-        let was_away = self.store_away.swap(!answered, Ordering::Relaxed);
+    pub(crate) fn note_store_reachable(&self, answered: bool) {
+        let was_away = self.is_store_unreachable.swap(!answered, Ordering::Relaxed);
         if was_away == answered {
             log::warn!(away = !answered; "the store's reach changed");
         }
     }
 
     /// Whether the store is out of reach.
-    pub(crate) fn is_store_away(&self) -> bool {
-        self.store_away.load(Ordering::Relaxed)
+    pub(crate) fn is_store_unreachable(&self) -> bool {
+        self.is_store_unreachable.load(Ordering::Relaxed)
     }
 
     /// Notes that the planned stop begins.
@@ -273,50 +273,52 @@
     }
 
     /// How long the planned stop has lasted.
-    pub(crate) fn draining_for(&self) -> Option<Duration> {
+    pub(crate) fn draining_time(&self) -> Option<Duration> {
         let since = self.draining_since.get()?;
         Some(self.now().saturating_duration_since(*since))
     }
 
     /// Notes a request of a service, which earns part of a repeat.
-    pub(crate) fn earn_repeat(&self, service: &id::Service) {
+    pub(crate) fn earn_retry(&self, service: &id::Service) {
         let (now, bounds) = (self.now(), self.bounds());
         let mut budgets = lock(&self.budgets);
         match budgets.get_mut(service) {
-            Some(budget) => budget.earn(now, &bounds.repeats),
-            None => budgets.entry(service.clone()).or_default().earn(now, &bounds.repeats),
+            Some(budget) => budget.earn(now, &bounds.retry_budget),
+            None => budgets.entry(service.clone()).or_default().earn(now, &bounds.retry_budget),
         }
     }
 
     /// Takes one repeat from this node's share of a service's budget.
-    pub(crate) fn spend_repeat(&self, service: &id::Service) -> bool {
+    pub(crate) fn spend_retry(&self, service: &id::Service) -> bool {
         let (now, bounds) = (self.now(), self.bounds());
         let nodes = self.count_nodes();
         let mut budgets = lock(&self.budgets);
-        budgets.entry(service.clone()).or_default().spend(now, &bounds.repeats, nodes)
+        budgets.entry(service.clone()).or_default().spend(now, &bounds.retry_budget, nodes)
     }
 
-    pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, Silence>> {
-        lock(&self.silences)
+    pub(crate) fn owner_timeouts(&self) -> MutexGuard<'_, HashMap<id::Node, Silence>> {
+        lock(&self.owner_timeouts)
     }
 
-    pub(crate) fn running(&self) -> MutexGuard<'_, Running> {
-        lock(&self.running)
+    pub(crate) fn uptime(&self) -> MutexGuard<'_, Running> {
+        lock(&self.uptime)
     }
 
-    pub(crate) fn expected(&self) -> MutexGuard<'_, HashMap<Number, UnboundedSender<Answer>>> {
-        lock(&self.expected)
+    pub(crate) fn pending_answers(
+        &self,
+    ) -> MutexGuard<'_, HashMap<AllocationId, UnboundedSender<Answer>>> {
+        lock(&self.pending_answers)
     }
 
     /// Hands an event to the task that sends.
-    pub(crate) fn post(&self, outgoing: Outgoing) {
+    pub(crate) fn enqueue(&self, outgoing: Outgoing) {
         // The task ends with the node.
         let _ = self.outgoing.send(outgoing);
     }
 
     /// What is to be sent, once.
-    pub(crate) fn take_unsent(&self) -> Option<UnboundedReceiver<Outgoing>> {
-        lock(&self.unsent).take()
+    pub(crate) fn take_outgoing_receiver(&self) -> Option<UnboundedReceiver<Outgoing>> {
+        lock(&self.outgoing_receiver).take()
     }
 
     pub(crate) fn stage(&self) -> Stage {
@@ -329,8 +331,8 @@
     }
 
     /// Requests under way.
-    pub(crate) fn active(&self) -> usize {
-        self.active.load(Ordering::Relaxed)
+    pub(crate) fn active_requests(&self) -> usize {
+        self.active_requests.load(Ordering::Relaxed)
     }
 }
 
@@ -353,17 +355,17 @@
 
 /// Counts a request as under way while it lives.
 #[derive(Debug)]
-pub(crate) struct Active<D: Dialect, S: Store, C: Clock>(Arc<Core<D, S, C>>);
+pub(crate) struct ActiveRequest<D: Dialect, S: Store, C: Clock>(Arc<Core<D, S, C>>);
 
-impl<D: Dialect, S: Store, C: Clock> Active<D, S, C> {
+impl<D: Dialect, S: Store, C: Clock> ActiveRequest<D, S, C> {
     pub(crate) fn begin(core: &Arc<Core<D, S, C>>) -> Self {
-        core.active.fetch_add(1, Ordering::Relaxed);
+        core.active_requests.fetch_add(1, Ordering::Relaxed);
         Self(core.clone())
     }
 }
 
-impl<D: Dialect, S: Store, C: Clock> Drop for Active<D, S, C> {
+impl<D: Dialect, S: Store, C: Clock> Drop for ActiveRequest<D, S, C> {
     fn drop(&mut self) {
-        self.0.active.fetch_sub(1, Ordering::Relaxed);
+        self.0.active_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -2,7 +2,7 @@
 //! names and formats of requests, targets and the store's items.
 
 use crate::config::Configuration;
-use crate::demand::Demand;
+use crate::request::RequestHead;
 use compact_str::CompactString;
 use hickory_unit::finding::Finding;
 use hickory_unit::id;
@@ -24,48 +24,49 @@
     const ZONE_PREFIX: &str;
 
     /// The caller's id of its attempt, empty where it names none.
-    fn read_attempt(headers: &HeaderMap) -> CompactString;
+    fn parse_attempt(headers: &HeaderMap) -> CompactString;
 
     /// Reads a request's head.
     ///
     /// # Errors
     ///
     /// What can't be read, with the header's name.
-    fn read_demand(parts: &Parts) -> Result<Demand, Finding>;
+    fn parse_request_head(parts: &Parts) -> Result<RequestHead, Finding>;
 
     /// Turns the caller's headers into those for a target: removes what is
     /// not for targets, sets what the path decides.
-    fn write_send(send: &Sending<'_>, headers: &mut HeaderMap);
+    fn write_target_headers(send: &TargetRequest<'_>, headers: &mut HeaderMap);
 
     /// Reads the head of a target's answer.
-    fn read_answer(headers: &HeaderMap) -> Answer;
+    fn parse_response_head(headers: &HeaderMap) -> ResponseHead;
 
     /// Removes from a target's answer what concerns one connection only.
-    fn strip_answer(headers: &mut HeaderMap);
+    fn strip_connection_headers(headers: &mut HeaderMap);
 
     /// Reads a configuration.
     ///
     /// # Errors
     ///
     /// What can't be read, with its place.
-    fn read_configuration(text: &str) -> Result<Configuration, Finding>;
+    fn parse_configuration(text: &str) -> Result<Configuration, Finding>;
 
     /// Reads a target's entry; `None` where it names no target to use.
-    fn read_target(id: &str, text: &str) -> Option<Entry>;
+    fn parse_target(id: &str, text: &str) -> Option<Entry>;
 
     /// The answer to where to connect.
     fn write_directory(addresses: &[SocketAddr], keep: Duration) -> String;
 
     /// An order that reserves memory on an engine.
-    fn write_reserve(reservation: &str, tokens: u64, hold: Duration, wait: bool) -> Order;
+    fn reserve_request(reservation: &str, tokens: u64, hold: Duration, wait: bool)
+    -> EngineRequest;
 
     /// An order that ends a reservation.
-    fn write_release(reservation: &str) -> Order;
+    fn release_request(reservation: &str) -> EngineRequest;
 }
 
 /// What the path decides of one sending.
 #[derive(Clone, Debug)]
-pub struct Sending<'a> {
+pub struct TargetRequest<'a> {
     /// How long the target may work.
     pub time_left: Duration,
     /// The target that is meant; another one at its address must not run it.
@@ -92,7 +93,7 @@
 
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct EngineRequest {
     /// Its path.
     pub path: &'static str,
     /// Its body.
@@ -101,20 +102,20 @@
 
 /// The head of a target's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct ResponseHead {
     /// The attempt that it answers.
     pub attempt: Option<CompactString>,
     /// Whether it bears a target's signature.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Whether it says that the request has not run.
-    pub not_run: bool,
+    pub has_not_run: bool,
     /// Whether the body is encoded, which no target does.
-    pub encoded: bool,
+    pub is_encoded: bool,
     /// How long the connection may be idle.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// Where the target is that kept the request from running, where that is said;
     /// it may be one that was to read a part of the prompt.
-    pub at_fault: Option<SocketAddr>,
+    pub refusing_target: Option<SocketAddr>,
 }
 
 /// A target's entry.
@@ -129,9 +130,9 @@
     /// Requests it runs at once.
     pub slots: u32,
     /// Whether it is leaving.
-    pub draining: bool,
+    pub is_draining: bool,
     /// How much longer it is cold, from when the entry was written.
-    pub cold_left: Duration,
+    pub cold_time_left: Duration,
     /// When it started; differs after each start under the same id.
-    pub born: u64,
+    pub incarnation: u64,
 }
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -32,7 +32,7 @@
     });
     if begun {
         core.begin_draining();
-        log::info!(active = core.active(); "planned stop begun");
+        log::info!(active = core.active_requests(); "planned stop begun");
         core.update_contact();
         tokio::spawn(finish(core.clone()));
     }
@@ -44,14 +44,14 @@
         tokio::spawn(async move { member.leave().await });
     }
     let began = core.now();
-    let latest = core.bounds().grace.saturating_sub(RESERVE);
+    let latest = core.bounds().grace_period.saturating_sub(RESERVE);
     loop {
         let passed = core.now().duration_since(began);
-        if passed >= latest || (passed >= NAMED && core.active() == 0) {
+        if passed >= latest || (passed >= NAMED && core.active_requests() == 0) {
             break;
         }
         tokio::time::sleep(LOOK).await;
     }
-    log::info!(active = core.active(); "planned stop done");
+    log::info!(active = core.active_requests(); "planned stop done");
     core.stage.send_replace(Stage::Closed);
 }
--- a/crates/path/src/entry.rs
+++ b/crates/path/src/entry.rs
@@ -20,6 +20,6 @@
     let own = core.is_ready().then_some(core.settings.callers);
     let mut addresses: Vec<SocketAddr> = own.into_iter().collect();
     addresses.extend(core.callers().into_iter().take(ADDRESSES_MAX - addresses.len()));
-    let keep = KEEP.min(core.bounds().keep);
+    let keep = KEEP.min(core.bounds().directory_max_age);
     (!addresses.is_empty()).then(|| D::write_directory(&addresses, keep))
 }
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -175,7 +175,7 @@
         }
         log::info!(words = words.len(); "items taken over from peers");
         let now = self.core.now();
-        self.core.update(may_lapse, |items| {
+        self.core.update_items(may_lapse, |items| {
             let news = words.into_iter().map(|word| items.take(now, word));
             news.fold(false, |any, one| any | one)
         });
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::dialect::Dialect;
 use crate::gossip::{Event, Outgoing};
 use crate::group::{self, Group};
-use crate::ledger::{Allocation, Number};
+use crate::ledger::{Allocation, AllocationId};
 use crate::placement::Answer;
 use crate::view::View;
 use hickory_policy::gossip;
@@ -67,7 +67,7 @@
 
     /// Notes that this node runs; one that was held up was told nothing meanwhile.
     pub(crate) fn note_tick(&self, now: Instant) {
-        let mut running = self.running();
+        let mut running = self.uptime();
         if now.saturating_duration_since(running.ticked) > HELD_UP {
             running.since = now;
         }
@@ -76,13 +76,13 @@
 
     /// Whether this node has been told what runs where.
     pub(crate) fn is_settled(&self) -> bool {
-        self.now().saturating_duration_since(self.running().since) >= SETTLED_AFTER
+        self.now().saturating_duration_since(self.uptime().since) >= SETTLED_AFTER
     }
 
     /// Tells the others what this node says of itself, where that changed.
     pub(crate) fn update_contact(&self) {
         let (ready, settled, store_away) =
-            (self.is_ready(), self.is_settled(), self.is_store_away());
+            (self.is_ready(), self.is_settled(), self.is_store_unreachable());
         let mut membership = self.membership();
         let contact = membership.own().contact.clone();
         membership.set_contact(Contact { ready, settled, store_away, ..contact });
@@ -92,7 +92,7 @@
 
     fn note_members(&self) {
         if self.membership().has_untold() {
-            self.members_due.notify_one();
+            self.membership_notify.notify_one();
         }
     }
 
@@ -106,12 +106,12 @@
 
     /// Sends an event to a node.
     pub(crate) fn send(&self, to: SocketAddr, event: Event) {
-        self.post(Outgoing { to, event: Some(event) });
+        self.enqueue(Outgoing { to, event: Some(event) });
     }
 
     /// Tells a node the newest revisions that this one has.
     pub(crate) fn send_revisions(&self, to: SocketAddr) {
-        self.post(Outgoing { to, event: None });
+        self.enqueue(Outgoing { to, event: None });
     }
 
     /// Tells all other nodes.
@@ -166,8 +166,8 @@
                 level,
                 target_id = target.id.as_str(),
                 service = service.as_str(),
-                draining = target.entry.draining,
-                cold_ms = target.entry.cold_left.as_millis() as u64;
+                draining = target.entry.is_draining,
+                cold_ms = target.entry.cold_time_left.as_millis() as u64;
                 "{change}"
             );
         }
@@ -190,7 +190,7 @@
     /// The nodes that decide on a group, but for those that answered nothing lately.
     pub(crate) fn answering_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
-        let (now, mut silences) = (self.now(), self.silences());
+        let (now, mut silences) = (self.now(), self.owner_timeouts());
         silences.retain(|_, silence| now.saturating_duration_since(silence.last) < PASSED_OVER);
         let is_silent = |node: &id::Node| silences.get(node).is_some_and(|s| s.count >= SILENCES);
         owners.into_iter().filter(|node| !is_silent(node)).collect()
@@ -199,7 +199,7 @@
     /// Notes that an owner did not answer in time.
     pub(crate) fn note_silent(&self, node: &id::Node) {
         let now = self.now();
-        let mut silences = self.silences();
+        let mut silences = self.owner_timeouts();
         let silence = silences.entry(node.clone()).or_insert(Silence { count: 0, last: now });
         silence.count += 1;
         silence.last = now;
@@ -210,7 +210,7 @@
 
     /// Notes that an owner answered.
     pub(crate) fn note_heard(&self, node: &id::Node) {
-        self.silences().remove(node);
+        self.owner_timeouts().remove(node);
     }
 
     /// Tells those who decide on a group.
@@ -223,32 +223,32 @@
     }
 
     /// What this node has placed, as it is told.
-    pub(crate) fn tell_own(&self, now: Instant) -> Vec<(Number, Allocation)> {
-        self.ledger().tell(now).collect()
+    pub(crate) fn tell_own(&self, now: Instant) -> Vec<(AllocationId, Allocation)> {
+        self.ledger().own_allocations(now).collect()
     }
 
     /// The group that an allocation is in.
     pub(crate) fn group_of(&self, allocation: &Allocation) -> Group {
         let groups = group::count_groups(self.view().targets_of(&allocation.service).len());
-        let index = group::find_group(allocation.first, groups);
+        let index = group::find_group(allocation.target, groups);
         Group { service: allocation.service.clone(), index }
     }
 
     /// The answers to an ask, as they come.
-    pub(crate) fn expect_answer(&self, number: Number) -> UnboundedReceiver<Answer> {
+    pub(crate) fn expect_answer(&self, number: AllocationId) -> UnboundedReceiver<Answer> {
         let (sender, receiver) = unbounded_channel();
-        self.expected().insert(number, sender);
+        self.pending_answers().insert(number, sender);
         receiver
     }
 
     /// Expects no further answer.
-    pub(crate) fn forget_answer(&self, number: Number) {
-        self.expected().remove(&number);
+    pub(crate) fn forget_answer(&self, number: AllocationId) {
+        self.pending_answers().remove(&number);
     }
 
     /// Hands an answer to whoever waits for it.
-    pub(crate) fn deliver(&self, number: Number, answer: Answer) {
-        if let Some(sender) = self.expected().get(&number) {
+    pub(crate) fn deliver(&self, number: AllocationId, answer: Answer) {
+        if let Some(sender) = self.pending_answers().get(&number) {
             // Whoever waited has just gone.
             let _ = sender.send(answer);
         }
--- a/crates/path/src/give.rs
+++ b/crates/path/src/give.rs
@@ -82,7 +82,7 @@
     core: &Core<D, S, C>,
     query: &str,
 ) -> Result<Response<Reply>, String> {
-    let is_busy = core.giving().meter.is_busy(core.now(), core.settings.link());
+    let is_busy = core.transfers().meter.is_busy(core.now(), core.settings.link_rate_or_default());
     let most = if is_busy { WORDS_BUSY } else { WORDS_MOST };
     let mut words: Vec<Word> = Vec::new();
     for (name, prefix) in [("operator", D::OPERATOR_PREFIX), ("targets", D::TARGET_PREFIX)] {
@@ -127,12 +127,12 @@
     size: size::Bytes,
 ) -> Result<Ticket, (Busy, Vec<SocketAddr>)> {
     let now = core.now();
-    let mut giving = core.giving();
+    let mut giving = core.transfers();
     if giving.revision != revision {
         giving.revision = revision;
         giving.given.clear();
     }
-    let admitted = giving.meter.admit(now, size, core.settings.link());
+    let admitted = giving.meter.admit(now, size, core.settings.link_rate_or_default());
     admitted.map_err(|busy| (busy, giving.given.name(now)))
 }
 
@@ -154,11 +154,11 @@
     let began = core.now();
     while unsent.changed().await.is_ok() {
         let left = *unsent.borrow_and_update();
-        core.giving().meter.note_left(core.now(), transfer.ticket, left);
+        core.transfers().meter.note_left(core.now(), transfer.ticket, left);
     }
     let now = core.now();
     let left = *unsent.borrow();
-    let mut giving = core.giving();
+    let mut giving = core.transfers();
     giving.meter.end(transfer.ticket);
     if left == size::Bytes(0) && giving.revision == transfer.revision {
         giving.given.note(now + LAST_BYTES, transfer.to);
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -8,8 +8,8 @@
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
 use crate::group::Group;
-use crate::ledger::{Allocation, Number};
-use crate::owner::{self, Asker, Ticket};
+use crate::ledger::{Allocation, AllocationId};
+use crate::owner::{self, Requester, Ticket};
 use crate::placement::{Answer, Request};
 use crate::view::Tag;
 use hickory_policy::gossip::Message;
@@ -63,15 +63,15 @@
     /// Who is alive.
     Member(Message),
     /// A request for a place.
-    Ask(Number, Request),
+    Ask(AllocationId, Request),
     /// The answer to it.
-    Answer(Number, Answer),
+    Answer(AllocationId, Answer),
     /// A request was placed, or still lasts.
-    Placed(Number, Allocation),
+    Placed(AllocationId, Allocation),
     /// Its first token came.
-    Writing(Number),
+    Writing(AllocationId),
     /// It ended, or is no longer asked for.
-    Ended(Number),
+    Ended(AllocationId),
     /// A target served or failed a request.
     Outcome { target: Tag, served: bool },
     /// Nothing listens at a target.
@@ -188,7 +188,7 @@
     socket: Arc<UdpSocket>,
 ) {
     tokio::spawn(receive(core.clone(), socket.clone()));
-    if let Some(outgoing) = core.take_unsent() {
+    if let Some(outgoing) = core.take_outgoing_receiver() {
         tokio::spawn(send_all(core.clone(), socket, outgoing));
     }
     tokio::spawn(keep_members(core.clone()));
@@ -221,8 +221,8 @@
     let now = core.now();
     if core.peer_states().take(now, &datagram) {
         log::info!(peer:% = datagram.node; "peer started anew");
-        core.ledger().forget(&datagram.node);
-        core.owner().forget(&datagram.node);
+        core.ledger().forget_node(&datagram.node);
+        core.owner().forget_node(&datagram.node);
     }
     take_holder(core, &datagram.node, datagram.operator);
     // What stands before a host's address may send from another one.
@@ -246,18 +246,24 @@
             core.send_members(out);
         }
         Event::Ask(number, request) => {
-            owner::take_ask(core, Asker { ticket: ticket(number), address: from }, request);
+            owner::handle_request(
+                core,
+                Requester { ticket: ticket(number), address: from },
+                request,
+            );
         }
         Event::Answer(number, answer) => core.deliver(number, answer),
-        Event::Placed(number, allocation) => core.ledger().take(now, node, number, allocation),
+        Event::Placed(number, allocation) => {
+            core.ledger().record_peer(now, node, number, allocation)
+        }
         Event::Writing(number) => {
-            core.ledger().take_writing(now, node, number);
-            core.queue_due.notify_one();
+            core.ledger().begin_peer_decode(now, node, number);
+            core.queue_notify.notify_one();
         }
         Event::Ended(number) => {
-            core.ledger().take_end(now, node, number);
+            core.ledger().finish_peer(now, node, number);
             core.owner().withdraw(now, &ticket(number));
-            core.queue_due.notify_one();
+            core.queue_notify.notify_one();
         }
         Event::Outcome { target, served } => core.ejection().note(now, target, served),
         Event::Down(target) => core.ejection().note_down(now, target),
@@ -276,7 +282,7 @@
     node: &id::Node,
     operator: Revision,
 ) {
-    core.hear(operator);
+    core.note_operator_revision(operator);
     let (own, _) = core.revisions();
     if core.peer_states().note_holder(node, operator, own) {
         let peers = core.membership().pick(REVISION_FANOUT);
@@ -340,7 +346,7 @@
 
 async fn push_news<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
-        core.members_due.notified().await;
+        core.membership_notify.notified().await;
         tokio::time::sleep(GATHER).await;
         let out = core.membership().push();
         core.send_members(out);
@@ -351,7 +357,7 @@
 /// tell others in turn.
 async fn tell_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
-        core.revisions_due.notified().await;
+        core.revision_notify.notified().await;
         let peers = core.membership().pick(REVISION_FANOUT);
         peers.into_iter().for_each(|peer| core.send_revisions(peer));
         tokio::time::sleep(REVISION_EVERY).await;
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -63,7 +63,7 @@
 }
 
 /// A node's own order of targets, unlike any other node's.
-pub(crate) fn own_order(node: &id::Node, target: Tag) -> u64 {
+pub(crate) fn node_specific_order(node: &id::Node, target: Tag) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(node.as_str().as_bytes()).update(&target.0.to_le_bytes());
     u64::from_le_bytes(*hasher.finalize().as_bytes().first_chunk().unwrap_or(&[0; 8]))
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -31,11 +31,11 @@
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stage {
+pub enum Phase {
     /// Its prompt is being read.
-    Reading,
+    Prefill,
     /// Its stream is being written.
-    Writing,
+    Decode,
 }
 
 /// A request's place, as told between nodes.
@@ -44,23 +44,23 @@
     /// The service.
     pub service: id::Service,
     /// The target that was sent the request.
-    pub first: Tag,
+    pub target: Tag,
     /// Engines that read parts of it, besides.
     pub helpers: Vec<Tag>,
     /// What each of them reads.
-    pub part: Duration,
+    pub prefill_time: Duration,
     /// Prompt tokens.
     pub prompt: Tokens,
     /// Answer tokens, at a guess.
-    pub answer: Tokens,
+    pub expected_answer: Tokens,
     /// Memory by engine, where it isn't all at the first.
     pub memory: Vec<(Tag, Tokens)>,
     /// The longest pause that its stream is to keep.
-    pub gap: Option<Duration>,
+    pub max_token_gap: Option<Duration>,
     /// Whether it is a short prompt.
-    pub short: bool,
+    pub is_short: bool,
     /// How far it has come.
-    pub stage: Stage,
+    pub phase: Phase,
     /// How long ago it was placed.
     pub age: Duration,
 }
@@ -76,31 +76,31 @@
     /// Whether it tells how long requests of its service take: a long prompt takes
     /// as long as it is, and what ended before it was written took no time.
     fn is_usual(&self) -> bool {
-        let Allocation { prompt, short, stage, .. } = &self.allocation;
-        prompt.0 == 0 || (*short && *stage == Stage::Writing)
+        let Allocation { prompt, is_short, phase, .. } = &self.allocation;
+        prompt.0 == 0 || (*is_short && *phase == Phase::Decode)
     }
 
     fn read(&self, writes: bool) -> Read {
-        Read { placed: self.placed, part: self.allocation.part, writes, word: WORD }
+        Read { placed: self.placed, part: self.allocation.prefill_time, writes, word: WORD }
     }
 }
 
 impl Allocation {
     /// The engines that read it.
     pub(crate) fn engines(&self) -> impl Iterator<Item = Tag> {
-        std::iter::once(self.first).chain(self.helpers.iter().copied())
+        std::iter::once(self.target).chain(self.helpers.iter().copied())
     }
 }
 
 /// Names an allocation within its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number(pub u32);
+pub struct AllocationId(pub u32);
 
 /// The allocations that are known.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    own: HashMap<Number, Entry>,
-    peers: HashMap<id::Node, HashMap<Number, Entry>>,
+    own: HashMap<AllocationId, Entry>,
+    peers: HashMap<id::Node, HashMap<AllocationId, Entry>>,
     last: u32,
     sent: HashMap<Tag, VecDeque<Instant>>,
     /// When a pass of an engine was last seen to end, by a first token.
@@ -111,14 +111,14 @@
 
 impl Ledger {
     /// A number for a further request of this node.
-    pub fn next_number(&mut self) -> Number {
+    pub fn next_id(&mut self) -> AllocationId {
         self.last = self.last.wrapping_add(1);
-        Number(self.last)
+        AllocationId(self.last)
     }
 
     /// Notes a request that this node places now.
-    pub fn place(&mut self, now: Instant, number: Number, allocation: Allocation) {
-        let first = allocation.first;
+    pub fn record(&mut self, now: Instant, number: AllocationId, allocation: Allocation) {
+        let first = allocation.target;
         let entry = Entry { allocation, placed: now, told: now };
         if self.own.insert(number, entry).is_none() {
             self.note_sent(now, first);
@@ -126,15 +126,15 @@
     }
 
     /// Notes the first token of an own request.
-    pub fn begin_writing(&mut self, now: Instant, number: Number) {
+    pub fn begin_decode(&mut self, now: Instant, number: AllocationId) {
         if let Some(entry) = self.own.get_mut(&number) {
-            entry.allocation.stage = Stage::Writing;
-            self.passes.insert(entry.allocation.first, now);
+            entry.allocation.phase = Phase::Decode;
+            self.passes.insert(entry.allocation.target, now);
         }
     }
 
     /// Forgets an own request.
-    pub fn end(&mut self, now: Instant, number: Number) {
+    pub fn finish(&mut self, now: Instant, number: AllocationId) {
         let entry = self.own.remove(&number);
         self.note_usual(now, entry);
     }
@@ -148,12 +148,15 @@
 
     /// What an answer of a plain service, or a short stream, usually takes, if one was
     /// seen.
-    pub fn usual_time(&self, service: &id::Service) -> Option<Duration> {
+    pub fn typical_time(&self, service: &id::Service) -> Option<Duration> {
         self.usual.get(service).copied()
     }
 
     /// The own requests, as they are told to peers.
-    pub fn tell(&self, now: Instant) -> impl Iterator<Item = (Number, Allocation)> {
+    pub fn own_allocations(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (AllocationId, Allocation)> {
         self.own.iter().map(move |(&number, entry)| {
             let age = now.saturating_duration_since(entry.placed);
             (number, Allocation { age, ..entry.allocation.clone() })
@@ -161,9 +164,15 @@
     }
 
     /// Takes a peer's allocation.
-    pub fn take(&mut self, now: Instant, node: &id::Node, number: Number, allocation: Allocation) {
+    pub fn record_peer(
+        &mut self,
+        now: Instant,
+        node: &id::Node,
+        number: AllocationId,
+        allocation: Allocation,
+    ) {
         let placed = now.checked_sub(allocation.age).unwrap_or(now);
-        let first = allocation.first;
+        let first = allocation.target;
         let allocations = match self.peers.get_mut(node) {
             Some(allocations) => allocations,
             None => self.peers.entry(node.clone()).or_default(),
@@ -175,21 +184,21 @@
     }
 
     /// Notes the first token of a peer's request.
-    pub fn take_writing(&mut self, now: Instant, node: &id::Node, number: Number) {
+    pub fn begin_peer_decode(&mut self, now: Instant, node: &id::Node, number: AllocationId) {
         if let Some(entry) = self.peers.get_mut(node).and_then(|all| all.get_mut(&number)) {
-            entry.allocation.stage = Stage::Writing;
-            self.passes.insert(entry.allocation.first, now);
+            entry.allocation.phase = Phase::Decode;
+            self.passes.insert(entry.allocation.target, now);
         }
     }
 
     /// Forgets a peer's request.
-    pub fn take_end(&mut self, now: Instant, node: &id::Node, number: Number) {
+    pub fn finish_peer(&mut self, now: Instant, node: &id::Node, number: AllocationId) {
         let entry = self.peers.get_mut(node).and_then(|allocations| allocations.remove(&number));
         self.note_usual(now, entry);
     }
 
     /// Forgets all requests of a peer, which started anew.
-    pub fn forget(&mut self, node: &id::Node) {
+    pub fn forget_node(&mut self, node: &id::Node) {
         self.peers.remove(node);
     }
 
@@ -207,7 +216,7 @@
     }
 
     /// Requests sent to a target within the last second.
-    pub fn sent_lately(&self, now: Instant, tag: Tag) -> usize {
+    pub fn recent_sends(&self, now: Instant, tag: Tag) -> usize {
         let is_late = |at: &&Instant| now.saturating_duration_since(**at) < COLD_WINDOW;
         self.sent.get(&tag).map_or(0, |times| times.iter().filter(is_late).count())
     }
@@ -259,20 +268,20 @@
     engines: &mut [Engine],
 ) {
     let allocation = &entry.allocation;
-    if let Some(&first) = places.get(&allocation.first) {
+    if let Some(&first) = places.get(&allocation.target) {
         let load = &mut loads[first];
         load.requests += 1;
-        load.short += u32::from(allocation.short);
-        load.gap = load.gap.into_iter().chain(allocation.gap).min();
-        match allocation.stage {
-            Stage::Writing => {
+        load.short += u32::from(allocation.is_short);
+        load.gap = load.gap.into_iter().chain(allocation.max_token_gap).min();
+        match allocation.phase {
+            Phase::Decode => {
                 load.writers += 1;
-                load.context += allocation.prompt + allocation.answer;
+                load.context += allocation.prompt + allocation.expected_answer;
             }
-            Stage::Reading => engines[first].reads.push(entry.read(true)),
+            Phase::Prefill => engines[first].reads.push(entry.read(true)),
         }
         if allocation.memory.is_empty() {
-            loads[first].memory += allocation.prompt + allocation.answer;
+            loads[first].memory += allocation.prompt + allocation.expected_answer;
         }
     }
     for &(tag, tokens) in &allocation.memory {
@@ -280,7 +289,7 @@
             loads[place].memory += tokens;
         }
     }
-    if allocation.stage == Stage::Writing {
+    if allocation.phase == Phase::Decode {
         return;
     }
     for place in allocation.helpers.iter().filter_map(|tag| places.get(tag)) {
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -1,7 +1,7 @@
 //! The request path of an entry host.
 //!
 //! A request is decoded by a [`dialect::Dialect`] into the product's own terms
-//! ([`demand`]), matched to a route and an account ([`config`]), placed on
+//! ([`request`]), matched to a route and an account ([`config`]), placed on
 //! targets by the owner of their group ([`ask`], [`group`], [`owner`],
 //! [`placement`]) and by what runs there ([`ledger`]), sent ([`attempt`]), and
 //! relayed ([`serve`], [`stream`]). What a node believes comes from the store
@@ -14,7 +14,6 @@
 pub mod config;
 pub mod core;
 mod death;
-pub mod demand;
 pub mod dialect;
 mod drain;
 mod entry;
@@ -36,6 +35,7 @@
 mod record;
 mod refusal;
 pub mod reply;
+pub mod request;
 mod reservation;
 mod run;
 mod serve;
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -4,8 +4,8 @@
 use crate::dialect::Dialect;
 use crate::gossip::Event;
 use crate::group::Group;
-use crate::ledger::Number;
-use crate::placement::{Answer, Request, Scope, Snapshot, Verdict};
+use crate::ledger::AllocationId;
+use crate::placement::{Answer, Decision, Request, Scope, Snapshot};
 use hickory_policy::plan;
 use hickory_policy::queue::{Ahead, Queue, Turn};
 use hickory_store::store::Store;
@@ -29,12 +29,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Ticket {
     pub(crate) node: id::Node,
-    pub(crate) number: Number,
+    pub(crate) number: AllocationId,
 }
 
 /// Who asks, and where the answer goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     pub(crate) ticket: Ticket,
     pub(crate) address: SocketAddr,
 }
@@ -42,7 +42,7 @@
 /// A prompt that waits for engines.
 #[derive(Clone, Debug)]
 struct Waiting {
-    asker: Asker,
+    asker: Requester,
     request: Request,
     turn: Turn,
     asked: Instant,
@@ -64,7 +64,7 @@
     }
 
     /// Forgets all requests of a node, which started anew.
-    pub(crate) fn forget(&mut self, node: &id::Node) {
+    pub(crate) fn forget_node(&mut self, node: &id::Node) {
         self.answered.retain(|ticket, _| ticket.node != *node);
     }
 
@@ -104,9 +104,9 @@
 
 /// Takes a request for a place. A node that doesn't know the service says nothing,
 /// and the asker goes on to another one.
-pub(crate) fn take_ask<D: Dialect, S: Store, C: Clock>(
+pub(crate) fn handle_request<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
-    asker: Asker,
+    asker: Requester,
     request: Request,
 ) {
     let now = core.now();
@@ -121,7 +121,7 @@
     let turn = read_turn(&snapshot, &request, now);
     let is_long = matches!(turn, Some(Turn::Long(_)));
     let is_next = !is_long && !core.owner().has_short_waiting(&group);
-    if is_next && let Verdict::Answered(answer) = snapshot.decide(&request, Ahead::default()) {
+    if is_next && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default()) {
         settle(core, now, &asker, answer);
         return;
     }
@@ -131,7 +131,7 @@
     owner.queues.entry(group).or_default().put(now, asker.ticket.clone(), turn, waiting);
     drop(owner);
     serve_queues(core, Some(&asker.ticket));
-    core.queue_due.notify_one();
+    core.queue_notify.notify_one();
 }
 
 /// Serves prompts that wait, whenever something may have changed for them.
@@ -139,13 +139,13 @@
     while core.stage() != Stage::Closed {
         let is_idle = !core.owner().has_waiting();
         if is_idle {
-            core.queue_due.notified().await;
+            core.queue_notify.notified().await;
             continue;
         }
         let wait = serve_queues(&core, None).clamp(LOOK_LEAST, LOOK_MOST);
         tokio::time::sleep(LOOK_LEAST).await;
         // Nothing changes the outcome before, but what is told.
-        let _ = tokio::time::timeout(wait - LOOK_LEAST, core.queue_due.notified()).await;
+        let _ = tokio::time::timeout(wait - LOOK_LEAST, core.queue_notify.notified()).await;
     }
 }
 
@@ -173,14 +173,14 @@
             let request = waiting.request.aged(now.saturating_duration_since(waiting.asked));
             let ahead = core.owner().ahead(&group, &ticket, waiting.turn);
             match seen.decide(&request, ahead) {
-                Verdict::Wait(time, survey) => {
+                Decision::Wait(time, survey) => {
                     is_full |= is_short;
                     next = next.min(time);
                     if is_newest {
                         tell(core, &waiting.asker, Answer::Queued(survey));
                     }
                 }
-                Verdict::Answered(answer) => {
+                Decision::Answered(answer) => {
                     core.owner().withdraw(now, &ticket);
                     let is_placed = matches!(answer, Answer::Placed(_));
                     settle(core, now, &waiting.asker, answer);
@@ -198,22 +198,22 @@
 fn settle<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     now: Instant,
-    asker: &Asker,
+    asker: &Requester,
     answer: Answer,
 ) {
     let Ticket { node, number } = &asker.ticket;
     if let Answer::Placed(grant) = &answer {
         let allocation = grant.allocation.clone();
         match *node == core.settings.node {
-            true => core.ledger().place(now, *number, allocation),
-            false => core.ledger().take(now, node, *number, allocation),
+            true => core.ledger().record(now, *number, allocation),
+            false => core.ledger().record_peer(now, node, *number, allocation),
         }
     }
     core.owner().answered.insert(asker.ticket.clone(), (now, answer.clone()));
     tell(core, asker, answer);
 }
 
-fn tell<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>, asker: &Asker, answer: Answer) {
+fn tell<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>, asker: &Requester, answer: Answer) {
     match asker.ticket.node == core.settings.node {
         true => core.deliver(asker.ticket.number, answer),
         false => core.send(asker.address, Event::Answer(asker.ticket.number, answer)),
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::gossip::Event;
 use crate::group::Group;
-use crate::ledger::{Allocation, Number};
+use crate::ledger::{Allocation, AllocationId};
 use crate::placement::Grant;
 use crate::reservation::Reservations;
 use crate::view::{Tag, Target, View};
@@ -21,18 +21,18 @@
 pub(crate) struct Place<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
     group: Group,
-    number: Number,
+    number: AllocationId,
     allocation: Allocation,
     pub(crate) target: Arc<Target>,
     pub(crate) helpers: Vec<Arc<Target>>,
     /// Memory to reserve, by target; empty where the first holds all.
     pub(crate) memory: Vec<(Arc<Target>, Tokens)>,
     /// Whether it is a short prompt, or none.
-    pub(crate) short: bool,
+    pub(crate) is_short: bool,
     /// What each engine reads.
-    pub(crate) part: Duration,
+    pub(crate) prefill_time: Duration,
     /// When the first token, or the answer, is expected.
-    pub(crate) expected: Duration,
+    pub(crate) expected_time: Duration,
     /// What it was chosen by.
     pub(crate) survey: Survey,
     /// Who chose it.
@@ -47,23 +47,23 @@
         core: &Arc<Core<D, S, C>>,
         view: &View,
         group: Group,
-        number: Number,
+        number: AllocationId,
         grant: Grant,
         decider: Decider,
     ) -> Option<Self> {
-        let Grant { allocation, expected, survey } = grant;
+        let Grant { allocation, expected_time: expected, survey } = grant;
         let find = |tag: Tag| view.find(tag).cloned();
         let memory = allocation.memory.iter().map(|&(tag, tokens)| Some((find(tag)?, tokens)));
         Some(Self {
             core: core.clone(),
             group,
             number,
-            target: find(allocation.first)?,
+            target: find(allocation.target)?,
             helpers: allocation.helpers.iter().map(|&tag| find(tag)).collect::<Option<_>>()?,
             memory: memory.collect::<Option<_>>()?,
-            short: allocation.short || allocation.part.is_zero(),
-            part: allocation.part,
-            expected,
+            is_short: allocation.is_short || allocation.prefill_time.is_zero(),
+            prefill_time: allocation.prefill_time,
+            expected_time: expected,
             survey,
             decider,
             allocation,
@@ -72,8 +72,8 @@
     }
 
     /// Enters it in the ledger, and tells those who decide on its group.
-    pub(crate) fn book(&self) {
-        self.core.ledger().place(self.core.now(), self.number, self.allocation.clone());
+    pub(crate) fn publish(&self) {
+        self.core.ledger().record(self.core.now(), self.number, self.allocation.clone());
         self.tell(&Event::Placed(self.number, self.allocation.clone()));
     }
 
@@ -89,10 +89,10 @@
 
     /// The engine that kept the prompt from being read, where it isn't the one
     /// that was sent it.
-    pub(crate) fn find_at_fault(&self, failure: &Failure) -> Option<Tag> {
+    pub(crate) fn find_refusing_target(&self, failure: &Failure) -> Option<Tag> {
         match failure {
             Failure::NotReserved { target, .. } => Some(*target),
-            Failure::NotRun { at_fault, .. } => {
+            Failure::NotRun { refusing_target: at_fault, .. } => {
                 let is_at_fault = |target: &&Arc<Target>| Some(target.entry.address) == *at_fault;
                 self.helpers.iter().find(is_at_fault).map(|target| target.tag)
             }
@@ -101,9 +101,9 @@
     }
 
     /// Notes the first token.
-    pub(crate) fn begin_writing(&self) {
-        self.core.ledger().begin_writing(self.core.now(), self.number);
-        self.core.queue_due.notify_one();
+    pub(crate) fn begin_decode(&self) {
+        self.core.ledger().begin_decode(self.core.now(), self.number);
+        self.core.queue_notify.notify_one();
         self.tell(&Event::Writing(self.number));
     }
 
@@ -130,8 +130,8 @@
 
 impl<D: Dialect, S: Store, C: Clock> Drop for Place<D, S, C> {
     fn drop(&mut self) {
-        self.core.ledger().end(self.core.now(), self.number);
-        self.core.queue_due.notify_one();
+        self.core.ledger().finish(self.core.now(), self.number);
+        self.core.queue_notify.notify_one();
         self.tell(&Event::Ended(self.number));
     }
 }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -2,10 +2,10 @@
 
 use crate::config::Configuration;
 use crate::core::Core;
-use crate::demand::Prompt;
 use crate::dialect::Dialect;
 use crate::group::{self, Group};
-use crate::ledger::{Allocation, Stage};
+use crate::ledger::{Allocation, Phase};
+use crate::request::Prompt;
 use crate::view::{Tag, Target, View};
 use hickory_policy::engine::Profile;
 use hickory_policy::plan::{self, Choice, Load, Plan, Query, Refused};
@@ -48,7 +48,7 @@
     /// What is left until its caller gives up on a first token.
     pub limit_left: Duration,
     /// The longest pause that its stream is to keep.
-    pub gap: Option<Duration>,
+    pub max_token_gap: Option<Duration>,
     /// The zone of the node that asks.
     pub zone: id::Zone,
     /// Targets that were tried.
@@ -77,14 +77,14 @@
     /// What is booked.
     pub allocation: Allocation,
     /// When the first token, or the answer, is expected.
-    pub expected: Duration,
+    pub expected_time: Duration,
     /// What it was chosen by.
     pub survey: Survey,
 }
 
 /// Why nothing is free: when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoPlace {
+pub enum RejectReason {
     /// No target takes work.
     NoTarget,
     /// The prompt is greater than the targets hold.
@@ -95,9 +95,9 @@
 
 /// A request that found no place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unplaced {
+pub struct Rejection {
     /// Why.
-    pub why: NoPlace,
+    pub reason: RejectReason,
     /// What was found.
     pub survey: Survey,
 }
@@ -110,18 +110,18 @@
     /// It waits for engines, with what it found.
     Queued(Survey),
     /// It has no place.
-    Refused(Unplaced),
+    Rejected(Rejection),
 }
 
 /// What a choice says: an answer, or to look again after a time.
-pub(crate) enum Verdict {
+pub(crate) enum Decision {
     Answered(Answer),
     Wait(Duration, Survey),
 }
 
-impl Verdict {
-    pub(crate) fn refused(why: NoPlace, survey: Survey) -> Self {
-        Self::Answered(Answer::Refused(Unplaced { why, survey }))
+impl Decision {
+    pub(crate) fn refused(why: RejectReason, survey: Survey) -> Self {
+        Self::Answered(Answer::Rejected(Rejection { reason: why, survey }))
     }
 }
 
@@ -151,7 +151,7 @@
         service: &id::Service,
         scope: Scope,
     ) -> Option<Self> {
-        if !core.knows_targets() {
+        if !core.has_targets() {
             return None;
         }
         let view = core.view();
@@ -160,7 +160,7 @@
         let targets = find_targets(core, &view, service, cold_rate, scope, now);
         let ledger = core.ledger();
         let mut loads = ledger.loads(now, &targets, configuration.engine_of(service));
-        let usual = ledger.usual_time(service);
+        let usual = ledger.typical_time(service);
         drop(ledger);
         mark(core, now, &targets, &mut loads, scope);
         Some(Self { configuration, targets, loads, usual })
@@ -172,7 +172,7 @@
     }
 
     /// Chooses for a request behind those ahead of it.
-    pub(crate) fn decide(&self, request: &Request, ahead: Ahead) -> Verdict {
+    pub(crate) fn decide(&self, request: &Request, ahead: Ahead) -> Decision {
         let places = self.find_places(request);
         let load = |&place: &usize| {
             let near = self.targets[place].entry.zone == request.zone;
@@ -206,7 +206,7 @@
         places: &[usize],
         loads: &[Load],
         ahead: Ahead,
-    ) -> Verdict {
+    ) -> Decision {
         let survey = Survey::read(Some(profile), loads, ahead);
         let query = Query {
             prompt: prompt.tokens,
@@ -219,8 +219,8 @@
         };
         match plan::choose_engines(&query, profile, loads) {
             Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, places, survey),
-            Ok(Choice::Wait(time)) => Verdict::Wait(time, survey),
-            Err(refused) => Verdict::refused(read_refused(refused), survey),
+            Ok(Choice::Wait(time)) => Decision::Wait(time, survey),
+            Err(refused) => Decision::refused(read_refused(refused), survey),
         }
     }
 
@@ -231,23 +231,23 @@
         plan: &Plan,
         places: &[usize],
         survey: Survey,
-    ) -> Verdict {
+    ) -> Decision {
         let tag = |place: usize| self.targets[places[place]].tag;
         let allocation = Allocation {
             service: request.service.clone(),
-            first: tag(plan.first),
+            target: tag(plan.first),
             helpers: plan.helpers.iter().map(|&place| tag(place)).collect(),
-            part: plan.part,
+            prefill_time: plan.part,
             prompt: query.prompt,
-            answer: query.answer,
+            expected_answer: query.answer,
             memory: plan.memory.iter().map(|&(place, tokens)| (tag(place), tokens)).collect(),
-            gap: request.gap,
-            short: query.short,
-            stage: Stage::Reading,
+            max_token_gap: request.max_token_gap,
+            is_short: query.short,
+            phase: Phase::Prefill,
             age: Duration::ZERO,
         };
-        let grant = Grant { allocation, expected: plan.first_token, survey };
-        Verdict::Answered(Answer::Placed(Box::new(grant)))
+        let grant = Grant { allocation, expected_time: plan.first_token, survey };
+        Decision::Answered(Answer::Placed(Box::new(grant)))
     }
 
     fn place_plain(
@@ -256,9 +256,9 @@
         places: &[usize],
         loads: &[Load],
         survey: Survey,
-    ) -> Verdict {
+    ) -> Decision {
         if places.is_empty() {
-            return Verdict::refused(NoPlace::NoTarget, survey);
+            return Decision::refused(RejectReason::NoTarget, survey);
         }
         let slots = places.iter().map(|&place| self.targets[place].entry.slots);
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
@@ -266,7 +266,7 @@
         let usual = self.usual.unwrap_or(request.goal / USUAL_OF_GOAL);
         let first = match replica::choose(&candidates, usual) {
             Ok(first) => first,
-            Err(time) => return Verdict::refused(NoPlace::Busy(time), survey),
+            Err(time) => return Decision::refused(RejectReason::Busy(time), survey),
         };
         let query = Query {
             prompt: Tokens(0),
@@ -288,17 +288,17 @@
     }
 }
 
-fn read_refused(refused: Refused) -> NoPlace {
+fn read_refused(refused: Refused) -> RejectReason {
     match refused {
-        Refused::NoEngine => NoPlace::NoTarget,
-        Refused::TooLong => NoPlace::TooLong,
-        Refused::Busy(time) => NoPlace::Busy(time),
+        Refused::NoEngine => RejectReason::NoTarget,
+        Refused::TooLong => RejectReason::TooLong,
+        Refused::Busy(time) => RejectReason::Busy(time),
     }
 }
 
 fn guess_answer(profile: &Profile, prompt: Prompt) -> Tokens {
-    let guess = prompt.answer_guess.unwrap_or(Tokens(prompt.answer_max.0 / USUAL_PART));
-    guess.max(profile.usual_answer).min(prompt.answer_max)
+    let guess = prompt.expected_answer.unwrap_or(Tokens(prompt.max_answer.0 / USUAL_PART));
+    guess.max(profile.usual_answer).min(prompt.max_answer)
 }
 
 fn find_targets<D: Dialect, S: Store, C: Clock>(
@@ -316,7 +316,7 @@
     };
     let bears = |target: &Target| match cold_rate {
         Some(rate) if target.is_cold(now) => {
-            let sent = ledger.sent_lately(now, target.tag) as f64;
+            let sent = ledger.recent_sends(now, target.tag) as f64;
             sent + 1.0 <= (rate * COLD_PART / nodes as f64).max(f64::from(u8::from(nodes == 1)))
         }
         _ => true,
@@ -344,7 +344,7 @@
     for ((target, load), cost) in targets.iter().zip(loads).zip(costs) {
         load.preference = match is_common {
             true => target.tag.0,
-            false => group::own_order(&core.settings.node, target.tag),
+            false => group::node_specific_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
         load.shut = ejection.is_shut(now, target.tag);
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -17,17 +17,17 @@
     /// Where a long prompt was placed. Short prompts are too many for a line each;
     /// their answer's line names their engine.
     pub(crate) fn log_placed(&self, place: &Place<D, S, C>) {
-        if place.short {
+        if place.is_short {
             return;
         }
         log_known!(
             &self.known(self.waited, place.survey),
             {
-                request = self.job.demand.attempt.as_str(),
+                request = self.job.head.attempt.as_str(),
                 target_id = place.target.id.as_str(),
                 helpers:% = name_all(&place.helpers),
-                part_ms = place.part.as_millis() as u64,
-                expected_ms = place.expected.as_millis() as u64,
+                part_ms = place.prefill_time.as_millis() as u64,
+                expected_ms = place.expected_time.as_millis() as u64,
                 by:% = place.decider,
                 age_ms = self.age().as_millis() as u64,
             },
@@ -40,7 +40,7 @@
         log_known!(
             &self.known(self.waited, survey),
             {
-                request = self.job.demand.attempt.as_str(),
+                request = self.job.head.attempt.as_str(),
                 age_ms = self.age().as_millis() as u64,
             },
             "waits for engines"
@@ -51,7 +51,7 @@
     pub(crate) fn known(&self, waited: Duration, survey: Survey) -> Known {
         let now = self.core.now();
         Known {
-            prompt: self.job.demand.prompt.map_or(Tokens(0), |prompt| prompt.tokens),
+            prompt: self.job.head.prompt.map_or(Tokens(0), |prompt| prompt.tokens),
             goal_left: self.due().saturating_duration_since(now),
             limit_left: self.first_deadline().saturating_duration_since(now),
             waited,
@@ -62,10 +62,10 @@
     /// That an attempt failed.
     pub(crate) fn log_repeat(&self, place: &Place<D, S, C>, why: &str) {
         log::info!(
-            request = self.job.demand.attempt.as_str(),
+            request = self.job.head.attempt.as_str(),
             target_id = place.target.id.as_str(),
-            expected_ms = place.expected.as_millis() as u64,
-            prompt = self.job.demand.prompt.map_or(0, |prompt| prompt.tokens.0),
+            expected_ms = place.expected_time.as_millis() as u64,
+            prompt = self.job.head.prompt.map_or(0, |prompt| prompt.tokens.0),
             sends = self.sends,
             may_repeat = self.may_repeat(),
             age_ms = self.age().as_millis() as u64;
@@ -77,20 +77,20 @@
     pub(crate) fn log_end(&self, place: &Place<D, S, C>, status: StatusCode) {
         self.core.metrics.answered(self.work, self.age());
         log::info!(
-            request = self.job.demand.attempt.as_str(),
+            request = self.job.head.attempt.as_str(),
             route = self.job.route.name.as_str(),
             target_id = place.target.id.as_str(),
             status = status.as_u16(),
             sends = self.sends,
-            expected_ms = place.expected.as_millis() as u64,
+            expected_ms = place.expected_time.as_millis() as u64,
             first_ms = self.first_event.unwrap_or_default().as_millis() as u64,
             goal_ms = self.job.route.goal.as_millis() as u64,
             wait_ms = self.waited.as_millis() as u64,
             pause_ms = self.longest_pause.as_millis() as u64,
             pause_max_ms = self.job.route.gap.unwrap_or_default().as_millis() as u64,
-            short = place.short,
-            part_ms = place.part.as_millis() as u64,
-            prompt = self.job.demand.prompt.map_or(0, |prompt| prompt.tokens.0),
+            short = place.is_short,
+            part_ms = place.prefill_time.as_millis() as u64,
+            prompt = self.job.head.prompt.map_or(0, |prompt| prompt.tokens.0),
             engines = place.helpers.len() + 1,
             by:% = place.decider,
             peers = self.core.count_peers(),
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use crate::dialect::Dialect;
 use crate::known::{Known, log_known};
-use crate::placement::NoPlace;
+use crate::placement::RejectReason;
 use crate::reply::{self, Reply};
 use hickory_policy::refuse::{Ran, Reason};
 use hickory_store::store::Store;
@@ -61,14 +61,14 @@
     }
 
     /// A refusal of what found no place.
-    pub(crate) fn unplaced(no_place: NoPlace) -> Self {
+    pub(crate) fn unplaced(no_place: RejectReason) -> Self {
         match no_place {
-            NoPlace::NoTarget => {
+            RejectReason::NoTarget => {
                 Self::new(Reason::NoTarget, "no target takes work").after(NO_TARGET_RETRY)
             }
-            NoPlace::TooLong => Self::new(Reason::TooLong, "longer than the fleet's memory")
+            RejectReason::TooLong => Self::new(Reason::TooLong, "longer than the fleet's memory")
                 .with_status(StatusCode::SERVICE_UNAVAILABLE),
-            NoPlace::Busy(time) => Self::new(Reason::Overloaded, "all targets are busy")
+            RejectReason::Busy(time) => Self::new(Reason::Overloaded, "all targets are busy")
                 .with_status(StatusCode::SERVICE_UNAVAILABLE)
                 .after(time.min(RETRY_MAX)),
         }
--- a/crates/path/src/demand.rs
+++ b/crates/path/src/request.rs
@@ -7,7 +7,7 @@
 
 /// A request's head in the product's terms.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Demand {
+pub struct RequestHead {
     /// The caller's own id of this attempt.
     pub attempt: CompactString,
     /// The host it is for, without a port.
@@ -28,7 +28,7 @@
     /// Tokens to read.
     pub tokens: Tokens,
     /// Tokens to write at most.
-    pub answer_max: Tokens,
+    pub max_answer: Tokens,
     /// Tokens to write by the caller's guess.
-    pub answer_guess: Option<Tokens>,
+    pub expected_answer: Option<Tokens>,
 }
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -6,7 +6,7 @@
 
 use crate::attempt::Failure;
 use crate::core::Core;
-use crate::dialect::{Dialect, Helper, Order};
+use crate::dialect::{Dialect, EngineRequest, Helper};
 use crate::place::Place;
 use crate::view::Target;
 use bytes::Bytes;
@@ -115,13 +115,13 @@
     core: &Core<D, S, C>,
     held: &Held,
 ) -> Result<(), String> {
-    let hold = HOLD.min(core.bounds().hold);
-    order(core, held, &D::write_reserve(&held.name, held.tokens.0, hold, false)).await
+    let hold = HOLD.min(core.bounds().max_reservation_hold);
+    order(core, held, &D::reserve_request(&held.name, held.tokens.0, hold, false)).await
 }
 
 async fn release<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, held: Held) {
     for _ in 0..RELEASES {
-        match order(&core, &held, &D::write_release(&held.name)).await {
+        match order(&core, &held, &D::release_request(&held.name)).await {
             Ok(()) => return,
             Err(error) => log::warn!("reservation not released: {error}"),
         }
@@ -131,7 +131,7 @@
 async fn order<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     held: &Held,
-    order: &Order,
+    order: &EngineRequest,
 ) -> Result<(), String> {
     let body = Bytes::copy_from_slice(order.body.as_bytes());
     let call = Call { method: Method::POST, path: order.path, key: None, body };
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -2,11 +2,11 @@
 
 use crate::ask;
 use crate::attempt::{self, Failure, Opened, Terms};
-use crate::core::{Active, Core};
+use crate::core::{ActiveRequest, Core};
 use crate::death::{look_for_death, read_fingerprint};
 use crate::dialect::Dialect;
 use crate::place::Place;
-use crate::placement::Unplaced;
+use crate::placement::Rejection;
 use crate::refusal::{NO_TARGET_RETRY, Refusal};
 use crate::reply::{self, Reply};
 use crate::reservation::Reservations;
@@ -74,7 +74,7 @@
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     job: Job,
-    active: Active<D, S, C>,
+    active: ActiveRequest<D, S, C>,
 ) -> Result<Response<Reply>, Refusal> {
     let service = job.route.pick_service(rand::random());
     let service = service.ok_or_else(|| Refusal::new(Reason::NoTarget, "the route has none"))?;
@@ -85,8 +85,8 @@
         let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
         return Err(refusal.with_status(StatusCode::SERVICE_UNAVAILABLE));
     }
-    core.earn_repeat(&service);
-    let resume_after = job.demand.resume_after;
+    core.earn_retry(&service);
+    let resume_after = job.head.resume_after;
     let work = match (job.route.kind.is_stream(), resume_after) {
         (true, Some(_)) => Work::Resume,
         (true, None) => Work::Completion,
@@ -157,7 +157,7 @@
             };
             let helpers = reservations.helpers(&place);
             let terms = Terms {
-                attempt: &self.job.demand.attempt,
+                attempt: &self.job.head.attempt,
                 account: self.job.account.as_ref().map(|account| &account.name),
                 time_left,
                 urgency: Some(self.urgency(&place)),
@@ -197,12 +197,12 @@
         rank * 2 + u8::from(!place.helpers.is_empty())
     }
 
-    fn refuse_unplaced(&self, unplaced: Unplaced, began: Instant) -> Refusal {
+    fn refuse_unplaced(&self, unplaced: Rejection, began: Instant) -> Refusal {
         let waited = self.waited + self.core.now().saturating_duration_since(began);
         let known = self.known(waited, unplaced.survey);
         Refusal {
             known: Some(Box::new(known)),
-            ..Refusal::unplaced(unplaced.why).after_run(self.ran)
+            ..Refusal::unplaced(unplaced.reason).after_run(self.ran)
         }
     }
 
@@ -236,7 +236,7 @@
         place: &Place<D, S, C>,
         first: impl Future<Output = Result<T, Failure>>,
     ) -> Result<T, Failure> {
-        let stalled = (place.expected * 3 + self.job.route.goal).max(FIRST_LEAST);
+        let stalled = (place.expected_time * 3 + self.job.route.goal).max(FIRST_LEAST);
         let mut first = std::pin::pin!(first);
         if stalled + self.job.route.goal < self.time_left() {
             if let Ok(first) = tokio::time::timeout(stalled, &mut first).await {
@@ -263,7 +263,7 @@
         place: &Place<D, S, C>,
         failure: Failure,
     ) -> Result<(), Refusal> {
-        let other = place.find_at_fault(&failure);
+        let other = place.find_refusing_target(&failure);
         match other {
             Some(tag) => self.note_shut(place, tag, &failure),
             None if matches!(failure, Failure::Down) => {
@@ -343,9 +343,9 @@
     }
 
     pub(crate) fn spend(&self) -> bool {
-        let spent = self.core.spend_repeat(&self.service);
+        let spent = self.core.spend_retry(&self.service);
         if !spent {
-            log::warn!(request = self.job.demand.attempt.as_str(); "no repeat left to spend");
+            log::warn!(request = self.job.head.attempt.as_str(); "no repeat left to spend");
         }
         spent
     }
@@ -381,7 +381,7 @@
         let Opened { mut exchange, answer } = opened;
         let body = tokio::time::timeout(self.time_left(), (&mut exchange.body).collect()).await;
         match body {
-            Ok(Ok(body)) => Ok((exchange, answer.keep, body.to_bytes())),
+            Ok(Ok(body)) => Ok((exchange, answer.keep_alive, body.to_bytes())),
             Ok(Err(error)) => Err(Failure::Unknown(error.to_string())),
             Err(_) => Err(Failure::Late),
         }
@@ -406,7 +406,7 @@
         self.log_end(place, status);
         let mut head = take_head(&mut exchange);
         exchange.keep(keep);
-        D::strip_answer(&mut head.headers);
+        D::strip_connection_headers(&mut head.headers);
         Ok(reply::whole(head, body))
     }
 }
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -2,12 +2,12 @@
 
 use crate::attempt::Message;
 use crate::config::{Account, Configuration, Route};
-use crate::core::{Active, Core};
-use crate::demand::Demand;
+use crate::core::{ActiveRequest, Core};
 use crate::dialect::Dialect;
 use crate::drain::NAMED;
 use crate::refusal::{Refusal, answer_refusal};
 use crate::reply::Reply;
+use crate::request::RequestHead;
 use crate::run;
 use bytes::Bytes;
 use hickory_policy::refuse::Reason;
@@ -49,7 +49,7 @@
     pub(crate) configuration: Arc<Configuration>,
     pub(crate) route: Arc<Route>,
     pub(crate) account: Option<Arc<Account>>,
-    pub(crate) demand: Demand,
+    pub(crate) head: RequestHead,
     pub(crate) message: Message,
     pub(crate) arrived: Instant,
     /// When the caller or the route gives up.
@@ -61,12 +61,12 @@
     core: Arc<Core<D, S, C>>,
     request: Request<Incoming>,
 ) -> Response<Reply> {
-    let active = Active::begin(&core);
+    let active = ActiveRequest::begin(&core);
     let arrived = core.now();
-    let attempt = D::read_attempt(request.headers());
+    let attempt = D::parse_attempt(request.headers());
     let answered = match read_job(&core, arrived, request).await {
         Ok(job) => {
-            let prompt = job.demand.prompt.map_or(Tokens(0), |prompt| prompt.tokens);
+            let prompt = job.head.prompt.map_or(Tokens(0), |prompt| prompt.tokens);
             let answered = run::run(&core, job, active).await;
             answered.map_err(|refusal| refusal.with_prompt(prompt))
         }
@@ -81,25 +81,25 @@
     request: Request<Incoming>,
 ) -> Result<Job, Refusal> {
     let (parts, body) = request.into_parts();
-    let demand = D::read_demand(&parts)
+    let head = D::parse_request_head(&parts)
         .map_err(|finding| Refusal::new(Reason::BadHeader, finding.to_string()));
-    let patience = configuration_patience(demand.as_ref().ok());
+    let patience = configuration_patience(head.as_ref().ok());
     let configuration = wait_configuration(core, arrived, patience).await?;
-    let demand = demand?;
-    let entitled = wait_entitled(core, arrived, configuration, parts.uri.path(), &demand).await?;
+    let head = head?;
+    let entitled = wait_entitled(core, arrived, configuration, parts.uri.path(), &head).await?;
     let Entitled { configuration, route, account } = entitled;
     // A stream that begins this late would be cut by the stop; its caller is
     // better served by another node, and asks for one after this answer.
-    if route.kind.is_stream() && core.draining_for().is_some_and(|time| time > NAMED) {
+    if route.kind.is_stream() && core.draining_time().is_some_and(|time| time > NAMED) {
         let refusal = Refusal::new(Reason::Draining, "this node is stopping");
         return Err(refusal.after(DRAINING_RETRY));
     }
     let body = read_body(body, configuration.limits.body).await;
     let body = body.map_err(|refusal| defer(core, refusal))?;
-    let time = demand.time_left.map_or(route.timeout, |time| time.min(route.timeout));
+    let time = head.time_left.map_or(route.timeout, |time| time.min(route.timeout));
     let message = Message { method: parts.method, uri: parts.uri, headers: parts.headers, body };
     let deadline = arrived + time;
-    Ok(Job { configuration, route, account, demand, message, arrived, deadline })
+    Ok(Job { configuration, route, account, head, message, arrived, deadline })
 }
 
 /// What entitles a request to be run.
@@ -119,11 +119,11 @@
     arrived: Instant,
     mut configuration: Arc<Configuration>,
     path: &str,
-    demand: &Demand,
+    head: &RequestHead,
 ) -> Result<Entitled, Refusal> {
-    let patience = configuration_patience(Some(demand));
+    let patience = configuration_patience(Some(head));
     loop {
-        let refusal = match find_entitled(&configuration, path, demand) {
+        let refusal = match find_entitled(&configuration, path, head) {
             Ok(entitled) => return Ok(entitled),
             Err(refusal) => refusal,
         };
@@ -144,11 +144,11 @@
 fn find_entitled(
     configuration: &Arc<Configuration>,
     path: &str,
-    demand: &Demand,
+    head: &RequestHead,
 ) -> Result<Entitled, Refusal> {
-    let route = configuration.find_route(&demand.host, path).cloned();
+    let route = configuration.find_route(&head.host, path).cloned();
     let route = route.ok_or_else(|| Refusal::new(Reason::NotFound, "no such route"))?;
-    let account = find_account(configuration, &route, demand)?;
+    let account = find_account(configuration, &route, head)?;
     Ok(Entitled { configuration: configuration.clone(), route, account })
 }
 
@@ -164,8 +164,8 @@
 }
 
 /// How long a request waits for a configuration.
-fn configuration_patience(demand: Option<&Demand>) -> Duration {
-    let time = demand.and_then(|demand| demand.time_left);
+fn configuration_patience(head: Option<&RequestHead>) -> Duration {
+    let time = head.and_then(|head| head.time_left);
     time.map_or(CONFIGURATION_WAIT, |time| CONFIGURATION_WAIT.min(time / CONFIGURATION_WAIT_PART))
 }
 
@@ -180,7 +180,7 @@
             return Ok(configuration);
         }
         let waited = core.now().saturating_duration_since(arrived);
-        if core.is_store_away() || waited > patience {
+        if core.is_store_unreachable() || waited > patience {
             let refusal = Refusal::new(Reason::NotReady, "no configuration yet");
             return Err(refusal.after(NOT_READY_RETRY));
         }
@@ -193,9 +193,9 @@
 fn find_account(
     configuration: &Configuration,
     route: &Route,
-    demand: &Demand,
+    head: &RequestHead,
 ) -> Result<Option<Arc<Account>>, Refusal> {
-    let known = demand.key.as_deref().and_then(|key| configuration.find_account(key));
+    let known = head.key.as_deref().and_then(|key| configuration.find_account(key));
     if known.is_none() && configuration.accounts.is_some() && !route.public {
         return Err(Refusal::new(Reason::Unauthenticated, "no such key"));
     }
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -24,11 +24,11 @@
     /// Where other nodes send datagrams.
     pub peers: SocketAddr,
     /// The rate of the host's link, where it is told.
-    pub link: Option<rate::BytesPerSecond>,
+    pub link_rate: Option<rate::BytesPerSecond>,
     /// What the host can do beside its callers' requests, where it is told.
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
-    pub first_start: bool,
+    pub is_first_start: bool,
     /// Where other nodes may be found at the start.
     pub seeds: Vec<SocketAddr>,
     /// The platform's key-value service.
@@ -43,21 +43,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Between SIGTERM and the kill.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// How long callers may keep an answer to where to connect.
-    pub keep: Duration,
+    pub directory_max_age: Duration,
     /// Requests sent beyond the first of each.
-    pub repeats: share::Bound,
+    pub retry_budget: share::Bound,
     /// How long memory may be reserved at a time.
-    pub hold: Duration,
+    pub max_reservation_hold: Duration,
 }
 
 /// A link of which nothing is told counts as a slow one.
-const LINK_UNTOLD: rate::BytesPerSecond = rate::BytesPerSecond(2_500_000.0);
+const DEFAULT_LINK_RATE: rate::BytesPerSecond = rate::BytesPerSecond(2_500_000.0);
 
 impl Settings {
     /// The rate of the host's link.
-    pub fn link(&self) -> rate::BytesPerSecond {
-        self.link.filter(|link| link.0 > 0.0).unwrap_or(LINK_UNTOLD)
+    pub fn link_rate_or_default(&self) -> rate::BytesPerSecond {
+        self.link_rate.filter(|rate| rate.0 > 0.0).unwrap_or(DEFAULT_LINK_RATE)
     }
 }
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -2,7 +2,7 @@
 //! at another target where one breaks off.
 
 use crate::attempt::{Failure, Opened};
-use crate::core::Active;
+use crate::core::ActiveRequest;
 use crate::dialect::Dialect;
 use crate::place::Place;
 use crate::refusal::Refusal;
@@ -55,7 +55,7 @@
 impl Reader {
     fn open(opened: Opened) -> Self {
         let Opened { exchange, answer } = opened;
-        Self { exchange, keep: answer.keep, buffer: BytesMut::new() }
+        Self { exchange, keep: answer.keep_alive, buffer: BytesMut::new() }
     }
 
     async fn next(&mut self) -> Result<Next, Failure> {
@@ -98,7 +98,7 @@
 /// Runs a stream to its first event; the rest follows in the answer's body.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(
     mut run: Run<D, S, C>,
-    active: Active<D, S, C>,
+    active: ActiveRequest<D, S, C>,
 ) -> Result<Response<Reply>, Refusal> {
     loop {
         let (opened, place) = run.open().await?;
@@ -117,13 +117,13 @@
                 continue;
             }
         };
-        place.begin_writing();
+        place.begin_decode();
         run.first_event = Some(run.age());
-        if let Some(prompt) = run.job.demand.prompt {
+        if let Some(prompt) = run.job.head.prompt {
             run.core.metrics.first_token(prompt.tokens, run.age());
         }
         let mut head = take_head(&mut reader.exchange);
-        D::strip_answer(&mut head.headers);
+        D::strip_connection_headers(&mut head.headers);
         // A stream that another target takes up has another length.
         head.headers.remove(header::CONTENT_LENGTH);
         let (out, events) = mpsc::channel(EVENTS_AHEAD);
@@ -148,7 +148,7 @@
     let Opened { mut exchange, answer } = opened;
     let body = tokio::time::timeout(run.time_left(), (&mut exchange.body).collect()).await;
     match body {
-        Ok(Ok(body)) => Some(run.deliver(exchange, answer.keep, body.to_bytes(), place)),
+        Ok(Ok(body)) => Some(run.deliver(exchange, answer.keep_alive, body.to_bytes(), place)),
         Ok(Err(error)) => {
             let failure = Failure::Unknown(error.to_string());
             run.settle(place, failure).await.err().map(Err)
@@ -162,7 +162,7 @@
     run: Run<D, S, C>,
     out: mpsc::Sender<Result<Bytes, Broken>>,
     /// Counts the request as under way until the stream ends.
-    active: Active<D, S, C>,
+    active: ActiveRequest<D, S, C>,
 }
 
 /// How reading from one target ended.
@@ -219,10 +219,10 @@
 
     fn log(&self, place: &Place<D, S, C>, what: &str) {
         log::info!(
-            request = self.run.job.demand.attempt.as_str(),
+            request = self.run.job.head.attempt.as_str(),
             route = self.run.job.route.name.as_str(),
             target_id = place.target.id.as_str(),
-            prompt = self.run.job.demand.prompt.map_or(0, |prompt| prompt.tokens.0),
+            prompt = self.run.job.head.prompt.map_or(0, |prompt| prompt.tokens.0),
             last_event = self.run.resume_after.unwrap_or_default(),
             age_ms = self.run.age().as_millis() as u64;
             "{what}"
@@ -308,7 +308,7 @@
             let mut reader = Reader::open(opened);
             match self.run.wait_first(&other, reader.next()).await {
                 Ok(first) => {
-                    other.begin_writing();
+                    other.begin_decode();
                     return Some((reader, other, first));
                 }
                 Err(failure) => failed = self.run.settle(&other, failure).await,
--- a/crates/path/src/sync.rs
+++ b/crates/path/src/sync.rs
@@ -125,7 +125,7 @@
     core: Arc<Core<D, S, C>>,
     prefix: &'static str,
 ) {
-    let first = core.settings.first_start;
+    let first = core.settings.is_first_start;
     tokio::time::sleep(if first { FIRST_START } else { FIRST_HEARD }).await;
     let mut left: Option<Instant> = None;
     while core.stage() != Stage::Closed {
@@ -139,7 +139,7 @@
         }
         // What is not watched is not known to be away.
         if left.is_some_and(|at| core.now().saturating_duration_since(at) > AWAY_KEPT) {
-            core.note_store(true);
+            core.note_store_reachable(true);
             left = None;
         }
         tokio::time::sleep(LOOK).await;
@@ -170,7 +170,7 @@
     decide: fn(&id::Node, &[Candidate<'_>]) -> T,
 ) -> T {
     let me = &core.settings.node;
-    let own = Candidate { node: me, store_away: core.is_store_away() };
+    let own = Candidate { node: me, store_away: core.is_store_unreachable() };
     let membership = core.membership();
     let peers = membership.alive();
     let peers = peers.map(|r| Candidate { node: &r.node, store_away: r.contact.store_away });
@@ -208,7 +208,7 @@
                 false
             }
         };
-        core.note_store(answered);
+        core.note_store_reachable(answered);
         if prefix == D::TARGET_PREFIX {
             let leads = with_candidates(&core, leads);
             follower.set_spread(if leads { WATCH_SPREAD } else { FOLLOWING_SPREAD });
@@ -216,7 +216,7 @@
         if step.changed {
             let entries = follower.view().values();
             let at = follower.revision();
-            core.update(may_lapse, |items| items.take_all(now, prefix, entries, at));
+            core.update_items(may_lapse, |items| items.take_all(now, prefix, entries, at));
         }
         core.stage() != Stage::Closed
     })
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -98,7 +98,7 @@
 impl Target {
     /// Whether new work may be sent to it at `now`.
     pub fn takes_work(&self, now: Instant) -> bool {
-        !self.entry.draining && self.lapses.is_none_or(|at| now < at)
+        !self.entry.is_draining && self.lapses.is_none_or(|at| now < at)
     }
 
     /// Whether it is cold at `now`.
@@ -145,7 +145,7 @@
             return;
         }
         let Some(text) = &item.value else { return };
-        match D::read_configuration(text) {
+        match D::parse_configuration(text) {
             Ok(configuration) => {
                 self.configured = Some(now);
                 self.configuration = Some(Arc::new(configuration));
@@ -230,15 +230,15 @@
     if let Some(known) = known.filter(|known| known.revision == item.revision) {
         return Some(known.clone());
     }
-    let Some(entry) = D::read_target(id, text) else {
+    let Some(entry) = D::parse_target(id, text) else {
         log::warn!(target_id = id; "entry names no target to use");
         return None;
     };
     if let Some(known) = known.filter(|known| known.entry == entry) {
         return Some(Arc::new(Target { revision: item.revision, ..Target::clone(known) }));
     }
-    let cold_until = (!entry.cold_left.is_zero()).then(|| item.seen + entry.cold_left);
-    let (tag, revision) = (tag_target(id, entry.born), item.revision);
+    let cold_until = (!entry.cold_time_left.is_zero()).then(|| item.seen + entry.cold_time_left);
+    let (tag, revision) = (tag_target(id, entry.incarnation), item.revision);
     Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapses: None, revision }))
 }
 
@@ -250,7 +250,8 @@
     may_lapse: bool,
 ) -> Option<Arc<Target>> {
     let known = known?;
-    let lapses = known.lapses.or((may_lapse && !known.entry.draining).then(|| seen + LAPSED_KEPT));
+    let lapses =
+        known.lapses.or((may_lapse && !known.entry.is_draining).then(|| seen + LAPSED_KEPT));
     let lapses = lapses.filter(|at| now < *at)?;
     Some(Arc::new(Target { lapses: Some(lapses), ..Target::clone(known) }))
 }
--- a/crates/path/tests/ledger.rs
+++ b/crates/path/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! What runs where, as nodes tell each other.
 
 use hickory_path::dialect::Entry;
-use hickory_path::ledger::{Allocation, Ledger, Number, Stage};
+use hickory_path::ledger::{Allocation, AllocationId, Ledger, Phase};
 use hickory_path::view::{Tag, Target};
 use hickory_policy::engine::Profile;
 use hickory_store::store::Revision;
@@ -38,9 +38,9 @@
             address: "127.0.0.1:1".parse().unwrap(),
             zone: "z".into(),
             slots: 16,
-            draining: false,
-            cold_left: Duration::ZERO,
-            born: 1,
+            is_draining: false,
+            cold_time_left: Duration::ZERO,
+            incarnation: 1,
         },
         cold_until: None,
         lapses: None,
@@ -52,22 +52,22 @@
 fn allocation(first: u64, helpers: &[u64], part: u64) -> Allocation {
     Allocation {
         service: "s".into(),
-        first: Tag(first),
+        target: Tag(first),
         helpers: helpers.iter().map(|&tag| Tag(tag)).collect(),
-        part: ms(part),
+        prefill_time: ms(part),
         prompt: Tokens(1_000),
-        answer: Tokens(100),
+        expected_answer: Tokens(100),
         memory: Vec::new(),
-        gap: Some(ms(250)),
-        short: true,
-        stage: Stage::Reading,
+        max_token_gap: Some(ms(250)),
+        is_short: true,
+        phase: Phase::Prefill,
         age: Duration::ZERO,
     }
 }
 
-fn place(ledger: &mut Ledger, now: Instant, allocation: Allocation) -> Number {
-    let number = ledger.next_number();
-    ledger.place(now, number, allocation);
+fn place(ledger: &mut Ledger, now: Instant, allocation: Allocation) -> AllocationId {
+    let number = ledger.next_id();
+    ledger.record(now, number, allocation);
     number
 }
 
@@ -76,7 +76,7 @@
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
     place(&mut ledger, now, allocation(1, &[2], 100));
-    ledger.take(now, &node, Number(1), allocation(1, &[], 50));
+    ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
     let loads = ledger.loads(now, &targets(), Some(&profile()));
     assert_eq!([loads[0].backlog, loads[1].backlog, loads[2].backlog], [ms(150), ms(100), ms(0)]);
     assert_eq!((loads[0].requests, loads[0].short, loads[1].helping), (2, 2, 1));
@@ -88,11 +88,11 @@
 fn the_first_token_ends_the_reading_and_the_end_the_rest() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let number = place(&mut ledger, now, allocation(1, &[2], 100));
-    ledger.begin_writing(now, number);
+    ledger.begin_decode(now, number);
     let loads = ledger.loads(now, &targets(), Some(&profile()));
     assert_eq!((loads[0].backlog, loads[0].writers, loads[1].helping), (ms(0), 1, 0));
     assert_eq!((loads[0].context, loads[0].memory), (Tokens(1_100), Tokens(1_100)));
-    ledger.end(now, number);
+    ledger.finish(now, number);
     assert_eq!(ledger.loads(now, &targets(), Some(&profile()))[0].requests, 0);
 }
 
@@ -103,9 +103,9 @@
 fn what_is_not_told_again_is_forgotten() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
-    ledger.take(now, &node, Number(1), allocation(1, &[], 50));
-    ledger.take(now, &node, Number(2), allocation(1, &[], 50));
-    ledger.take(now + ms(1_500), &node, Number(2), allocation(1, &[], 50));
+    ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
+    ledger.record_peer(now, &node, AllocationId(2), allocation(1, &[], 50));
+    ledger.record_peer(now + ms(1_500), &node, AllocationId(2), allocation(1, &[], 50));
     let requests = |at| ledger.loads(at, &targets(), None)[0].requests;
     assert_eq!(requests(now + ms(1_900)), 2);
     assert_eq!(requests(now + ms(2_100)), 1);
@@ -118,8 +118,8 @@
 fn a_node_that_starts_anew_has_placed_nothing() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
-    ledger.take(now, &node, Number(1), allocation(1, &[], 50));
-    ledger.forget(&node);
+    ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
+    ledger.forget_node(&node);
     assert_eq!(ledger.loads(now, &targets(), None)[0].requests, 0);
 }
 
@@ -131,11 +131,11 @@
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
     let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.end(now, number);
-    ledger.take(now, &node, Number(1), allocation(1, &[], 50));
-    ledger.take(now + ms(500), &node, Number(1), allocation(1, &[], 50));
-    assert_eq!(ledger.sent_lately(now + ms(900), Tag(1)), 2);
-    assert_eq!(ledger.sent_lately(now + ms(1_100), Tag(1)), 0);
+    ledger.finish(now, number);
+    ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
+    ledger.record_peer(now + ms(500), &node, AllocationId(1), allocation(1, &[], 50));
+    assert_eq!(ledger.recent_sends(now + ms(900), Tag(1)), 2);
+    assert_eq!(ledger.recent_sends(now + ms(1_100), Tag(1)), 0);
 }
 
 /// Guards against requests that count twice at a cold target, where the owner that
@@ -144,8 +144,8 @@
 fn what_is_placed_again_was_sent_once() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.place(now + ms(1), number, allocation(1, &[], 50));
-    assert_eq!(ledger.sent_lately(now + ms(10), Tag(1)), 1);
+    ledger.record(now + ms(1), number, allocation(1, &[], 50));
+    assert_eq!(ledger.recent_sends(now + ms(10), Tag(1)), 1);
     assert_eq!(ledger.loads(now + ms(10), &targets(), None)[0].requests, 1);
 }
 
@@ -153,14 +153,14 @@
 fn what_an_answer_usually_takes_follows_plain_requests() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let plain = || Allocation { prompt: Tokens(0), ..allocation(1, &[], 0) };
-    assert_eq!(ledger.usual_time(&"s".into()), None);
+    assert_eq!(ledger.typical_time(&"s".into()), None);
     let number = place(&mut ledger, now, plain());
-    ledger.end(now + ms(60), number);
-    assert_eq!(ledger.usual_time(&"s".into()), Some(ms(60)));
-    ledger.take(now, &"other".into(), Number(1), plain());
-    ledger.take_end(now + ms(220), &"other".into(), Number(1));
-    assert_eq!(ledger.usual_time(&"s".into()), Some(ms(70)));
+    ledger.finish(now + ms(60), number);
+    assert_eq!(ledger.typical_time(&"s".into()), Some(ms(60)));
+    ledger.record_peer(now, &"other".into(), AllocationId(1), plain());
+    ledger.finish_peer(now + ms(220), &"other".into(), AllocationId(1));
+    assert_eq!(ledger.typical_time(&"s".into()), Some(ms(70)));
     let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.end(now + ms(900), number);
-    assert_eq!(ledger.usual_time(&"s".into()), Some(ms(70)), "a prompt's answer");
+    ledger.finish(now + ms(900), number);
+    assert_eq!(ledger.typical_time(&"s".into()), Some(ms(70)), "a prompt's answer");
 }
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -2,10 +2,10 @@
 
 use compact_str::CompactString;
 use hickory_path::config::Configuration;
-use hickory_path::demand::Demand;
-use hickory_path::dialect::{Answer, Dialect, Entry, Order, Sending};
+use hickory_path::dialect::{Dialect, EngineRequest, Entry, ResponseHead, TargetRequest};
 use hickory_path::group;
 use hickory_path::items::{Items, Word};
+use hickory_path::request::RequestHead;
 use hickory_path::view::{Change, View};
 use hickory_store::store::Revision;
 use hickory_unit::finding::Finding;
@@ -28,44 +28,52 @@
     const CONFIG_KEY: &str = "operators/config";
     const ZONE_PREFIX: &str = "operators/zones/";
 
-    fn read_target(_: &str, text: &str) -> Option<Entry> {
+    fn parse_target(_: &str, text: &str) -> Option<Entry> {
         ENTRIES_READ.set(ENTRIES_READ.get() + 1);
         let address = "10.1.0.1:80".parse().ok()?;
         let (service, zone, slots) = ("model".into(), "a".into(), text.parse().ok()?);
         let cold_left = Duration::ZERO;
-        Some(Entry { service, address, zone, slots, draining: false, cold_left, born: 1 })
+        Some(Entry {
+            service,
+            address,
+            zone,
+            slots,
+            is_draining: false,
+            cold_time_left: cold_left,
+            incarnation: 1,
+        })
     }
 
-    fn read_configuration(_: &str) -> Result<Configuration, Finding> {
+    fn parse_configuration(_: &str) -> Result<Configuration, Finding> {
         Ok(Configuration::default())
     }
 
-    fn read_attempt(_: &HeaderMap) -> CompactString {
+    fn parse_attempt(_: &HeaderMap) -> CompactString {
         CompactString::default()
     }
 
-    fn read_demand(_: &Parts) -> Result<Demand, Finding> {
+    fn parse_request_head(_: &Parts) -> Result<RequestHead, Finding> {
         unreachable!("no request comes")
     }
 
-    fn write_send(_: &Sending<'_>, _: &mut HeaderMap) {}
+    fn write_target_headers(_: &TargetRequest<'_>, _: &mut HeaderMap) {}
 
-    fn read_answer(_: &HeaderMap) -> Answer {
-        Answer::default()
+    fn parse_response_head(_: &HeaderMap) -> ResponseHead {
+        ResponseHead::default()
     }
 
-    fn strip_answer(_: &mut HeaderMap) {}
+    fn strip_connection_headers(_: &mut HeaderMap) {}
 
     fn write_directory(_: &[SocketAddr], _: Duration) -> String {
         String::new()
     }
 
-    fn write_reserve(_: &str, _: u64, _: Duration, _: bool) -> Order {
-        Order { path: "", body: String::new() }
+    fn reserve_request(_: &str, _: u64, _: Duration, _: bool) -> EngineRequest {
+        EngineRequest { path: "", body: String::new() }
     }
 
-    fn write_release(_: &str) -> Order {
-        Order { path: "", body: String::new() }
+    fn release_request(_: &str) -> EngineRequest {
+        EngineRequest { path: "", body: String::new() }
     }
 }
 
