--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -1,7 +1,7 @@
 //! Asking the owner of a group of targets for a place.
 //!
-//! An owner that is silent for some milliseconds is passed over for its successor,
-//! which was told the same. Where that one is silent, too, a node decides alone by
+//! An owner that is unresponsive for some milliseconds is passed over for its successor,
+//! which was told the same. Where that one is unresponsive, too, a node decides alone by
 //! what it placed itself, and in an order of its own.
 
 use crate::dialect::Dialect;
@@ -24,87 +24,96 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// How long an owner may be silent: some times the way there and back between
+/// How long an owner may be unresponsive: some times the way there and back between
 /// zones, with the turns of both hosts.
-const PATIENCE: Duration = Duration::from_millis(20);
+const OWNER_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Owners that are asked before a node decides alone.
-const OWNERS_ASKED: usize = 2;
+const MAX_OWNERS_ASKED: usize = 2;
 
 /// After which a prompt that waits is asked for again, which shows its owner that
 /// it is still wanted, and its node that the owner is there.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const QUEUED_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Between two attempts of a node that decides alone.
-const ALONE_AGAIN: Duration = Duration::from_millis(20);
+const STANDALONE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Grants that can't be used after which a node decides alone: the owner has not
 /// heard what this node knows.
-const RETURNED_MOST: u32 = 3;
+const MAX_RETURNED_GRANTS: u32 = 3;
 
 /// Groups of a service that a request is tried in.
-const GROUPS_TRIED: u16 = 2;
+const MAX_GROUPS_TRIED: u16 = 2;
 
 /// How long a request waits for the first targets of a node that has just started.
-const TARGETS_WAIT: Duration = Duration::from_millis(800);
+const MAX_TARGETS_WAIT: Duration = Duration::from_millis(800);
 
 /// The part of its time that a request waits for them.
-const TARGETS_WAIT_PART: u32 = 4;
+const TARGETS_WAIT_DIVISOR: u32 = 4;
 
 /// Between two looks whether they are known.
-const TARGETS_LOOK: Duration = Duration::from_millis(5);
+const TARGETS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// What comes of asking.
-type Outcome<D, S, C> = Result<Place<D, S, C>, Rejection>;
+type PlaceResult<D, S, C> = Result<Place<D, S, C>, Rejection>;
 
 /// A request for a place that is under way. Dropping it withdraws it.
-struct Inquiry<'a, D: Dialect, S: Store, C: Clock> {
+struct PendingRequest<'a, D: Dialect, S: Store, C: Clock> {
     run: &'a Run<D, S, C>,
     group: Group,
-    number: AllocationId,
+    id: AllocationId,
     answers: UnboundedReceiver<Answer>,
     /// Targets that are left out.
     tried: Vec<Tag>,
     /// Grants that this node could not use.
-    returned: u32,
+    returned_grants: u32,
     is_placed: bool,
     is_queued: bool,
 }
 
-/// Finds a place for what a request is about to send.
+/// Finds a place for what a request is about address send.
 pub(crate) async fn place<D: Dialect, S: Store, C: Clock>(
     run: &Run<D, S, C>,
     tried: &[Tag],
-) -> Outcome<D, S, C> {
-    wait_targets(run).await;
+) -> PlaceResult<D, S, C> {
+    wait_for_targets(run).await;
     let groups = group::count_groups(run.core.view().targets_of(&run.service).len());
     let first = rand::random_range(0..groups);
-    let mut unplaced = Rejection { reason: RejectReason::NoTarget, survey: Survey::default() };
-    for step in 0..groups.min(GROUPS_TRIED) {
-        let group = Group { service: run.service.clone(), index: (first + step) % groups };
-        match Inquiry::open(run, group, tried).run().await {
+    let mut rejection = Rejection { reason: RejectReason::NoTarget, survey: Survey::default() };
+    for offset in 0..groups.min(MAX_GROUPS_TRIED) {
+        let group = Group { service: run.service.clone(), index: (first + offset) % groups };
+        match PendingRequest::open(run, group, tried).run().await {
             Ok(place) => return Ok(place),
-            Err(error) => unplaced = error,
+            Err(error) => rejection = error,
         }
     }
-    Err(unplaced)
+    Err(rejection)
 }
 
-/// Waits until this node knows any targets. One that has just started gets the
+/// Waits wait_until this node knows any targets. One that has just started gets the
 /// configuration before them, and would refuse what it could serve a moment later.
-async fn wait_targets<D: Dialect, S: Store, C: Clock>(run: &Run<D, S, C>) {
-    let until = run.core.now() + TARGETS_WAIT.min(run.time_left() / TARGETS_WAIT_PART);
-    while !run.core.has_targets() && run.core.now() < until {
-        tokio::time::sleep(TARGETS_LOOK).await;
+async fn wait_for_targets<D: Dialect, S: Store, C: Clock>(run: &Run<D, S, C>) {
+    let wait_until = run.core.now() + MAX_TARGETS_WAIT.min(run.time_left() / TARGETS_WAIT_DIVISOR);
+    while !run.core.has_targets() && run.core.now() < wait_until {
+        tokio::time::sleep(TARGETS_POLL_INTERVAL).await;
     }
 }
 
-impl<'a, D: Dialect, S: Store, C: Clock> Inquiry<'a, D, S, C> {
+impl<'a, D: Dialect, S: Store, C: Clock> PendingRequest<'a, D, S, C> {
     fn open(run: &'a Run<D, S, C>, group: Group, tried: &[Tag]) -> Self {
-        let number = run.core.ledger().next_id();
-        let answers = run.core.expect_answer(number);
+        let id = run.core.ledger().next_id();
+        let answers = run.core.expect_answer(id);
         let tried = tried.to_vec();
-        Self { run, group, number, answers, tried, returned: 0, is_placed: false, is_queued: false }
+        Self {
+            run,
+            group,
+            id,
+            answers,
+            tried,
+            returned_grants: 0,
+            is_placed: false,
+            is_queued: false,
+        }
     }
 
     fn request(&self) -> Request {
@@ -114,102 +123,102 @@
             group: self.group.index,
             prompt: run.job.head.prompt,
             goal: run.job.route.goal,
-            goal_left: run.due().saturating_duration_since(now),
-            limit_left: run.first_deadline().saturating_duration_since(now),
+            goal_left: run.next_token_due().saturating_duration_since(now),
+            limit_left: run.first_event_deadline().saturating_duration_since(now),
             max_token_gap: run.job.route.gap,
             zone: run.core.settings.zone.clone(),
             tried: self.tried.clone(),
         }
     }
 
-    async fn run(mut self) -> Outcome<D, S, C> {
-        let mut silent: Vec<id::Node> = Vec::new();
+    async fn run(mut self) -> PlaceResult<D, S, C> {
+        let mut unresponsive: Vec<id::Node> = Vec::new();
         loop {
-            let taken = match self.next_owner(&silent) {
-                Some(owner) => self.ask_owner(owner, &mut silent).await,
+            let outcome = match self.next_owner(&unresponsive) {
+                Some(owner) => self.ask_owner(owner, &mut unresponsive).await,
                 None => {
-                    silent.clear();
-                    self.try_alone().await
+                    unresponsive.clear();
+                    self.try_standalone().await
                 }
             };
-            if let Some(taken) = taken {
-                return taken;
+            if let Some(outcome) = outcome {
+                return outcome;
             }
         }
     }
 
-    /// The owner to ask, unless enough were silent or granted what can't be used.
-    fn next_owner(&self, silent: &[id::Node]) -> Option<id::Node> {
-        if silent.len() >= OWNERS_ASKED || self.returned >= RETURNED_MOST {
+    /// The owner address send_request, unless enough were unresponsive or granted what can't be used.
+    fn next_owner(&self, unresponsive: &[id::Node]) -> Option<id::Node> {
+        if unresponsive.len() >= MAX_OWNERS_ASKED || self.returned_grants >= MAX_RETURNED_GRANTS {
             return None;
         }
         let owners = self.run.core.answering_owners(&self.group);
-        owners.into_iter().find(|owner| !silent.contains(owner))
+        owners.into_iter().find(|owner| !unresponsive.contains(owner))
     }
 
-    /// Asks an owner; nothing where it has to be asked again, or another one.
+    /// Asks an owner; nothing where it has address be asked again, or another one.
     async fn ask_owner(
         &mut self,
         owner: id::Node,
-        silent: &mut Vec<id::Node>,
-    ) -> Option<Outcome<D, S, C>> {
-        self.ask(&owner);
-        let Some(answer) = self.next_answer(PATIENCE).await else {
+        unresponsive: &mut Vec<id::Node>,
+    ) -> Option<PlaceResult<D, S, C>> {
+        self.send_request(&owner);
+        let Some(answer) = self.next_answer(OWNER_TIMEOUT).await else {
             self.run.core.note_silent(&owner);
-            silent.push(owner);
+            unresponsive.push(owner);
             return None;
         };
         self.run.core.note_heard(&owner);
-        let decider = if silent.is_empty() { Decider::Owner } else { Decider::Successor };
-        silent.clear();
-        let taken = self.take(answer, decider);
-        if taken.is_some() || !self.is_queued {
-            return taken;
+        let decider = if unresponsive.is_empty() { Decider::Owner } else { Decider::Successor };
+        unresponsive.clear();
+        let outcome = self.handle_answer(answer, decider);
+        if outcome.is_some() || !self.is_queued {
+            return outcome;
         }
-        let answer = self.next_answer(ASK_AGAIN).await?;
-        self.take(answer, decider)
+        let answer = self.next_answer(QUEUED_RESEND_INTERVAL).await?;
+        self.handle_answer(answer, decider)
     }
 
     /// Decides by this node's own requests; nothing where it waits.
-    async fn try_alone(&mut self) -> Option<Outcome<D, S, C>> {
-        let time = match self.decide_alone() {
+    async fn try_standalone(&mut self) -> Option<PlaceResult<D, S, C>> {
+        let time = match self.decide_standalone() {
             Decision::Answered(answer) => {
-                let taken = self.take(answer, Decider::Alone);
-                if taken.is_some() {
-                    return taken;
+                let outcome = self.handle_answer(answer, Decider::Alone);
+                if outcome.is_some() {
+                    return outcome;
                 }
-                ALONE_AGAIN
+                STANDALONE_RETRY_INTERVAL
             }
             Decision::Wait(time, survey) => {
                 self.note_queued(survey);
-                time.max(ALONE_AGAIN)
+                time.max(STANDALONE_RETRY_INTERVAL)
             }
         };
         tokio::time::sleep(time).await;
         None
     }
 
-    fn ask(&self, owner: &id::Node) {
+    fn send_request(&self, owner: &id::Node) {
         let core = &self.run.core;
         let request = self.request();
         if *owner == core.settings.node {
-            let ticket = Ticket { node: owner.clone(), number: self.number };
+            let ticket = Ticket { node: owner.clone(), id: self.id };
             owner::handle_request(
                 core,
                 Requester { ticket, address: core.settings.peers },
                 request,
             );
-        } else if let Some(to) = core.find_peer(owner) {
-            core.send(to, Event::Ask(self.number, request));
+        } else if let Some(address) = core.find_peer(owner) {
+            core.send(address, Event::Ask(self.id, request));
         }
     }
 
-    async fn next_answer(&mut self, patience: Duration) -> Option<Answer> {
-        tokio::time::timeout(patience, self.answers.recv()).await.ok().flatten()
+    async fn next_answer(&mut self, timeout: Duration) -> Option<Answer> {
+        tokio::time::timeout(timeout, self.answers.recv()).await.ok().flatten()
     }
 
-    /// Takes an answer; nothing where it has to be asked again.
-    fn take(&mut self, answer: Answer, decider: Decider) -> Option<Outcome<D, S, C>> {
+    /// Takes an answer; nothing where it has address be asked again.
+    fn handle_answer(&mut self, answer: Answer, decider: Decider) -> Option<PlaceResult<D, S, C>> {
         match answer {
             Answer::Placed(grant) => self.open_place(*grant, decider).map(Ok),
             Answer::Queued(survey) => {
@@ -217,15 +226,15 @@
                 None
             }
             // This node may know a target that the owner has not heard of.
-            Answer::Rejected(unplaced)
-                if unplaced.reason == RejectReason::NoTarget && decider != Decider::Alone =>
+            Answer::Rejected(rejection)
+                if rejection.reason == RejectReason::NoTarget && decider != Decider::Alone =>
             {
-                match self.decide_alone() {
-                    Decision::Answered(answer) => self.take(answer, Decider::Alone),
-                    Decision::Wait(..) => Some(Err(unplaced)),
+                match self.decide_standalone() {
+                    Decision::Answered(answer) => self.handle_answer(answer, Decider::Alone),
+                    Decision::Wait(..) => Some(Err(rejection)),
                 }
             }
-            Answer::Rejected(unplaced) => Some(Err(unplaced)),
+            Answer::Rejected(rejection) => Some(Err(rejection)),
         }
     }
 
@@ -235,9 +244,9 @@
         let view = core.view();
         let unusable = find_unusable(&view, &grant, core.now());
         let group = self.group.clone();
-        let place = Place::open(core, &view, group, self.number, grant, decider);
+        let place = Place::open(core, &view, group, self.id, grant, decider);
         let Some(place) = place.filter(|_| unusable.is_none()) else {
-            self.try_others(unusable);
+            self.return_grant(unusable);
             return None;
         };
         self.is_placed = true;
@@ -246,8 +255,8 @@
         Some(place)
     }
 
-    /// Gives a grant back, to ask again without one of its targets.
-    fn try_others(&mut self, unusable: Option<Tag>) {
+    /// Gives a grant back, address send_request again without one of its targets.
+    fn return_grant(&mut self, unusable: Option<Tag>) {
         let core = &self.run.core;
         log::info!(
             request = self.run.job.head.attempt.as_str(),
@@ -255,18 +264,18 @@
             "the granted target takes no work"
         );
         self.withdraw();
-        self.returned += 1;
+        self.returned_grants += 1;
         self.tried.extend(unusable);
-        self.number = core.ledger().next_id();
-        self.answers = core.expect_answer(self.number);
+        self.id = core.ledger().next_id();
+        self.answers = core.expect_answer(self.id);
         self.is_queued = false;
     }
 
-    fn decide_alone(&self) -> Decision {
+    fn decide_standalone(&self) -> Decision {
         let core = &self.run.core;
         let request = self.request();
-        let scope = Scope::Alone(core.count_nodes());
-        let snapshot = Snapshot::open(core, core.now(), &request.service, scope);
+        let scope = Scope::Standalone(core.count_nodes());
+        let snapshot = Snapshot::capture(core, core.now(), &request.service, scope);
         snapshot.map_or_else(
             || Decision::refused(RejectReason::NoTarget, Survey::default()),
             |snapshot| snapshot.decide(&request, Ahead::default()),
@@ -275,24 +284,24 @@
 
     fn note_queued(&mut self, survey: Survey) {
         if !std::mem::replace(&mut self.is_queued, true) {
-            self.run.log_waiting(survey);
+            self.run.log_queued(survey);
         }
     }
 
     fn withdraw(&self) {
         let core = &self.run.core;
-        core.forget_answer(self.number);
-        core.ledger().finish(core.now(), self.number);
-        let ticket = Ticket { node: core.settings.node.clone(), number: self.number };
+        core.forget_answer(self.id);
+        core.ledger().finish(core.now(), self.id);
+        let ticket = Ticket { node: core.settings.node.clone(), id: self.id };
         core.owner().withdraw(core.now(), &ticket);
-        core.tell_owners(&self.group, &Event::Ended(self.number));
+        core.tell_owners(&self.group, &Event::Ended(self.id));
     }
 }
 
-impl<D: Dialect, S: Store, C: Clock> Drop for Inquiry<'_, D, S, C> {
+impl<D: Dialect, S: Store, C: Clock> Drop for PendingRequest<'_, D, S, C> {
     fn drop(&mut self) {
         match self.is_placed {
-            true => self.run.core.forget_answer(self.number),
+            true => self.run.core.forget_answer(self.id),
             false => self.withdraw(),
         }
     }
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to a target, up to the head of the answer.
+//! One target_request of a request to a target, up to the head of the answer.
 
 use crate::core::Core;
 use crate::dialect::{Dialect, Helper, ResponseHead, TargetRequest};
@@ -16,8 +16,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How fresh a connection must be for a request that may run only once.
-const FRESH: Duration = Duration::from_millis(500);
+/// How fresh a connection must be for a request that may run only is_non_repeatable.
+const MAX_REUSE_IDLE_TIME: Duration = Duration::from_millis(500);
 
 /// A request as it came, kept for further attempts.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
 
 /// What an attempt is sent with.
 #[derive(Clone, Debug)]
-pub(crate) struct Terms<'a> {
+pub(crate) struct Parameters<'a> {
     /// The caller's id of its attempt, by which answers are known.
     pub(crate) attempt: &'a str,
     pub(crate) account: Option<&'a id::Account>,
@@ -38,8 +38,8 @@
     pub(crate) urgency: Option<u8>,
     pub(crate) resume_after: Option<u64>,
     pub(crate) helpers: &'a [Helper],
-    /// Whether the request may run only once.
-    pub(crate) once: bool,
+    /// Whether the request may run only is_non_repeatable.
+    pub(crate) is_non_repeatable: bool,
 }
 
 /// Why an attempt brought no answer.
@@ -47,7 +47,7 @@
 pub(crate) enum Failure {
     /// Nothing listens at the target.
     #[display("not sent: connection refused")]
-    Down,
+    ConnectionRefused,
     /// No byte reached the target.
     #[display("not sent: {_0}")]
     NotSent(String),
@@ -59,13 +59,13 @@
     NotReserved { target: Tag, detail: String },
     /// It may have run.
     #[display("no answer: {_0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
     /// What came is not an answer to it; it may have run.
     #[display("not its answer: {_0}")]
-    Spoiled(&'static str),
+    InvalidAnswer(&'static str),
     /// Nothing came until the deadline.
     #[display("timeout")]
-    Late,
+    DeadlineExceeded,
     /// Nothing came for long, and a repeat was taken to try another target.
     #[display("stalled")]
     Stalled,
@@ -79,19 +79,19 @@
     /// What it is counted as.
     pub(crate) fn reason(&self) -> Retry {
         match self {
-            Self::Down | Self::NotSent(_) | Self::NotReserved { .. } => Retry::NotSent,
+            Self::ConnectionRefused | Self::NotSent(_) | Self::NotReserved { .. } => Retry::NotSent,
             Self::NotRun { .. } => Retry::Refused,
-            Self::Unknown(_) | Self::Spoiled(_) => Retry::TargetFailed,
-            Self::Late | Self::Stalled => Retry::Stalled,
+            Self::OutcomeUnknown(_) | Self::InvalidAnswer(_) => Retry::TargetFailed,
+            Self::DeadlineExceeded | Self::Stalled => Retry::Stalled,
         }
     }
 }
 
 /// An answer whose head is there.
 #[derive(Debug)]
-pub(crate) struct Opened {
+pub(crate) struct OpenResponse {
     pub(crate) exchange: Exchange,
-    pub(crate) answer: ResponseHead,
+    pub(crate) head: ResponseHead,
 }
 
 /// Sends and waits for the head of the answer.
@@ -99,59 +99,64 @@
     core: &Core<D, S, C>,
     message: &Message,
     place: &Place<D, S, C>,
-    terms: &Terms<'_>,
-) -> Result<Opened, Failure> {
-    let request = build::<D>(message, &place.target.id, terms);
-    let reuse = if terms.once { Reuse::Within(FRESH) } else { Reuse::Any };
+    parameters: &Parameters<'_>,
+) -> Result<OpenResponse, Failure> {
+    let request = build_request::<D>(message, &place.target.id, parameters);
+    let reuse =
+        if parameters.is_non_repeatable { Reuse::Within(MAX_REUSE_IDLE_TIME) } else { Reuse::Any };
     let sent = core.client.send(place.target.entry.address, request, reuse).await;
     let exchange = sent.map_err(|error| match error {
-        Error::Refused => Failure::Down,
+        Error::Refused => Failure::ConnectionRefused,
         Error::NotSent(text) => Failure::NotSent(text),
-        Error::Unknown(text) => Failure::Unknown(text),
+        Error::Unknown(text) => Failure::OutcomeUnknown(text),
     })?;
-    let answer = D::parse_response_head(&exchange.head.headers);
-    check(&answer, exchange.head.status, terms)?;
-    Ok(Opened { exchange, answer })
+    let head = D::parse_response_head(&exchange.head.headers);
+    check_response(&head, exchange.head.status, parameters)?;
+    Ok(OpenResponse { exchange, head })
 }
 
 /// Whether an answer is this request's, and says that it ran.
-fn check(answer: &ResponseHead, status: StatusCode, terms: &Terms<'_>) -> Result<(), Failure> {
-    let is_foreign = answer.attempt.as_deref().is_some_and(|attempt| attempt != terms.attempt);
+fn check_response(
+    head: &ResponseHead,
+    status: StatusCode,
+    parameters: &Parameters<'_>,
+) -> Result<(), Failure> {
+    let is_foreign = head.attempt.as_deref().is_some_and(|attempt| attempt != parameters.attempt);
     if is_foreign {
-        return Err(Failure::Spoiled("it bears another id"));
+        return Err(Failure::InvalidAnswer("it bears another id"));
     }
-    if answer.has_not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Err(Failure::NotRun { status, refusing_target: answer.refusing_target });
+    if head.has_not_run || status == StatusCode::MISDIRECTED_REQUEST {
+        return Err(Failure::NotRun { status, refusing_target: head.refusing_target });
     }
-    if status.is_success() && !answer.is_signed {
-        return Err(Failure::Spoiled("it is not signed"));
+    if status.is_success() && !head.is_signed {
+        return Err(Failure::InvalidAnswer("it is not signed"));
     }
-    if status.is_success() && answer.is_encoded {
-        return Err(Failure::Spoiled("its body is encoded"));
+    if status.is_success() && head.is_encoded {
+        return Err(Failure::InvalidAnswer("its body is encoded"));
     }
     if status.is_informational() || status.is_redirection() {
-        return Err(Failure::Spoiled("no target answers so"));
+        return Err(Failure::InvalidAnswer("no target answers so"));
     }
     Ok(())
 }
 
-fn build<D: Dialect>(
+fn build_request<D: Dialect>(
     message: &Message,
     target: &id::Target,
-    terms: &Terms<'_>,
+    parameters: &Parameters<'_>,
 ) -> http::Request<Full<Bytes>> {
     let mut request = http::Request::new(Full::new(message.body.clone()));
     *request.method_mut() = message.method.clone();
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
-    let sending = TargetRequest {
-        time_left: terms.time_left,
+    let target_request = TargetRequest {
+        time_left: parameters.time_left,
         target,
-        account: terms.account,
-        urgency: terms.urgency,
-        resume_after: terms.resume_after,
-        helpers: terms.helpers,
+        account: parameters.account,
+        urgency: parameters.urgency,
+        resume_after: parameters.resume_after,
+        helpers: parameters.helpers,
     };
-    D::write_target_headers(&sending, request.headers_mut());
+    D::write_target_headers(&target_request, request.headers_mut());
     request
 }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -39,7 +39,7 @@
 
 /// How long sent bytes may stay unacknowledged before a target counts as cut
 /// off: some hundred times the way there and back.
-const SILENCE: Duration = Duration::from_millis(1_200);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// What a node is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -112,7 +112,7 @@
             metrics,
             incarnation,
             clock,
-            client: Client::open(CONNECT_TIMEOUT).with_silence(SILENCE),
+            client: Client::open(CONNECT_TIMEOUT).with_silence(UNACKNOWLEDGED_TIMEOUT),
             member: OnceLock::new(),
             items: Mutex::default(),
             news: Mutex::default(),
@@ -240,10 +240,10 @@
     }
 
     /// Notes the newest revision of operators' data that a peer has.
-    pub(crate) fn note_operator_revision(&self, told: Revision) {
+    pub(crate) fn note_operator_revision(&self, revision: Revision) {
         let (known, _) = self.revisions();
-        if told > known {
-            lock(&self.news).hear(self.now(), told, known);
+        if revision > known {
+            lock(&self.news).hear(self.now(), revision, known);
         }
     }
 
@@ -254,10 +254,10 @@
     }
 
     /// Notes whether the store answered.
-    pub(crate) fn note_store_reachable(&self, answered: bool) {
-        let was_away = self.is_store_unreachable.swap(!answered, Ordering::Relaxed);
-        if was_away == answered {
-            log::warn!(away = !answered; "the store's reach changed");
+    pub(crate) fn note_store_reachable(&self, is_reachable: bool) {
+        let was_unreachable = self.is_store_unreachable.swap(!is_reachable, Ordering::Relaxed);
+        if was_unreachable == is_reachable {
+            log::warn!(away = !is_reachable; "the store's reach changed");
         }
     }
 
--- a/crates/path/src/death.rs
+++ b/crates/path/src/death.rs
@@ -12,11 +12,11 @@
 use tokio::net::TcpStream;
 
 /// How long a look at a target's port may take, to tell a death from a cut.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// What tells a request that crashes targets when it comes again: who sends
 /// it, where to, and what.
-pub(crate) fn read_fingerprint(job: &Job) -> u64 {
+pub(crate) fn compute_fingerprint(job: &Job) -> u64 {
     let mut hasher = blake3::Hasher::new();
     let account = job.account.as_ref().map_or("", |account| account.name.as_str());
     hasher.update(account.as_bytes()).update(&[0]);
@@ -28,15 +28,15 @@
 /// Looks whether a target that broke off is dead, and if so notes the request
 /// as one that it died under. A connection that was merely cut says nothing
 /// against the request.
-pub(crate) async fn look_for_death<D: Dialect, S: Store, C: Clock>(
+pub(crate) async fn probe_for_death<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     target: &Target,
     fingerprint: u64,
 ) -> bool {
     let address = target.entry.address;
     core.client.clear(address);
-    let looked = tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(address)).await;
-    let is_dead = matches!(&looked, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
+    let probe = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
+    let is_dead = matches!(&probe, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
     if is_dead {
         note_death(core, core.now(), fingerprint);
     }
@@ -48,12 +48,12 @@
     now: Instant,
     fingerprint: u64,
 ) {
-    let told = {
+    let suspect = {
         let mut suspects = core.suspects();
         suspects.note_death(now, [fingerprint]);
         suspects.tell(now).into_iter().find(|suspect| suspect.fingerprint == fingerprint)
     };
-    if let Some(suspect) = told {
+    if let Some(suspect) = suspect {
         log::warn!(fingerprint, deaths = suspect.deaths; "a target died under a request");
         core.send_to_all(&Event::Suspect { fingerprint, deaths: suspect.deaths });
     }
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -12,25 +12,25 @@
 
 /// How long a stopping node is still named in kept answers: three times what
 /// they may be kept, and the time that its peers take to hear of the stop.
-pub(crate) const NAMED: Duration = Duration::from_millis(3_400);
+pub(crate) const CACHED_ADDRESS_LIFETIME: Duration = Duration::from_millis(3_400);
 
-/// What is left of the grace time when the node stops at the latest: enough to
+/// What is left of the grace time when the node stops at the max_drain_time: enough to
 /// end by itself before it is killed.
-const RESERVE: Duration = Duration::from_millis(500);
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
 
 /// Between two looks whether the last request has ended.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Begins a planned stop, once.
 pub(crate) fn begin<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
-    let begun = core.stage.send_if_modified(|stage| {
+    let has_begun = core.stage.send_if_modified(|stage| {
         let serving = *stage == Stage::Serving;
         if serving {
             *stage = Stage::Draining;
         }
         serving
     });
-    if begun {
+    if has_begun {
         core.begin_draining();
         log::info!(active = core.active_requests(); "planned stop begun");
         core.update_contact();
@@ -44,13 +44,15 @@
         tokio::spawn(async move { member.leave().await });
     }
     let began = core.now();
-    let latest = core.bounds().grace_period.saturating_sub(RESERVE);
+    let max_drain_time = core.bounds().grace_period.saturating_sub(SHUTDOWN_RESERVE);
     loop {
-        let passed = core.now().duration_since(began);
-        if passed >= latest || (passed >= NAMED && core.active_requests() == 0) {
+        let elapsed = core.now().duration_since(began);
+        if elapsed >= max_drain_time
+            || (elapsed >= CACHED_ADDRESS_LIFETIME && core.active_requests() == 0)
+        {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     log::info!(active = core.active_requests(); "planned stop done");
     core.stage.send_replace(Stage::Closed);
--- a/crates/path/src/give.rs
+++ b/crates/path/src/give.rs
@@ -106,7 +106,7 @@
     let Some((revision, cut)) = find_cut(core, ask.key) else {
         return Ok(reply::plain(StatusCode::NOT_FOUND, "no such value"));
     };
-    let pieces = Pieces::of(cut, &ask.pieces);
+    let pieces = Pieces::new(cut, &ask.pieces);
     let size = *pieces.unsent().borrow();
     let admitted = admit(core, revision, size);
     let ticket = match admitted {
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -239,7 +239,7 @@
     from: SocketAddr,
     event: Event,
 ) {
-    let ticket = |number| Ticket { node: node.clone(), number };
+    let ticket = |number| Ticket { node: node.clone(), id: number };
     match event {
         Event::Member(message) => {
             let out = core.membership().receive(now, node, from, message);
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -11,12 +11,12 @@
 use hickory_state::rank::rank_nodes;
 use hickory_unit::id;
 
-/// Targets in a group at most. An owner's work for a group grows with it, and a
+/// Targets in a group at max_capacity. An owner's work for a group grows with it, and a
 /// prompt is split within one group.
-const TARGETS_MOST: usize = 160;
+const MAX_GROUP_TARGETS: usize = 160;
 
 /// Part of the greatest capacity that a node needs to own a group.
-const CAPACITY_PART: u32 = 2;
+const OWNER_CAPACITY_DIVISOR: u32 = 2;
 
 /// A group of a service's targets.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -30,7 +30,7 @@
 
 /// How many groups so many targets of a service make.
 pub fn count_groups(targets: usize) -> u16 {
-    targets.div_ceil(TARGETS_MOST).clamp(1, usize::from(u16::MAX)) as u16
+    targets.div_ceil(MAX_GROUP_TARGETS).clamp(1, usize::from(u16::MAX)) as u16
 }
 
 /// The group that a target belongs to, by jump consistent hashing: a further
@@ -53,13 +53,16 @@
     nodes: impl Iterator<Item = (&'a id::Node, &'a Contact)>,
 ) -> Vec<&'a id::Node> {
     let ready: Vec<_> = nodes.filter(|(_, contact)| contact.ready).collect();
-    let is_settled = ready.iter().any(|(_, contact)| contact.settled);
-    let able = || ready.iter().filter(|(_, contact)| contact.settled || !is_settled);
-    let most = able().map(|(_, contact)| u32::from(contact.capacity.0)).max().unwrap_or_default();
-    let strong = able()
-        .filter(|(_, contact)| u32::from(contact.capacity.0) * CAPACITY_PART >= most)
+    let has_settled = ready.iter().any(|(_, contact)| contact.settled);
+    let eligible = || ready.iter().filter(|(_, contact)| contact.settled || !has_settled);
+    let max_capacity =
+        eligible().map(|(_, contact)| u32::from(contact.capacity.0)).max().unwrap_or_default();
+    let capable = eligible()
+        .filter(|(_, contact)| {
+            u32::from(contact.capacity.0) * OWNER_CAPACITY_DIVISOR >= max_capacity
+        })
         .map(|(node, _)| *node);
-    rank_nodes(&id::Target(group.to_compact_string()), strong)
+    rank_nodes(&id::Target(group.to_compact_string()), capable)
 }
 
 /// A node's own order of targets, unlike any other node's.
--- a/crates/path/src/intake.rs
+++ b/crates/path/src/intake.rs
@@ -6,7 +6,7 @@
 use crate::dialect::Dialect;
 use crate::reply::{self, Reply};
 use crate::settings::Settings;
-use crate::{entry, give, serve};
+use crate::{directory, give, serve};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -24,20 +24,20 @@
 
 /// How long sent bytes may stay without an acknowledgement before the kernel
 /// closes a caller's connection: what lies between may have forgotten it.
-const USER_TIMEOUT: Duration = Duration::from_secs(5);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The least buffer that hyper takes for a request's head.
-const BUFFER_LEAST: usize = 8 << 10;
+const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
 
 /// How long a connection for control may be idle.
-const CONTROL_IDLE: Duration = Duration::from_secs(5);
+const CONTROL_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The kernel's buffer of what is sent to a peer. A larger one takes a whole
 /// document at once, and the node would not know what its link has carried.
-const SYNC_BUFFER: usize = 32 << 10;
+const PEER_SEND_BUFFER_BYTES: usize = 32 << 10;
 
 /// A pause after a failed accept: out of descriptors, most likely.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The listening sockets of a node.
 #[derive(Debug)]
@@ -93,12 +93,14 @@
     let limits = |core: &Core<D, S, C>| {
         core.view().configuration.as_ref().map_or_else(Limits::default, |c| c.limits)
     };
-    let control = |_: &Core<D, S, C>| Limits { idle: CONTROL_IDLE, ..Limits::default() };
+    let control = |_: &Core<D, S, C>| Limits { idle: CONTROL_IDLE_TIMEOUT, ..Limits::default() };
     tokio::spawn(accept(core.clone(), sockets.callers, limits, serve::serve));
     tokio::spawn(accept(core.clone(), sockets.ready, control, answer_ready));
     tokio::spawn(accept(core.clone(), sockets.directory, control, answer_directory));
     // Inherited by the connections of peers.
-    if let Err(error) = socket2::SockRef::from(&sockets.sync).set_send_buffer_size(SYNC_BUFFER) {
+    if let Err(error) =
+        socket2::SockRef::from(&sockets.sync).set_send_buffer_size(PEER_SEND_BUFFER_BYTES)
+    {
         log::warn!("send buffer for peers: {error}");
     }
     tokio::spawn(accept(core.clone(), sockets.sync, control, answer_sync));
@@ -129,7 +131,7 @@
                 }
                 Err(error) => {
                     log::warn!("accept failed: {error}");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             },
             () = wait_closed(&mut stage) => return,
@@ -156,12 +158,12 @@
 {
     // Both fail only where the connection is closed already.
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let mut stage = core.stage.subscribe();
     let service = service_fn(|request| {
-        let (core, answered) = (core.clone(), answer(core.clone(), request));
+        let (core, response_future) = (core.clone(), answer(core.clone(), request));
         async move {
-            let mut response = answered.await;
+            let mut response = response_future.await;
             if core.stage() != Stage::Serving {
                 // Makes a caller with a kept connection ask again where to go.
                 let close = HeaderValue::from_static("close");
@@ -173,7 +175,7 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle)
-        .max_buf_size((limits.header.0 as usize * 2).max(BUFFER_LEAST))
+        .max_buf_size((limits.header.0 as usize * 2).max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -197,7 +199,7 @@
     core: Arc<Core<D, S, C>>,
     _: Request<Incoming>,
 ) -> Response<Reply> {
-    match entry::answer(&core) {
+    match directory::render(&core) {
         Some(body) => reply::json(StatusCode::OK, body),
         None => reply::plain(StatusCode::SERVICE_UNAVAILABLE, "no node takes callers"),
     }
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -1,7 +1,7 @@
-//! What runs where, as far as this node was told.
+//! What runs where, as far as this node was refreshed.
 //!
 //! A node knows what it placed itself. The owner of a group of targets and its
-//! successor are told by all nodes what they placed there. An allocation is told again
+//! successor are refreshed by current nodes what they placed there. An allocation is refreshed again
 //! every half second while it lasts, and forgotten where it isn't: a datagram that
 //! is lost or a node that dies leaves nothing behind.
 
@@ -16,18 +16,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a peer's allocation lasts without being told again: four tellings.
-const STALE: Duration = Duration::from_secs(2);
+/// How long a peer's allocation lasts without being refreshed again: four tellings.
+const PEER_ALLOCATION_TTL: Duration = Duration::from_secs(2);
 
 /// The window in which sendings to a cold target are counted.
-const COLD_WINDOW: Duration = Duration::from_secs(1);
+const COLD_SEND_WINDOW: Duration = Duration::from_secs(1);
 
 /// How long the word of a first token may take: a stride, the way to its node and
 /// a datagram.
-const WORD: Duration = Duration::from_millis(100);
+const FIRST_TOKEN_REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// The weight of the last answer in what an answer of a plain service usually takes.
-const USUAL_WEIGHT: u32 = 16;
+/// The weight of the last_id answer in what an answer of a plain service usually takes.
+const TYPICAL_TIME_SMOOTHING: u32 = 16;
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,12 +38,12 @@
     Decode,
 }
 
-/// A request's place, as told between nodes.
+/// A request's index, as refreshed between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allocation {
     /// The service.
     pub service: id::Service,
-    /// The target that was sent the request.
+    /// The target that was sends the request.
     pub target: Tag,
     /// Engines that read parts of it, besides.
     pub helpers: Vec<Tag>,
@@ -53,7 +53,7 @@
     pub prompt: Tokens,
     /// Answer tokens, at a guess.
     pub expected_answer: Tokens,
-    /// Memory by engine, where it isn't all at the first.
+    /// Memory by engine, where it isn't current at the first.
     pub memory: Vec<(Tag, Tokens)>,
     /// The longest pause that its stream is to keep.
     pub max_token_gap: Option<Duration>,
@@ -69,19 +69,24 @@
 struct Entry {
     allocation: Allocation,
     placed: Instant,
-    told: Instant,
+    refreshed: Instant,
 }
 
 impl Entry {
     /// Whether it tells how long requests of its service take: a long prompt takes
-    /// as long as it is, and what ended before it was written took no time.
-    fn is_usual(&self) -> bool {
+    /// as long as it is, and what ended before it was written elapsed no time.
+    fn is_typical(&self) -> bool {
         let Allocation { prompt, is_short, phase, .. } = &self.allocation;
         prompt.0 == 0 || (*is_short && *phase == Phase::Decode)
     }
 
-    fn read(&self, writes: bool) -> Read {
-        Read { placed: self.placed, part: self.allocation.prefill_time, writes, word: WORD }
+    fn pending_read(&self, writes: bool) -> Read {
+        Read {
+            placed: self.placed,
+            part: self.allocation.prefill_time,
+            writes,
+            word: FIRST_TOKEN_REPORT_DELAY,
+        }
     }
 }
 
@@ -101,65 +106,66 @@
 pub struct Ledger {
     own: HashMap<AllocationId, Entry>,
     peers: HashMap<id::Node, HashMap<AllocationId, Entry>>,
-    last: u32,
-    sent: HashMap<Tag, VecDeque<Instant>>,
-    /// When a pass of an engine was last seen to end, by a first token.
-    passes: HashMap<Tag, Instant>,
+    last_id: u32,
+    sends: HashMap<Tag, VecDeque<Instant>>,
+    /// When a pass of an engine was last_id seen to end, by a first token.
+    pass_ends: HashMap<Tag, Instant>,
     /// What an answer of a plain service, or a short stream, usually takes.
-    usual: HashMap<id::Service, Duration>,
+    typical_times: HashMap<id::Service, Duration>,
 }
 
 impl Ledger {
-    /// A number for a further request of this node.
+    /// A id for a further request of this node.
     pub fn next_id(&mut self) -> AllocationId {
-        self.last = self.last.wrapping_add(1);
-        AllocationId(self.last)
+        self.last_id = self.last_id.wrapping_add(1);
+        AllocationId(self.last_id)
     }
 
-    /// Notes a request that this node places now.
-    pub fn record(&mut self, now: Instant, number: AllocationId, allocation: Allocation) {
-        let first = allocation.target;
-        let entry = Entry { allocation, placed: now, told: now };
-        if self.own.insert(number, entry).is_none() {
-            self.note_sent(now, first);
+    /// Notes a request that this node indexes now.
+    pub fn record(&mut self, now: Instant, id: AllocationId, allocation: Allocation) {
+        let target = allocation.target;
+        let entry = Entry { allocation, placed: now, refreshed: now };
+        if self.own.insert(id, entry).is_none() {
+            self.note_send(now, target);
         }
     }
 
     /// Notes the first token of an own request.
-    pub fn begin_decode(&mut self, now: Instant, number: AllocationId) {
-        if let Some(entry) = self.own.get_mut(&number) {
+    pub fn begin_decode(&mut self, now: Instant, id: AllocationId) {
+        if let Some(entry) = self.own.get_mut(&id) {
             entry.allocation.phase = Phase::Decode;
-            self.passes.insert(entry.allocation.target, now);
+            self.pass_ends.insert(entry.allocation.target, now);
         }
     }
 
     /// Forgets an own request.
-    pub fn finish(&mut self, now: Instant, number: AllocationId) {
-        let entry = self.own.remove(&number);
-        self.note_usual(now, entry);
+    pub fn finish(&mut self, now: Instant, id: AllocationId) {
+        let entry = self.own.remove(&id);
+        self.note_typical_time(now, entry);
     }
 
-    fn note_usual(&mut self, now: Instant, entry: Option<Entry>) {
-        let Some(entry) = entry.filter(|entry| entry.is_usual()) else { return };
-        let took = now.saturating_duration_since(entry.placed);
-        let usual = self.usual.entry(entry.allocation.service).or_insert(took);
-        *usual = (*usual * (USUAL_WEIGHT - 1) + took) / USUAL_WEIGHT;
+    fn note_typical_time(&mut self, now: Instant, entry: Option<Entry>) {
+        let Some(entry) = entry.filter(|entry| entry.is_typical()) else { return };
+        let elapsed = now.saturating_duration_since(entry.placed);
+        let typical_time = self.typical_times.entry(entry.allocation.service).or_insert(elapsed);
+        *typical_time =
+            (*typical_time * (TYPICAL_TIME_SMOOTHING - 1) + elapsed) / TYPICAL_TIME_SMOOTHING;
     }
 
     /// What an answer of a plain service, or a short stream, usually takes, if one was
     /// seen.
     pub fn typical_time(&self, service: &id::Service) -> Option<Duration> {
-        self.usual.get(service).copied()
+        self.typical_times.get(service).copied()
     }
 
-    /// The own requests, as they are told to peers.
+    /// The own requests, as they are refreshed to peers.
     pub fn own_allocations(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (AllocationId, Allocation)> {
-        self.own.iter().map(move |(&number, entry)| {
+        self.own.iter().map(move |(&id, entry)| {
             let age = now.saturating_duration_since(entry.placed);
-            (number, Allocation { age, ..entry.allocation.clone() })
+            (id, Allocation { age, ..entry.allocation.clone() })
         })
     }
 
@@ -168,36 +174,38 @@
         &mut self,
         now: Instant,
         node: &id::Node,
-        number: AllocationId,
+        id: AllocationId,
         allocation: Allocation,
     ) {
         let placed = now.checked_sub(allocation.age).unwrap_or(now);
-        let first = allocation.target;
+        let target = allocation.target;
         let allocations = match self.peers.get_mut(node) {
             Some(allocations) => allocations,
             None => self.peers.entry(node.clone()).or_default(),
         };
-        let entry = Entry { allocation, placed, told: now };
-        if allocations.insert(number, entry).is_none() {
-            self.note_sent(placed, first);
+        let entry = Entry { allocation, placed, refreshed: now };
+        if allocations.insert(id, entry).is_none() {
+            self.note_send(placed, target);
         }
     }
 
     /// Notes the first token of a peer's request.
-    pub fn begin_peer_decode(&mut self, now: Instant, node: &id::Node, number: AllocationId) {
-        if let Some(entry) = self.peers.get_mut(node).and_then(|all| all.get_mut(&number)) {
+    pub fn begin_peer_decode(&mut self, now: Instant, node: &id::Node, id: AllocationId) {
+        if let Some(entry) =
+            self.peers.get_mut(node).and_then(|allocations| allocations.get_mut(&id))
+        {
             entry.allocation.phase = Phase::Decode;
-            self.passes.insert(entry.allocation.target, now);
+            self.pass_ends.insert(entry.allocation.target, now);
         }
     }
 
     /// Forgets a peer's request.
-    pub fn finish_peer(&mut self, now: Instant, node: &id::Node, number: AllocationId) {
-        let entry = self.peers.get_mut(node).and_then(|allocations| allocations.remove(&number));
-        self.note_usual(now, entry);
+    pub fn finish_peer(&mut self, now: Instant, node: &id::Node, id: AllocationId) {
+        let entry = self.peers.get_mut(node).and_then(|allocations| allocations.remove(&id));
+        self.note_typical_time(now, entry);
     }
 
-    /// Forgets all requests of a peer, which started anew.
+    /// Forgets current requests of a peer, which started anew.
     pub fn forget_node(&mut self, node: &id::Node) {
         self.peers.remove(node);
     }
@@ -205,25 +213,29 @@
     /// Forgets what peers no longer tell of.
     pub fn expire(&mut self, now: Instant) {
         for allocations in self.peers.values_mut() {
-            allocations.retain(|_, entry| now.saturating_duration_since(entry.told) < STALE);
+            allocations.retain(|_, entry| {
+                now.saturating_duration_since(entry.refreshed) < PEER_ALLOCATION_TTL
+            });
         }
         self.peers.retain(|_, allocations| !allocations.is_empty());
-        self.passes.retain(|_, at| now.saturating_duration_since(*at) < STALE);
-        self.sent.retain(|_, times| {
-            times.retain(|at| now.saturating_duration_since(*at) < COLD_WINDOW);
+        self.pass_ends.retain(|_, at| now.saturating_duration_since(*at) < PEER_ALLOCATION_TTL);
+        self.sends.retain(|_, times| {
+            times.retain(|at| now.saturating_duration_since(*at) < COLD_SEND_WINDOW);
             !times.is_empty()
         });
     }
 
-    /// Requests sent to a target within the last second.
+    /// Requests sends to a target within the last_id second.
     pub fn recent_sends(&self, now: Instant, tag: Tag) -> usize {
-        let is_late = |at: &&Instant| now.saturating_duration_since(**at) < COLD_WINDOW;
-        self.sent.get(&tag).map_or(0, |times| times.iter().filter(is_late).count())
+        let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < COLD_SEND_WINDOW;
+        self.sends.get(&tag).map_or(0, |times| times.iter().filter(is_recent).count())
     }
 
-    fn all(&self, now: Instant) -> impl Iterator<Item = &Entry> {
+    fn current(&self, now: Instant) -> impl Iterator<Item = &Entry> {
         let peers = self.peers.values().flat_map(HashMap::values);
-        let is_fresh = move |entry: &&Entry| now.saturating_duration_since(entry.told) < STALE;
+        let is_fresh = move |entry: &&Entry| {
+            now.saturating_duration_since(entry.refreshed) < PEER_ALLOCATION_TTL
+        };
         self.own.values().chain(peers.filter(is_fresh))
     }
 
@@ -234,18 +246,18 @@
         targets: &[Arc<Target>],
         profile: Option<&Profile>,
     ) -> Vec<Load> {
-        let places: HashMap<Tag, usize> =
-            targets.iter().enumerate().map(|(place, target)| (target.tag, place)).collect();
+        let indexes: HashMap<Tag, usize> =
+            targets.iter().enumerate().map(|(index, target)| (target.tag, index)).collect();
         let mut loads = vec![Load::default(); targets.len()];
         let mut engines = vec![Engine::default(); targets.len()];
-        for entry in self.all(now) {
-            add_allocation(entry, &places, &mut loads, &mut engines);
+        for entry in self.current(now) {
+            add_allocation(entry, &indexes, &mut loads, &mut engines);
         }
         if let Some(profile) = profile {
             for ((load, engine), target) in loads.iter_mut().zip(&mut engines).zip(targets) {
                 engine.writers = load.writers;
                 engine.context = load.context;
-                engine.ended = self.passes.get(&target.tag).copied();
+                engine.ended = self.pass_ends.get(&target.tag).copied();
                 let backlog = engine.backlog(now, profile);
                 load.backlog = backlog.unread;
                 load.begins = backlog.begins;
@@ -256,20 +268,20 @@
         loads
     }
 
-    fn note_sent(&mut self, at: Instant, tag: Tag) {
-        self.sent.entry(tag).or_default().push_back(at);
+    fn note_send(&mut self, at: Instant, tag: Tag) {
+        self.sends.entry(tag).or_default().push_back(at);
     }
 }
 
 fn add_allocation(
     entry: &Entry,
-    places: &HashMap<Tag, usize>,
+    indexes: &HashMap<Tag, usize>,
     loads: &mut [Load],
     engines: &mut [Engine],
 ) {
     let allocation = &entry.allocation;
-    if let Some(&first) = places.get(&allocation.target) {
-        let load = &mut loads[first];
+    if let Some(&target) = indexes.get(&allocation.target) {
+        let load = &mut loads[target];
         load.requests += 1;
         load.short += u32::from(allocation.is_short);
         load.gap = load.gap.into_iter().chain(allocation.max_token_gap).min();
@@ -278,22 +290,22 @@
                 load.writers += 1;
                 load.context += allocation.prompt + allocation.expected_answer;
             }
-            Phase::Prefill => engines[first].reads.push(entry.read(true)),
+            Phase::Prefill => engines[target].reads.push(entry.pending_read(true)),
         }
         if allocation.memory.is_empty() {
-            loads[first].memory += allocation.prompt + allocation.expected_answer;
+            loads[target].memory += allocation.prompt + allocation.expected_answer;
         }
     }
     for &(tag, tokens) in &allocation.memory {
-        if let Some(&place) = places.get(&tag) {
-            loads[place].memory += tokens;
+        if let Some(&index) = indexes.get(&tag) {
+            loads[index].memory += tokens;
         }
     }
     if allocation.phase == Phase::Decode {
         return;
     }
-    for place in allocation.helpers.iter().filter_map(|tag| places.get(tag)) {
-        loads[*place].helping += 1;
-        engines[*place].reads.push(entry.read(false));
+    for index in allocation.helpers.iter().filter_map(|tag| indexes.get(tag)) {
+        loads[*index].helping += 1;
+        engines[*index].reads.push(entry.pending_read(false));
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -16,20 +16,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an answer is remembered: one that was lost is asked for again.
-const ANSWER_KEPT: Duration = Duration::from_secs(2);
+/// How long an answer is remembered: one that was lost is received for again.
+const ANSWER_RETENTION: Duration = Duration::from_secs(2);
 
 /// Between two looks at what waits, at the least.
-const LOOK_LEAST: Duration = Duration::from_millis(2);
+const MIN_QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Between two looks at what waits, at the most.
-const LOOK_MOST: Duration = Duration::from_millis(20);
+const MAX_QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A node's request for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Ticket {
     pub(crate) node: id::Node,
-    pub(crate) number: AllocationId,
+    pub(crate) id: AllocationId,
 }
 
 /// Who asks, and where the answer goes.
@@ -41,18 +41,18 @@
 
 /// A prompt that waits for engines.
 #[derive(Clone, Debug)]
-struct Waiting {
-    asker: Requester,
+struct QueuedRequest {
+    requester: Requester,
     request: Request,
     turn: Turn,
-    asked: Instant,
+    received: Instant,
 }
 
 /// What a node keeps as the owner of groups.
 #[derive(Debug, Default)]
 pub(crate) struct Owner {
-    queues: HashMap<Group, Queue<Ticket, Waiting>>,
-    answered: HashMap<Ticket, (Instant, Answer)>,
+    queues: HashMap<Group, Queue<Ticket, QueuedRequest>>,
+    recent_answers: HashMap<Ticket, (Instant, Answer)>,
 }
 
 impl Owner {
@@ -65,14 +65,15 @@
 
     /// Forgets all requests of a node, which started anew.
     pub(crate) fn forget_node(&mut self, node: &id::Node) {
-        self.answered.retain(|ticket, _| ticket.node != *node);
+        self.recent_answers.retain(|ticket, _| ticket.node != *node);
     }
 
-    /// Forgets what is no longer asked for.
+    /// Forgets what is no longer received for.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.queues.values_mut().for_each(|queue| queue.expire(now));
         self.queues.retain(|_, queue| !queue.is_empty());
-        self.answered.retain(|_, (at, _)| now.saturating_duration_since(*at) < ANSWER_KEPT);
+        self.recent_answers
+            .retain(|_, (at, _)| now.saturating_duration_since(*at) < ANSWER_RETENTION);
     }
 
     /// Whether any prompt waits.
@@ -80,7 +81,7 @@
         self.queues.values().any(|queue| !queue.is_empty())
     }
 
-    fn in_order(&self) -> Vec<(Group, Vec<(Ticket, Waiting)>)> {
+    fn in_order(&self) -> Vec<(Group, Vec<(Ticket, QueuedRequest)>)> {
         self.queues.iter().map(|(group, queue)| (group.clone(), queue.in_order())).collect()
     }
 
@@ -93,48 +94,50 @@
     }
 }
 
-/// The turn of a request at the owner of its group; none where it doesn't wait.
-fn read_turn(snapshot: &Snapshot, request: &Request, asked: Instant) -> Option<Turn> {
+/// The turn of a request at the owner of its group; none where it doesn't next_poll.
+fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Turn> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
-        true => Turn::Short(asked + request.goal_left),
+        true => Turn::Short(received + request.goal_left),
         false => Turn::Long(profile.read_time(prompt.tokens)),
     })
 }
 
 /// Takes a request for a place. A node that doesn't know the service says nothing,
-/// and the asker goes on to another one.
+/// and the requester goes on to another one.
 pub(crate) fn handle_request<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
-    asker: Requester,
+    requester: Requester,
     request: Request,
 ) {
     let now = core.now();
-    let before = core.owner().answered.get(&asker.ticket).map(|(_, answer)| answer.clone());
-    if let Some(answer) = before {
-        tell(core, &asker, answer);
+    let previous_answer =
+        core.owner().recent_answers.get(&requester.ticket).map(|(_, answer)| answer.clone());
+    if let Some(answer) = previous_answer {
+        send_answer(core, &requester, answer);
         return;
     }
     let scope = Scope::Group(request.group);
-    let Some(snapshot) = Snapshot::open(core, now, &request.service, scope) else { return };
+    let Some(snapshot) = Snapshot::capture(core, now, &request.service, scope) else { return };
     let group = request.group();
-    let turn = read_turn(&snapshot, &request, now);
+    let turn = queue_turn(&snapshot, &request, now);
     let is_long = matches!(turn, Some(Turn::Long(_)));
-    let is_next = !is_long && !core.owner().has_short_waiting(&group);
-    if is_next && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default()) {
-        settle(core, now, &asker, answer);
+    let is_immediate = !is_long && !core.owner().has_short_waiting(&group);
+    if is_immediate && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default())
+    {
+        commit_decision(core, now, &requester, answer);
         return;
     }
     let Some(turn) = turn else { return };
-    let waiting = Waiting { asker: asker.clone(), request, turn, asked: now };
+    let queued = QueuedRequest { requester: requester.clone(), request, turn, received: now };
     let mut owner = core.owner();
-    owner.queues.entry(group).or_default().put(now, asker.ticket.clone(), turn, waiting);
+    owner.queues.entry(group).or_default().put(now, requester.ticket.clone(), turn, queued);
     drop(owner);
-    serve_queues(core, Some(&asker.ticket));
+    serve_queues(core, Some(&requester.ticket));
     core.queue_notify.notify_one();
 }
 
-/// Serves prompts that wait, whenever something may have changed for them.
+/// Serves prompts that next_poll, whenever something may have changed for them.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         let is_idle = !core.owner().has_waiting();
@@ -142,48 +145,51 @@
             core.queue_notify.notified().await;
             continue;
         }
-        let wait = serve_queues(&core, None).clamp(LOOK_LEAST, LOOK_MOST);
-        tokio::time::sleep(LOOK_LEAST).await;
-        // Nothing changes the outcome before, but what is told.
-        let _ = tokio::time::timeout(wait - LOOK_LEAST, core.queue_notify.notified()).await;
+        let next_poll =
+            serve_queues(&core, None).clamp(MIN_QUEUE_POLL_INTERVAL, MAX_QUEUE_POLL_INTERVAL);
+        tokio::time::sleep(MIN_QUEUE_POLL_INTERVAL).await;
+        // Nothing changes the outcome previous_answer, but what is told.
+        let _ =
+            tokio::time::timeout(next_poll - MIN_QUEUE_POLL_INTERVAL, core.queue_notify.notified())
+                .await;
     }
 }
 
-/// Lets all prompts that wait choose in turn; the time after which one may have
-/// more luck. The asker of `newest` is told if it goes on waiting. Where one short
+/// Lets all prompts that next_poll choose in turn; the time after which one may have
+/// more luck. The requester of `newly_queued` is told if it goes on queued. Where one short
 /// prompt finds no slot, those behind it would find none either.
 fn serve_queues<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
-    newest: Option<&Ticket>,
+    newly_queued: Option<&Ticket>,
 ) -> Duration {
     let now = core.now();
-    let mut next = LOOK_MOST;
+    let mut next = MAX_QUEUE_POLL_INTERVAL;
     let queues = core.owner().in_order();
     for (group, entries) in queues {
-        let open = || Snapshot::open(core, now, &group.service, Scope::Group(group.index));
+        let open = || Snapshot::capture(core, now, &group.service, Scope::Group(group.index));
         let mut snapshot = open();
         let mut is_full = false;
-        for (ticket, waiting) in entries {
-            let Some(seen) = &snapshot else { break };
-            let is_short = matches!(waiting.turn, Turn::Short(_));
-            let is_newest = newest == Some(&ticket);
-            if is_short && is_full && !is_newest {
+        for (ticket, queued) in entries {
+            let Some(current) = &snapshot else { break };
+            let is_short = matches!(queued.turn, Turn::Short(_));
+            let is_newly_queued = newly_queued == Some(&ticket);
+            if is_short && is_full && !is_newly_queued {
                 continue;
             }
-            let request = waiting.request.aged(now.saturating_duration_since(waiting.asked));
-            let ahead = core.owner().ahead(&group, &ticket, waiting.turn);
-            match seen.decide(&request, ahead) {
+            let request = queued.request.aged(now.saturating_duration_since(queued.received));
+            let ahead = core.owner().ahead(&group, &ticket, queued.turn);
+            match current.decide(&request, ahead) {
                 Decision::Wait(time, survey) => {
                     is_full |= is_short;
                     next = next.min(time);
-                    if is_newest {
-                        tell(core, &waiting.asker, Answer::Queued(survey));
+                    if is_newly_queued {
+                        send_answer(core, &queued.requester, Answer::Queued(survey));
                     }
                 }
                 Decision::Answered(answer) => {
                     core.owner().withdraw(now, &ticket);
                     let is_placed = matches!(answer, Answer::Placed(_));
-                    settle(core, now, &waiting.asker, answer);
+                    commit_decision(core, now, &queued.requester, answer);
                     if is_placed {
                         snapshot = open();
                     }
@@ -194,28 +200,32 @@
     next
 }
 
-/// Enters a decision in the ledger, and tells the asker.
-fn settle<D: Dialect, S: Store, C: Clock>(
+/// Enters a decision in the ledger, and tells the requester.
+fn commit_decision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     now: Instant,
-    asker: &Requester,
+    requester: &Requester,
     answer: Answer,
 ) {
-    let Ticket { node, number } = &asker.ticket;
+    let Ticket { node, id } = &requester.ticket;
     if let Answer::Placed(grant) = &answer {
         let allocation = grant.allocation.clone();
         match *node == core.settings.node {
-            true => core.ledger().record(now, *number, allocation),
-            false => core.ledger().record_peer(now, node, *number, allocation),
+            true => core.ledger().record(now, *id, allocation),
+            false => core.ledger().record_peer(now, node, *id, allocation),
         }
     }
-    core.owner().answered.insert(asker.ticket.clone(), (now, answer.clone()));
-    tell(core, asker, answer);
+    core.owner().recent_answers.insert(requester.ticket.clone(), (now, answer.clone()));
+    send_answer(core, requester, answer);
 }
 
-fn tell<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>, asker: &Requester, answer: Answer) {
-    match asker.ticket.node == core.settings.node {
-        true => core.deliver(asker.ticket.number, answer),
-        false => core.send(asker.address, Event::Answer(asker.ticket.number, answer)),
+fn send_answer<D: Dialect, S: Store, C: Clock>(
+    core: &Core<D, S, C>,
+    requester: &Requester,
+    answer: Answer,
+) {
+    match requester.ticket.node == core.settings.node {
+        true => core.deliver(requester.ticket.id, answer),
+        false => core.send(requester.address, Event::Answer(requester.ticket.id, answer)),
     }
 }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -21,7 +21,7 @@
 pub(crate) struct Place<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
     group: Group,
-    number: AllocationId,
+    id: AllocationId,
     allocation: Allocation,
     pub(crate) target: Arc<Target>,
     pub(crate) helpers: Vec<Arc<Target>>,
@@ -47,7 +47,7 @@
         core: &Arc<Core<D, S, C>>,
         view: &View,
         group: Group,
-        number: AllocationId,
+        id: AllocationId,
         grant: Grant,
         decider: Decider,
     ) -> Option<Self> {
@@ -57,7 +57,7 @@
         Some(Self {
             core: core.clone(),
             group,
-            number,
+            id,
             target: find(allocation.target)?,
             helpers: allocation.helpers.iter().map(|&tag| find(tag)).collect::<Option<_>>()?,
             memory: memory.collect::<Option<_>>()?,
@@ -73,8 +73,8 @@
 
     /// Enters it in the ledger, and tells those who decide on its group.
     pub(crate) fn publish(&self) {
-        self.core.ledger().record(self.core.now(), self.number, self.allocation.clone());
-        self.tell(&Event::Placed(self.number, self.allocation.clone()));
+        self.core.ledger().record(self.core.now(), self.id, self.allocation.clone());
+        self.notify_owners(&Event::Placed(self.id, self.allocation.clone()));
     }
 
     /// The place with the reservations that it needs.
@@ -83,7 +83,7 @@
         self
     }
 
-    fn tell(&self, event: &Event) {
+    fn notify_owners(&self, event: &Event) {
         self.core.tell_owners(&self.group, event);
     }
 
@@ -93,8 +93,8 @@
         match failure {
             Failure::NotReserved { target, .. } => Some(*target),
             Failure::NotRun { refusing_target: at_fault, .. } => {
-                let is_at_fault = |target: &&Arc<Target>| Some(target.entry.address) == *at_fault;
-                self.helpers.iter().find(is_at_fault).map(|target| target.tag)
+                let is_refusing = |target: &&Arc<Target>| Some(target.entry.address) == *at_fault;
+                self.helpers.iter().find(is_refusing).map(|target| target.tag)
             }
             _ => None,
         }
@@ -102,36 +102,36 @@
 
     /// Notes the first token.
     pub(crate) fn begin_decode(&self) {
-        self.core.ledger().begin_decode(self.core.now(), self.number);
+        self.core.ledger().begin_decode(self.core.now(), self.id);
         self.core.queue_notify.notify_one();
-        self.tell(&Event::Writing(self.number));
+        self.notify_owners(&Event::Writing(self.id));
     }
 
     /// Notes how the request ended at its target.
     pub(crate) fn note_outcome(&self, served: bool) {
         let target = self.target.tag;
         self.core.ejection().note(self.core.now(), target, served);
-        self.tell(&Event::Outcome { target, served });
+        self.notify_owners(&Event::Outcome { target, served });
     }
 
     /// Notes that nothing listens at the target.
     pub(crate) fn note_down(&self) {
         let target = self.target.tag;
         self.core.ejection().note_down(self.core.now(), target);
-        self.tell(&Event::Down(target));
+        self.notify_owners(&Event::Down(target));
     }
 
     /// Notes that a target refused to read a part of the prompt.
     pub(crate) fn note_shut(&self, target: Tag) {
         self.core.ejection().note_shut(self.core.now(), target);
-        self.tell(&Event::Shut(target));
+        self.notify_owners(&Event::Shut(target));
     }
 }
 
 impl<D: Dialect, S: Store, C: Clock> Drop for Place<D, S, C> {
     fn drop(&mut self) {
-        self.core.ledger().finish(self.core.now(), self.number);
+        self.core.ledger().finish(self.core.now(), self.id);
         self.core.queue_notify.notify_one();
-        self.tell(&Event::Ended(self.number));
+        self.notify_owners(&Event::Ended(self.id));
     }
 }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -22,15 +22,15 @@
 
 /// Requests a second that a cold target is given, as a part of what it is
 /// configured to bear: two nodes may decide for some moments.
-const COLD_PART: f64 = 0.8;
+const COLD_RATE_FRACTION: f64 = 0.8;
 
 /// The part of an answer's bound that answers have at the mean, where nothing
 /// better is known.
-const USUAL_PART: u64 = 2;
+const TYPICAL_ANSWER_DIVISOR: u64 = 2;
 
-/// The part of its goal that an answer of a plain service takes, where none was
+/// The part of its goal that an answer of a plain service is_eligible, where none was
 /// seen yet.
-const USUAL_OF_GOAL: u32 = 3;
+const TYPICAL_TIME_GOAL_DIVISOR: u32 = 3;
 
 /// What is to be placed, as nodes ask each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,7 +85,7 @@
 /// Why nothing is free: when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// No target takes work.
+    /// No target is_eligible work.
     NoTarget,
     /// The prompt is greater than the targets hold.
     TooLong,
@@ -93,7 +93,7 @@
     Busy(Duration),
 }
 
-/// A request that found no place.
+/// A request that found no index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
     /// Why.
@@ -102,14 +102,14 @@
     pub survey: Survey,
 }
 
-/// The answer to a request for a place.
+/// The answer to a request for a index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// It goes there.
     Placed(Box<Grant>),
     /// It waits for engines, with what it found.
     Queued(Survey),
-    /// It has no place.
+    /// It has no index.
     Rejected(Rejection),
 }
 
@@ -130,7 +130,7 @@
     configuration: Arc<Configuration>,
     targets: Vec<Arc<Target>>,
     loads: Vec<Load>,
-    usual: Option<Duration>,
+    typical_time: Option<Duration>,
 }
 
 /// Which targets a node decides on.
@@ -139,13 +139,13 @@
     /// Those of a group that it owns.
     Group(u16),
     /// All of them, for its own requests, as one of so many nodes.
-    Alone(usize),
+    Standalone(usize),
 }
 
 impl Snapshot {
     /// What is known of a service's targets; `None` where the service is not known,
     /// or no target of any service yet.
-    pub(crate) fn open<D: Dialect, S: Store, C: Clock>(
+    pub(crate) fn capture<D: Dialect, S: Store, C: Clock>(
         core: &Core<D, S, C>,
         now: Instant,
         service: &id::Service,
@@ -157,13 +157,13 @@
         let view = core.view();
         let configuration = view.configuration.clone()?;
         let cold_rate = configuration.services.get(service)?.cold_rate;
-        let targets = find_targets(core, &view, service, cold_rate, scope, now);
+        let targets = eligible_targets(core, &view, service, cold_rate, scope, now);
         let ledger = core.ledger();
         let mut loads = ledger.loads(now, &targets, configuration.engine_of(service));
-        let usual = ledger.typical_time(service);
+        let typical_time = ledger.typical_time(service);
         drop(ledger);
-        mark(core, now, &targets, &mut loads, scope);
-        Some(Self { configuration, targets, loads, usual })
+        apply_preferences(core, now, &targets, &mut loads, scope);
+        Some(Self { configuration, targets, loads, typical_time })
     }
 
     /// The engines' profile, where it is a model's service.
@@ -173,29 +173,29 @@
 
     /// Chooses for a request behind those ahead of it.
     pub(crate) fn decide(&self, request: &Request, ahead: Ahead) -> Decision {
-        let places = self.find_places(request);
-        let load = |&place: &usize| {
-            let near = self.targets[place].entry.zone == request.zone;
-            Load { near, ..self.loads[place].clone() }
+        let indexes = self.candidate_indexes(request);
+        let load = |&index: &usize| {
+            let near = self.targets[index].entry.zone == request.zone;
+            Load { near, ..self.loads[index].clone() }
         };
-        let loads: Vec<Load> = places.iter().map(load).collect();
+        let loads: Vec<Load> = indexes.iter().map(load).collect();
         match (self.profile(&request.service), request.prompt) {
             (Some(profile), Some(prompt)) => {
-                self.place_prompt(request, profile, prompt, &places, &loads, ahead)
+                self.place_prompt(request, profile, prompt, &indexes, &loads, ahead)
             }
             (profile, _) => {
                 let survey = Survey::read(profile, &loads, Ahead::default());
-                self.place_plain(request, &places, &loads, survey)
+                self.place_service_request(request, &indexes, &loads, survey)
             }
         }
     }
 
     /// The targets to choose from: those that were not tried, while there are any.
-    fn find_places(&self, request: &Request) -> Vec<usize> {
+    fn candidate_indexes(&self, request: &Request) -> Vec<usize> {
         let all = 0..self.targets.len();
-        let is_new = |&place: &usize| !request.tried.contains(&self.targets[place].tag);
-        let new: Vec<usize> = all.clone().filter(is_new).collect();
-        if new.is_empty() { all.collect() } else { new }
+        let is_untried = |&index: &usize| !request.tried.contains(&self.targets[index].tag);
+        let untried: Vec<usize> = all.clone().filter(is_untried).collect();
+        if untried.is_empty() { all.collect() } else { untried }
     }
 
     fn place_prompt(
@@ -203,24 +203,24 @@
         request: &Request,
         profile: &Profile,
         prompt: Prompt,
-        places: &[usize],
+        indexes: &[usize],
         loads: &[Load],
         ahead: Ahead,
     ) -> Decision {
         let survey = Survey::read(Some(profile), loads, ahead);
         let query = Query {
             prompt: prompt.tokens,
-            answer: guess_answer(profile, prompt),
+            answer: estimate_answer(profile, prompt),
             short: plan::is_short(profile, prompt.tokens, request.goal),
             goal: request.goal_left,
             limit: request.limit_left,
             ahead,
-            usual: self.usual.unwrap_or_else(|| profile.stream_time(profile.slots)),
+            usual: self.typical_time.unwrap_or_else(|| profile.stream_time(profile.slots)),
         };
         match plan::choose_engines(&query, profile, loads) {
-            Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, places, survey),
+            Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, indexes, survey),
             Ok(Choice::Wait(time)) => Decision::Wait(time, survey),
-            Err(refused) => Decision::refused(read_refused(refused), survey),
+            Err(refused) => Decision::refused(reject_reason(refused), survey),
         }
     }
 
@@ -229,18 +229,18 @@
         request: &Request,
         query: &Query,
         plan: &Plan,
-        places: &[usize],
+        indexes: &[usize],
         survey: Survey,
     ) -> Decision {
-        let tag = |place: usize| self.targets[places[place]].tag;
+        let tag = |index: usize| self.targets[indexes[index]].tag;
         let allocation = Allocation {
             service: request.service.clone(),
             target: tag(plan.first),
-            helpers: plan.helpers.iter().map(|&place| tag(place)).collect(),
+            helpers: plan.helpers.iter().map(|&index| tag(index)).collect(),
             prefill_time: plan.part,
             prompt: query.prompt,
             expected_answer: query.answer,
-            memory: plan.memory.iter().map(|&(place, tokens)| (tag(place), tokens)).collect(),
+            memory: plan.memory.iter().map(|&(index, tokens)| (tag(index), tokens)).collect(),
             max_token_gap: request.max_token_gap,
             is_short: query.short,
             phase: Phase::Prefill,
@@ -250,20 +250,20 @@
         Decision::Answered(Answer::Placed(Box::new(grant)))
     }
 
-    fn place_plain(
+    fn place_service_request(
         &self,
         request: &Request,
-        places: &[usize],
+        indexes: &[usize],
         loads: &[Load],
         survey: Survey,
     ) -> Decision {
-        if places.is_empty() {
+        if indexes.is_empty() {
             return Decision::refused(RejectReason::NoTarget, survey);
         }
-        let slots = places.iter().map(|&place| self.targets[place].entry.slots);
+        let slots = indexes.iter().map(|&index| self.targets[index].entry.slots);
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
         let candidates: Vec<Candidate<'_>> = candidates.collect();
-        let usual = self.usual.unwrap_or(request.goal / USUAL_OF_GOAL);
+        let usual = self.typical_time.unwrap_or(request.goal / TYPICAL_TIME_GOAL_DIVISOR);
         let first = match replica::choose(&candidates, usual) {
             Ok(first) => first,
             Err(time) => return Decision::refused(RejectReason::Busy(time), survey),
@@ -284,11 +284,11 @@
             part: Duration::ZERO,
             first_token: request.goal,
         };
-        self.grant(request, &query, &plan, places, survey)
+        self.grant(request, &query, &plan, indexes, survey)
     }
 }
 
-fn read_refused(refused: Refused) -> RejectReason {
+fn reject_reason(refused: Refused) -> RejectReason {
     match refused {
         Refused::NoEngine => RejectReason::NoTarget,
         Refused::TooLong => RejectReason::TooLong,
@@ -296,12 +296,13 @@
     }
 }
 
-fn guess_answer(profile: &Profile, prompt: Prompt) -> Tokens {
-    let guess = prompt.expected_answer.unwrap_or(Tokens(prompt.max_answer.0 / USUAL_PART));
-    guess.max(profile.usual_answer).min(prompt.max_answer)
+fn estimate_answer(profile: &Profile, prompt: Prompt) -> Tokens {
+    let estimate =
+        prompt.expected_answer.unwrap_or(Tokens(prompt.max_answer.0 / TYPICAL_ANSWER_DIVISOR));
+    estimate.max(profile.usual_answer).min(prompt.max_answer)
 }
 
-fn find_targets<D: Dialect, S: Store, C: Clock>(
+fn eligible_targets<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     view: &View,
     service: &id::Service,
@@ -312,24 +313,26 @@
     let ledger = core.ledger();
     let nodes = match scope {
         Scope::Group(_) => 1,
-        Scope::Alone(nodes) => nodes.max(1),
+        Scope::Standalone(nodes) => nodes.max(1),
     };
-    let bears = |target: &Target| match cold_rate {
+    let has_cold_capacity = |target: &Target| match cold_rate {
         Some(rate) if target.is_cold(now) => {
             let sent = ledger.recent_sends(now, target.tag) as f64;
-            sent + 1.0 <= (rate * COLD_PART / nodes as f64).max(f64::from(u8::from(nodes == 1)))
+            sent + 1.0
+                <= (rate * COLD_RATE_FRACTION / nodes as f64).max(f64::from(u8::from(nodes == 1)))
         }
         _ => true,
     };
-    let meant = match scope {
+    let scoped = match scope {
         Scope::Group(index) => view.targets_in(service, index),
-        Scope::Alone(_) => view.targets_of(service),
+        Scope::Standalone(_) => view.targets_of(service),
     };
-    let takes = |target: &&Arc<Target>| view.may_send(target, now) && bears(target);
-    meant.iter().filter(takes).cloned().collect()
+    let is_eligible =
+        |target: &&Arc<Target>| view.may_send(target, now) && has_cold_capacity(target);
+    scoped.iter().filter(is_eligible).cloned().collect()
 }
 
-fn mark<D: Dialect, S: Store, C: Clock>(
+fn apply_preferences<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     now: Instant,
     targets: &[Arc<Target>],
@@ -340,9 +343,9 @@
     let costs = ejection.costs(now, targets.iter().map(|target| target.tag));
     // Nodes that decide alone, as many may just after a start, must not all
     // prefer the same target.
-    let is_common = matches!(scope, Scope::Group(_)) && core.is_settled();
+    let is_shared_order = matches!(scope, Scope::Group(_)) && core.is_settled();
     for ((target, load), cost) in targets.iter().zip(loads).zip(costs) {
-        load.preference = match is_common {
+        load.preference = match is_shared_order {
             true => target.tag.0,
             false => group::node_specific_order(&core.settings.node, target.tag),
         };
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -21,11 +21,11 @@
             return;
         }
         log_known!(
-            &self.known(self.waited, place.survey),
+            &self.known(self.queue_wait, place.survey),
             {
                 request = self.job.head.attempt.as_str(),
                 target_id = place.target.id.as_str(),
-                helpers:% = name_all(&place.helpers),
+                helpers:% = join_names(&place.helpers),
                 part_ms = place.prefill_time.as_millis() as u64,
                 expected_ms = place.expected_time.as_millis() as u64,
                 by:% = place.decider,
@@ -36,9 +36,9 @@
     }
 
     /// That it begins to wait for engines.
-    pub(crate) fn log_waiting(&self, survey: Survey) {
+    pub(crate) fn log_queued(&self, survey: Survey) {
         log_known!(
-            &self.known(self.waited, survey),
+            &self.known(self.queue_wait, survey),
             {
                 request = self.job.head.attempt.as_str(),
                 age_ms = self.age().as_millis() as u64,
@@ -52,22 +52,22 @@
         let now = self.core.now();
         Known {
             prompt: self.job.head.prompt.map_or(Tokens(0), |prompt| prompt.tokens),
-            goal_left: self.due().saturating_duration_since(now),
-            limit_left: self.first_deadline().saturating_duration_since(now),
+            goal_left: self.next_token_due().saturating_duration_since(now),
+            limit_left: self.first_event_deadline().saturating_duration_since(now),
             waited,
             survey,
         }
     }
 
     /// That an attempt failed.
-    pub(crate) fn log_repeat(&self, place: &Place<D, S, C>, why: &str) {
+    pub(crate) fn log_failed_attempt(&self, place: &Place<D, S, C>, why: &str) {
         log::info!(
             request = self.job.head.attempt.as_str(),
             target_id = place.target.id.as_str(),
             expected_ms = place.expected_time.as_millis() as u64,
             prompt = self.job.head.prompt.map_or(0, |prompt| prompt.tokens.0),
-            sends = self.sends,
-            may_repeat = self.may_repeat(),
+            sends = self.counted_sends,
+            may_repeat = self.can_retry(),
             age_ms = self.age().as_millis() as u64;
             "attempt failed: {why}"
         );
@@ -81,11 +81,11 @@
             route = self.job.route.name.as_str(),
             target_id = place.target.id.as_str(),
             status = status.as_u16(),
-            sends = self.sends,
+            sends = self.counted_sends,
             expected_ms = place.expected_time.as_millis() as u64,
-            first_ms = self.first_event.unwrap_or_default().as_millis() as u64,
+            first_ms = self.first_event_time.unwrap_or_default().as_millis() as u64,
             goal_ms = self.job.route.goal.as_millis() as u64,
-            wait_ms = self.waited.as_millis() as u64,
+            wait_ms = self.queue_wait.as_millis() as u64,
             pause_ms = self.longest_pause.as_millis() as u64,
             pause_max_ms = self.job.route.gap.unwrap_or_default().as_millis() as u64,
             short = place.is_short,
@@ -101,7 +101,7 @@
     }
 }
 
-fn name_all(targets: &[Arc<Target>]) -> String {
+fn join_names(targets: &[Arc<Target>]) -> String {
     let names: Vec<&str> = targets.iter().map(|target| target.id.as_str()).collect();
     names.join(",")
 }
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -13,11 +13,11 @@
 use std::time::{Duration, Instant};
 
 /// When to come back where no target takes work.
-pub(crate) const NO_TARGET_RETRY: Duration = Duration::from_millis(500);
+pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The most that callers are told to wait: beyond it, what is known of the
 /// load now says nothing.
-const RETRY_MAX: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// A request that is refused.
 #[derive(Clone, Debug)]
@@ -52,7 +52,7 @@
         Self { prompt, ..self }
     }
 
-    pub(crate) fn after(self, time: Duration) -> Self {
+    pub(crate) fn with_retry_after(self, time: Duration) -> Self {
         Self { retry_after: Some(time), ..self }
     }
 
@@ -61,21 +61,20 @@
     }
 
     /// A refusal of what found no place.
-    pub(crate) fn unplaced(no_place: RejectReason) -> Self {
-        match no_place {
-            RejectReason::NoTarget => {
-                Self::new(Reason::NoTarget, "no target takes work").after(NO_TARGET_RETRY)
-            }
+    pub(crate) fn rejected(reason: RejectReason) -> Self {
+        match reason {
+            RejectReason::NoTarget => Self::new(Reason::NoTarget, "no target takes work")
+                .with_retry_after(NO_TARGET_RETRY_AFTER),
             RejectReason::TooLong => Self::new(Reason::TooLong, "longer than the fleet's memory")
                 .with_status(StatusCode::SERVICE_UNAVAILABLE),
             RejectReason::Busy(time) => Self::new(Reason::Overloaded, "all targets are busy")
                 .with_status(StatusCode::SERVICE_UNAVAILABLE)
-                .after(time.min(RETRY_MAX)),
+                .with_retry_after(time.min(MAX_RETRY_AFTER)),
         }
     }
 
     /// A refusal of what is past its deadline.
-    pub(crate) fn late(may_have_run: bool) -> Self {
+    pub(crate) fn deadline_exceeded(may_have_run: bool) -> Self {
         let refusal = Self::new(Reason::Deadline, "the deadline passed");
         match may_have_run {
             true => Self { ran: Ran::Unknown, ..refusal },
@@ -85,7 +84,7 @@
 
     /// The refusal as it must be said: where the request may have run, nothing
     /// may promise that it hasn't.
-    pub(crate) fn after_run(self, may_have_run: bool) -> Self {
+    pub(crate) fn after_possible_run(self, may_have_run: bool) -> Self {
         match may_have_run {
             true => Self { retry_after: None, ran: Ran::Unknown, ..self }
                 .with_status(StatusCode::BAD_GATEWAY),
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -18,9 +18,9 @@
 /// so that what the caller has does not look complete.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 #[display("the stream broke off")]
-pub struct Broken;
+pub struct Interrupted;
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Interrupted {}
 
 /// Pieces of a value, each with its length before it. They are written as the
 /// connection takes them, so that a large value is not copied as a whole for
@@ -28,25 +28,26 @@
 #[derive(Debug)]
 pub struct Pieces {
     cut: Arc<Cut>,
-    left: VecDeque<piece::Id>,
+    remaining: VecDeque<piece::Id>,
     /// Bytes that the connection has not taken yet.
     unsent: watch::Sender<size::Bytes>,
 }
 
 impl Pieces {
     /// Those of the named pieces that the value has, each once.
-    pub(crate) fn of(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
+    pub(crate) fn new(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
         let mut named = HashSet::new();
         let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && named.insert(*id);
-        let left: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
-        let sizes = left.iter().filter_map(|id| cut.piece(*id)).map(|piece| piece.len() as u64);
+        let remaining: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
+        let sizes =
+            remaining.iter().filter_map(|id| cut.piece(*id)).map(|piece| piece.len() as u64);
         let unsent = watch::channel(size::Bytes(sizes.sum())).0;
-        Self { cut, left, unsent }
+        Self { cut, remaining, unsent }
     }
 
     /// Their number.
     pub(crate) fn len(&self) -> usize {
-        self.left.len()
+        self.remaining.len()
     }
 
     /// The bytes that are still to be sent, until the answer ends.
@@ -54,13 +55,13 @@
         self.unsent.subscribe()
     }
 
-    fn next(&mut self) -> Option<Result<Bytes, Broken>> {
-        let piece = self.cut.piece(self.left.pop_front()?)?;
+    fn next(&mut self) -> Option<Result<Bytes, Interrupted>> {
+        let piece = self.cut.piece(self.remaining.pop_front()?)?;
         let size = size::Bytes(piece.len() as u64);
         self.unsent.send_modify(|unsent| *unsent = unsent.saturating_sub(size));
         let mut frame = BytesMut::new();
         let written = LengthDelimitedCodec::new().encode(Bytes::copy_from_slice(piece), &mut frame);
-        Some(written.map(|()| frame.freeze()).map_err(|_| Broken))
+        Some(written.map(|()| frame.freeze()).map_err(|_| Interrupted))
     }
 }
 
@@ -70,19 +71,19 @@
     /// A whole body.
     Whole(Full<Bytes>),
     /// A stream.
-    Events(mpsc::Receiver<Result<Bytes, Broken>>),
+    Events(mpsc::Receiver<Result<Bytes, Interrupted>>),
     /// Pieces of a value, for a peer.
     Pieces(Pieces),
 }
 
 impl Body for Reply {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Interrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match self.get_mut() {
             Self::Whole(body) => {
                 let frame = ready!(Pin::new(body).poll_frame(cx));
@@ -112,7 +113,7 @@
 }
 
 /// A whole answer with a head of a target's.
-pub(crate) fn whole(head: http::response::Parts, body: Bytes) -> Response<Reply> {
+pub(crate) fn with_head(head: http::response::Parts, body: Bytes) -> Response<Reply> {
     Response::from_parts(head, Reply::Whole(Full::new(body)))
 }
 
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -22,20 +22,20 @@
 
 /// How long a reservation is held without being renewed: two renewals may be
 /// lost, and what a dead holder leaves is free again soon after.
-const HOLD: Duration = Duration::from_millis(2_800);
+const RESERVATION_HOLD: Duration = Duration::from_millis(2_800);
 
 /// Between two renewals.
-const RENEW: Duration = Duration::from_millis(900);
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 
 /// How long an order may take.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How often a release is tried: what fails all tries lapses by itself.
-const RELEASES: u32 = 2;
+const MAX_RELEASE_ATTEMPTS: u32 = 2;
 
 /// A reservation.
 #[derive(Clone, Debug)]
-struct Held {
+struct Reservation {
     target: Arc<Target>,
     name: CompactString,
     tokens: Tokens,
@@ -44,8 +44,8 @@
 /// The reservations of one request. Dropping them releases them.
 pub(crate) struct Reservations<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
-    held: Vec<Held>,
-    renewing: Option<JoinHandle<()>>,
+    held: Vec<Reservation>,
+    renewal_task: Option<JoinHandle<()>>,
 }
 
 impl<D: Dialect, S: Store, C: Clock> Reservations<D, S, C> {
@@ -55,22 +55,23 @@
         place: &Place<D, S, C>,
     ) -> Result<Self, Failure> {
         let series: u64 = rand::random();
-        let held = place.memory.iter().enumerate().map(|(number, (target, tokens))| Held {
+        let held = place.memory.iter().enumerate().map(|(number, (target, tokens))| Reservation {
             target: target.clone(),
             name: format_compact!("{series:x}-{number}"),
             tokens: *tokens,
         });
-        let mut reservations = Self { core: core.clone(), held: held.collect(), renewing: None };
+        let mut reservations =
+            Self { core: core.clone(), held: held.collect(), renewal_task: None };
         // A failed one is released with the others: its answer may be lost.
-        let orders = reservations.held.iter().map(|held| renew(core, held));
-        let answers = futures::future::join_all(orders).await;
-        for (held, answer) in reservations.held.iter().zip(answers) {
-            let target = held.target.tag;
+        let requests = reservations.held.iter().map(|reservation| renew(core, reservation));
+        let answers = futures::future::join_all(requests).await;
+        for (reservation, answer) in reservations.held.iter().zip(answers) {
+            let target = reservation.target.tag;
             answer.map_err(|detail| Failure::NotReserved { target, detail })?;
         }
         if !reservations.held.is_empty() {
-            let renewing = keep_renewing(core.clone(), reservations.held.clone());
-            reservations.renewing = Some(tokio::spawn(renewing));
+            let renewal_task = renew_periodically(core.clone(), reservations.held.clone());
+            reservations.renewal_task = Some(tokio::spawn(renewal_task));
         }
         Ok(reservations)
     }
@@ -78,12 +79,14 @@
     /// The engines that read a prompt, with their reservations; one of the
     /// first engine's own goes first.
     pub(crate) fn helpers(&self, place: &Place<D, S, C>) -> Vec<Helper> {
-        let held = self.held.iter().map(|held| Helper {
-            address: held.target.entry.address,
-            reservation: Some(held.name.clone()),
+        let held = self.held.iter().map(|reservation| Helper {
+            address: reservation.target.entry.address,
+            reservation: Some(reservation.name.clone()),
         });
-        let is_held = |target: &Target| self.held.iter().any(|held| held.target.tag == target.tag);
-        let others = place.helpers.iter().filter(|target| !is_held(target));
+        let is_reserved = |target: &Target| {
+            self.held.iter().any(|reservation| reservation.target.tag == target.tag)
+        };
+        let others = place.helpers.iter().filter(|target| !is_reserved(target));
         let others =
             others.map(|target| Helper { address: target.entry.address, reservation: None });
         held.chain(others).collect()
@@ -92,19 +95,22 @@
 
 impl<D: Dialect, S: Store, C: Clock> Drop for Reservations<D, S, C> {
     fn drop(&mut self) {
-        if let Some(renewing) = &self.renewing {
-            renewing.abort();
+        if let Some(renewal_task) = &self.renewal_task {
+            renewal_task.abort();
         }
-        for held in std::mem::take(&mut self.held) {
-            tokio::spawn(release(self.core.clone(), held));
+        for reservation in std::mem::take(&mut self.held) {
+            tokio::spawn(release(self.core.clone(), reservation));
         }
     }
 }
 
-async fn keep_renewing<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, held: Vec<Held>) {
+async fn renew_periodically<D: Dialect, S: Store, C: Clock>(
+    core: Arc<Core<D, S, C>>,
+    held: Vec<Reservation>,
+) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        let renewals = held.iter().map(|held| renew(&core, held));
+        tokio::time::sleep(RENEW_INTERVAL).await;
+        let renewals = held.iter().map(|reservation| renew(&core, reservation));
         for error in futures::future::join_all(renewals).await.into_iter().filter_map(Result::err) {
             log::warn!("reservation not renewed: {error}");
         }
@@ -113,32 +119,40 @@
 
 async fn renew<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
-    held: &Held,
+    reservation: &Reservation,
 ) -> Result<(), String> {
-    let hold = HOLD.min(core.bounds().max_reservation_hold);
-    order(core, held, &D::reserve_request(&held.name, held.tokens.0, hold, false)).await
+    let hold = RESERVATION_HOLD.min(core.bounds().max_reservation_hold);
+    call_engine(
+        core,
+        reservation,
+        &D::reserve_request(&reservation.name, reservation.tokens.0, hold, false),
+    )
+    .await
 }
 
-async fn release<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, held: Held) {
-    for _ in 0..RELEASES {
-        match order(&core, &held, &D::release_request(&held.name)).await {
+async fn release<D: Dialect, S: Store, C: Clock>(
+    core: Arc<Core<D, S, C>>,
+    reservation: Reservation,
+) {
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
+        match call_engine(&core, &reservation, &D::release_request(&reservation.name)).await {
             Ok(()) => return,
             Err(error) => log::warn!("reservation not released: {error}"),
         }
     }
 }
 
-async fn order<D: Dialect, S: Store, C: Clock>(
+async fn call_engine<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
-    held: &Held,
-    order: &EngineRequest,
+    reservation: &Reservation,
+    request: &EngineRequest,
 ) -> Result<(), String> {
-    let body = Bytes::copy_from_slice(order.body.as_bytes());
-    let call = Call { method: Method::POST, path: order.path, key: None, body };
-    let answer = core.client.exchange(held.target.entry.address, call, ORDER_TIMEOUT).await;
+    let body = Bytes::copy_from_slice(request.body.as_bytes());
+    let call = Call { method: Method::POST, path: request.path, key: None, body };
+    let answer = core.client.exchange(reservation.target.entry.address, call, ORDER_TIMEOUT).await;
     match answer {
         Ok(answer) if answer.status.is_success() => Ok(()),
-        Ok(answer) => Err(format!("{}: status {}", held.target.id, answer.status)),
-        Err(error) => Err(format!("{}: {error}", held.target.id)),
+        Ok(answer) => Err(format!("{}: status {}", reservation.target.id, answer.status)),
+        Err(error) => Err(format!("{}: {error}", reservation.target.id)),
     }
 }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -1,13 +1,13 @@
 //! Running a request: attempts until there is an answer, or it is given up on.
 
 use crate::ask;
-use crate::attempt::{self, Failure, Opened, Terms};
+use crate::attempt::{self, Failure, OpenResponse, Parameters};
 use crate::core::{ActiveRequest, Core};
-use crate::death::{look_for_death, read_fingerprint};
+use crate::death::{compute_fingerprint, probe_for_death};
 use crate::dialect::Dialect;
 use crate::place::Place;
 use crate::placement::Rejection;
-use crate::refusal::{NO_TARGET_RETRY, Refusal};
+use crate::refusal::{NO_TARGET_RETRY_AFTER, Refusal};
 use crate::reply::{self, Reply};
 use crate::reservation::Reservations;
 use crate::serve::Job;
@@ -31,14 +31,14 @@
 
 /// Targets that may say that they won't run a request, or engines that won't read
 /// parts of it, which does not count as sendings.
-const NOT_RUN_MAX: u32 = 4;
+const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
 
 /// Targets that may turn out to be gone before the request reached any. They cost it
-/// a few milliseconds each, and the targets of a whole zone may be gone together.
-const UNSENT_MAX: u32 = 24;
+/// a few milliseconds each, and the targets of a run_buffered zone may be gone together.
+const MAX_UNSENT_ATTEMPTS: u32 = 24;
 
 /// When to come back after targets that say they are full.
-const FULL_RETRY: Duration = Duration::from_millis(150);
+const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
 /// A request under way.
 #[derive(Debug)]
@@ -49,22 +49,22 @@
     fingerprint: u64,
     pub(crate) work: Work,
     /// Targets that were sent the request.
-    pub(crate) sends: u32,
-    unsent: u32,
-    not_run: u32,
+    pub(crate) counted_sends: u32,
+    unsent_attempts: u32,
+    not_run_attempts: u32,
     tried: Vec<Tag>,
     /// Whether a target died under it that does not count as a sending.
-    survived_death: bool,
+    has_survived_death: bool,
     /// Whether it may have run.
-    ran: bool,
+    may_have_run: bool,
     /// The last event that the caller has.
     pub(crate) resume_after: Option<u64>,
     /// When the first event came, counted from the arrival.
-    pub(crate) first_event: Option<Duration>,
+    pub(crate) first_event_time: Option<Duration>,
     /// Counts it as admitted while it lives.
     _admitted: Guard,
-    /// How long it waited for its turn.
-    pub(crate) waited: Duration,
+    /// How long it queue_wait for its turn.
+    pub(crate) queue_wait: Duration,
     /// The longest pause between two events so far.
     pub(crate) longest_pause: Duration,
 }
@@ -78,7 +78,7 @@
 ) -> Result<Response<Reply>, Refusal> {
     let service = job.route.pick_service(rand::random());
     let service = service.ok_or_else(|| Refusal::new(Reason::NoTarget, "the route has none"))?;
-    let (service, fingerprint) = (service.clone(), read_fingerprint(&job));
+    let (service, fingerprint) = (service.clone(), compute_fingerprint(&job));
     let verdict = core.suspects().judge(core.now(), fingerprint);
     if verdict == Verdict::Quarantined {
         // It has not run this time, and a caller who comes back is told again.
@@ -98,50 +98,52 @@
         service,
         fingerprint,
         work,
-        sends: 0,
-        unsent: 0,
-        not_run: 0,
+        counted_sends: 0,
+        unsent_attempts: 0,
+        not_run_attempts: 0,
         tried: Vec::new(),
-        survived_death: false,
-        ran: false,
+        has_survived_death: false,
+        may_have_run: false,
         resume_after,
-        first_event: None,
+        first_event_time: None,
         _admitted: core.metrics.begin(work),
-        waited: Duration::ZERO,
+        queue_wait: Duration::ZERO,
         longest_pause: Duration::ZERO,
     };
     match run.job.route.kind.is_stream() {
         true => stream::run(run, active).await,
-        false => run.whole().await,
+        false => run.run_buffered().await,
     }
 }
 
 impl<D: Dialect, S: Store, C: Clock> Run<D, S, C> {
-    /// Runs a request whose answer is passed on whole.
-    async fn whole(mut self) -> Result<Response<Reply>, Refusal> {
+    /// Runs a request whose answer is passed on run_buffered.
+    async fn run_buffered(mut self) -> Result<Response<Reply>, Refusal> {
         loop {
-            let (opened, place) = self.open().await?;
-            match self.read_whole(opened).await {
-                Ok((exchange, keep, body)) => {
+            let (response, place) = self.open_response().await?;
+            match self.read_body(response).await {
+                Ok((exchange, keep_alive, body)) => {
                     let status = exchange.head.status;
-                    self.note_answer(&place, status);
-                    if status.is_server_error() && self.may_repeat() && self.spend() {
-                        self.log_repeat(&place, &format!("status {status}"));
-                        exchange.keep(keep);
+                    self.note_response(&place, status);
+                    if status.is_server_error() && self.can_retry() && self.spend_retry() {
+                        self.log_failed_attempt(&place, &format!("status {status}"));
+                        exchange.keep(keep_alive);
                         continue;
                     }
-                    return self.deliver(exchange, keep, body, &place);
+                    return self.build_response(exchange, keep_alive, body, &place);
                 }
-                Err(failure) => self.settle(&place, failure).await?,
+                Err(failure) => self.handle_failure(&place, failure).await?,
             }
         }
     }
 
     /// Sends to targets until one answers; what fails is tried elsewhere where
     /// that is allowed.
-    pub(crate) async fn open(&mut self) -> Result<(Opened, Place<D, S, C>), Refusal> {
+    pub(crate) async fn open_response(
+        &mut self,
+    ) -> Result<(OpenResponse, Place<D, S, C>), Refusal> {
         loop {
-            let place = self.choose().await?;
+            let place = self.choose_place().await?;
             let time_left = self.time_left();
             if time_left.is_zero() {
                 return Err(self.refuse_late());
@@ -150,42 +152,42 @@
             let reservations = match Reservations::reserve(&self.core, &place).await {
                 Ok(reservations) => reservations,
                 Err(failure) => {
-                    self.sends += 1;
-                    self.settle(&place, failure).await?;
+                    self.counted_sends += 1;
+                    self.handle_failure(&place, failure).await?;
                     continue;
                 }
             };
             let helpers = reservations.helpers(&place);
-            let terms = Terms {
+            let parameters = Parameters {
                 attempt: &self.job.head.attempt,
                 account: self.job.account.as_ref().map(|account| &account.name),
                 time_left,
                 urgency: Some(self.urgency(&place)),
                 resume_after: self.resume_after,
                 helpers: &helpers,
-                once: !self.job.route.kind.is_repeatable(),
+                is_non_repeatable: !self.job.route.kind.is_repeatable(),
             };
-            self.sends += 1;
+            self.counted_sends += 1;
             self.tried.push(place.target.tag);
-            let sent = attempt::send(&self.core, &self.job.message, &place, &terms);
-            match self.wait_first(&place, sent).await {
-                Ok(opened) => return Ok((opened, place.with_reservations(reservations))),
-                Err(failure) => self.settle(&place, failure).await?,
+            let sent = attempt::send(&self.core, &self.job.message, &place, &parameters);
+            match self.wait_for_first(&place, sent).await {
+                Ok(response) => return Ok((response, place.with_reservations(reservations))),
+                Err(failure) => self.handle_failure(&place, failure).await?,
             }
         }
     }
 
     /// Finds a place, and waits for its turn where it has to.
-    async fn choose(&mut self) -> Result<Place<D, S, C>, Refusal> {
+    async fn choose_place(&mut self) -> Result<Place<D, S, C>, Refusal> {
         let began = self.core.now();
         let tried = self.tried.clone();
         match ask::place(self, &tried).await {
             Ok(place) => {
-                self.waited += self.core.now().saturating_duration_since(began);
-                self.core.metrics.permit_waited(self.waited);
+                self.queue_wait += self.core.now().saturating_duration_since(began);
+                self.core.metrics.permit_waited(self.queue_wait);
                 Ok(place)
             }
-            Err(unplaced) => Err(self.refuse_unplaced(unplaced, began)),
+            Err(rejection) => Err(self.refuse_placement(rejection, began)),
         }
     }
 
@@ -193,35 +195,35 @@
     /// short prompts, which hold a place for the least time.
     fn urgency(&self, place: &Place<D, S, C>) -> u8 {
         let rank = self.job.account.as_ref().and_then(|account| account.priority);
-        let rank = rank.unwrap_or(self.job.route.priority).min(URGENCY_RANKS) as u8;
+        let rank = rank.unwrap_or(self.job.route.priority).min(MAX_URGENCY_RANK) as u8;
         rank * 2 + u8::from(!place.helpers.is_empty())
     }
 
-    fn refuse_unplaced(&self, unplaced: Rejection, began: Instant) -> Refusal {
-        let waited = self.waited + self.core.now().saturating_duration_since(began);
-        let known = self.known(waited, unplaced.survey);
+    fn refuse_placement(&self, rejection: Rejection, began: Instant) -> Refusal {
+        let queue_wait = self.queue_wait + self.core.now().saturating_duration_since(began);
+        let known = self.known(queue_wait, rejection.survey);
         Refusal {
             known: Some(Box::new(known)),
-            ..Refusal::unplaced(unplaced.reason).after_run(self.ran)
+            ..Refusal::rejected(rejection.reason).after_possible_run(self.may_have_run)
         }
     }
 
     fn refuse_late(&self) -> Refusal {
-        Refusal::late(self.ran)
+        Refusal::deadline_exceeded(self.may_have_run)
     }
 
     /// When its next token is wanted.
-    pub(crate) fn due(&self) -> Instant {
-        match self.first_event {
+    pub(crate) fn next_token_due(&self) -> Instant {
+        match self.first_event_time {
             Some(_) => resume::due(self.core.now(), self.job.route.gap, self.job.deadline),
             None => self.job.arrived + self.job.route.goal,
         }
     }
 
     /// When the caller gives up on a first event.
-    pub(crate) fn first_deadline(&self) -> Instant {
-        let patience = self.job.route.patience().filter(|_| self.first_event.is_none());
-        let gives_up = patience.map(|patience| self.job.arrived + patience);
+    pub(crate) fn first_event_deadline(&self) -> Instant {
+        let caller_timeout = self.job.route.patience().filter(|_| self.first_event_time.is_none());
+        let gives_up = caller_timeout.map(|caller_timeout| self.job.arrived + caller_timeout);
         gives_up.map_or(self.job.deadline, |at| at.min(self.job.deadline))
     }
 
@@ -231,87 +233,88 @@
 
     /// Waits for a target's first word, until the deadline or until another
     /// target is to be tried.
-    pub(crate) async fn wait_first<T>(
+    pub(crate) async fn wait_for_first<T>(
         &self,
         place: &Place<D, S, C>,
         first: impl Future<Output = Result<T, Failure>>,
     ) -> Result<T, Failure> {
-        let stalled = (place.expected_time * 3 + self.job.route.goal).max(FIRST_LEAST);
+        let stall_timeout =
+            (place.expected_time * 3 + self.job.route.goal).max(MIN_FIRST_STALL_TIMEOUT);
         let mut first = std::pin::pin!(first);
-        if stalled + self.job.route.goal < self.time_left() {
-            if let Ok(first) = tokio::time::timeout(stalled, &mut first).await {
+        if stall_timeout + self.job.route.goal < self.time_left() {
+            if let Ok(first) = tokio::time::timeout(stall_timeout, &mut first).await {
                 return first;
             }
-            if self.may_leave() {
+            if self.try_abandon_stalled() {
                 return Err(Failure::Stalled);
             }
         }
         let left = self.time_left();
-        tokio::time::timeout(left, first).await.unwrap_or(Err(Failure::Late))
+        tokio::time::timeout(left, first).await.unwrap_or(Err(Failure::DeadlineExceeded))
     }
 
     /// Whether a target that says nothing is to be left for another one; takes
-    /// a repeat for it. Where that can't be, the silence is waited out: the
+    /// a repeat for it. Where that can't be, the silence is queue_wait out: the
     /// target may go on, and an answer that is ended for its silence is lost.
-    pub(crate) fn may_leave(&self) -> bool {
-        self.may_repeat() && self.spend()
+    pub(crate) fn try_abandon_stalled(&self) -> bool {
+        self.can_retry() && self.spend_retry()
     }
 
     /// Takes a failed attempt in: an error ends the request.
-    pub(crate) async fn settle(
+    pub(crate) async fn handle_failure(
         &mut self,
         place: &Place<D, S, C>,
         failure: Failure,
     ) -> Result<(), Refusal> {
-        let other = place.find_refusing_target(&failure);
-        match other {
-            Some(tag) => self.note_shut(place, tag, &failure),
-            None if matches!(failure, Failure::Down) => {
+        let refusing = place.find_refusing_target(&failure);
+        match refusing {
+            Some(tag) => self.note_refusing_helper(place, tag, &failure),
+            None if matches!(failure, Failure::ConnectionRefused) => {
                 place.note_down();
-                self.log_repeat(place, &failure.to_string());
+                self.log_failed_attempt(place, &failure.to_string());
             }
             None => self.note_failure(place, &failure),
         }
         self.core.metrics.retried(failure.reason());
         match failure {
-            Failure::Down | Failure::NotSent(_) | Failure::NotReserved { .. } => {
-                self.sends -= 1;
-                self.unsent += 1;
-                if self.unsent > UNSENT_MAX {
-                    let refusal =
-                        Refusal::new(Reason::NoTarget, failure.to_string()).after(NO_TARGET_RETRY);
-                    return Err(refusal.after_run(self.ran));
+            Failure::ConnectionRefused | Failure::NotSent(_) | Failure::NotReserved { .. } => {
+                self.counted_sends -= 1;
+                self.unsent_attempts += 1;
+                if self.unsent_attempts > MAX_UNSENT_ATTEMPTS {
+                    let refusal = Refusal::new(Reason::NoTarget, failure.to_string())
+                        .with_retry_after(NO_TARGET_RETRY_AFTER);
+                    return Err(refusal.after_possible_run(self.may_have_run));
                 }
                 return Ok(());
             }
             Failure::NotRun { status, .. } => {
                 // No target but the one at fault is known to be unable to run it.
-                let counts = status != StatusCode::MISDIRECTED_REQUEST && other.is_none();
-                self.sends -= u32::from(!counts);
-                self.not_run += 1;
-                if self.sends < self.job.route.targets_max
-                    && self.not_run <= NOT_RUN_MAX
-                    && self.spend()
+                let counts = status != StatusCode::MISDIRECTED_REQUEST && refusing.is_none();
+                self.counted_sends -= u32::from(!counts);
+                self.not_run_attempts += 1;
+                if self.counted_sends < self.job.route.targets_max
+                    && self.not_run_attempts <= MAX_NOT_RUN_ATTEMPTS
+                    && self.spend_retry()
                 {
                     return Ok(());
                 }
                 let refusal = Refusal::new(Reason::Overloaded, format!("target said {status}"))
                     .with_status(StatusCode::SERVICE_UNAVAILABLE)
-                    .after(FULL_RETRY);
-                return Err(refusal.after_run(self.ran));
+                    .with_retry_after(OVERLOADED_RETRY_AFTER);
+                return Err(refusal.after_possible_run(self.may_have_run));
             }
             Failure::Stalled => {
-                self.ran = true;
+                self.may_have_run = true;
                 return Ok(());
             }
-            Failure::Unknown(_) => self.count_death(place).await?,
-            Failure::Spoiled(_) | Failure::Late => {}
+            Failure::OutcomeUnknown(_) => self.check_for_death(place).await?,
+            Failure::InvalidAnswer(_) | Failure::DeadlineExceeded => {}
         }
-        self.ran = true;
+        self.may_have_run = true;
         if self.time_left().is_zero() {
             return Err(self.refuse_late());
         }
-        match self.may_repeat() && self.spend() {
+        match self.can_retry() && self.spend_retry() {
             true => Ok(()),
             false => {
                 let refusal = Refusal::new(Reason::TargetFailed, failure.to_string());
@@ -322,8 +325,8 @@
 
     /// Looks whether a target died. One that did is not among those that the request
     /// may run on; a request that targets die under again and again is ended.
-    async fn count_death(&mut self, place: &Place<D, S, C>) -> Result<(), Refusal> {
-        if !look_for_death(&self.core, &place.target, self.fingerprint).await {
+    async fn check_for_death(&mut self, place: &Place<D, S, C>) -> Result<(), Refusal> {
+        if !probe_for_death(&self.core, &place.target, self.fingerprint).await {
             return Ok(());
         }
         place.note_down();
@@ -331,18 +334,18 @@
             let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
         }
-        if !std::mem::replace(&mut self.survived_death, true) {
-            self.sends -= 1;
+        if !std::mem::replace(&mut self.has_survived_death, true) {
+            self.counted_sends -= 1;
         }
         Ok(())
     }
 
     /// Whether a further target may be sent what may have run.
-    pub(crate) fn may_repeat(&self) -> bool {
-        self.job.route.kind.is_repeatable() && self.sends < self.job.route.targets_max
+    pub(crate) fn can_retry(&self) -> bool {
+        self.job.route.kind.is_repeatable() && self.counted_sends < self.job.route.targets_max
     }
 
-    pub(crate) fn spend(&self) -> bool {
+    pub(crate) fn spend_retry(&self) -> bool {
         let spent = self.core.spend_retry(&self.service);
         if !spent {
             log::warn!(request = self.job.head.attempt.as_str(); "no repeat left to spend");
@@ -352,7 +355,7 @@
 
     fn note_failure(&self, place: &Place<D, S, C>, failure: &Failure) {
         place.note_outcome(false);
-        self.log_repeat(place, &failure.to_string());
+        self.log_failed_attempt(place, &failure.to_string());
     }
 
     pub(crate) fn age(&self) -> Duration {
@@ -361,43 +364,43 @@
 
     /// Notes that another engine than the first kept a prompt from being read: the
     /// first is as good as before.
-    fn note_shut(&mut self, place: &Place<D, S, C>, tag: Tag, failure: &Failure) {
+    fn note_refusing_helper(&mut self, place: &Place<D, S, C>, tag: Tag, failure: &Failure) {
         self.tried.retain(|tried| *tried != place.target.tag);
         self.tried.push(tag);
         place.note_shut(tag);
-        self.log_repeat(place, &failure.to_string());
+        self.log_failed_attempt(place, &failure.to_string());
     }
 
     /// Notes that a target answered with this status.
-    pub(crate) fn note_answer(&self, place: &Place<D, S, C>, status: StatusCode) {
+    pub(crate) fn note_response(&self, place: &Place<D, S, C>, status: StatusCode) {
         place.note_outcome(!status.is_server_error());
         self.core.suspects().note_success(self.core.now(), self.fingerprint);
     }
 
-    async fn read_whole(
+    async fn read_body(
         &self,
-        opened: Opened,
+        response: OpenResponse,
     ) -> Result<(Exchange, Option<Duration>, Bytes), Failure> {
-        let Opened { mut exchange, answer } = opened;
+        let OpenResponse { mut exchange, head } = response;
         let body = tokio::time::timeout(self.time_left(), (&mut exchange.body).collect()).await;
         match body {
-            Ok(Ok(body)) => Ok((exchange, answer.keep_alive, body.to_bytes())),
-            Ok(Err(error)) => Err(Failure::Unknown(error.to_string())),
-            Err(_) => Err(Failure::Late),
+            Ok(Ok(body)) => Ok((exchange, head.keep_alive, body.to_bytes())),
+            Ok(Err(error)) => Err(Failure::OutcomeUnknown(error.to_string())),
+            Err(_) => Err(Failure::DeadlineExceeded),
         }
     }
 
     /// The answer of a target as the caller gets it.
-    pub(crate) fn deliver(
+    pub(crate) fn build_response(
         &self,
         mut exchange: Exchange,
-        keep: Option<Duration>,
+        keep_alive: Option<Duration>,
         body: Bytes,
         place: &Place<D, S, C>,
     ) -> Result<Response<Reply>, Refusal> {
         let status = exchange.head.status;
-        let is_promise = matches!(status.as_u16(), 408 | 421 | 429 | 503);
-        if is_promise && !self.job.route.kind.is_repeatable() {
+        let implies_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
+        if implies_not_run && !self.job.route.kind.is_repeatable() {
             // The target doesn't say that it has not run, and the status would.
             let detail = format!("target said {status} and not whether it ran");
             let refusal = Refusal::new(Reason::TargetFailed, detail);
@@ -405,19 +408,19 @@
         }
         self.log_end(place, status);
         let mut head = take_head(&mut exchange);
-        exchange.keep(keep);
+        exchange.keep(keep_alive);
         D::strip_connection_headers(&mut head.headers);
-        Ok(reply::whole(head, body))
+        Ok(reply::with_head(head, body))
     }
 }
 
 /// Ranks that are told apart at an engine, of which two urgencies each fit
 /// into ten.
-const URGENCY_RANKS: u32 = 4;
+const MAX_URGENCY_RANK: u32 = 4;
 
 /// The least time that a target is given for its first word where another may
 /// be tried: shorter silences are passes of a busy engine.
-const FIRST_LEAST: Duration = Duration::from_millis(700);
+const MIN_FIRST_STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Takes the head out of an exchange.
 pub(crate) fn take_head(exchange: &mut Exchange) -> http::response::Parts {
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -4,7 +4,7 @@
 use crate::config::{Account, Configuration, Route};
 use crate::core::{ActiveRequest, Core};
 use crate::dialect::Dialect;
-use crate::drain::NAMED;
+use crate::drain::CACHED_ADDRESS_LIFETIME;
 use crate::refusal::{Refusal, answer_refusal};
 use crate::reply::Reply;
 use crate::request::RequestHead;
@@ -21,27 +21,27 @@
 use std::time::{Duration, Instant};
 
 /// Between two looks whether the first configuration is there.
-const START_LOOK: Duration = Duration::from_millis(10);
+const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// When to come back to a node that has no configuration and can't reach the
 /// store. Outages last seconds, and callers come back only once or twice.
-const NOT_READY_RETRY: Duration = Duration::from_secs(2);
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// How long a request waits for a configuration that the node does not have yet:
 /// callers take a request that is not read within a second for lost.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
 
 /// The part of its time that a request waits for a configuration.
-const CONFIGURATION_WAIT_PART: u32 = 4;
+const CONFIGURATION_WAIT_DIVISOR: u32 = 4;
 
 /// Between two looks whether it has come.
-const BEHIND_LOOK: Duration = Duration::from_millis(25);
+const NEWER_CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// When to come back to a node that is behind, or to another one.
-const BEHIND_RETRY: Duration = Duration::from_millis(500);
+const BEHIND_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// When to come back to another node than one that is stopping.
-const DRAINING_RETRY: Duration = Duration::from_millis(20);
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// A request that is to be run.
 #[derive(Debug)]
@@ -64,15 +64,15 @@
     let active = ActiveRequest::begin(&core);
     let arrived = core.now();
     let attempt = D::parse_attempt(request.headers());
-    let answered = match read_job(&core, arrived, request).await {
+    let outcome = match read_job(&core, arrived, request).await {
         Ok(job) => {
             let prompt = job.head.prompt.map_or(Tokens(0), |prompt| prompt.tokens);
-            let answered = run::run(&core, job, active).await;
-            answered.map_err(|refusal| refusal.with_prompt(prompt))
+            let outcome = run::run(&core, job, active).await;
+            outcome.map_err(|refusal| refusal.with_prompt(prompt))
         }
         Err(refusal) => Err(refusal),
     };
-    answered.unwrap_or_else(|refusal| answer_refusal(&core, &attempt, arrived, &refusal))
+    outcome.unwrap_or_else(|refusal| answer_refusal(&core, &attempt, arrived, &refusal))
 }
 
 async fn read_job<D: Dialect, S: Store, C: Clock>(
@@ -83,19 +83,21 @@
     let (parts, body) = request.into_parts();
     let head = D::parse_request_head(&parts)
         .map_err(|finding| Refusal::new(Reason::BadHeader, finding.to_string()));
-    let patience = configuration_patience(head.as_ref().ok());
-    let configuration = wait_configuration(core, arrived, patience).await?;
+    let max_wait = max_configuration_wait(head.as_ref().ok());
+    let configuration = wait_configuration(core, arrived, max_wait).await?;
     let head = head?;
-    let entitled = wait_entitled(core, arrived, configuration, parts.uri.path(), &head).await?;
-    let Entitled { configuration, route, account } = entitled;
+    let authorized = wait_authorized(core, arrived, configuration, parts.uri.path(), &head).await?;
+    let Authorized { configuration, route, account } = authorized;
     // A stream that begins this late would be cut by the stop; its caller is
     // better served by another node, and asks for one after this answer.
-    if route.kind.is_stream() && core.draining_time().is_some_and(|time| time > NAMED) {
+    if route.kind.is_stream()
+        && core.draining_time().is_some_and(|time| time > CACHED_ADDRESS_LIFETIME)
+    {
         let refusal = Refusal::new(Reason::Draining, "this node is stopping");
-        return Err(refusal.after(DRAINING_RETRY));
+        return Err(refusal.with_retry_after(DRAINING_RETRY_AFTER));
     }
     let body = read_body(body, configuration.limits.body).await;
-    let body = body.map_err(|refusal| defer(core, refusal))?;
+    let body = body.map_err(|refusal| defer_if_behind(core, refusal))?;
     let time = head.time_left.map_or(route.timeout, |time| time.min(route.timeout));
     let message = Message { method: parts.method, uri: parts.uri, headers: parts.headers, body };
     let deadline = arrived + time;
@@ -103,7 +105,7 @@
 }
 
 /// What entitles a request to be run.
-struct Entitled {
+struct Authorized {
     configuration: Arc<Configuration>,
     route: Arc<Route>,
     account: Option<Arc<Account>>,
@@ -114,17 +116,17 @@
 /// A node that knows itself behind waits a little for the newer configuration:
 /// by the old one it would refuse for good what operators have just allowed,
 /// and callers don't come back after that.
-async fn wait_entitled<D: Dialect, S: Store, C: Clock>(
+async fn wait_authorized<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
     mut configuration: Arc<Configuration>,
     path: &str,
     head: &RequestHead,
-) -> Result<Entitled, Refusal> {
-    let patience = configuration_patience(Some(head));
+) -> Result<Authorized, Refusal> {
+    let max_wait = max_configuration_wait(Some(head));
     loop {
-        let refusal = match find_entitled(&configuration, path, head) {
-            Ok(entitled) => return Ok(entitled),
+        let refusal = match authorize(&configuration, path, head) {
+            Ok(authorized) => return Ok(authorized),
             Err(refusal) => refusal,
         };
         let is_behind = core.lag().is_some();
@@ -134,72 +136,77 @@
             continue;
         }
         let waited = core.now().saturating_duration_since(arrived);
-        if !is_behind || waited > patience {
-            return Err(defer(core, refusal));
+        if !is_behind || waited > max_wait {
+            return Err(defer_if_behind(core, refusal));
         }
-        tokio::time::sleep(BEHIND_LOOK).await;
+        tokio::time::sleep(NEWER_CONFIGURATION_POLL_INTERVAL).await;
     }
 }
 
-fn find_entitled(
+fn authorize(
     configuration: &Arc<Configuration>,
     path: &str,
     head: &RequestHead,
-) -> Result<Entitled, Refusal> {
+) -> Result<Authorized, Refusal> {
     let route = configuration.find_route(&head.host, path).cloned();
     let route = route.ok_or_else(|| Refusal::new(Reason::NotFound, "no such route"))?;
     let account = find_account(configuration, &route, head)?;
-    Ok(Entitled { configuration: configuration.clone(), route, account })
+    Ok(Authorized { configuration: configuration.clone(), route, account })
 }
 
 /// A refusal by the configuration, which is not for good where a newer one is
-/// known to be in force.
-fn defer<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>, refusal: Refusal) -> Refusal {
+/// account to be in force.
+fn defer_if_behind<D: Dialect, S: Store, C: Clock>(
+    core: &Core<D, S, C>,
+    refusal: Refusal,
+) -> Refusal {
     let by_configuration =
         matches!(refusal.reason, Reason::NotFound | Reason::Unauthenticated | Reason::TooLarge);
     if by_configuration && core.lag().is_some() {
-        return Refusal::new(Reason::Behind, refusal.detail).after(BEHIND_RETRY);
+        return Refusal::new(Reason::Behind, refusal.detail).with_retry_after(BEHIND_RETRY_AFTER);
     }
     refusal
 }
 
 /// How long a request waits for a configuration.
-fn configuration_patience(head: Option<&RequestHead>) -> Duration {
+fn max_configuration_wait(head: Option<&RequestHead>) -> Duration {
     let time = head.and_then(|head| head.time_left);
-    time.map_or(CONFIGURATION_WAIT, |time| CONFIGURATION_WAIT.min(time / CONFIGURATION_WAIT_PART))
+    time.map_or(MAX_CONFIGURATION_WAIT, |time| {
+        MAX_CONFIGURATION_WAIT.min(time / CONFIGURATION_WAIT_DIVISOR)
+    })
 }
 
 /// The configuration in force; the first one is waited for a little.
 async fn wait_configuration<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<Arc<Configuration>, Refusal> {
     loop {
         if let Some(configuration) = core.view().configuration.clone() {
             return Ok(configuration);
         }
         let waited = core.now().saturating_duration_since(arrived);
-        if core.is_store_unreachable() || waited > patience {
+        if core.is_store_unreachable() || waited > max_wait {
             let refusal = Refusal::new(Reason::NotReady, "no configuration yet");
-            return Err(refusal.after(NOT_READY_RETRY));
+            return Err(refusal.with_retry_after(NOT_READY_RETRY_AFTER));
         }
-        tokio::time::sleep(START_LOOK).await;
+        tokio::time::sleep(CONFIGURATION_POLL_INTERVAL).await;
     }
 }
 
 /// The account of the caller's key. A public route needs none, and takes the
-/// caller's where it is known.
+/// caller's where it is account.
 fn find_account(
     configuration: &Configuration,
     route: &Route,
     head: &RequestHead,
 ) -> Result<Option<Arc<Account>>, Refusal> {
-    let known = head.key.as_deref().and_then(|key| configuration.find_account(key));
-    if known.is_none() && configuration.accounts.is_some() && !route.public {
+    let account = head.key.as_deref().and_then(|key| configuration.find_account(key));
+    if account.is_none() && configuration.accounts.is_some() && !route.public {
         return Err(Refusal::new(Reason::Unauthenticated, "no such key"));
     }
-    Ok(known.cloned())
+    Ok(account.cloned())
 }
 
 async fn read_body(body: Incoming, limit: size::Bytes) -> Result<Bytes, Refusal> {
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -1,12 +1,12 @@
 //! Streams of events: relayed as they arrive, whole events only, and taken up
 //! at another target where one breaks off.
 
-use crate::attempt::{Failure, Opened};
+use crate::attempt::{Failure, OpenResponse};
 use crate::core::ActiveRequest;
 use crate::dialect::Dialect;
 use crate::place::Place;
 use crate::refusal::Refusal;
-use crate::reply::{Broken, Reply};
+use crate::reply::{Interrupted, Reply};
 use crate::run::{Run, take_head};
 use bytes::{Bytes, BytesMut};
 use hickory_client::Exchange;
@@ -18,22 +18,22 @@
 use tokio::sync::mpsc;
 
 /// Events written ahead of a slow caller.
-const EVENTS_AHEAD: usize = 4;
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// Pauses at which a stream counts as stalled, as a multiple of the longest
-/// wanted one. Callers give up at eight.
-const STALLED_PAUSES: u32 = 4;
+/// Pauses at which a stream counts as stall_timeout, as a multiple of the longest
+/// max_gap one. Callers give up at eight.
+const STALL_GAP_MULTIPLE: u32 = 4;
 
-/// The least pause at which a stream counts as stalled. Callers give up at two
+/// The least pause at which a stream counts as stall_timeout. Callers give up at two
 /// seconds at the earliest.
-const STALLED_LEAST: Duration = Duration::from_millis(1_000);
+const MIN_STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Whole events as they arrive.
+/// Complete events as they arrive.
 #[derive(Debug)]
 struct Chunk {
     bytes: Bytes,
-    first: Option<u64>,
-    last: Option<u64>,
+    first_id: Option<u64>,
+    last_id: Option<u64>,
 }
 
 /// What comes next of a stream.
@@ -48,22 +48,22 @@
 #[derive(Debug)]
 struct Reader {
     exchange: Exchange,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
     buffer: BytesMut,
 }
 
 impl Reader {
-    fn open(opened: Opened) -> Self {
-        let Opened { exchange, answer } = opened;
-        Self { exchange, keep: answer.keep_alive, buffer: BytesMut::new() }
+    fn open(response: OpenResponse) -> Self {
+        let OpenResponse { exchange, head } = response;
+        Self { exchange, keep_alive: head.keep_alive, buffer: BytesMut::new() }
     }
 
     async fn next(&mut self) -> Result<Next, Failure> {
         loop {
-            if let Some(end) = find_last_end(&self.buffer) {
+            if let Some(end) = last_event_end(&self.buffer) {
                 let bytes = self.buffer.split_to(end).freeze();
-                let (first, last) = read_ids(&bytes);
-                return Ok(Next::Chunk(Chunk { bytes, first, last }));
+                let (first_id, last_id) = parse_event_ids(&bytes);
+                return Ok(Next::Chunk(Chunk { bytes, first_id, last_id }));
             }
             match self.exchange.body.frame().await {
                 Some(Ok(frame)) => {
@@ -71,21 +71,21 @@
                         self.buffer.extend_from_slice(&data);
                     }
                 }
-                Some(Err(error)) => return Err(Failure::Unknown(error.to_string())),
+                Some(Err(error)) => return Err(Failure::OutcomeUnknown(error.to_string())),
                 None if self.buffer.is_empty() => return Ok(Next::End),
-                None => return Err(Failure::Unknown("ended within an event".into())),
+                None => return Err(Failure::OutcomeUnknown("ended within an event".into())),
             }
         }
     }
 }
 
 /// The end of the last whole event.
-fn find_last_end(buffer: &[u8]) -> Option<usize> {
+fn last_event_end(buffer: &[u8]) -> Option<usize> {
     buffer.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2)
 }
 
 /// The ids of the first and last event.
-fn read_ids(events: &[u8]) -> (Option<u64>, Option<u64>) {
+fn parse_event_ids(events: &[u8]) -> (Option<u64>, Option<u64>) {
     let mut ids = events.split(|&byte| byte == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
@@ -101,24 +101,24 @@
     active: ActiveRequest<D, S, C>,
 ) -> Result<Response<Reply>, Refusal> {
     loop {
-        let (opened, place) = run.open().await?;
-        let status = opened.exchange.head.status;
+        let (response, place) = run.open_response().await?;
+        let status = response.exchange.head.status;
         if !status.is_success() {
-            match deliver_failure(&mut run, opened, &place, status).await {
+            match deliver_error(&mut run, response, &place, status).await {
                 Some(answer) => return answer,
                 None => continue,
             }
         }
-        let mut reader = Reader::open(opened);
-        let first = match run.wait_first(&place, reader.next()).await {
+        let mut reader = Reader::open(response);
+        let first = match run.wait_for_first(&place, reader.next()).await {
             Ok(first) => first,
             Err(failure) => {
-                run.settle(&place, failure).await?;
+                run.handle_failure(&place, failure).await?;
                 continue;
             }
         };
         place.begin_decode();
-        run.first_event = Some(run.age());
+        run.first_event_time = Some(run.age());
         if let Some(prompt) = run.job.head.prompt {
             run.core.metrics.first_token(prompt.tokens, run.age());
         }
@@ -126,7 +126,7 @@
         D::strip_connection_headers(&mut head.headers);
         // A stream that another target takes up has another length.
         head.headers.remove(header::CONTENT_LENGTH);
-        let (out, events) = mpsc::channel(EVENTS_AHEAD);
+        let (out, events) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         let relay = Relay { run, out, active };
         tokio::spawn(relay.run(reader, place, first));
         return Ok(Response::from_parts(head, Reply::Events(events)));
@@ -134,33 +134,33 @@
 }
 
 /// Passes a target's failure on, unless another target may be tried.
-async fn deliver_failure<D: Dialect, S: Store, C: Clock>(
+async fn deliver_error<D: Dialect, S: Store, C: Clock>(
     run: &mut Run<D, S, C>,
-    opened: Opened,
+    response: OpenResponse,
     place: &Place<D, S, C>,
     status: StatusCode,
 ) -> Option<Result<Response<Reply>, Refusal>> {
-    run.note_answer(place, status);
-    if status.is_server_error() && run.may_repeat() && run.spend() {
-        run.log_repeat(place, &format!("status {status}"));
+    run.note_response(place, status);
+    if status.is_server_error() && run.can_retry() && run.spend_retry() {
+        run.log_failed_attempt(place, &format!("status {status}"));
         return None;
     }
-    let Opened { mut exchange, answer } = opened;
+    let OpenResponse { mut exchange, head } = response;
     let body = tokio::time::timeout(run.time_left(), (&mut exchange.body).collect()).await;
     match body {
-        Ok(Ok(body)) => Some(run.deliver(exchange, answer.keep_alive, body.to_bytes(), place)),
+        Ok(Ok(body)) => Some(run.build_response(exchange, head.keep_alive, body.to_bytes(), place)),
         Ok(Err(error)) => {
-            let failure = Failure::Unknown(error.to_string());
-            run.settle(place, failure).await.err().map(Err)
+            let failure = Failure::OutcomeUnknown(error.to_string());
+            run.handle_failure(place, failure).await.err().map(Err)
         }
-        Err(_) => run.settle(place, Failure::Late).await.err().map(Err),
+        Err(_) => run.handle_failure(place, Failure::DeadlineExceeded).await.err().map(Err),
     }
 }
 
 /// A stream on its way to a caller.
 struct Relay<D: Dialect, S: Store, C: Clock> {
     run: Run<D, S, C>,
-    out: mpsc::Sender<Result<Bytes, Broken>>,
+    out: mpsc::Sender<Result<Bytes, Interrupted>>,
     /// Counts the request as under way until the stream ends.
     active: ActiveRequest<D, S, C>,
 }
@@ -168,11 +168,11 @@
 /// How reading from one target ended.
 enum End {
     /// The stream is whole.
-    Whole,
+    Complete,
     /// The caller is gone.
-    Gone,
+    CallerGone,
     /// The deadline passed.
-    Deadline,
+    DeadlineExceeded,
     /// The target broke off.
     Failed(Failure),
 }
@@ -181,35 +181,35 @@
     async fn run(mut self, mut reader: Reader, mut place: Place<D, S, C>, first: Next) {
         let mut next = Some(first);
         loop {
-            match self.relay(&mut reader, next.take()).await {
-                End::Whole => {
-                    self.run.note_answer(&place, StatusCode::OK);
+            match self.relay_from(&mut reader, next.take()).await {
+                End::Complete => {
+                    self.run.note_response(&place, StatusCode::OK);
                     self.run.log_end(&place, StatusCode::OK);
-                    reader.exchange.keep(reader.keep);
+                    reader.exchange.keep(reader.keep_alive);
                     break;
                 }
-                End::Gone => {
+                End::CallerGone => {
                     self.log(&place, "the caller is gone");
                     break;
                 }
-                End::Deadline => {
+                End::DeadlineExceeded => {
                     self.log(&place, "the deadline passed within the stream");
-                    let _ = self.out.send(Err(Broken)).await;
+                    let _ = self.out.send(Err(Interrupted)).await;
                     break;
                 }
                 End::Failed(failure) => {
                     let out = self.out.clone();
-                    let taken_up = tokio::select! {
-                        taken_up = self.take_up(&place, failure) => taken_up,
+                    let resumed = tokio::select! {
+                        resumed = self.resume_elsewhere(&place, failure) => resumed,
                         () = out.closed() => None,
                     };
-                    let Some((other, at, first)) = taken_up else {
+                    let Some((next_reader, next_place, first)) = resumed else {
                         // It fails where the caller is gone.
-                        let _ = self.out.send(Err(Broken)).await;
+                        let _ = self.out.send(Err(Interrupted)).await;
                         break;
                     };
-                    reader = other;
-                    place = at;
+                    reader = next_reader;
+                    place = next_place;
                     next = Some(first);
                 }
             }
@@ -230,13 +230,13 @@
     }
 
     /// Relays from one target.
-    async fn relay(&mut self, reader: &mut Reader, first: Option<Next>) -> End {
+    async fn relay_from(&mut self, reader: &mut Reader, first: Option<Next>) -> End {
         let mut ready = first;
         let mut last = self.run.core.now();
         loop {
             let next = match ready.take() {
                 Some(next) => next,
-                None => match self.read(reader).await {
+                None => match self.read_next(reader).await {
                     Ok(next) => next,
                     Err(end) => return end,
                 },
@@ -246,72 +246,72 @@
             last = now;
             let chunk = match next {
                 Next::Chunk(chunk) => chunk,
-                Next::End => return End::Whole,
+                Next::End => return End::Complete,
             };
-            if let (Some(first), Some(last)) = (chunk.first, self.run.resume_after)
+            if let (Some(first), Some(last)) = (chunk.first_id, self.run.resume_after)
                 && first != last + 1
             {
-                return End::Failed(Failure::Spoiled("its events don't follow on"));
+                return End::Failed(Failure::InvalidAnswer("its events don't follow on"));
             }
             if self.out.send(Ok(chunk.bytes)).await.is_err() {
-                return End::Gone;
+                return End::CallerGone;
             }
-            self.run.resume_after = chunk.last.or(self.run.resume_after);
+            self.run.resume_after = chunk.last_id.or(self.run.resume_after);
         }
     }
 
-    async fn read(&self, reader: &mut Reader) -> Result<Next, End> {
-        let wanted = self.run.job.route.gap.unwrap_or(STALLED_LEAST);
-        let mut stalled = Some((wanted * STALLED_PAUSES).max(STALLED_LEAST));
+    async fn read_next(&self, reader: &mut Reader) -> Result<Next, End> {
+        let max_gap = self.run.job.route.gap.unwrap_or(MIN_STREAM_STALL_TIMEOUT);
+        let mut stall_timeout = Some((max_gap * STALL_GAP_MULTIPLE).max(MIN_STREAM_STALL_TIMEOUT));
         loop {
             let left = self.run.time_left();
-            let limit = stalled.map_or(left, |stalled| left.min(stalled));
+            let limit = stall_timeout.map_or(left, |stall_timeout| left.min(stall_timeout));
             tokio::select! {
                 next = reader.next() => return next.map_err(End::Failed),
-                () = self.out.closed() => return Err(End::Gone),
+                () = self.out.closed() => return Err(End::CallerGone),
                 () = tokio::time::sleep(limit) => {}
             }
             if limit == left {
-                return Err(End::Deadline);
+                return Err(End::DeadlineExceeded);
             }
-            if self.run.may_leave() {
+            if self.run.try_abandon_stalled() {
                 return Err(End::Failed(Failure::Stalled));
             }
-            stalled = None;
+            stall_timeout = None;
         }
     }
 
     /// Takes the stream up at another target.
-    async fn take_up(
+    async fn resume_elsewhere(
         &mut self,
         place: &Place<D, S, C>,
         failure: Failure,
     ) -> Option<(Reader, Place<D, S, C>, Next)> {
-        let mut failed = self.run.settle(place, failure).await;
+        let mut outcome = self.run.handle_failure(place, failure).await;
         loop {
-            if let Err(refusal) = failed {
+            if let Err(refusal) = outcome {
                 self.log(place, &format!("given up on: {}", refusal.detail));
                 return None;
             }
-            let (opened, other) = match self.run.open().await {
-                Ok(opened) => opened,
+            let (response, other) = match self.run.open_response().await {
+                Ok(response) => response,
                 Err(refusal) => {
-                    failed = Err(refusal);
+                    outcome = Err(refusal);
                     continue;
                 }
             };
-            if !opened.exchange.head.status.is_success() {
-                let failure = Failure::Spoiled("it failed the resume");
-                failed = self.run.settle(&other, failure).await;
+            if !response.exchange.head.status.is_success() {
+                let failure = Failure::InvalidAnswer("it failed the resume");
+                outcome = self.run.handle_failure(&other, failure).await;
                 continue;
             }
-            let mut reader = Reader::open(opened);
-            match self.run.wait_first(&other, reader.next()).await {
+            let mut reader = Reader::open(response);
+            match self.run.wait_for_first(&other, reader.next()).await {
                 Ok(first) => {
                     other.begin_decode();
                     return Some((reader, other, first));
                 }
-                Err(failure) => failed = self.run.settle(&other, failure).await,
+                Err(failure) => outcome = self.run.handle_failure(&other, failure).await,
             }
         }
     }
--- a/crates/path/tests/ledger.rs
+++ b/crates/path/tests/ledger.rs
@@ -30,9 +30,9 @@
 }
 
 fn targets() -> Vec<Arc<Target>> {
-    let target = |number: u64| Target {
-        id: format!("t-{number}").as_str().into(),
-        tag: Tag(number),
+    let target = |id: u64| Target {
+        id: format!("t-{id}").as_str().into(),
+        tag: Tag(id),
         entry: Entry {
             service: "s".into(),
             address: "127.0.0.1:1".parse().unwrap(),
@@ -49,12 +49,12 @@
     (1..=3).map(target).map(Arc::new).collect()
 }
 
-fn allocation(first: u64, helpers: &[u64], part: u64) -> Allocation {
+fn allocation(target: u64, helpers: &[u64], prefill_ms: u64) -> Allocation {
     Allocation {
         service: "s".into(),
-        target: Tag(first),
+        target: Tag(target),
         helpers: helpers.iter().map(|&tag| Tag(tag)).collect(),
-        prefill_time: ms(part),
+        prefill_time: ms(prefill_ms),
         prompt: Tokens(1_000),
         expected_answer: Tokens(100),
         memory: Vec::new(),
@@ -65,17 +65,17 @@
     }
 }
 
-fn place(ledger: &mut Ledger, now: Instant, allocation: Allocation) -> AllocationId {
-    let number = ledger.next_id();
-    ledger.record(now, number, allocation);
-    number
+fn record(ledger: &mut Ledger, now: Instant, allocation: Allocation) -> AllocationId {
+    let id = ledger.next_id();
+    ledger.record(now, id, allocation);
+    id
 }
 
 #[test]
-fn what_is_placed_is_to_be_read_in_turn() {
+fn own_and_peer_allocations_add_to_the_prefill_backlog() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
-    place(&mut ledger, now, allocation(1, &[2], 100));
+    record(&mut ledger, now, allocation(1, &[2], 100));
     ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
     let loads = ledger.loads(now, &targets(), Some(&profile()));
     assert_eq!([loads[0].backlog, loads[1].backlog, loads[2].backlog], [ms(150), ms(100), ms(0)]);
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn the_first_token_ends_the_reading_and_the_end_the_rest() {
+fn first_token_ends_prefill_and_finish_removes_the_allocation() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
-    let number = place(&mut ledger, now, allocation(1, &[2], 100));
-    ledger.begin_decode(now, number);
+    let id = record(&mut ledger, now, allocation(1, &[2], 100));
+    ledger.begin_decode(now, id);
     let loads = ledger.loads(now, &targets(), Some(&profile()));
     assert_eq!((loads[0].backlog, loads[0].writers, loads[1].helping), (ms(0), 1, 0));
     assert_eq!((loads[0].context, loads[0].memory), (Tokens(1_100), Tokens(1_100)));
-    ledger.finish(now, number);
+    ledger.finish(now, id);
     assert_eq!(ledger.loads(now, &targets(), Some(&profile()))[0].requests, 0);
 }
 
@@ -100,7 +100,7 @@
 /// the datagram that told of the end was lost. What is not told again must be
 /// forgotten.
 #[test]
-fn what_is_not_told_again_is_forgotten() {
+fn peer_allocations_expire_unless_refreshed() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
     ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
@@ -115,7 +115,7 @@
 /// A node that was killed starts anew and numbers from one: its old requests
 /// must not stand beside the new ones.
 #[test]
-fn a_node_that_starts_anew_has_placed_nothing() {
+fn restarted_node_has_no_allocations() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
     ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
@@ -127,11 +127,11 @@
 /// rate, and all together send nine times as much. Sendings of all nodes count,
 /// also those that have ended.
 #[test]
-fn sendings_of_all_nodes_count_for_a_second() {
+fn sends_of_all_nodes_count_for_one_second() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let node: id::Node = "other".into();
-    let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.finish(now, number);
+    let id = record(&mut ledger, now, allocation(1, &[], 50));
+    ledger.finish(now, id);
     ledger.record_peer(now, &node, AllocationId(1), allocation(1, &[], 50));
     ledger.record_peer(now + ms(500), &node, AllocationId(1), allocation(1, &[], 50));
     assert_eq!(ledger.recent_sends(now + ms(900), Tag(1)), 2);
@@ -141,26 +141,26 @@
 /// Guards against requests that count twice at a cold target, where the owner that
 /// granted a place is told of it again by the node that asked.
 #[test]
-fn what_is_placed_again_was_sent_once() {
+fn recording_an_allocation_twice_counts_one_send() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
-    let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.record(now + ms(1), number, allocation(1, &[], 50));
+    let id = record(&mut ledger, now, allocation(1, &[], 50));
+    ledger.record(now + ms(1), id, allocation(1, &[], 50));
     assert_eq!(ledger.recent_sends(now + ms(10), Tag(1)), 1);
     assert_eq!(ledger.loads(now + ms(10), &targets(), None)[0].requests, 1);
 }
 
 #[test]
-fn what_an_answer_usually_takes_follows_plain_requests() {
+fn typical_time_follows_plain_service_requests() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
     let plain = || Allocation { prompt: Tokens(0), ..allocation(1, &[], 0) };
     assert_eq!(ledger.typical_time(&"s".into()), None);
-    let number = place(&mut ledger, now, plain());
-    ledger.finish(now + ms(60), number);
+    let id = record(&mut ledger, now, plain());
+    ledger.finish(now + ms(60), id);
     assert_eq!(ledger.typical_time(&"s".into()), Some(ms(60)));
     ledger.record_peer(now, &"other".into(), AllocationId(1), plain());
     ledger.finish_peer(now + ms(220), &"other".into(), AllocationId(1));
     assert_eq!(ledger.typical_time(&"s".into()), Some(ms(70)));
-    let number = place(&mut ledger, now, allocation(1, &[], 50));
-    ledger.finish(now + ms(900), number);
+    let id = record(&mut ledger, now, allocation(1, &[], 50));
+    ledger.finish(now + ms(900), id);
     assert_eq!(ledger.typical_time(&"s".into()), Some(ms(70)), "a prompt's answer");
 }
