--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -1,8 +1,8 @@
-//! Asking the owner of a group of targets for a place.
+//! Requests a place from the owner of a group of targets.
 //!
-//! An owner that is unresponsive for some milliseconds is passed over for its successor,
-//! which was told the same. Where that one is unresponsive, too, a node decides alone by
-//! what it placed itself, and in an order of its own.
+//! If the owner doesn't answer within some milliseconds, its successor is asked, which receives the
+//! same reports. If the successor doesn't answer either, the node decides on its own: by its own
+//! allocations, and with an order of targets that differs from other nodes'.
 
 use crate::dialect::Dialect;
 use crate::gossip::Event;
@@ -24,54 +24,54 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// How long an owner may be unresponsive: some times the way there and back between
-/// zones, with the turns of both hosts.
+/// The timeout for an owner's answer: several round trips between zones, including scheduling
+/// delays on both hosts.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Owners that are asked before a node decides alone.
+/// The number of owners to ask before the node decides on its own.
 const MAX_OWNERS_ASKED: usize = 2;
 
-/// After which a prompt that waits is asked for again, which shows its owner that
-/// it is still wanted, and its node that the owner is there.
+/// The interval for repeating the request while it is queued. The repetition shows the owner that
+/// the request is still wanted, and the node that the owner is alive.
 const QUEUED_RESEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two attempts of a node that decides alone.
+/// The interval between decisions of a node that decides on its own.
 const STANDALONE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Grants that can't be used after which a node decides alone: the owner has not
-/// heard what this node knows.
+/// The number of unusable grants after which the node decides on its own. The owner then lacks
+/// knowledge that this node has.
 const MAX_RETURNED_GRANTS: u32 = 3;
 
-/// Groups of a service that a request is tried in.
+/// The number of groups of a service that a request tries.
 const MAX_GROUPS_TRIED: u16 = 2;
 
-/// How long a request waits for the first targets of a node that has just started.
+/// The maximum time that a request waits for the first targets of a node that has just started.
 const MAX_TARGETS_WAIT: Duration = Duration::from_millis(800);
 
-/// The part of its time that a request waits for them.
+/// A request waits for the first targets for at most its remaining time divided by this number.
 const TARGETS_WAIT_DIVISOR: u32 = 4;
 
-/// Between two looks whether they are known.
+/// The poll interval while waiting for the first targets.
 const TARGETS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What comes of asking.
+/// The result of requesting a place.
 type PlaceResult<D, S, C> = Result<Place<D, S, C>, Rejection>;
 
-/// A request for a place that is under way. Dropping it withdraws it.
+/// A pending request for a place. Dropping it withdraws the request.
 struct PendingRequest<'a, D: Dialect, S: Store, C: Clock> {
     run: &'a Run<D, S, C>,
     group: Group,
     id: AllocationId,
     answers: UnboundedReceiver<Answer>,
-    /// Targets that are left out.
+    /// Targets to exclude.
     tried: Vec<Tag>,
-    /// Grants that this node could not use.
+    /// The number of grants that this node couldn't use.
     returned_grants: u32,
     is_placed: bool,
     is_queued: bool,
 }
 
-/// Finds a place for what a request is about address send.
+/// Finds a place for the next attempt of a request.
 pub(crate) async fn place<D: Dialect, S: Store, C: Clock>(
     run: &Run<D, S, C>,
     tried: &[Tag],
@@ -90,8 +90,8 @@
     Err(rejection)
 }
 
-/// Waits wait_until this node knows any targets. One that has just started gets the
-/// configuration before them, and would refuse what it could serve a moment later.
+/// Waits until this node knows any targets. A node that has just started receives the configuration
+/// before the targets, and would refuse what it can serve a moment later.
 async fn wait_for_targets<D: Dialect, S: Store, C: Clock>(run: &Run<D, S, C>) {
     let wait_until = run.core.now() + MAX_TARGETS_WAIT.min(run.time_left() / TARGETS_WAIT_DIVISOR);
     while !run.core.has_targets() && run.core.now() < wait_until {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The owner address send_request, unless enough were unresponsive or granted what can't be used.
+    /// Returns the next owner to ask; `None` if too many didn't answer or granted unusable targets.
     fn next_owner(&self, unresponsive: &[id::Node]) -> Option<id::Node> {
         if unresponsive.len() >= MAX_OWNERS_ASKED || self.returned_grants >= MAX_RETURNED_GRANTS {
             return None;
@@ -156,7 +156,7 @@
         owners.into_iter().find(|owner| !unresponsive.contains(owner))
     }
 
-    /// Asks an owner; nothing where it has address be asked again, or another one.
+    /// Asks an owner; returns `None` if this owner or another one has to be asked again.
     async fn ask_owner(
         &mut self,
         owner: id::Node,
@@ -179,7 +179,7 @@
         self.handle_answer(answer, decider)
     }
 
-    /// Decides by this node's own requests; nothing where it waits.
+    /// Decides by this node's own allocations; returns `None` if the request has to wait.
     async fn try_standalone(&mut self) -> Option<PlaceResult<D, S, C>> {
         let time = match self.decide_standalone() {
             Decision::Answered(answer) => {
@@ -217,7 +217,7 @@
         tokio::time::timeout(timeout, self.answers.recv()).await.ok().flatten()
     }
 
-    /// Takes an answer; nothing where it has address be asked again.
+    /// Handles an answer; returns `None` if an owner has to be asked again.
     fn handle_answer(&mut self, answer: Answer, decider: Decider) -> Option<PlaceResult<D, S, C>> {
         match answer {
             Answer::Placed(grant) => self.open_place(*grant, decider).map(Ok),
@@ -225,7 +225,7 @@
                 self.note_queued(survey);
                 None
             }
-            // This node may know a target that the owner has not heard of.
+            // This node may know a target that the owner doesn't know yet.
             Answer::Rejected(rejection)
                 if rejection.reason == RejectReason::NoTarget && decider != Decider::Alone =>
             {
@@ -238,7 +238,8 @@
         }
     }
 
-    /// The place that was granted, unless this node knows that it can't be used.
+    /// Opens the granted place; returns `None` and returns the grant if this node knows that it is
+    /// unusable.
     fn open_place(&mut self, grant: Grant, decider: Decider) -> Option<Place<D, S, C>> {
         let core = &self.run.core;
         let view = core.view();
@@ -255,13 +256,13 @@
         Some(place)
     }
 
-    /// Gives a grant back, address send_request again without one of its targets.
+    /// Returns a grant, so that the next request excludes its unusable target.
     fn return_grant(&mut self, unusable: Option<Tag>) {
         let core = &self.run.core;
         log::info!(
             request = self.run.job.head.attempt.as_str(),
             group = self.group.index;
-            "the granted target takes no work"
+            "the granted target accepts no work"
         );
         self.withdraw();
         self.returned_grants += 1;
@@ -307,7 +308,7 @@
     }
 }
 
-/// A target of a grant that this node knows can't be used.
+/// Returns a target of the grant that this node knows to be unusable.
 fn find_unusable(view: &View, grant: &Grant, now: Instant) -> Option<Tag> {
     let is_usable = |tag: &Tag| view.find(*tag).is_some_and(|target| view.may_send(target, now));
     grant.allocation.engines().find(|tag| !is_usable(tag))
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One target_request of a request to a target, up to the head of the answer.
+//! One attempt: sends a request to a target and reads the head of the response.
 
 use crate::core::Core;
 use crate::dialect::{Dialect, Helper, ResponseHead, TargetRequest};
@@ -16,10 +16,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How fresh a connection must be for a request that may run only is_non_repeatable.
+/// The maximum idle time of a connection that is reused for a request which may run only once. A
+/// connection that was idle for longer may be closed at the other end.
 const MAX_REUSE_IDLE_TIME: Duration = Duration::from_millis(500);
 
-/// A request as it came, kept for further attempts.
+/// A request as received, kept for further attempts.
 #[derive(Debug)]
 pub(crate) struct Message {
     pub(crate) method: Method,
@@ -28,45 +29,46 @@
     pub(crate) body: Bytes,
 }
 
-/// What an attempt is sent with.
+/// The parameters of an attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Parameters<'a> {
-    /// The caller's id of its attempt, by which answers are known.
+    /// The caller's ID of its attempt, which a response must repeat.
     pub(crate) attempt: &'a str,
     pub(crate) account: Option<&'a id::Account>,
     pub(crate) time_left: Duration,
     pub(crate) urgency: Option<u8>,
     pub(crate) resume_after: Option<u64>,
     pub(crate) helpers: &'a [Helper],
-    /// Whether the request may run only is_non_repeatable.
+    /// Whether the request may run only once.
     pub(crate) is_non_repeatable: bool,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// Nothing listens at the target.
+    /// The target refused the connection.
     #[display("not sent: connection refused")]
     ConnectionRefused,
     /// No byte reached the target.
     #[display("not sent: {_0}")]
     NotSent(String),
-    /// A target says that it has not run, and may name the one at fault.
+    /// A target stated that it didn't run the request. The response may name another target as the
+    /// cause.
     #[display("not run, status {status}{}", name_refusing_target(*refusing_target))]
     NotRun { status: StatusCode, refusing_target: Option<SocketAddr> },
-    /// A target reserved no memory for it.
+    /// An engine didn't reserve memory for the request.
     #[display("not sent: {detail}")]
     NotReserved { target: Tag, detail: String },
-    /// It may have run.
+    /// The connection failed; the request may have run.
     #[display("no answer: {_0}")]
     OutcomeUnknown(String),
-    /// What came is not an answer to it; it may have run.
+    /// The response doesn't belong to the request or is malformed; the request may have run.
     #[display("not its answer: {_0}")]
     InvalidAnswer(&'static str),
-    /// Nothing came until the deadline.
+    /// No response arrived before the deadline.
     #[display("timeout")]
     DeadlineExceeded,
-    /// Nothing came for long, and a repeat was taken to try another target.
+    /// The target was silent for too long, and a retry has been spent to try another one.
     #[display("stalled")]
     Stalled,
 }
@@ -76,7 +78,7 @@
 }
 
 impl Failure {
-    /// What it is counted as.
+    /// Returns the retry reason that metrics count the failure as.
     pub(crate) fn reason(&self) -> Retry {
         match self {
             Self::ConnectionRefused | Self::NotSent(_) | Self::NotReserved { .. } => Retry::NotSent,
@@ -87,14 +89,14 @@
     }
 }
 
-/// An answer whose head is there.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub(crate) struct OpenResponse {
     pub(crate) exchange: Exchange,
     pub(crate) head: ResponseHead,
 }
 
-/// Sends and waits for the head of the answer.
+/// Sends a request and waits for the head of the response.
 pub(crate) async fn send<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     message: &Message,
@@ -115,7 +117,7 @@
     Ok(OpenResponse { exchange, head })
 }
 
-/// Whether an answer is this request's, and says that it ran.
+/// Checks that a response belongs to the request and that the request ran.
 fn check_response(
     head: &ResponseHead,
     status: StatusCode,
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! The state that all parts of a node share.
 
 use crate::dialect::Dialect;
 use crate::fleet::{Running, Silence};
@@ -32,27 +32,26 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{Notify, watch};
 
-/// How long a connect to a target may take: the way there and back is a few
-/// milliseconds, and a target whose queue of connections is full answers only
-/// after seconds.
+/// The timeout for connecting to a target. The round trip takes a few milliseconds; a target whose
+/// accept queue is full answers only after seconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unacknowledged before a target counts as cut
-/// off: some hundred times the way there and back.
+/// How long sent bytes may stay unacknowledged before a target counts as unreachable: about a
+/// hundred round trips.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// What a node is doing.
+/// The lifecycle stage of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It takes callers.
+    /// The node accepts callers.
     Serving,
-    /// It is stopping: it serves what comes, and sends callers elsewhere.
+    /// The node is stopping: it serves requests that arrive, and directs callers to other nodes.
     Draining,
-    /// It has stopped.
+    /// The node has stopped.
     Closed,
 }
 
-/// The state of a node.
+/// The shared state of a node.
 #[derive(Debug)]
 pub(crate) struct Core<D, S: Store, C: Clock> {
     pub(crate) settings: Settings,
@@ -79,16 +78,16 @@
     is_store_unreachable: AtomicBool,
     draining_since: OnceLock<Instant>,
     revisions: Mutex<(Revision, Revision)>,
-    /// Since when this node has been told what runs where.
+    /// How long this node has received reports of allocations without a break.
     uptime: Mutex<Running>,
     outgoing: UnboundedSender<Outgoing>,
-    /// Until the task that sends takes it.
+    /// Held until the sending task takes it.
     outgoing_receiver: Mutex<Option<UnboundedReceiver<Outgoing>>>,
-    /// News of members waits to be told.
+    /// Membership changes are waiting to be sent.
     pub(crate) membership_notify: Notify,
-    /// Newer revisions wait to be told.
+    /// Newer revisions are waiting to be announced.
     pub(crate) revision_notify: Notify,
-    /// Something may have changed for prompts that wait.
+    /// Queued prompts may be placeable now.
     pub(crate) queue_notify: Notify,
     pub(crate) stage: watch::Sender<Stage>,
     active_requests: AtomicUsize,
@@ -190,8 +189,8 @@
         lock(&self.items)
     }
 
-    /// Changes the items and reads them anew where that was news. Targets whose
-    /// entries go are kept for a while where `may_lapse`.
+    /// Changes the items and, if `change` returns true, decodes them into a new view. With
+    /// `may_lapse`, targets whose entries disappeared stay in use for a while.
     pub(crate) fn update_items(&self, may_lapse: bool, change: impl FnOnce(&mut Items) -> bool) {
         let mut items = self.items();
         if !change(&mut items) {
@@ -217,12 +216,12 @@
         }
     }
 
-    /// The newest revisions that this node has of what operators and targets wrote.
+    /// Returns the newest known revisions of the operators' items and of the targets' entries.
     pub(crate) fn revisions(&self) -> (Revision, Revision) {
         *lock(&self.revisions)
     }
 
-    /// Whether any target's entry is known yet.
+    /// Returns whether any target's entry is known yet.
     pub(crate) fn has_targets(&self) -> bool {
         let (_, targets) = self.revisions();
         targets > Revision::default()
@@ -239,7 +238,7 @@
         );
     }
 
-    /// Notes the newest revision of operators' data that a peer has.
+    /// Records the newest revision of operators' items that a peer has.
     pub(crate) fn note_operator_revision(&self, revision: Revision) {
         let (known, _) = self.revisions();
         if revision > known {
@@ -247,13 +246,14 @@
         }
     }
 
-    /// How far this node is behind what it has heard operators wrote.
+    /// Returns how far this node is behind the newest revision that it knows operators to have
+    /// written; `None` if it is up to date.
     pub(crate) fn lag(&self) -> Option<Lag> {
         let known = self.items().newest(D::OPERATOR_PREFIX);
         lock(&self.news).lag(self.now(), known)
     }
 
-    /// Notes whether the store answered.
+    /// Records whether the store answered.
     pub(crate) fn note_store_reachable(&self, is_reachable: bool) {
         let was_unreachable = self.is_store_unreachable.swap(!is_reachable, Ordering::Relaxed);
         if was_unreachable == is_reachable {
@@ -261,24 +261,24 @@
         }
     }
 
-    /// Whether the store is out of reach.
+    /// Returns whether the store is unreachable.
     pub(crate) fn is_store_unreachable(&self) -> bool {
         self.is_store_unreachable.load(Ordering::Relaxed)
     }
 
-    /// Notes that the planned stop begins.
+    /// Records the start of the planned stop.
     pub(crate) fn begin_draining(&self) {
-        // It begins once.
+        // Fails if the stop has begun already, which keeps the first start time.
         let _ = self.draining_since.set(self.now());
     }
 
-    /// How long the planned stop has lasted.
+    /// Returns the time since the planned stop began.
     pub(crate) fn draining_time(&self) -> Option<Duration> {
         let since = self.draining_since.get()?;
         Some(self.now().saturating_duration_since(*since))
     }
 
-    /// Notes a request of a service, which earns part of a repeat.
+    /// Adds a request's share to the retry budget of its service.
     pub(crate) fn earn_retry(&self, service: &id::Service) {
         let (now, bounds) = (self.now(), self.bounds());
         let mut budgets = lock(&self.budgets);
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Takes one repeat from this node's share of a service's budget.
+    /// Spends one retry from this node's share of a service's budget; returns whether one was left.
     pub(crate) fn spend_retry(&self, service: &id::Service) -> bool {
         let (now, bounds) = (self.now(), self.bounds());
         let nodes = self.count_nodes();
@@ -310,13 +310,13 @@
         lock(&self.pending_answers)
     }
 
-    /// Hands an event to the task that sends.
+    /// Queues an event for the sending task.
     pub(crate) fn enqueue(&self, outgoing: Outgoing) {
-        // The task ends with the node.
+        // Sending fails only after the node has ended.
         let _ = self.outgoing.send(outgoing);
     }
 
-    /// What is to be sent, once.
+    /// Returns the receiver of queued events on the first call, `None` afterwards.
     pub(crate) fn take_outgoing_receiver(&self) -> Option<UnboundedReceiver<Outgoing>> {
         lock(&self.outgoing_receiver).take()
     }
@@ -325,12 +325,12 @@
         *self.stage.borrow()
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be directed to this node.
     pub(crate) fn is_ready(&self) -> bool {
         self.stage() == Stage::Serving && self.view().configuration.is_some()
     }
 
-    /// Requests under way.
+    /// Returns the number of requests in flight.
     pub(crate) fn active_requests(&self) -> usize {
         self.active_requests.load(Ordering::Relaxed)
     }
@@ -353,7 +353,7 @@
     Membership::open(now, own, seeds.collect(), rand::random())
 }
 
-/// Counts a request as under way while it lives.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest<D: Dialect, S: Store, C: Clock>(Arc<Core<D, S, C>>);
 
--- a/crates/path/src/death.rs
+++ b/crates/path/src/death.rs
@@ -1,4 +1,4 @@
-//! Requests that targets die under.
+//! Detection of requests that crash targets.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
@@ -11,11 +11,12 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// How long a look at a target's port may take, to tell a death from a cut.
+/// The timeout of the connection probe that distinguishes a dead target from an interrupted
+/// connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What tells a request that crashes targets when it comes again: who sends
-/// it, where to, and what.
+/// Computes a fingerprint that identifies a repeated request by its account, path and body, to
+/// recognize one that crashes targets.
 pub(crate) fn compute_fingerprint(job: &Job) -> u64 {
     let mut hasher = blake3::Hasher::new();
     let account = job.account.as_ref().map_or("", |account| account.name.as_str());
@@ -25,9 +26,8 @@
     u64::from_le_bytes(*hasher.finalize().as_bytes().first_chunk().unwrap_or(&[0; 8]))
 }
 
-/// Looks whether a target that broke off is dead, and if so notes the request
-/// as one that it died under. A connection that was merely cut says nothing
-/// against the request.
+/// Checks whether a target whose connection broke is dead, and if so records the death against the
+/// request. An interrupted connection to a living target doesn't count against the request.
 pub(crate) async fn probe_for_death<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     target: &Target,
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What one platform calls things: the port between the request path and the
-//! names and formats of requests, targets and the store's items.
+//! The interface between the request path and a platform: it translates the platform's names and
+//! formats of requests, responses, registry entries and store items.
 
 use crate::config::Configuration;
 use crate::request::RequestHead;
@@ -11,128 +11,129 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The names and formats of one platform. All functions are pure: no timer,
-/// choice or state.
+/// The names and formats of one platform. All functions are pure: they keep no state, use no timer
+/// and make no decision.
 pub trait Dialect: Send + Sync + 'static {
-    /// The prefix of what operators write.
+    /// The key prefix of the items that operators write.
     const OPERATOR_PREFIX: &str;
-    /// The prefix of the targets' entries.
+    /// The key prefix of the targets' registry entries.
     const TARGET_PREFIX: &str;
-    /// The key of the configuration.
+    /// The store key of the configuration.
     const CONFIG_KEY: &str;
     /// The prefix of the keys that name zones which are out of service.
     const ZONE_PREFIX: &str;
 
-    /// The caller's id of its attempt, empty where it names none.
+    /// Reads the caller's ID of this attempt; empty if the request has none.
     fn parse_attempt(headers: &HeaderMap) -> CompactString;
 
-    /// Reads a request's head.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// What can't be read, with the header's name.
+    /// A value that can't be parsed, with the header's name.
     fn parse_request_head(parts: &Parts) -> Result<RequestHead, Finding>;
 
-    /// Turns the caller's headers into those for a target: removes what is
-    /// not for targets, sets what the path decides.
+    /// Turns the caller's headers into those for a target: removes the ones that aren't meant for
+    /// targets and sets the values in `send`.
     fn write_target_headers(send: &TargetRequest<'_>, headers: &mut HeaderMap);
 
-    /// Reads the head of a target's answer.
+    /// Parses the head of a target's response.
     fn parse_response_head(headers: &HeaderMap) -> ResponseHead;
 
-    /// Removes from a target's answer what concerns one connection only.
+    /// Removes the hop-by-hop headers from a target's response.
     fn strip_connection_headers(headers: &mut HeaderMap);
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
     ///
-    /// What can't be read, with its place.
+    /// A value that can't be parsed, with its position.
     fn parse_configuration(text: &str) -> Result<Configuration, Finding>;
 
-    /// Reads a target's entry; `None` where it names no target to use.
+    /// Parses a target's registry entry; `None` if it describes no usable target.
     fn parse_target(id: &str, text: &str) -> Option<Entry>;
 
-    /// The answer to where to connect.
+    /// Formats the directory response: the addresses that callers may connect to, and how long they
+    /// may cache it.
     fn write_directory(addresses: &[SocketAddr], keep: Duration) -> String;
 
-    /// An order that reserves memory on an engine.
+    /// Builds the request that reserves memory on an engine.
     fn reserve_request(reservation: &str, tokens: u64, hold: Duration, wait: bool)
     -> EngineRequest;
 
-    /// An order that ends a reservation.
+    /// Builds the request that releases a reservation.
     fn release_request(reservation: &str) -> EngineRequest;
 }
 
-/// What the path decides of one sending.
+/// Values that the request path sets on a request to a target.
 #[derive(Clone, Debug)]
 pub struct TargetRequest<'a> {
-    /// How long the target may work.
+    /// The time that the target may spend on the request.
     pub time_left: Duration,
-    /// The target that is meant; another one at its address must not run it.
+    /// The intended target; another target at the same address must not run the request.
     pub target: &'a id::Target,
-    /// The caller's account.
+    /// The account of the caller.
     pub account: Option<&'a id::Account>,
-    /// Its urgency, from 0 (first) to 9.
+    /// The scheduling urgency, from 0 (highest) to 9.
     pub urgency: Option<u8>,
-    /// The last event that the caller has.
+    /// The ID of the last event that the caller has received.
     pub resume_after: Option<u64>,
-    /// Engines that read parts of the prompt, with their reservations; the
-    /// target itself is among them where it holds one.
+    /// Engines that prefill parts of the prompt, with their reservations. Includes the target
+    /// itself if it has a reservation.
     pub helpers: &'a [Helper],
 }
 
-/// An engine that reads part of a prompt.
+/// An engine that prefills part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it is.
+    /// The address of the engine.
     pub address: SocketAddr,
-    /// The reservation of its memory.
+    /// The ID of the memory reservation on it.
     pub reservation: Option<CompactString>,
 }
 
-/// An order to an engine.
+/// A control request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRequest {
-    /// Its path.
+    /// The path of the request.
     pub path: &'static str,
-    /// Its body.
+    /// The body of the request.
     pub body: String,
 }
 
-/// The head of a target's answer.
+/// The parsed head of a target's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The attempt that it answers.
+    /// The ID of the attempt that the response belongs to.
     pub attempt: Option<CompactString>,
-    /// Whether it bears a target's signature.
+    /// Whether it carries a target's signature.
     pub is_signed: bool,
-    /// Whether it says that the request has not run.
+    /// Whether it states that the request was not run.
     pub has_not_run: bool,
-    /// Whether the body is encoded, which no target does.
+    /// Whether the body has a content encoding, which targets never use.
     pub is_encoded: bool,
-    /// How long the connection may be idle.
+    /// How long the connection may stay idle.
     pub keep_alive: Option<Duration>,
-    /// Where the target is that kept the request from running, where that is said;
-    /// it may be one that was to read a part of the prompt.
+    /// The address of the target that prevented the request from running, if the response names it.
+    /// It may be a helper that was to prefill a part of the prompt.
     pub refusing_target: Option<SocketAddr>,
 }
 
-/// A target's entry.
+/// The registry entry of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: id::Service,
-    /// Where it is.
+    /// The address of the target.
     pub address: SocketAddr,
-    /// The availability zone it stands in.
+    /// The availability zone of the target.
     pub zone: id::Zone,
-    /// Requests it runs at once.
+    /// The number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the target is shutting down.
     pub is_draining: bool,
-    /// How much longer it is cold, from when the entry was written.
+    /// How much longer the target is cold, counted from when the entry was written.
     pub cold_time_left: Duration,
-    /// When it started; differs after each start under the same id.
+    /// The start time of the target; differs after each start under the same ID.
     pub incarnation: u64,
 }
--- a/crates/path/src/directory.rs
+++ b/crates/path/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which addresses callers are told to use.
+//! The directory: the addresses that callers are directed to.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
@@ -7,15 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long callers may max_age the answer. Some max_age it three times as long; a
-/// node that dies is out of use after that and the time it takes to be missed.
+/// The maximum age of a cached response. Some callers cache it three times as long; a dead node is
+/// out of use after that time plus the time to detect its death.
 const MAX_ADDRESS_AGE: Duration = Duration::from_secs(1);
 
-/// Addresses in one answer at most.
+/// The maximum number of addresses in a response.
 const MAX_ADDRESSES: usize = 64;
 
-/// The answer to a caller who asks where to connect; `None` where no node
-/// takes callers.
+/// Returns the directory response; `None` if no node accepts callers.
 pub(crate) fn render<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> Option<String> {
     let own = core.is_ready().then_some(core.settings.callers);
     let mut addresses: Vec<SocketAddr> = own.into_iter().collect();
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -1,7 +1,7 @@
-//! The planned stop.
+//! The planned stop of a node.
 //!
-//! Callers may keep this node's address for a while, so it serves on after it
-//! has said that it leaves, and closes each connection with its next answer.
+//! Callers may cache this node's address, so the node keeps serving after it has announced the
+//! stop, and closes each connection after the next response.
 
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
@@ -10,18 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a stopping node is still named in kept answers: three times what
-/// they may be kept, and the time that its peers take to hear of the stop.
+/// How long a stopping node remains in cached directory responses: three times their maximum age,
+/// plus the time until its peers know of the stop.
 pub(crate) const CACHED_ADDRESS_LIFETIME: Duration = Duration::from_millis(3_400);
 
-/// What is left of the grace time when the node stops at the max_drain_time: enough to
-/// end by itself before it is killed.
+/// The part of the grace period that is reserved for the process to exit by itself before it is
+/// killed.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(500);
 
-/// Between two looks whether the last request has ended.
+/// The interval for checking whether the last request has ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Begins a planned stop, once.
+/// Begins a planned stop; later calls have no effect.
 pub(crate) fn begin<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
     let has_begun = core.stage.send_if_modified(|stage| {
         let serving = *stage == Stage::Serving;
@@ -40,7 +40,7 @@
 
 async fn finish<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     if let Some(member) = core.member.get().cloned() {
-        // The store may be away, and the stop doesn't wait for it.
+        // The store may be unreachable, and the stop doesn't wait for it.
         tokio::spawn(async move { member.leave().await });
     }
     let began = core.now();
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -1,8 +1,9 @@
-//! Groups of targets, and which nodes decide on each.
+//! Groups of targets, and the nodes that own them.
 //!
-//! A group has one owner at a time, which knows all that is placed there, so that
-//! nobody decides on what others have changed meanwhile. The next node by rank is
-//! told the same and succeeds it. Nodes find both by the table of members alone.
+//! A group has one owner at a time, which knows all allocations in the group, so that no two nodes
+//! decide on the same targets without knowledge of each other's decisions. The next node by rank
+//! receives the same reports and succeeds the owner. Each node derives both from the membership
+//! table, without further communication.
 
 use crate::view::Tag;
 use compact_str::ToCompactString;
@@ -11,30 +12,30 @@
 use hickory_state::rank::rank_nodes;
 use hickory_unit::id;
 
-/// Targets in a group at max_capacity. An owner's work for a group grows with it, and a
-/// prompt is split within one group.
+/// The maximum number of targets in a group. An owner's work for a group grows with this number,
+/// and a prompt is split only among engines of one group.
 const MAX_GROUP_TARGETS: usize = 160;
 
-/// Part of the greatest capacity that a node needs to own a group.
+/// A node needs at least this part of the greatest capacity in the fleet to own a group.
 const OWNER_CAPACITY_DIVISOR: u32 = 2;
 
 /// A group of a service's targets.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{service}/{index}")]
 pub struct Group {
-    /// The service.
+    /// The service of the targets.
     pub service: id::Service,
-    /// Which of the service's groups.
+    /// The index of the group among the service's groups.
     pub index: u16,
 }
 
-/// How many groups so many targets of a service make.
+/// Returns the number of groups for this number of targets of a service.
 pub fn count_groups(targets: usize) -> u16 {
     targets.div_ceil(MAX_GROUP_TARGETS).clamp(1, usize::from(u16::MAX)) as u16
 }
 
-/// The group that a target belongs to, by jump consistent hashing: a further
-/// group takes over its share of the targets and moves no other.
+/// Returns the group of a target by jump consistent hashing: an additional group moves only its
+/// share of the targets.
 pub fn find_group(target: Tag, groups: u16) -> u16 {
     let (mut key, mut group, mut next) = (target.0, 0_i64, 0_i64);
     while next < i64::from(groups) {
@@ -46,8 +47,9 @@
     group as u16
 }
 
-/// The nodes that may own a group, by rank. Nodes that were told what runs where go
-/// before those that have just started, and hosts that can do more before others.
+/// Returns the nodes that may own a group, by rank. If any node knows the current allocations, only
+/// such nodes are eligible, rather than nodes that have just started. Hosts with little capacity
+/// are excluded.
 pub fn rank_owners<'a>(
     group: &Group,
     nodes: impl Iterator<Item = (&'a id::Node, &'a Contact)>,
@@ -65,7 +67,7 @@
     rank_nodes(&id::Target(group.to_compact_string()), capable)
 }
 
-/// A node's own order of targets, unlike any other node's.
+/// Returns the sort key of a target in an order that differs from node to node.
 pub(crate) fn node_specific_order(node: &id::Node, target: Tag) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(node.as_str().as_bytes()).update(&target.0.to_le_bytes());
--- a/crates/path/src/intake.rs
+++ b/crates/path/src/intake.rs
@@ -1,5 +1,5 @@
-//! Listening: callers, the platform's question whether the node is ready,
-//! callers who ask where to connect, and peers that fetch items.
+//! Listeners for callers, the platform's readiness check, directory requests, metrics and peers
+//! that fetch items.
 
 use crate::config::Limits;
 use crate::core::{Core, Stage};
@@ -22,21 +22,21 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
 
-/// How long sent bytes may stay without an acknowledgement before the kernel
-/// closes a caller's connection: what lies between may have forgotten it.
+/// How long sent bytes may stay unacknowledged before the kernel closes a caller's connection. A
+/// middlebox may have dropped the connection's state without notice.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The least buffer that hyper takes for a request's head.
+/// The minimum buffer size that hyper accepts for a request's head.
 const MIN_HEAD_BUFFER_BYTES: usize = 8 << 10;
 
-/// How long a connection for control may be idle.
+/// The idle timeout of control connections.
 const CONTROL_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The kernel's buffer of what is sent to a peer. A larger one takes a whole
-/// document at once, and the node would not know what its link has carried.
+/// The kernel's send buffer for a peer connection. A larger buffer accepts a whole document at
+/// once, and the node couldn't tell how much the link has carried.
 const PEER_SEND_BUFFER_BYTES: usize = 32 << 10;
 
-/// A pause after a failed accept: out of descriptors, most likely.
+/// The pause after a failed accept, which is most likely due to a lack of file descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The listening sockets of a node.
@@ -61,9 +61,9 @@
         Self::bind_with(settings, sync, UdpSocket::bind(settings.peers).await?).await
     }
 
-    /// Binds the addresses of the settings, and listens for peers at other
-    /// sockets than those that they are told of: what stands before a host's
-    /// address, as a stand-in of its link does, listens there.
+    /// Binds the addresses of the settings, except that it listens for peers on the given sockets.
+    /// These may differ from the advertised addresses if a proxy, such as an emulated link, listens
+    /// there.
     ///
     /// # Errors
     ///
@@ -88,7 +88,7 @@
     }
 }
 
-/// Starts listening.
+/// Starts all listeners.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>, sockets: Sockets) {
     let limits = |core: &Core<D, S, C>| {
         core.view().configuration.as_ref().map_or_else(Limits::default, |c| c.limits)
@@ -97,11 +97,11 @@
     tokio::spawn(accept(core.clone(), sockets.callers, limits, serve::serve));
     tokio::spawn(accept(core.clone(), sockets.ready, control, answer_ready));
     tokio::spawn(accept(core.clone(), sockets.directory, control, answer_directory));
-    // Inherited by the connections of peers.
+    // The accepted connections inherit this option.
     if let Err(error) =
         socket2::SockRef::from(&sockets.sync).set_send_buffer_size(PEER_SEND_BUFFER_BYTES)
     {
-        log::warn!("send buffer for peers: {error}");
+        log::warn!("send buffer of peer connections can't be set: {error}");
     }
     tokio::spawn(accept(core.clone(), sockets.sync, control, answer_sync));
     if let Some(metrics) = sockets.metrics {
@@ -156,7 +156,7 @@
     A: Fn(Arc<Core<D, S, C>>, Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Reply>> + Send + 'static,
 {
-    // Both fail only where the connection is closed already.
+    // Both calls fail only if the connection is closed already.
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let mut stage = core.stage.subscribe();
@@ -165,7 +165,7 @@
         async move {
             let mut response = response_future.await;
             if core.stage() != Stage::Serving {
-                // Makes a caller with a kept connection ask again where to go.
+                // Makes a caller with a persistent connection query the directory again.
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -179,7 +179,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        // An error is the caller's going away.
+        // An error means that the caller closed the connection.
         _ = connection.as_mut() => return,
         () = wait_closed(&mut stage) => {}
     }
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -1,9 +1,9 @@
-//! What runs where, as far as this node was refreshed.
+//! The ledger of allocations: which requests run on which targets, as known to this node.
 //!
-//! A node knows what it placed itself. The owner of a group of targets and its
-//! successor are refreshed by current nodes what they placed there. An allocation is refreshed again
-//! every half second while it lasts, and forgotten where it isn't: a datagram that
-//! is lost or a node that dies leaves nothing behind.
+//! A node records the requests that it places itself. All nodes also report what they place in a
+//! group of targets to the owner of the group and its successor. An allocation is reported again
+//! every half second while it lasts and expires if the reports stop, so a lost datagram or a dead
+//! node leaves no stale allocation.
 
 use crate::view::{Tag, Target};
 use hickory_policy::engine::Profile;
@@ -16,52 +16,53 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a peer's allocation lasts without being refreshed again: four tellings.
+/// How long an allocation of a peer lasts without a new report: four report intervals.
 const PEER_ALLOCATION_TTL: Duration = Duration::from_secs(2);
 
-/// The window in which sendings to a cold target are counted.
+/// The window for counting the requests sent to a cold target.
 const COLD_SEND_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long the word of a first token may take: a stride, the way to its node and
-/// a datagram.
+/// The maximum delay until a first token is reported: one stride of decode steps, the network
+/// latency to its node and a datagram.
 const FIRST_TOKEN_REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// The weight of the last_id answer in what an answer of a plain service usually takes.
+/// The divisor of the moving average of answer times: a new answer has a weight of one in this
+/// number.
 const TYPICAL_TIME_SMOOTHING: u32 = 16;
 
-/// How far a request has come.
+/// The phase that a request is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Its prompt is being read.
+    /// The prompt is being prefilled.
     Prefill,
-    /// Its stream is being written.
+    /// The answer is being decoded.
     Decode,
 }
 
-/// A request's index, as refreshed between nodes.
+/// The resources allocated to a request, as reported between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allocation {
-    /// The service.
+    /// The service of the request.
     pub service: id::Service,
-    /// The target that was sends the request.
+    /// The target that the request was sent to.
     pub target: Tag,
-    /// Engines that read parts of it, besides.
+    /// Further engines that prefill parts of the prompt.
     pub helpers: Vec<Tag>,
-    /// What each of them reads.
+    /// The time that each of these engines spends on its part of the prefill.
     pub prefill_time: Duration,
-    /// Prompt tokens.
+    /// The number of prompt tokens.
     pub prompt: Tokens,
-    /// Answer tokens, at a guess.
+    /// The expected number of answer tokens.
     pub expected_answer: Tokens,
-    /// Memory by engine, where it isn't current at the first.
+    /// Memory by engine, if not all of it is on the first one.
     pub memory: Vec<(Tag, Tokens)>,
-    /// The longest pause that its stream is to keep.
+    /// The longest inter-token latency that the stream should have.
     pub max_token_gap: Option<Duration>,
-    /// Whether it is a short prompt.
+    /// Whether the prompt is short.
     pub is_short: bool,
-    /// How far it has come.
+    /// The phase that the request is in.
     pub phase: Phase,
-    /// How long ago it was placed.
+    /// The time since the request was placed.
     pub age: Duration,
 }
 
@@ -73,8 +74,8 @@
 }
 
 impl Entry {
-    /// Whether it tells how long requests of its service take: a long prompt takes
-    /// as long as it is, and what ended before it was written elapsed no time.
+    /// Whether the duration of this request is typical of its service. That of a long prompt
+    /// depends on its length, and a request that ended before decode has no meaningful duration.
     fn is_typical(&self) -> bool {
         let Allocation { prompt, is_short, phase, .. } = &self.allocation;
         prompt.0 == 0 || (*is_short && *phase == Phase::Decode)
@@ -91,37 +92,37 @@
 }
 
 impl Allocation {
-    /// The engines that read it.
+    /// The engines that prefill the prompt.
     pub(crate) fn engines(&self) -> impl Iterator<Item = Tag> {
         std::iter::once(self.target).chain(self.helpers.iter().copied())
     }
 }
 
-/// Names an allocation within its node.
+/// Identifies an allocation within its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AllocationId(pub u32);
 
-/// The allocations that are known.
+/// The known allocations of this node and its peers.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     own: HashMap<AllocationId, Entry>,
     peers: HashMap<id::Node, HashMap<AllocationId, Entry>>,
     last_id: u32,
     sends: HashMap<Tag, VecDeque<Instant>>,
-    /// When a pass of an engine was last_id seen to end, by a first token.
+    /// When each engine was last seen to end a forward pass, which a first token shows.
     pass_ends: HashMap<Tag, Instant>,
-    /// What an answer of a plain service, or a short stream, usually takes.
+    /// Moving averages of how long a request of a plain service, or a short stream, takes.
     typical_times: HashMap<id::Service, Duration>,
 }
 
 impl Ledger {
-    /// A id for a further request of this node.
+    /// Returns an ID for a new request of this node.
     pub fn next_id(&mut self) -> AllocationId {
         self.last_id = self.last_id.wrapping_add(1);
         AllocationId(self.last_id)
     }
 
-    /// Notes a request that this node indexes now.
+    /// Records a request that this node places now.
     pub fn record(&mut self, now: Instant, id: AllocationId, allocation: Allocation) {
         let target = allocation.target;
         let entry = Entry { allocation, placed: now, refreshed: now };
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Notes the first token of an own request.
+    /// Records the first token of a request of this node.
     pub fn begin_decode(&mut self, now: Instant, id: AllocationId) {
         if let Some(entry) = self.own.get_mut(&id) {
             entry.allocation.phase = Phase::Decode;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Forgets an own request.
+    /// Removes a request of this node.
     pub fn finish(&mut self, now: Instant, id: AllocationId) {
         let entry = self.own.remove(&id);
         self.note_typical_time(now, entry);
@@ -152,13 +153,13 @@
             (*typical_time * (TYPICAL_TIME_SMOOTHING - 1) + elapsed) / TYPICAL_TIME_SMOOTHING;
     }
 
-    /// What an answer of a plain service, or a short stream, usually takes, if one was
-    /// seen.
+    /// Returns how long a request of a plain service, or a short stream, typically takes; `None`
+    /// before the first one has ended.
     pub fn typical_time(&self, service: &id::Service) -> Option<Duration> {
         self.typical_times.get(service).copied()
     }
 
-    /// The own requests, as they are refreshed to peers.
+    /// Returns the allocations of this node with their current age, to report them to peers.
     pub fn own_allocations(
         &self,
         now: Instant,
@@ -169,7 +170,7 @@
         })
     }
 
-    /// Takes a peer's allocation.
+    /// Records or refreshes an allocation that a peer reported.
     pub fn record_peer(
         &mut self,
         now: Instant,
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Notes the first token of a peer's request.
+    /// Records the first token of a peer's request.
     pub fn begin_peer_decode(&mut self, now: Instant, node: &id::Node, id: AllocationId) {
         if let Some(entry) =
             self.peers.get_mut(node).and_then(|allocations| allocations.get_mut(&id))
@@ -199,18 +200,18 @@
         }
     }
 
-    /// Forgets a peer's request.
+    /// Removes a peer's request.
     pub fn finish_peer(&mut self, now: Instant, node: &id::Node, id: AllocationId) {
         let entry = self.peers.get_mut(node).and_then(|allocations| allocations.remove(&id));
         self.note_typical_time(now, entry);
     }
 
-    /// Forgets current requests of a peer, which started anew.
+    /// Removes all requests of a peer that has restarted.
     pub fn forget_node(&mut self, node: &id::Node) {
         self.peers.remove(node);
     }
 
-    /// Forgets what peers no longer tell of.
+    /// Removes allocations that peers no longer report, and other outdated records.
     pub fn expire(&mut self, now: Instant) {
         for allocations in self.peers.values_mut() {
             allocations.retain(|_, entry| {
@@ -225,7 +226,7 @@
         });
     }
 
-    /// Requests sends to a target within the last_id second.
+    /// Returns the number of requests sent to a target within the last second.
     pub fn recent_sends(&self, now: Instant, tag: Tag) -> usize {
         let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < COLD_SEND_WINDOW;
         self.sends.get(&tag).map_or(0, |times| times.iter().filter(is_recent).count())
@@ -239,7 +240,7 @@
         self.own.values().chain(peers.filter(is_fresh))
     }
 
-    /// What each of the targets has to do.
+    /// Computes the load of each target from the current allocations.
     pub fn loads(
         &self,
         now: Instant,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -1,4 +1,5 @@
-//! Deciding where requests of all nodes go, as the owner of a group of targets.
+//! The owner of a group of targets: places the requests of all nodes in the group, and queues
+//! prompts until engines are available.
 
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
@@ -16,30 +17,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long an answer is remembered: one that was lost is received for again.
+/// How long answers are kept, to repeat them if a requester didn't receive one and asks again.
 const ANSWER_RETENTION: Duration = Duration::from_secs(2);
 
-/// Between two looks at what waits, at the least.
+/// The minimum interval between two passes over the queues.
 const MIN_QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Between two looks at what waits, at the most.
+/// The maximum interval between two passes over the queues.
 const MAX_QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A node's request for a place.
+/// Identifies a node's request for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Ticket {
     pub(crate) node: id::Node,
     pub(crate) id: AllocationId,
 }
 
-/// Who asks, and where the answer goes.
+/// The requester and the address for the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Requester {
     pub(crate) ticket: Ticket,
     pub(crate) address: SocketAddr,
 }
 
-/// A prompt that waits for engines.
+/// A prompt that is queued for engines.
 #[derive(Clone, Debug)]
 struct QueuedRequest {
     requester: Requester,
@@ -48,7 +49,7 @@
     received: Instant,
 }
 
-/// What a node keeps as the owner of groups.
+/// The queues and recent answers of a node as the owner of groups.
 #[derive(Debug, Default)]
 pub(crate) struct Owner {
     queues: HashMap<Group, Queue<Ticket, QueuedRequest>>,
@@ -56,19 +57,19 @@
 }
 
 impl Owner {
-    /// Forgets what a request waits for.
+    /// Removes a request from the queues.
     pub(crate) fn withdraw(&mut self, now: Instant, ticket: &Ticket) {
         for queue in self.queues.values_mut() {
             queue.remove(now, ticket);
         }
     }
 
-    /// Forgets all requests of a node, which started anew.
+    /// Removes the answers to a node that has restarted.
     pub(crate) fn forget_node(&mut self, node: &id::Node) {
         self.recent_answers.retain(|ticket, _| ticket.node != *node);
     }
 
-    /// Forgets what is no longer received for.
+    /// Removes requests that are no longer repeated, and old answers.
     pub(crate) fn expire(&mut self, now: Instant) {
         self.queues.values_mut().for_each(|queue| queue.expire(now));
         self.queues.retain(|_, queue| !queue.is_empty());
@@ -76,7 +77,7 @@
             .retain(|_, (at, _)| now.saturating_duration_since(*at) < ANSWER_RETENTION);
     }
 
-    /// Whether any prompt waits.
+    /// Returns whether any prompt is queued.
     pub(crate) fn has_waiting(&self) -> bool {
         self.queues.values().any(|queue| !queue.is_empty())
     }
@@ -94,7 +95,7 @@
     }
 }
 
-/// The turn of a request at the owner of its group; none where it doesn't next_poll.
+/// Returns the queue position class of a request; `None` if it has no prompt to queue.
 fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Turn> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
@@ -103,8 +104,8 @@
     })
 }
 
-/// Takes a request for a place. A node that doesn't know the service says nothing,
-/// and the requester goes on to another one.
+/// Handles a request for a place. A node that doesn't know the service doesn't answer, and the
+/// requester asks another one.
 pub(crate) fn handle_request<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     requester: Requester,
@@ -137,7 +138,7 @@
     core.queue_notify.notify_one();
 }
 
-/// Serves prompts that next_poll, whenever something may have changed for them.
+/// Serves queued prompts whenever their chances may have changed.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         let is_idle = !core.owner().has_waiting();
@@ -148,16 +149,16 @@
         let next_poll =
             serve_queues(&core, None).clamp(MIN_QUEUE_POLL_INTERVAL, MAX_QUEUE_POLL_INTERVAL);
         tokio::time::sleep(MIN_QUEUE_POLL_INTERVAL).await;
-        // Nothing changes the outcome previous_answer, but what is told.
+        // The outcome can't change earlier, except by a notification.
         let _ =
             tokio::time::timeout(next_poll - MIN_QUEUE_POLL_INTERVAL, core.queue_notify.notified())
                 .await;
     }
 }
 
-/// Lets all prompts that next_poll choose in turn; the time after which one may have
-/// more luck. The requester of `newly_queued` is told if it goes on queued. Where one short
-/// prompt finds no slot, those behind it would find none either.
+/// Lets all queued prompts choose in order. Returns the time after which one may be placeable. The
+/// requester of `newly_queued` is notified if its prompt stays queued. If one short prompt finds no
+/// slot, those behind it wouldn't either and are skipped.
 fn serve_queues<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     newly_queued: Option<&Ticket>,
@@ -200,7 +201,7 @@
     next
 }
 
-/// Enters a decision in the ledger, and tells the requester.
+/// Records a decision in the ledger, and sends it to the requester.
 fn commit_decision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     now: Instant,
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -1,4 +1,4 @@
-//! Where a request was placed, for as long as it lasts.
+//! The place of a request: its granted targets and its allocation.
 
 use crate::attempt::Failure;
 use crate::core::Core;
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where a request goes. Dropping it ends its allocation.
+/// The place of a request. Dropping it ends the allocation.
 pub(crate) struct Place<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
     group: Group,
@@ -25,24 +25,24 @@
     allocation: Allocation,
     pub(crate) target: Arc<Target>,
     pub(crate) helpers: Vec<Arc<Target>>,
-    /// Memory to reserve, by target; empty where the first holds all.
+    /// Memory to reserve, by target; empty if the first target holds all of it.
     pub(crate) memory: Vec<(Arc<Target>, Tokens)>,
-    /// Whether it is a short prompt, or none.
+    /// Whether the prompt is short, or the request has none.
     pub(crate) is_short: bool,
-    /// What each engine reads.
+    /// The time that each engine spends on its part of the prefill.
     pub(crate) prefill_time: Duration,
-    /// When the first token, or the answer, is expected.
+    /// The expected time to the first token or to the answer.
     pub(crate) expected_time: Duration,
-    /// What it was chosen by.
+    /// The state of the targets that the choice was based on.
     pub(crate) survey: Survey,
-    /// Who chose it.
+    /// Which kind of node made the choice.
     pub(crate) decider: Decider,
-    /// Released with the place.
+    /// Released when the place is dropped.
     reservations: Option<Reservations<D, S, C>>,
 }
 
 impl<D: Dialect, S: Store, C: Clock> Place<D, S, C> {
-    /// The place of a grant, all of whose targets the view has.
+    /// Opens the place of a grant; `None` if the view lacks one of its targets.
     pub(crate) fn open(
         core: &Arc<Core<D, S, C>>,
         view: &View,
@@ -71,13 +71,13 @@
         })
     }
 
-    /// Enters it in the ledger, and tells those who decide on its group.
+    /// Records the allocation in the ledger, and reports it to the owners of the group.
     pub(crate) fn publish(&self) {
         self.core.ledger().record(self.core.now(), self.id, self.allocation.clone());
         self.notify_owners(&Event::Placed(self.id, self.allocation.clone()));
     }
 
-    /// The place with the reservations that it needs.
+    /// Returns the place together with the reservations that it needs.
     pub(crate) fn with_reservations(mut self, reservations: Reservations<D, S, C>) -> Self {
         self.reservations = Some(reservations);
         self
@@ -87,8 +87,7 @@
         self.core.tell_owners(&self.group, event);
     }
 
-    /// The engine that kept the prompt from being read, where it isn't the one
-    /// that was sent it.
+    /// Returns the engine that prevented the prefill, if it isn't the target of the request.
     pub(crate) fn find_refusing_target(&self, failure: &Failure) -> Option<Tag> {
         match failure {
             Failure::NotReserved { target, .. } => Some(*target),
@@ -100,28 +99,28 @@
         }
     }
 
-    /// Notes the first token.
+    /// Records the first token.
     pub(crate) fn begin_decode(&self) {
         self.core.ledger().begin_decode(self.core.now(), self.id);
         self.core.queue_notify.notify_one();
         self.notify_owners(&Event::Writing(self.id));
     }
 
-    /// Notes how the request ended at its target.
+    /// Records whether the target served or failed the request.
     pub(crate) fn note_outcome(&self, served: bool) {
         let target = self.target.tag;
         self.core.ejection().note(self.core.now(), target, served);
         self.notify_owners(&Event::Outcome { target, served });
     }
 
-    /// Notes that nothing listens at the target.
+    /// Records that the target refused the connection.
     pub(crate) fn note_down(&self) {
         let target = self.target.tag;
         self.core.ejection().note_down(self.core.now(), target);
         self.notify_owners(&Event::Down(target));
     }
 
-    /// Notes that a target refused to read a part of the prompt.
+    /// Records that a target refused to prefill a part of the prompt.
     pub(crate) fn note_shut(&self, target: Tag) {
         self.core.ejection().note_shut(self.core.now(), target);
         self.notify_owners(&Event::Shut(target));
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -1,4 +1,4 @@
-//! Choosing targets for one attempt, by all that is known of what runs where.
+//! Placement: chooses the targets of one attempt from the known loads of all targets.
 
 use crate::config::Configuration;
 use crate::core::Core;
@@ -20,48 +20,47 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Requests a second that a cold target is given, as a part of what it is
-/// configured to bear: two nodes may decide for some moments.
+/// The part of a cold target's configured request rate that is used. Two nodes may decide on the
+/// same group for a moment.
 const COLD_RATE_FRACTION: f64 = 0.8;
 
-/// The part of an answer's bound that answers have at the mean, where nothing
-/// better is known.
+/// An answer has on average this part of its maximum length, unless the caller or the profile
+/// suggests more.
 const TYPICAL_ANSWER_DIVISOR: u64 = 2;
 
-/// The part of its goal that an answer of a plain service is_eligible, where none was
-/// seen yet.
+/// A request of a plain service takes this part of its goal until one has been measured.
 const TYPICAL_TIME_GOAL_DIVISOR: u32 = 3;
 
-/// What is to be placed, as nodes ask each other.
+/// A request for a place, as nodes send it to the owner of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
-    /// The service.
+    /// The requested service.
     pub service: id::Service,
-    /// Which group of the service's targets.
+    /// The index of the group among the service's groups.
     pub group: u16,
-    /// The size of its prompt and answer, if it has one.
+    /// The size of the prompt and its answer, for requests to engines.
     pub prompt: Option<Prompt>,
-    /// The time within which a first token or an answer is wanted.
+    /// The goal for the time to the first token or to the answer.
     pub goal: Duration,
-    /// What is left of that.
+    /// The time left until the goal.
     pub goal_left: Duration,
-    /// What is left until its caller gives up on a first token.
+    /// The time left until the caller gives up on a first token.
     pub limit_left: Duration,
-    /// The longest pause that its stream is to keep.
+    /// The longest inter-token latency that the stream should have.
     pub max_token_gap: Option<Duration>,
-    /// The zone of the node that asks.
+    /// The zone of the requesting node.
     pub zone: id::Zone,
-    /// Targets that were tried.
+    /// Targets that have been tried already.
     pub tried: Vec<Tag>,
 }
 
 impl Request {
-    /// The group that it is to be placed in.
+    /// Returns the group that the request is to be placed in.
     pub fn group(&self) -> Group {
         Group { service: self.service.clone(), index: self.group }
     }
 
-    /// The request as it is after some time.
+    /// Returns the request as it is after `time` has passed.
     pub fn aged(&self, time: Duration) -> Self {
         Self {
             goal_left: self.goal_left.saturating_sub(time),
@@ -71,49 +70,49 @@
     }
 }
 
-/// Where a request goes.
+/// A granted place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// What is booked.
+    /// The allocation to record in the ledger.
     pub allocation: Allocation,
-    /// When the first token, or the answer, is expected.
+    /// The expected time to the first token or to the answer.
     pub expected_time: Duration,
-    /// What it was chosen by.
+    /// The state of the targets that the choice was based on.
     pub survey: Survey,
 }
 
-/// Why nothing is free: when to come back.
+/// Why a request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// No target is_eligible work.
+    /// No target accepts work.
     NoTarget,
-    /// The prompt is greater than the targets hold.
+    /// The prompt exceeds the memory of the targets.
     TooLong,
-    /// There may be room after this time.
+    /// All targets are busy; there may be capacity after this time.
     Busy(Duration),
 }
 
-/// A request that found no index.
+/// A rejected request for a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// Why.
+    /// The reason for the rejection.
     pub reason: RejectReason,
-    /// What was found.
+    /// The state of the targets that the decision was based on.
     pub survey: Survey,
 }
 
-/// The answer to a request for a index.
+/// The answer to a request for a place.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It goes there.
+    /// The request is placed as granted.
     Placed(Box<Grant>),
-    /// It waits for engines, with what it found.
+    /// The request waits for engines; the state of the targets tells why.
     Queued(Survey),
-    /// It has no index.
+    /// The request is rejected.
     Rejected(Rejection),
 }
 
-/// What a choice says: an answer, or to look again after a time.
+/// The result of a placement decision: a final answer, or the time after which to decide again.
 pub(crate) enum Decision {
     Answered(Answer),
     Wait(Duration, Survey),
@@ -133,18 +132,18 @@
     typical_time: Option<Duration>,
 }
 
-/// Which targets a node decides on.
+/// The set of targets that a node decides on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Those of a group that it owns.
+    /// The targets of a group that the node owns.
     Group(u16),
-    /// All of them, for its own requests, as one of so many nodes.
+    /// All targets, for the node's own requests, while each of this number of nodes does the same.
     Standalone(usize),
 }
 
 impl Snapshot {
-    /// What is known of a service's targets; `None` where the service is not known,
-    /// or no target of any service yet.
+    /// Captures the state of a service's targets; `None` if the service is unknown, or if no target
+    /// of any service is known yet.
     pub(crate) fn capture<D: Dialect, S: Store, C: Clock>(
         core: &Core<D, S, C>,
         now: Instant,
@@ -166,12 +165,12 @@
         Some(Self { configuration, targets, loads, typical_time })
     }
 
-    /// The engines' profile, where it is a model's service.
+    /// Returns the profile of the service's engines, if the service runs a model.
     pub(crate) fn profile(&self, service: &id::Service) -> Option<&Profile> {
         self.configuration.engine_of(service)
     }
 
-    /// Chooses for a request behind those ahead of it.
+    /// Chooses targets for a request, given the requests queued ahead of it.
     pub(crate) fn decide(&self, request: &Request, ahead: Ahead) -> Decision {
         let indexes = self.candidate_indexes(request);
         let load = |&index: &usize| {
@@ -190,7 +189,8 @@
         }
     }
 
-    /// The targets to choose from: those that were not tried, while there are any.
+    /// Returns the indexes of the targets that have not been tried, or of all targets if each has
+    /// been tried.
     fn candidate_indexes(&self, request: &Request) -> Vec<usize> {
         let all = 0..self.targets.len();
         let is_untried = |&index: &usize| !request.tried.contains(&self.targets[index].tag);
@@ -341,7 +341,7 @@
 ) {
     let ejection = core.ejection();
     let costs = ejection.costs(now, targets.iter().map(|target| target.tag));
-    // Nodes that decide alone, as many may just after a start, must not all
+    // Many nodes may decide on their own just after a start; a shared order would make all of them
     // prefer the same target.
     let is_shared_order = matches!(scope, Scope::Group(_)) && core.is_settled();
     for ((target, load), cost) in targets.iter().zip(loads).zip(costs) {
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -1,4 +1,4 @@
-//! The log lines of a request's course.
+//! The log lines of a request, from placement to answer.
 
 use crate::dialect::Dialect;
 use crate::known::{Known, log_known};
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 impl<D: Dialect, S: Store, C: Clock> Run<D, S, C> {
-    /// Where a long prompt was placed. Short prompts are too many for a line each;
-    /// their answer's line names their engine.
+    /// Logs where a long prompt was placed. Short prompts are too frequent for a line of their own;
+    /// the line of their answer names the engine.
     pub(crate) fn log_placed(&self, place: &Place<D, S, C>) {
         if place.is_short {
             return;
@@ -35,7 +35,7 @@
         );
     }
 
-    /// That it begins to wait for engines.
+    /// Logs that the request is queued for engines.
     pub(crate) fn log_queued(&self, survey: Survey) {
         log_known!(
             &self.known(self.queue_wait, survey),
@@ -47,7 +47,7 @@
         );
     }
 
-    /// What a decision about it knows now.
+    /// Returns what a decision about the request is based on at this moment.
     pub(crate) fn known(&self, waited: Duration, survey: Survey) -> Known {
         let now = self.core.now();
         Known {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// That an attempt failed.
+    /// Logs a failed attempt.
     pub(crate) fn log_failed_attempt(&self, place: &Place<D, S, C>, why: &str) {
         log::info!(
             request = self.job.head.attempt.as_str(),
@@ -73,7 +73,7 @@
         );
     }
 
-    /// The one line of a request that was answered whole.
+    /// Counts and logs a request that was answered completely.
     pub(crate) fn log_end(&self, place: &Place<D, S, C>, status: StatusCode) {
         self.core.metrics.answered(self.work, self.age());
         log::info!(
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -1,4 +1,5 @@
-//! Refusals: final, said at once, and true about whether the request ran.
+//! Refusals of requests. A refusal is immediate and final, and states whether the request may have
+//! run.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
@@ -12,14 +13,13 @@
 use http::{Response, StatusCode};
 use std::time::{Duration, Instant};
 
-/// When to come back where no target takes work.
+/// The retry delay if no target accepts work.
 pub(crate) const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The most that callers are told to wait: beyond it, what is known of the
-/// load now says nothing.
+/// The maximum retry delay sent to callers; the current load doesn't predict the load beyond it.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A request that is refused.
+/// The refusal of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Refusal {
     pub(crate) reason: Reason,
@@ -27,9 +27,9 @@
     pub(crate) detail: String,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) ran: Ran,
-    /// The size of its prompt, as far as it was read.
+    /// The size of the prompt, if the head was read.
     pub(crate) prompt: Tokens,
-    /// What decided it, where it found no place.
+    /// What the placement decision was based on, if the request found no place.
     pub(crate) known: Option<Box<Known>>,
 }
 
@@ -60,7 +60,7 @@
         Self { status, ..self }
     }
 
-    /// A refusal of what found no place.
+    /// Creates the refusal of a request that found no place.
     pub(crate) fn rejected(reason: RejectReason) -> Self {
         match reason {
             RejectReason::NoTarget => Self::new(Reason::NoTarget, "no target takes work")
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A refusal of what is past its deadline.
+    /// Creates the refusal of a request whose deadline passed.
     pub(crate) fn deadline_exceeded(may_have_run: bool) -> Self {
         let refusal = Self::new(Reason::Deadline, "the deadline passed");
         match may_have_run {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The refusal as it must be said: where the request may have run, nothing
-    /// may promise that it hasn't.
+    /// Adjusts the refusal of a request that may have run: neither its status nor a retry delay may
+    /// imply that it hasn't.
     pub(crate) fn after_possible_run(self, may_have_run: bool) -> Self {
         match may_have_run {
             true => Self { retry_after: None, ran: Ran::Unknown, ..self }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Answers with a refusal, which is counted and logged.
+/// Builds the response of a refusal, counts the refusal and logs it.
 pub(crate) fn answer_refusal<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     attempt: &str,
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers and peers.
 
 use crate::piece::{self, Cut};
 use bytes::{Bytes, BytesMut};
@@ -14,27 +14,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio_util::codec::{Encoder, LengthDelimitedCodec};
 
-/// A stream that ended before its last event. The connection is closed on it,
-/// so that what the caller has does not look complete.
+/// A stream that ended before its last event. The connection is closed with this error, so that the
+/// caller can't mistake the stream for complete.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-#[display("the stream broke off")]
+#[display("the stream ended before its last event")]
 pub struct Interrupted;
 
 impl std::error::Error for Interrupted {}
 
-/// Pieces of a value, each with its length before it. They are written as the
-/// connection takes them, so that a large value is not copied as a whole for
-/// each peer that asks for it.
+/// Length-prefixed pieces of a value. Each is encoded only when the connection is ready for it, so
+/// that a large value isn't copied as a whole for each peer that requests it.
 #[derive(Debug)]
 pub struct Pieces {
     cut: Arc<Cut>,
     remaining: VecDeque<piece::Id>,
-    /// Bytes that the connection has not taken yet.
+    /// Bytes that the connection hasn't accepted yet.
     unsent: watch::Sender<size::Bytes>,
 }
 
 impl Pieces {
-    /// Those of the named pieces that the value has, each once.
+    /// Selects those of the requested pieces that the value has, without duplicates.
     pub(crate) fn new(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
         let mut named = HashSet::new();
         let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && named.insert(*id);
@@ -45,12 +44,12 @@
         Self { cut, remaining, unsent }
     }
 
-    /// Their number.
+    /// Returns the number of remaining pieces.
     pub(crate) fn len(&self) -> usize {
         self.remaining.len()
     }
 
-    /// The bytes that are still to be sent, until the answer ends.
+    /// Returns a watch on the bytes that are still to be sent; it closes when the response ends.
     pub(crate) fn unsent(&self) -> watch::Receiver<size::Bytes> {
         self.unsent.subscribe()
     }
@@ -65,12 +64,12 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Reply {
-    /// A whole body.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// A stream.
+    /// A stream of events.
     Events(mpsc::Receiver<Result<Bytes, Interrupted>>),
     /// Pieces of a value, for a peer.
     Pieces(Pieces),
@@ -112,12 +111,12 @@
     }
 }
 
-/// A whole answer with a head of a target's.
+/// Builds a response from a target's response head and complete body.
 pub(crate) fn with_head(head: http::response::Parts, body: Bytes) -> Response<Reply> {
     Response::from_parts(head, Reply::Whole(Full::new(body)))
 }
 
-/// An answer of plain text.
+/// Builds a plain text response.
 pub(crate) fn plain(status: StatusCode, text: &str) -> Response<Reply> {
     let body = Bytes::copy_from_slice(text.as_bytes());
     let mut response = Response::new(Reply::Whole(Full::new(body)));
@@ -125,7 +124,7 @@
     response
 }
 
-/// An answer in JSON.
+/// Builds a JSON response.
 pub(crate) fn json(status: StatusCode, body: String) -> Response<Reply> {
     let mut response = Response::new(Reply::Whole(Full::new(body.into())));
     *response.status_mut() = status;
@@ -134,7 +133,7 @@
     response
 }
 
-/// Tells the caller when to come back.
+/// Sets the header that tells the caller when to retry.
 pub(crate) fn set_retry_after(response: &mut Response<Reply>, time: Duration) {
     let text = format!("{:.2}", time.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&text) {
--- a/crates/path/src/request.rs
+++ b/crates/path/src/request.rs
@@ -1,34 +1,34 @@
-//! What a caller asks, as decoded from its request's head.
+//! The parsed head of a caller's request.
 
 use compact_str::CompactString;
 use hickory_unit::size::Tokens;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A request's head in the product's terms.
+/// The head of a request, independent of the platform's format.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The caller's own id of this attempt.
+    /// The caller's ID of this attempt.
     pub attempt: CompactString,
-    /// The host it is for, without a port.
+    /// The requested host name, without a port.
     pub host: CompactString,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub time_left: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<CompactString>,
-    /// The last event that the caller has of the stream.
+    /// The ID of the last event of the stream that the caller has received.
     pub resume_after: Option<u64>,
-    /// What it weighs on an engine.
+    /// The size of the prompt, for requests to engines.
     pub prompt: Option<Prompt>,
 }
 
 /// The size of a prompt and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prompt {
-    /// Tokens to read.
+    /// The number of prompt tokens.
     pub tokens: Tokens,
-    /// Tokens to write at most.
+    /// The maximum number of answer tokens.
     pub max_answer: Tokens,
-    /// Tokens to write by the caller's guess.
+    /// The caller's estimate of the number of answer tokens.
     pub expected_answer: Option<Tokens>,
 }
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -1,8 +1,8 @@
-//! Reservations of memory on engines, for prompts greater than one engine.
+//! Reservations of memory on engines, for prompts that exceed the memory of one engine.
 //!
-//! A reservation outlives its holder's death by what is left of its hold, so
-//! holds are short and renewed while the request lasts: an engine whose memory
-//! is held for nobody is lost to all others.
+//! If the holder of a reservation dies, the memory stays reserved until the hold expires. Holds are
+//! therefore short and renewed while the request lasts, because reserved but unused memory is lost
+//! to all other requests.
 
 use crate::attempt::Failure;
 use crate::core::Core;
@@ -20,20 +20,20 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// How long a reservation is held without being renewed: two renewals may be
-/// lost, and what a dead holder leaves is free again soon after.
+/// How long a reservation lasts without renewal. Two renewals may be lost; the memory of a dead
+/// holder is free again soon after.
 const RESERVATION_HOLD: Duration = Duration::from_millis(2_800);
 
-/// Between two renewals.
+/// The interval between two renewals.
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 
-/// How long an order may take.
+/// The timeout of a request to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often a release is tried: what fails all tries lapses by itself.
+/// The maximum number of attempts to release a reservation; it expires by itself if all fail.
 const MAX_RELEASE_ATTEMPTS: u32 = 2;
 
-/// A reservation.
+/// A memory reservation on a target.
 #[derive(Clone, Debug)]
 struct Reservation {
     target: Arc<Target>,
@@ -49,7 +49,7 @@
 }
 
 impl<D: Dialect, S: Store, C: Clock> Reservations<D, S, C> {
-    /// Reserves all that a place needs, or nothing.
+    /// Reserves all the memory that a place needs, or fails as a whole.
     pub(crate) async fn reserve(
         core: &Arc<Core<D, S, C>>,
         place: &Place<D, S, C>,
@@ -62,7 +62,8 @@
         });
         let mut reservations =
             Self { core: core.clone(), held: held.collect(), renewal_task: None };
-        // A failed one is released with the others: its answer may be lost.
+        // A failed reservation is released with the others, because the engine may have made it
+        // although its answer was lost.
         let requests = reservations.held.iter().map(|reservation| renew(core, reservation));
         let answers = futures::future::join_all(requests).await;
         for (reservation, answer) in reservations.held.iter().zip(answers) {
@@ -76,8 +77,8 @@
         Ok(reservations)
     }
 
-    /// The engines that read a prompt, with their reservations; one of the
-    /// first engine's own goes first.
+    /// Returns the engines that prefill the prompt, with their reservations; a reservation on the
+    /// first engine itself comes first.
     pub(crate) fn helpers(&self, place: &Place<D, S, C>) -> Vec<Helper> {
         let held = self.held.iter().map(|reservation| Helper {
             address: reservation.target.entry.address,
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a request: attempts until there is an answer, or it is given up on.
+//! Runs a request: makes attempts until a target answers or the request is refused.
 
 use crate::ask;
 use crate::attempt::{self, Failure, OpenResponse, Parameters};
@@ -29,18 +29,18 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Targets that may say that they won't run a request, or engines that won't read
-/// parts of it, which does not count as sendings.
+/// The maximum number of attempts of a request that targets refuse to run, or helpers to prefill.
+/// These don't count against the route's limit of targets.
 const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
 
-/// Targets that may turn out to be gone before the request reached any. They cost it
-/// a few milliseconds each, and the targets of a run_buffered zone may be gone together.
+/// The maximum number of attempts that end before any byte reaches the target. Each costs a few
+/// milliseconds, and all targets of a zone may fail together.
 const MAX_UNSENT_ATTEMPTS: u32 = 24;
 
-/// When to come back after targets that say they are full.
+/// The retry delay if targets report that they are full.
 const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(150);
 
-/// A request under way.
+/// A request in flight.
 #[derive(Debug)]
 pub(crate) struct Run<D: Dialect, S: Store, C: Clock> {
     pub(crate) core: Arc<Core<D, S, C>>,
@@ -48,28 +48,28 @@
     pub(crate) service: id::Service,
     fingerprint: u64,
     pub(crate) work: Work,
-    /// Targets that were sent the request.
+    /// The number of sends that count against the route's limit of targets.
     pub(crate) counted_sends: u32,
     unsent_attempts: u32,
     not_run_attempts: u32,
     tried: Vec<Tag>,
-    /// Whether a target died under it that does not count as a sending.
+    /// Whether a target has died that doesn't count as a send; only the first death is free.
     has_survived_death: bool,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     may_have_run: bool,
-    /// The last event that the caller has.
+    /// The ID of the last event that the caller has received.
     pub(crate) resume_after: Option<u64>,
-    /// When the first event came, counted from the arrival.
+    /// The time from the arrival to the first event.
     pub(crate) first_event_time: Option<Duration>,
-    /// Counts it as admitted while it lives.
+    /// Counts the request as admitted until it is dropped.
     _admitted: Guard,
-    /// How long it queue_wait for its turn.
+    /// The total time that the request waited in queues for a place.
     pub(crate) queue_wait: Duration,
-    /// The longest pause between two events so far.
+    /// The longest time between two events so far.
     pub(crate) longest_pause: Duration,
 }
 
-/// Runs a request to the head of its answer; the rest follows in the answer's
+/// Runs a request until the head of its response is available; the rest follows in the response
 /// body.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
@@ -81,7 +81,7 @@
     let (service, fingerprint) = (service.clone(), compute_fingerprint(&job));
     let verdict = core.suspects().judge(core.now(), fingerprint);
     if verdict == Verdict::Quarantined {
-        // It has not run this time, and a caller who comes back is told again.
+        // The request hasn't run this time, but a retry would be refused in the same way.
         let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
         return Err(refusal.with_status(StatusCode::SERVICE_UNAVAILABLE));
     }
@@ -117,7 +117,7 @@
 }
 
 impl<D: Dialect, S: Store, C: Clock> Run<D, S, C> {
-    /// Runs a request whose answer is passed on run_buffered.
+    /// Runs a request whose answer is buffered and passed on in one piece.
     async fn run_buffered(mut self) -> Result<Response<Reply>, Refusal> {
         loop {
             let (response, place) = self.open_response().await?;
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Sends to targets until one answers; what fails is tried elsewhere where
-    /// that is allowed.
+    /// Sends the request to targets until one responds. A failed attempt is repeated at another
+    /// target if that is allowed.
     pub(crate) async fn open_response(
         &mut self,
     ) -> Result<(OpenResponse, Place<D, S, C>), Refusal> {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Finds a place, and waits for its turn where it has to.
+    /// Finds a place, and waits in the queue if necessary.
     async fn choose_place(&mut self) -> Result<Place<D, S, C>, Refusal> {
         let began = self.core.now();
         let tried = self.tried.clone();
@@ -191,8 +191,8 @@
         }
     }
 
-    /// The urgency at the engine: the caller's rank first, and of one rank the
-    /// short prompts, which hold a place for the least time.
+    /// Returns the urgency at the engine: by the caller's rank first. Within a rank, short prompts
+    /// go first, since they occupy an engine for the least time.
     fn urgency(&self, place: &Place<D, S, C>) -> u8 {
         let rank = self.job.account.as_ref().and_then(|account| account.priority);
         let rank = rank.unwrap_or(self.job.route.priority).min(MAX_URGENCY_RANK) as u8;
@@ -212,7 +212,7 @@
         Refusal::deadline_exceeded(self.may_have_run)
     }
 
-    /// When its next token is wanted.
+    /// Returns when the next token is due.
     pub(crate) fn next_token_due(&self) -> Instant {
         match self.first_event_time {
             Some(_) => resume::due(self.core.now(), self.job.route.gap, self.job.deadline),
@@ -220,7 +220,7 @@
         }
     }
 
-    /// When the caller gives up on a first event.
+    /// Returns when the caller gives up on a first event.
     pub(crate) fn first_event_deadline(&self) -> Instant {
         let caller_timeout = self.job.route.patience().filter(|_| self.first_event_time.is_none());
         let gives_up = caller_timeout.map(|caller_timeout| self.job.arrived + caller_timeout);
@@ -231,8 +231,8 @@
         self.job.deadline.saturating_duration_since(self.core.now())
     }
 
-    /// Waits for a target's first word, until the deadline or until another
-    /// target is to be tried.
+    /// Waits for the first response or event of a target, until the deadline or until another
+    /// target should be tried.
     pub(crate) async fn wait_for_first<T>(
         &self,
         place: &Place<D, S, C>,
@@ -253,14 +253,14 @@
         tokio::time::timeout(left, first).await.unwrap_or(Err(Failure::DeadlineExceeded))
     }
 
-    /// Whether a target that says nothing is to be left for another one; takes
-    /// a repeat for it. Where that can't be, the silence is queue_wait out: the
-    /// target may go on, and an answer that is ended for its silence is lost.
+    /// Decides whether to abandon a silent target for another one, and spends a retry if so.
+    /// Without a retry the request keeps waiting: the target may go on, and abandoning it would
+    /// lose the answer.
     pub(crate) fn try_abandon_stalled(&self) -> bool {
         self.can_retry() && self.spend_retry()
     }
 
-    /// Takes a failed attempt in: an error ends the request.
+    /// Handles a failed attempt; returns a refusal if the request ends.
     pub(crate) async fn handle_failure(
         &mut self,
         place: &Place<D, S, C>,
@@ -288,7 +288,7 @@
                 return Ok(());
             }
             Failure::NotRun { status, .. } => {
-                // No target but the one at fault is known to be unable to run it.
+                // Only the refusing target is known to be unable to run the request.
                 let counts = status != StatusCode::MISDIRECTED_REQUEST && refusing.is_none();
                 self.counted_sends -= u32::from(!counts);
                 self.not_run_attempts += 1;
@@ -323,8 +323,8 @@
         }
     }
 
-    /// Looks whether a target died. One that did is not among those that the request
-    /// may run on; a request that targets die under again and again is ended.
+    /// Checks whether a target died. A dead target isn't used again, and a request under which
+    /// targets die repeatedly is ended.
     async fn check_for_death(&mut self, place: &Place<D, S, C>) -> Result<(), Refusal> {
         if !probe_for_death(&self.core, &place.target, self.fingerprint).await {
             return Ok(());
@@ -340,7 +340,7 @@
         Ok(())
     }
 
-    /// Whether a further target may be sent what may have run.
+    /// Returns whether a request that may have run may be sent to a further target.
     pub(crate) fn can_retry(&self) -> bool {
         self.job.route.kind.is_repeatable() && self.counted_sends < self.job.route.targets_max
     }
@@ -362,8 +362,7 @@
         self.core.now().saturating_duration_since(self.job.arrived)
     }
 
-    /// Notes that another engine than the first kept a prompt from being read: the
-    /// first is as good as before.
+    /// Records that a helper refused to prefill its part. The target itself may be tried again.
     fn note_refusing_helper(&mut self, place: &Place<D, S, C>, tag: Tag, failure: &Failure) {
         self.tried.retain(|tried| *tried != place.target.tag);
         self.tried.push(tag);
@@ -371,7 +370,7 @@
         self.log_failed_attempt(place, &failure.to_string());
     }
 
-    /// Notes that a target answered with this status.
+    /// Records that a target responded with this status.
     pub(crate) fn note_response(&self, place: &Place<D, S, C>, status: StatusCode) {
         place.note_outcome(!status.is_server_error());
         self.core.suspects().note_success(self.core.now(), self.fingerprint);
@@ -390,7 +389,7 @@
         }
     }
 
-    /// The answer of a target as the caller gets it.
+    /// Builds the caller's response from a target's buffered response.
     pub(crate) fn build_response(
         &self,
         mut exchange: Exchange,
@@ -401,7 +400,7 @@
         let status = exchange.head.status;
         let implies_not_run = matches!(status.as_u16(), 408 | 421 | 429 | 503);
         if implies_not_run && !self.job.route.kind.is_repeatable() {
-            // The target doesn't say that it has not run, and the status would.
+            // The target didn't state that the request was not run, but the status would imply it.
             let detail = format!("target said {status} and not whether it ran");
             let refusal = Refusal::new(Reason::TargetFailed, detail);
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
@@ -414,12 +413,11 @@
     }
 }
 
-/// Ranks that are told apart at an engine, of which two urgencies each fit
-/// into ten.
+/// The maximum rank at an engine. Two urgencies per rank fit into the ten that engines distinguish.
 const MAX_URGENCY_RANK: u32 = 4;
 
-/// The least time that a target is given for its first word where another may
-/// be tried: shorter silences are passes of a busy engine.
+/// The minimum time to wait for a target's first response or event before trying another target.
+/// Shorter silences are forward passes of a busy engine.
 const MIN_FIRST_STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Takes the head out of an exchange.
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: route, account, body, then the run.
+//! Serves one request of a caller: finds its route and account, reads the body and runs it.
 
 use crate::attempt::Message;
 use crate::config::{Account, Configuration, Route};
@@ -20,30 +20,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between two looks whether the first configuration is there.
+/// The poll interval while waiting for the first configuration.
 const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// When to come back to a node that has no configuration and can't reach the
-/// store. Outages last seconds, and callers come back only once or twice.
+/// The retry delay if the node has no configuration and can't reach the store. Outages last
+/// seconds, and callers retry only once or twice.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// How long a request waits for a configuration that the node does not have yet:
-/// callers take a request that is not read within a second for lost.
+/// The maximum time that a request waits for a configuration that the node doesn't have yet.
+/// Callers assume that a request is lost if it isn't read within a second.
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
 
-/// The part of its time that a request waits for a configuration.
+/// A request waits for a configuration for at most its remaining time divided by this number.
 const CONFIGURATION_WAIT_DIVISOR: u32 = 4;
 
-/// Between two looks whether it has come.
+/// The poll interval while waiting for a newer configuration.
 const NEWER_CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// When to come back to a node that is behind, or to another one.
+/// The retry delay if the node's configuration is outdated.
 const BEHIND_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When to come back to another node than one that is stopping.
+/// The retry delay if the node is stopping; the caller then connects to another one.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// A request that is to be run.
+/// A request that is ready to run.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) configuration: Arc<Configuration>,
@@ -52,11 +52,11 @@
     pub(crate) head: RequestHead,
     pub(crate) message: Message,
     pub(crate) arrived: Instant,
-    /// When the caller or the route gives up.
+    /// When the caller's or the route's time limit ends.
     pub(crate) deadline: Instant,
 }
 
-/// Answers a caller.
+/// Serves a request of a caller.
 pub(crate) async fn serve<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     request: Request<Incoming>,
@@ -88,8 +88,8 @@
     let head = head?;
     let authorized = wait_authorized(core, arrived, configuration, parts.uri.path(), &head).await?;
     let Authorized { configuration, route, account } = authorized;
-    // A stream that begins this late would be cut by the stop; its caller is
-    // better served by another node, and asks for one after this answer.
+    // A stream that begins this late would be cut off by the stop. After this refusal the caller
+    // asks the directory for another node.
     if route.kind.is_stream()
         && core.draining_time().is_some_and(|time| time > CACHED_ADDRESS_LIFETIME)
     {
@@ -104,7 +104,7 @@
     Ok(Job { configuration, route, account, head, message, arrived, deadline })
 }
 
-/// What entitles a request to be run.
+/// A request's route and account under a configuration.
 struct Authorized {
     configuration: Arc<Configuration>,
     route: Arc<Route>,
@@ -113,9 +113,9 @@
 
 /// Finds the route and the account of a request.
 ///
-/// A node that knows itself behind waits a little for the newer configuration:
-/// by the old one it would refuse for good what operators have just allowed,
-/// and callers don't come back after that.
+/// A node that knows that its configuration is outdated waits a short time for the newer one.
+/// Otherwise it would permanently refuse what operators have just allowed, and callers don't retry
+/// after such a refusal.
 async fn wait_authorized<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
@@ -154,8 +154,8 @@
     Ok(Authorized { configuration: configuration.clone(), route, account })
 }
 
-/// A refusal by the configuration, which is not for good where a newer one is
-/// account to be in force.
+/// Makes a refusal that results from the configuration retryable if a newer configuration is known
+/// to be in force.
 fn defer_if_behind<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     refusal: Refusal,
@@ -168,7 +168,7 @@
     refusal
 }
 
-/// How long a request waits for a configuration.
+/// Returns the maximum time that a request waits for a configuration.
 fn max_configuration_wait(head: Option<&RequestHead>) -> Duration {
     let time = head.and_then(|head| head.time_left);
     time.map_or(MAX_CONFIGURATION_WAIT, |time| {
@@ -176,7 +176,7 @@
     })
 }
 
-/// The configuration in force; the first one is waited for a little.
+/// Returns the configuration in force; waits a short time for the first one.
 async fn wait_configuration<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
@@ -195,8 +195,8 @@
     }
 }
 
-/// The account of the caller's key. A public route needs none, and takes the
-/// caller's where it is account.
+/// Finds the account of the caller's key. A public route needs no key, but uses the caller's
+/// account if it is known.
 fn find_account(
     configuration: &Configuration,
     route: &Route,
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told when it starts, in the product's terms.
+//! The settings of a node, independent of the platform's format.
 
 use hickory_policy::member::Capacity;
 use hickory_policy::share;
@@ -6,57 +6,57 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// All settings of a node.
+/// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The name of this node, unique in the fleet.
     pub node: id::Node,
-    /// The availability zone it stands in.
+    /// The availability zone of this node.
     pub zone: id::Zone,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the node is ready.
+    /// The address of the readiness check.
     pub ready: SocketAddr,
-    /// Where callers ask for addresses.
+    /// The address at which callers ask for the nodes to connect to.
     pub directory: SocketAddr,
-    /// Where other nodes fetch what they miss.
+    /// The address at which other nodes fetch store items that they lack.
     pub sync: SocketAddr,
-    /// Where other nodes send datagrams.
+    /// The address at which other nodes send datagrams.
     pub peers: SocketAddr,
-    /// The rate of the host's link, where it is told.
+    /// The bandwidth of the host's network link, if it is configured.
     pub link_rate: Option<rate::BytesPerSecond>,
-    /// What the host can do beside its callers' requests, where it is told.
+    /// The capacity that the host has for group ownership besides its callers' requests.
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
-    /// Where other nodes may be found at the start.
+    /// Addresses of other nodes to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's key-value service.
+    /// The address of the platform's key-value store.
     pub store: SocketAddr,
-    /// Where metrics are served.
+    /// The address at which metrics are served.
     pub metrics: Option<SocketAddr>,
     /// Bounds that the operators set.
     pub bounds: Bounds,
 }
 
-/// Bounds that the operators set, which may change while the node runs.
+/// Bounds that the operators set; they may change while the node runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Between SIGTERM and the kill.
+    /// The time between SIGTERM and the kill.
     pub grace_period: Duration,
-    /// How long callers may keep an answer to where to connect.
+    /// The maximum time that callers may cache a directory response.
     pub directory_max_age: Duration,
-    /// Requests sent beyond the first of each.
+    /// The retry budget: requests sent beyond the first attempt of each.
     pub retry_budget: share::Bound,
-    /// How long memory may be reserved at a time.
+    /// The maximum time that memory on an engine may be reserved at once.
     pub max_reservation_hold: Duration,
 }
 
-/// A link of which nothing is told counts as a slow one.
+/// The assumed bandwidth of a link without a configured one: that of a slow link.
 const DEFAULT_LINK_RATE: rate::BytesPerSecond = rate::BytesPerSecond(2_500_000.0);
 
 impl Settings {
-    /// The rate of the host's link.
+    /// Returns the bandwidth of the host's link, or the default if none is configured.
     pub fn link_rate_or_default(&self) -> rate::BytesPerSecond {
         self.link_rate.filter(|rate| rate.0 > 0.0).unwrap_or(DEFAULT_LINK_RATE)
     }
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -1,5 +1,5 @@
-//! Streams of events: relayed as they arrive, whole events only, and taken up
-//! at another target where one breaks off.
+//! Relays event streams as complete events arrive, and resumes an interrupted stream at another
+//! target.
 
 use crate::attempt::{Failure, OpenResponse};
 use crate::core::ActiveRequest;
@@ -17,18 +17,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Events written ahead of a slow caller.
+/// The number of chunks buffered for a slow caller.
 const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// Pauses at which a stream counts as stall_timeout, as a multiple of the longest
-/// max_gap one. Callers give up at eight.
+/// A stream counts as stalled after this multiple of its longest wanted inter-token latency.
+/// Callers give up after eight times that latency.
 const STALL_GAP_MULTIPLE: u32 = 4;
 
-/// The least pause at which a stream counts as stall_timeout. Callers give up at two
-/// seconds at the earliest.
+/// The minimum silence after which a stream counts as stalled. Callers give up after two seconds at
+/// the earliest.
 const MIN_STREAM_STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Complete events as they arrive.
+/// Complete events that arrived together.
 #[derive(Debug)]
 struct Chunk {
     bytes: Bytes,
@@ -36,15 +36,15 @@
     last_id: Option<u64>,
 }
 
-/// What comes next of a stream.
+/// The next item of a stream.
 #[derive(Debug)]
 enum Next {
     Chunk(Chunk),
-    /// The target ended it.
+    /// The target ended the stream.
     End,
 }
 
-/// Reads whole events from a target.
+/// Reads complete events from a target.
 #[derive(Debug)]
 struct Reader {
     exchange: Exchange,
@@ -79,12 +79,12 @@
     }
 }
 
-/// The end of the last whole event.
+/// Returns the end of the last complete event.
 fn last_event_end(buffer: &[u8]) -> Option<usize> {
     buffer.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2)
 }
 
-/// The ids of the first and last event.
+/// Returns the IDs of the first and the last event.
 fn parse_event_ids(events: &[u8]) -> (Option<u64>, Option<u64>) {
     let mut ids = events.split(|&byte| byte == b'\n').filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
@@ -95,7 +95,7 @@
     (first, last)
 }
 
-/// Runs a stream to its first event; the rest follows in the answer's body.
+/// Runs a stream until its first event; the rest follows in the response body.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(
     mut run: Run<D, S, C>,
     active: ActiveRequest<D, S, C>,
@@ -124,7 +124,7 @@
         }
         let mut head = take_head(&mut reader.exchange);
         D::strip_connection_headers(&mut head.headers);
-        // A stream that another target takes up has another length.
+        // The length changes if another target resumes the stream.
         head.headers.remove(header::CONTENT_LENGTH);
         let (out, events) = mpsc::channel(MAX_BUFFERED_CHUNKS);
         let relay = Relay { run, out, active };
@@ -133,7 +133,7 @@
     }
 }
 
-/// Passes a target's failure on, unless another target may be tried.
+/// Passes a target's error response on, unless another target may be tried.
 async fn deliver_error<D: Dialect, S: Store, C: Clock>(
     run: &mut Run<D, S, C>,
     response: OpenResponse,
@@ -157,23 +157,23 @@
     }
 }
 
-/// A stream on its way to a caller.
+/// A stream that is being relayed to a caller.
 struct Relay<D: Dialect, S: Store, C: Clock> {
     run: Run<D, S, C>,
     out: mpsc::Sender<Result<Bytes, Interrupted>>,
-    /// Counts the request as under way until the stream ends.
+    /// Counts the request as in flight until the stream ends.
     active: ActiveRequest<D, S, C>,
 }
 
 /// How reading from one target ended.
 enum End {
-    /// The stream is whole.
+    /// The stream is complete.
     Complete,
-    /// The caller is gone.
+    /// The caller closed the connection.
     CallerGone,
     /// The deadline passed.
     DeadlineExceeded,
-    /// The target broke off.
+    /// The target failed.
     Failed(Failure),
 }
 
@@ -204,7 +204,7 @@
                         () = out.closed() => None,
                     };
                     let Some((next_reader, next_place, first)) = resumed else {
-                        // It fails where the caller is gone.
+                        // Sending fails if the caller has closed the connection.
                         let _ = self.out.send(Err(Interrupted)).await;
                         break;
                     };
@@ -229,7 +229,7 @@
         );
     }
 
-    /// Relays from one target.
+    /// Relays events from one target.
     async fn relay_from(&mut self, reader: &mut Reader, first: Option<Next>) -> End {
         let mut ready = first;
         let mut last = self.run.core.now();
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Takes the stream up at another target.
+    /// Resumes the stream at another target.
     async fn resume_elsewhere(
         &mut self,
         place: &Place<D, S, C>,
--- a/crates/path/tests/ledger.rs
+++ b/crates/path/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What runs where, as nodes tell each other.
+//! Tests of the ledger: own allocations, those that peers report, and the loads computed from both.
 
 use hickory_path::dialect::Entry;
 use hickory_path::ledger::{Allocation, AllocationId, Ledger, Phase};
@@ -96,9 +96,9 @@
     assert_eq!(ledger.loads(now, &targets(), Some(&profile()))[0].requests, 0);
 }
 
-/// An engine looks full for good: the node that had placed work there died, or
-/// the datagram that told of the end was lost. What is not told again must be
-/// forgotten.
+/// Guards against an engine that looks full forever because the node that placed work there died,
+/// or because the datagram that reported the end was lost. An allocation must expire when its
+/// reports stop.
 #[test]
 fn peer_allocations_expire_unless_refreshed() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
@@ -112,8 +112,8 @@
     assert_eq!(requests(now + ms(4_000)), 0);
 }
 
-/// A node that was killed starts anew and numbers from one: its old requests
-/// must not stand beside the new ones.
+/// Guards against allocations from before a restart: a killed node numbers its requests from one
+/// again, and its old requests must not count beside the new ones.
 #[test]
 fn restarted_node_has_no_allocations() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
@@ -123,9 +123,9 @@
     assert_eq!(ledger.loads(now, &targets(), None)[0].requests, 0);
 }
 
-/// A target that comes back cold falls over: each of nine nodes keeps to its
-/// rate, and all together send nine times as much. Sendings of all nodes count,
-/// also those that have ended.
+/// Guards against overload of a target that returns cold: if each of nine nodes observed the rate
+/// on its own, they would send nine times as much. The requests of all nodes count, including those
+/// that have ended.
 #[test]
 fn sends_of_all_nodes_count_for_one_second() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
@@ -138,8 +138,8 @@
     assert_eq!(ledger.recent_sends(now + ms(1_100), Tag(1)), 0);
 }
 
-/// Guards against requests that count twice at a cold target, where the owner that
-/// granted a place is told of it again by the node that asked.
+/// Guards against requests that count twice at a cold target, because the requesting node reports
+/// an allocation to the owner that granted and recorded it.
 #[test]
 fn recording_an_allocation_twice_counts_one_send() {
     let (mut ledger, now) = (Ledger::default(), Instant::now());
