--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -239,30 +239,24 @@
     from: SocketAddr,
     event: Event,
 ) {
-    let ticket = |number| Ticket { node: node.clone(), id: number };
+    let ticket = |id| Ticket { node: node.clone(), id };
     match event {
         Event::Member(message) => {
             let out = core.membership().receive(now, node, from, message);
             core.send_members(out);
         }
-        Event::Ask(number, request) => {
-            owner::handle_request(
-                core,
-                Requester { ticket: ticket(number), address: from },
-                request,
-            );
+        Event::Ask(id, request) => {
+            owner::handle_request(core, Requester { ticket: ticket(id), address: from }, request);
         }
-        Event::Answer(number, answer) => core.deliver(number, answer),
-        Event::Placed(number, allocation) => {
-            core.ledger().record_peer(now, node, number, allocation)
-        }
-        Event::Writing(number) => {
-            core.ledger().begin_peer_decode(now, node, number);
+        Event::Answer(id, answer) => core.deliver(id, answer),
+        Event::Placed(id, allocation) => core.ledger().record_peer(now, node, id, allocation),
+        Event::Writing(id) => {
+            core.ledger().begin_peer_decode(now, node, id);
             core.queue_notify.notify_one();
         }
-        Event::Ended(number) => {
-            core.ledger().finish_peer(now, node, number);
-            core.owner().withdraw(now, &ticket(number));
+        Event::Ended(id) => {
+            core.ledger().finish_peer(now, node, id);
+            core.owner().withdraw(now, &ticket(id));
             core.queue_notify.notify_one();
         }
         Event::Outcome { target, served } => core.ejection().note(now, target, served),
