--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -278,7 +278,7 @@
         let scope = Scope::Standalone(core.count_nodes());
         let snapshot = Snapshot::capture(core, core.now(), &request.service, scope);
         snapshot.map_or_else(
-            || Decision::refused(RejectReason::NoTarget, Survey::default()),
+            || Decision::rejected(RejectReason::NoTarget, Survey::default()),
             |snapshot| snapshot.decide(&request, Ahead::default()),
         )
     }
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -1,6 +1,6 @@
 //! The planned stop of a node.
 //!
-//! Callers may cache this node's address, so the node keeps serving after it has announced the
+//! Callers may cache this node's address, so the node keeps is_serving after it has announced the
 //! stop, and closes each connection after the next response.
 
 use crate::core::{Core, Stage};
@@ -24,11 +24,11 @@
 /// Begins a planned stop; later calls have no effect.
 pub(crate) fn begin<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
     let has_begun = core.stage.send_if_modified(|stage| {
-        let serving = *stage == Stage::Serving;
-        if serving {
+        let is_serving = *stage == Stage::Serving;
+        if is_serving {
             *stage = Stage::Draining;
         }
-        serving
+        is_serving
     });
     if has_begun {
         core.begin_draining();
@@ -43,10 +43,10 @@
         // The store may be unreachable, and the stop doesn't wait for it.
         tokio::spawn(async move { member.leave().await });
     }
-    let began = core.now();
+    let started = core.now();
     let max_drain_time = core.bounds().grace_period.saturating_sub(SHUTDOWN_RESERVE);
     loop {
-        let elapsed = core.now().duration_since(began);
+        let elapsed = core.now().duration_since(started);
         if elapsed >= max_drain_time
             || (elapsed >= CACHED_ADDRESS_LIFETIME && core.active_requests() == 0)
         {
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether any prompt is queued.
-    pub(crate) fn has_waiting(&self) -> bool {
+    pub(crate) fn has_queued(&self) -> bool {
         self.queues.values().any(|queue| !queue.is_empty())
     }
 
@@ -90,7 +90,7 @@
         self.queues.get(group).map(|queue| queue.ahead(ticket, turn)).unwrap_or_default()
     }
 
-    fn has_short_waiting(&self, group: &Group) -> bool {
+    fn has_short_queued(&self, group: &Group) -> bool {
         self.queues.get(group).is_some_and(Queue::has_short)
     }
 }
@@ -123,7 +123,7 @@
     let group = request.group();
     let turn = queue_turn(&snapshot, &request, now);
     let is_long = matches!(turn, Some(Turn::Long(_)));
-    let is_immediate = !is_long && !core.owner().has_short_waiting(&group);
+    let is_immediate = !is_long && !core.owner().has_short_queued(&group);
     if is_immediate && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default())
     {
         commit_decision(core, now, &requester, answer);
@@ -141,7 +141,7 @@
 /// Serves queued prompts whenever their chances may have changed.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
-        let is_idle = !core.owner().has_waiting();
+        let is_idle = !core.owner().has_queued();
         if is_idle {
             core.queue_notify.notified().await;
             continue;
@@ -167,8 +167,8 @@
     let mut next = MAX_QUEUE_POLL_INTERVAL;
     let queues = core.owner().in_order();
     for (group, entries) in queues {
-        let open = || Snapshot::capture(core, now, &group.service, Scope::Group(group.index));
-        let mut snapshot = open();
+        let capture = || Snapshot::capture(core, now, &group.service, Scope::Group(group.index));
+        let mut snapshot = capture();
         let mut is_full = false;
         for (ticket, queued) in entries {
             let Some(current) = &snapshot else { break };
@@ -192,7 +192,7 @@
                     let is_placed = matches!(answer, Answer::Placed(_));
                     commit_decision(core, now, &queued.requester, answer);
                     if is_placed {
-                        snapshot = open();
+                        snapshot = capture();
                     }
                 }
             }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -51,7 +51,7 @@
         grant: Grant,
         decider: Decider,
     ) -> Option<Self> {
-        let Grant { allocation, expected_time: expected, survey } = grant;
+        let Grant { allocation, expected_time, survey } = grant;
         let find = |tag: Tag| view.find(tag).cloned();
         let memory = allocation.memory.iter().map(|&(tag, tokens)| Some((find(tag)?, tokens)));
         Some(Self {
@@ -63,7 +63,7 @@
             memory: memory.collect::<Option<_>>()?,
             is_short: allocation.is_short || allocation.prefill_time.is_zero(),
             prefill_time: allocation.prefill_time,
-            expected_time: expected,
+            expected_time,
             survey,
             decider,
             allocation,
@@ -91,8 +91,9 @@
     pub(crate) fn find_refusing_target(&self, failure: &Failure) -> Option<Tag> {
         match failure {
             Failure::NotReserved { target, .. } => Some(*target),
-            Failure::NotRun { refusing_target: at_fault, .. } => {
-                let is_refusing = |target: &&Arc<Target>| Some(target.entry.address) == *at_fault;
+            Failure::NotRun { refusing_target, .. } => {
+                let is_refusing =
+                    |target: &&Arc<Target>| Some(target.entry.address) == *refusing_target;
                 self.helpers.iter().find(is_refusing).map(|target| target.tag)
             }
             _ => None,
@@ -114,14 +115,14 @@
     }
 
     /// Records that the target refused the connection.
-    pub(crate) fn note_down(&self) {
+    pub(crate) fn note_connection_refused(&self) {
         let target = self.target.tag;
         self.core.ejection().note_down(self.core.now(), target);
         self.notify_owners(&Event::Down(target));
     }
 
     /// Records that a target refused to prefill a part of the prompt.
-    pub(crate) fn note_shut(&self, target: Tag) {
+    pub(crate) fn note_prefill_refused(&self, target: Tag) {
         self.core.ejection().note_shut(self.core.now(), target);
         self.notify_owners(&Event::Shut(target));
     }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -119,8 +119,8 @@
 }
 
 impl Decision {
-    pub(crate) fn refused(why: RejectReason, survey: Survey) -> Self {
-        Self::Answered(Answer::Rejected(Rejection { reason: why, survey }))
+    pub(crate) fn rejected(reason: RejectReason, survey: Survey) -> Self {
+        Self::Answered(Answer::Rejected(Rejection { reason, survey }))
     }
 }
 
@@ -220,7 +220,7 @@
         match plan::choose_engines(&query, profile, loads) {
             Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, indexes, survey),
             Ok(Choice::Wait(time)) => Decision::Wait(time, survey),
-            Err(refused) => Decision::refused(reject_reason(refused), survey),
+            Err(refused) => Decision::rejected(reject_reason(refused), survey),
         }
     }
 
@@ -258,7 +258,7 @@
         survey: Survey,
     ) -> Decision {
         if indexes.is_empty() {
-            return Decision::refused(RejectReason::NoTarget, survey);
+            return Decision::rejected(RejectReason::NoTarget, survey);
         }
         let slots = indexes.iter().map(|&index| self.targets[index].entry.slots);
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
@@ -266,7 +266,7 @@
         let usual = self.typical_time.unwrap_or(request.goal / TYPICAL_TIME_GOAL_DIVISOR);
         let first = match replica::choose(&candidates, usual) {
             Ok(first) => first,
-            Err(time) => return Decision::refused(RejectReason::Busy(time), survey),
+            Err(time) => return Decision::rejected(RejectReason::Busy(time), survey),
         };
         let query = Query {
             prompt: Tokens(0),
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -60,7 +60,7 @@
     }
 
     /// Logs a failed attempt.
-    pub(crate) fn log_failed_attempt(&self, place: &Place<D, S, C>, why: &str) {
+    pub(crate) fn log_failed_attempt(&self, place: &Place<D, S, C>, reason: &str) {
         log::info!(
             request = self.job.head.attempt.as_str(),
             target_id = place.target.id.as_str(),
@@ -69,12 +69,12 @@
             sends = self.counted_sends,
             may_repeat = self.can_retry(),
             age_ms = self.age().as_millis() as u64;
-            "attempt failed: {why}"
+            "attempt failed: {reason}"
         );
     }
 
     /// Counts and logs a request that was answered completely.
-    pub(crate) fn log_end(&self, place: &Place<D, S, C>, status: StatusCode) {
+    pub(crate) fn log_answered(&self, place: &Place<D, S, C>, status: StatusCode) {
         self.core.metrics.answered(self.work, self.age());
         log::info!(
             request = self.job.head.attempt.as_str(),
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -35,8 +35,8 @@
 impl Pieces {
     /// Selects those of the requested pieces that the value has, without duplicates.
     pub(crate) fn new(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
-        let mut named = HashSet::new();
-        let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && named.insert(*id);
+        let mut requested = HashSet::new();
+        let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && requested.insert(*id);
         let remaining: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
         let sizes =
             remaining.iter().filter_map(|id| cut.piece(*id)).map(|piece| piece.len() as u64);
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -28,7 +28,7 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 
 /// The timeout of a request to an engine.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
+const ENGINE_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The maximum number of attempts to release a reservation; it expires by itself if all fail.
 const MAX_RELEASE_ATTEMPTS: u32 = 2;
@@ -150,7 +150,8 @@
 ) -> Result<(), String> {
     let body = Bytes::copy_from_slice(request.body.as_bytes());
     let call = Call { method: Method::POST, path: request.path, key: None, body };
-    let answer = core.client.exchange(reservation.target.entry.address, call, ORDER_TIMEOUT).await;
+    let answer =
+        core.client.exchange(reservation.target.entry.address, call, ENGINE_REQUEST_TIMEOUT).await;
     match answer {
         Ok(answer) if answer.status.is_success() => Ok(()),
         Ok(answer) => Err(format!("{}: status {}", reservation.target.id, answer.status)),
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -146,7 +146,7 @@
             let place = self.choose_place().await?;
             let time_left = self.time_left();
             if time_left.is_zero() {
-                return Err(self.refuse_late());
+                return Err(self.refuse_deadline_exceeded());
             }
             self.log_placed(&place);
             let reservations = match Reservations::reserve(&self.core, &place).await {
@@ -208,7 +208,7 @@
         }
     }
 
-    fn refuse_late(&self) -> Refusal {
+    fn refuse_deadline_exceeded(&self) -> Refusal {
         Refusal::deadline_exceeded(self.may_have_run)
     }
 
@@ -223,8 +223,8 @@
     /// Returns when the caller gives up on a first event.
     pub(crate) fn first_event_deadline(&self) -> Instant {
         let caller_timeout = self.job.route.patience().filter(|_| self.first_event_time.is_none());
-        let gives_up = caller_timeout.map(|caller_timeout| self.job.arrived + caller_timeout);
-        gives_up.map_or(self.job.deadline, |at| at.min(self.job.deadline))
+        let deadline = caller_timeout.map(|timeout| self.job.arrived + timeout);
+        deadline.map_or(self.job.deadline, |at| at.min(self.job.deadline))
     }
 
     pub(crate) fn time_left(&self) -> Duration {
@@ -270,7 +270,7 @@
         match refusing {
             Some(tag) => self.note_refusing_helper(place, tag, &failure),
             None if matches!(failure, Failure::ConnectionRefused) => {
-                place.note_down();
+                place.note_connection_refused();
                 self.log_failed_attempt(place, &failure.to_string());
             }
             None => self.note_failure(place, &failure),
@@ -289,8 +289,8 @@
             }
             Failure::NotRun { status, .. } => {
                 // Only the refusing target is known to be unable to run the request.
-                let counts = status != StatusCode::MISDIRECTED_REQUEST && refusing.is_none();
-                self.counted_sends -= u32::from(!counts);
+                let is_counted = status != StatusCode::MISDIRECTED_REQUEST && refusing.is_none();
+                self.counted_sends -= u32::from(!is_counted);
                 self.not_run_attempts += 1;
                 if self.counted_sends < self.job.route.targets_max
                     && self.not_run_attempts <= MAX_NOT_RUN_ATTEMPTS
@@ -312,7 +312,7 @@
         }
         self.may_have_run = true;
         if self.time_left().is_zero() {
-            return Err(self.refuse_late());
+            return Err(self.refuse_deadline_exceeded());
         }
         match self.can_retry() && self.spend_retry() {
             true => Ok(()),
@@ -329,7 +329,7 @@
         if !probe_for_death(&self.core, &place.target, self.fingerprint).await {
             return Ok(());
         }
-        place.note_down();
+        place.note_connection_refused();
         if self.core.suspects().judge(self.core.now(), self.fingerprint) == Verdict::Quarantined {
             let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
@@ -366,7 +366,7 @@
     fn note_refusing_helper(&mut self, place: &Place<D, S, C>, tag: Tag, failure: &Failure) {
         self.tried.retain(|tried| *tried != place.target.tag);
         self.tried.push(tag);
-        place.note_shut(tag);
+        place.note_prefill_refused(tag);
         self.log_failed_attempt(place, &failure.to_string());
     }
 
@@ -405,7 +405,7 @@
             let refusal = Refusal::new(Reason::TargetFailed, detail);
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
         }
-        self.log_end(place, status);
+        self.log_answered(place, status);
         let mut head = take_head(&mut exchange);
         exchange.keep(keep_alive);
         D::strip_connection_headers(&mut head.headers);
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -84,9 +84,10 @@
     let head = D::parse_request_head(&parts)
         .map_err(|finding| Refusal::new(Reason::BadHeader, finding.to_string()));
     let max_wait = max_configuration_wait(head.as_ref().ok());
-    let configuration = wait_configuration(core, arrived, max_wait).await?;
+    let configuration = wait_for_configuration(core, arrived, max_wait).await?;
     let head = head?;
-    let authorized = wait_authorized(core, arrived, configuration, parts.uri.path(), &head).await?;
+    let authorized =
+        wait_for_authorization(core, arrived, configuration, parts.uri.path(), &head).await?;
     let Authorized { configuration, route, account } = authorized;
     // A stream that begins this late would be cut off by the stop. After this refusal the caller
     // asks the directory for another node.
@@ -116,7 +117,7 @@
 /// A node that knows that its configuration is outdated waits a short time for the newer one.
 /// Otherwise it would permanently refuse what operators have just allowed, and callers don't retry
 /// after such a refusal.
-async fn wait_authorized<D: Dialect, S: Store, C: Clock>(
+async fn wait_for_authorization<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
     mut configuration: Arc<Configuration>,
@@ -160,9 +161,9 @@
     core: &Core<D, S, C>,
     refusal: Refusal,
 ) -> Refusal {
-    let by_configuration =
+    let is_configuration_refusal =
         matches!(refusal.reason, Reason::NotFound | Reason::Unauthenticated | Reason::TooLarge);
-    if by_configuration && core.lag().is_some() {
+    if is_configuration_refusal && core.lag().is_some() {
         return Refusal::new(Reason::Behind, refusal.detail).with_retry_after(BEHIND_RETRY_AFTER);
     }
     refusal
@@ -177,7 +178,7 @@
 }
 
 /// Returns the configuration in force; waits a short time for the first one.
-async fn wait_configuration<D: Dialect, S: Store, C: Clock>(
+async fn wait_for_configuration<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     arrived: Instant,
     max_wait: Duration,
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -184,7 +184,7 @@
             match self.relay_from(&mut reader, next.take()).await {
                 End::Complete => {
                     self.run.note_response(&place, StatusCode::OK);
-                    self.run.log_end(&place, StatusCode::OK);
+                    self.run.log_answered(&place, StatusCode::OK);
                     reader.exchange.keep(reader.keep_alive);
                     break;
                 }
@@ -232,7 +232,7 @@
     /// Relays events from one target.
     async fn relay_from(&mut self, reader: &mut Reader, first: Option<Next>) -> End {
         let mut ready = first;
-        let mut last = self.run.core.now();
+        let mut last_event_time = self.run.core.now();
         loop {
             let next = match ready.take() {
                 Some(next) => next,
@@ -242,8 +242,9 @@
                 },
             };
             let now = self.run.core.now();
-            self.run.longest_pause = self.run.longest_pause.max(now.duration_since(last));
-            last = now;
+            self.run.longest_pause =
+                self.run.longest_pause.max(now.duration_since(last_event_time));
+            last_event_time = now;
             let chunk = match next {
                 Next::Chunk(chunk) => chunk,
                 Next::End => return End::Complete,
@@ -293,7 +294,7 @@
                 self.log(place, &format!("given up on: {}", refusal.detail));
                 return None;
             }
-            let (response, other) = match self.run.open_response().await {
+            let (response, next_place) = match self.run.open_response().await {
                 Ok(response) => response,
                 Err(refusal) => {
                     outcome = Err(refusal);
@@ -302,16 +303,16 @@
             };
             if !response.exchange.head.status.is_success() {
                 let failure = Failure::InvalidAnswer("it failed the resume");
-                outcome = self.run.handle_failure(&other, failure).await;
+                outcome = self.run.handle_failure(&next_place, failure).await;
                 continue;
             }
             let mut reader = Reader::open(response);
-            match self.run.wait_for_first(&other, reader.next()).await {
+            match self.run.wait_for_first(&next_place, reader.next()).await {
                 Ok(first) => {
-                    other.begin_decode();
-                    return Some((reader, other, first));
+                    next_place.begin_decode();
+                    return Some((reader, next_place, first));
                 }
-                Err(failure) => outcome = self.run.handle_failure(&other, failure).await,
+                Err(failure) => outcome = self.run.handle_failure(&next_place, failure).await,
             }
         }
     }
