--- a/crates/path/src/directory.rs
+++ b/crates/path/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: the addresses that callers are directed to.
+//! The directory response, which lists the addresses that callers may connect to.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -1,6 +1,6 @@
 //! The planned stop of a node.
 //!
-//! Callers may cache this node's address, so the node keeps is_serving after it has announced the
+//! Callers may cache this node's address, so the node keeps serving after it has announced the
 //! stop, and closes each connection after the next response.
 
 use crate::core::{Core, Stage};
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -16,7 +16,7 @@
 /// and a prompt is split only among engines of one group.
 const MAX_GROUP_TARGETS: usize = 160;
 
-/// A node needs at least this part of the greatest capacity in the fleet to own a group.
+/// To own a group, a node needs at least the greatest capacity in the fleet divided by this number.
 const OWNER_CAPACITY_DIVISOR: u32 = 2;
 
 /// A group of a service's targets.
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -26,8 +26,8 @@
 /// latency to its node and a datagram.
 const FIRST_TOKEN_REPORT_DELAY: Duration = Duration::from_millis(100);
 
-/// The divisor of the moving average of answer times: a new answer has a weight of one in this
-/// number.
+/// The divisor of the exponential moving average of answer times: the latest time has a weight of
+/// one over this number.
 const TYPICAL_TIME_SMOOTHING: u32 = 16;
 
 /// The phase that a request is in.
@@ -48,13 +48,13 @@
     pub target: Tag,
     /// Further engines that prefill parts of the prompt.
     pub helpers: Vec<Tag>,
-    /// The time that each of these engines spends on its part of the prefill.
+    /// The time that each engine, including the target, spends on its part of the prefill.
     pub prefill_time: Duration,
     /// The number of prompt tokens.
     pub prompt: Tokens,
     /// The expected number of answer tokens.
     pub expected_answer: Tokens,
-    /// Memory by engine, if not all of it is on the first one.
+    /// Memory by engine; empty if the target holds all of it.
     pub memory: Vec<(Tag, Tokens)>,
     /// The longest inter-token latency that the stream should have.
     pub max_token_gap: Option<Duration>,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// Returns the queue position class of a request; `None` if it has no prompt to queue.
+/// Returns the turn of a request in the queue: by the time left until the goal for a short prompt,
+/// by the prefill time for a long one. `None` if the request has no prompt to queue.
 fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Turn> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
@@ -138,7 +139,7 @@
     core.queue_notify.notify_one();
 }
 
-/// Serves queued prompts whenever their chances may have changed.
+/// Serves queued prompts whenever the result may have changed.
 pub(crate) async fn run<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         let is_idle = !core.owner().has_queued();
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -25,7 +25,7 @@
     allocation: Allocation,
     pub(crate) target: Arc<Target>,
     pub(crate) helpers: Vec<Arc<Target>>,
-    /// Memory to reserve, by target; empty if the first target holds all of it.
+    /// Memory to reserve, by target; empty if the request's target holds all of it.
     pub(crate) memory: Vec<(Arc<Target>, Tokens)>,
     /// Whether the prompt is short, or the request has none.
     pub(crate) is_short: bool,
@@ -35,7 +35,7 @@
     pub(crate) expected_time: Duration,
     /// The state of the targets that the choice was based on.
     pub(crate) survey: Survey,
-    /// Which kind of node made the choice.
+    /// Whether the owner, its successor or this node made the choice.
     pub(crate) decider: Decider,
     /// Released when the place is dropped.
     reservations: Option<Reservations<D, S, C>>,
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -20,15 +20,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The part of a cold target's configured request rate that is used. Two nodes may decide on the
-/// same group for a moment.
+/// The fraction of a cold target's configured request rate that is used, because two nodes may
+/// decide on the same group for a moment.
 const COLD_RATE_FRACTION: f64 = 0.8;
 
-/// An answer has on average this part of its maximum length, unless the caller or the profile
-/// suggests more.
+/// An answer is assumed to have its maximum length divided by this number if the caller gives no
+/// estimate.
 const TYPICAL_ANSWER_DIVISOR: u64 = 2;
 
-/// A request of a plain service takes this part of its goal until one has been measured.
+/// A request of a plain service is assumed to take its goal divided by this number until one has
+/// ended.
 const TYPICAL_TIME_GOAL_DIVISOR: u32 = 3;
 
 /// A request for a place, as nodes send it to the owner of a group.
@@ -106,7 +107,7 @@
 pub enum Answer {
     /// The request is placed as granted.
     Placed(Box<Grant>),
-    /// The request waits for engines; the state of the targets tells why.
+    /// The request waits for engines; the state of the targets explains why.
     Queued(Survey),
     /// The request is rejected.
     Rejected(Rejection),
@@ -137,7 +138,8 @@
 pub(crate) enum Scope {
     /// The targets of a group that the node owns.
     Group(u16),
-    /// All targets, for the node's own requests, while each of this number of nodes does the same.
+    /// All targets, for the node's own requests only, with the number of nodes. Each node uses an
+    /// equal part of a cold target's rate.
     Standalone(usize),
 }
 
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -133,7 +133,7 @@
     response
 }
 
-/// Sets the header that tells the caller when to retry.
+/// Sets the response's Retry-After header.
 pub(crate) fn set_retry_after(response: &mut Response<Reply>, time: Duration) {
     let text = format!("{:.2}", time.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&text) {
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns the engines that prefill the prompt, with their reservations; a reservation on the
-    /// first engine itself comes first.
+    /// request's target comes first.
     pub(crate) fn helpers(&self, place: &Place<D, S, C>) -> Vec<Helper> {
         let held = self.held.iter().map(|reservation| Helper {
             address: reservation.target.entry.address,
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -53,7 +53,7 @@
     unsent_attempts: u32,
     not_run_attempts: u32,
     tried: Vec<Tag>,
-    /// Whether a target has died that doesn't count as a send; only the first death is free.
+    /// Whether a target has died while it ran the request. The first death doesn't count as a send.
     has_survived_death: bool,
     /// Whether the request may have run.
     may_have_run: bool,
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -25,7 +25,7 @@
     pub peers: SocketAddr,
     /// The bandwidth of the host's network link, if it is configured.
     pub link_rate: Option<rate::BytesPerSecond>,
-    /// The capacity that the host has for group ownership besides its callers' requests.
+    /// The capacity of the host besides its callers' requests, as a criterion for owning groups.
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
@@ -52,7 +52,7 @@
     pub max_reservation_hold: Duration,
 }
 
-/// The assumed bandwidth of a link without a configured one: that of a slow link.
+/// The bandwidth assumed for a link if none is configured: that of a slow link.
 const DEFAULT_LINK_RATE: rate::BytesPerSecond = rate::BytesPerSecond(2_500_000.0);
 
 impl Settings {
