--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -38,8 +38,8 @@
 /// The interval between decisions of a node that decides on its own.
 const STANDALONE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The number of unusable grants after which the node decides on its own. The owner then lacks
-/// knowledge that this node has.
+/// The number of unusable grants after which the node decides on its own, because the owner doesn't
+/// know what this node knows about the targets.
 const MAX_RETURNED_GRANTS: u32 = 3;
 
 /// The number of groups of a service that a request tries.
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -42,7 +42,7 @@
 }
 
 impl<D: Dialect, S: Store, C: Clock> Place<D, S, C> {
-    /// Opens the place of a grant; `None` if the view lacks one of its targets.
+    /// Opens the place of a grant; `None` if one of its targets is missing from the view.
     pub(crate) fn open(
         core: &Arc<Core<D, S, C>>,
         view: &View,
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -19,7 +19,7 @@
     pub ready: SocketAddr,
     /// The address at which callers ask for the nodes to connect to.
     pub directory: SocketAddr,
-    /// The address at which other nodes fetch store items that they lack.
+    /// The address at which other nodes fetch store items that they are missing.
     pub sync: SocketAddr,
     /// The address at which other nodes send datagrams.
     pub peers: SocketAddr,
