--- a/apps/hickory/src/failure.rs
+++ b/apps/hickory/src/failure.rs
@@ -82,7 +82,9 @@
             | Self::Unavailable(detail)
             | Self::Refused(detail)
             | Self::Conflict { detail, .. } => detail.clone(),
-            Self::Invalid { file, findings } => format!("{file}: {}", finding::count(findings)),
+            Self::Invalid { file, findings } => {
+                format!("{file}: {}", finding::count_text(findings))
+            }
             Self::Unreachable(reasons) => format!("no node answered: {}", reasons.join("; ")),
             Self::Unknown { operation, detail } => {
                 format!("{detail}; ask later with: hickory release find {operation}")
--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -235,7 +235,7 @@
 }
 
 fn fail_invalid(findings: Vec<Finding>) -> Box<Problem> {
-    let mut problem = fail(Code::Invalid, finding::count(&findings));
+    let mut problem = fail(Code::Invalid, finding::count_text(&findings));
     problem.findings = findings;
     problem
 }
--- a/crates/load/tests/mix.rs
+++ b/crates/load/tests/mix.rs
@@ -73,7 +73,7 @@
     for length in Length::ALL {
         let prompt = mix::write_prompt(1, length.tokens());
         let bytes = size::Bytes(prompt.len() as u64);
-        assert_eq!(size::Tokens::of_bytes(bytes), length.tokens());
+        assert_eq!(size::Tokens::from_bytes(bytes), length.tokens());
     }
     let [one, two] = [1, 2].map(|salt| mix::write_prompt(salt, size::Tokens(1_000)));
     assert_ne!(one[..64], two[..64]);
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -33,7 +33,7 @@
         Self {
             stream: generate.stream.clone(),
             weights: generate.weights.clone(),
-            prompt: size::Tokens::of_bytes(size::Bytes(generate.prompt.len() as u64)),
+            prompt: size::Tokens::from_bytes(size::Bytes(generate.prompt.len() as u64)),
             blocks: prefix::hash_blocks(&generate.prompt),
             max_tokens: generate.max_tokens,
             priority: generate.priority,
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -48,7 +48,7 @@
 
 /// A job with the given prompt text.
 pub fn job_of(number: u128, prompt: &str, max_tokens: u64) -> Job {
-    let tokens = size::Tokens::of_bytes(size::Bytes(prompt.len() as u64));
+    let tokens = size::Tokens::from_bytes(size::Bytes(prompt.len() as u64));
     Job { blocks: prefix::hash_blocks(prompt), ..job(number, tokens.0, max_tokens) }
 }
 
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -162,7 +162,7 @@
     }
     let Head { caller, deadline, deadline_ms } = head;
     let weights = parse_weights(&body, &caller, configuration, is_served)?;
-    let prefill = size::Tokens::of_bytes(size::Bytes(body.prompt.len() as u64));
+    let prefill = size::Tokens::from_bytes(size::Bytes(body.prompt.len() as u64));
     let prefix = &body.prompt.as_bytes()[..body.prompt.len().min(PREFIX_LEN)];
     Ok(Completion {
         request: id::Request(uuid::Uuid::now_v7()),
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -212,7 +212,7 @@
 }
 
 fn query_of(want: &Want<'_>) -> Query {
-    let tokens = size::Tokens::of_bytes(size::Bytes(PREFIX_LEN as u64));
+    let tokens = size::Tokens::from_bytes(size::Bytes(PREFIX_LEN as u64));
     let has_prefix = matches!(want.need, Need::Weights(_)) && want.cost.prefill >= tokens;
     let prefix = has_prefix.then_some(Prefix { hash: want.prefix, tokens });
     Query { cost: want.cost, class: want.class, prefix, random: rand::random() }
--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -114,7 +114,7 @@
             goal: run.job.route.goal,
             goal_left: run.due().saturating_duration_since(now),
             limit_left: run.first_deadline().saturating_duration_since(now),
-            gap: run.job.route.gap,
+            gap: run.job.route.event_gap_goal,
             zone: run.core.settings.zone.clone(),
             tried: self.tried.clone(),
         }
@@ -141,7 +141,7 @@
         if silent.len() >= OWNERS_ASKED || self.returned >= RETURNED_MOST {
             return None;
         }
-        let owners = self.run.core.answering_owners(&self.group);
+        let owners = self.run.core.responsive_owners(&self.group);
         owners.into_iter().find(|owner| !silent.contains(owner))
     }
 
@@ -153,11 +153,11 @@
     ) -> Option<Outcome<D, S, C>> {
         self.ask(&owner);
         let Some(answer) = self.next_answer(PATIENCE).await else {
-            self.run.core.note_silent(&owner);
+            self.run.core.note_owner_timeout(&owner);
             silent.push(owner);
             return None;
         };
-        self.run.core.note_heard(&owner);
+        self.run.core.note_owner_answered(&owner);
         let decider = if silent.is_empty() { Decider::Owner } else { Decider::Successor };
         silent.clear();
         let taken = self.take(answer, decider);
@@ -193,8 +193,8 @@
         if *owner == core.settings.node {
             let ticket = Ticket { node: owner.clone(), number: self.number };
             owner::take_ask(core, Asker { ticket, address: core.settings.peers }, request);
-        } else if let Some(to) = core.find_peer(owner) {
-            core.send(to, Event::Ask(self.number, request));
+        } else if let Some(to) = core.peer_address(owner) {
+            core.send(to, Event::Request(self.number, request));
         }
     }
 
@@ -279,7 +279,7 @@
         core.ledger().end(core.now(), self.number);
         let ticket = Ticket { node: core.settings.node.clone(), number: self.number };
         core.owner().withdraw(core.now(), &ticket);
-        core.tell_owners(&self.group, &Event::Ended(self.number));
+        core.send_to_owners(&self.group, &Event::Ended(self.number));
     }
 }
 
@@ -294,6 +294,7 @@
 
 /// A target of a grant that this node knows can't be used.
 fn find_unusable(view: &View, grant: &Grant, now: Instant) -> Option<Tag> {
-    let is_usable = |tag: &Tag| view.find(*tag).is_some_and(|target| view.may_send(target, now));
+    let is_usable =
+        |tag: &Tag| view.find_target(*tag).is_some_and(|target| view.can_send(target, now));
     grant.allocation.engines().find(|tag| !is_usable(tag))
 }
--- a/crates/path/src/piece.rs
+++ b/crates/path/src/chunk.rs
@@ -16,7 +16,7 @@
 
 /// Bytes of a piece: the least, those aimed at, and the most. Smaller ones would
 /// make the outline large, greater ones send more for a small change.
-const PIECE_BYTES: [usize; 3] = [1 << 10, 4 << 10, 16 << 10];
+const CHUNK_BYTES: [usize; 3] = [1 << 10, 4 << 10, 16 << 10];
 
 /// Names a piece by its content.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -40,45 +40,47 @@
 
 /// What a value consists of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outline {
+pub struct Manifest {
     /// Its pieces, in order.
-    pieces: Vec<Id>,
+    #[serde(rename = "pieces")]
+    chunks: Vec<Id>,
     /// The whole.
-    whole: Id,
+    #[serde(rename = "whole")]
+    digest: Id,
 }
 
 /// A value and its pieces.
 #[derive(Clone, Debug)]
-pub struct Cut {
+pub struct ChunkedValue {
     text: Arc<str>,
-    outline: Outline,
-    places: HashMap<Id, Range<usize>>,
+    manifest: Manifest,
+    ranges: HashMap<Id, Range<usize>>,
 }
 
-impl Cut {
+impl ChunkedValue {
     /// Cuts a value.
     pub fn of(text: Arc<str>) -> Self {
-        let [least, aimed, most] = PIECE_BYTES;
-        let mut pieces = Vec::new();
-        let mut places = HashMap::new();
-        for chunk in FastCDC::new(text.as_bytes(), least, aimed, most) {
-            let place = chunk.offset..chunk.offset + chunk.length;
-            let id = Id::of(&text.as_bytes()[place.clone()]);
-            pieces.push(id);
-            places.insert(id, place);
+        let [min, target, max] = CHUNK_BYTES;
+        let mut chunks = Vec::new();
+        let mut ranges = HashMap::new();
+        for chunk in FastCDC::new(text.as_bytes(), min, target, max) {
+            let range = chunk.offset..chunk.offset + chunk.length;
+            let id = Id::of(&text.as_bytes()[range.clone()]);
+            chunks.push(id);
+            ranges.insert(id, range);
         }
-        let whole = Id::of(text.as_bytes());
-        Self { text, outline: Outline { pieces, whole }, places }
+        let digest = Id::of(text.as_bytes());
+        Self { text, manifest: Manifest { chunks, digest }, ranges }
     }
 
     /// What it consists of.
-    pub fn outline(&self) -> &Outline {
-        &self.outline
+    pub fn manifest(&self) -> &Manifest {
+        &self.manifest
     }
 
     /// A piece.
-    pub fn piece(&self, id: Id) -> Option<&[u8]> {
-        self.places.get(&id).map(|place| &self.text.as_bytes()[place.clone()])
+    pub fn chunk(&self, id: Id) -> Option<&[u8]> {
+        self.ranges.get(&id).map(|range| &self.text.as_bytes()[range.clone()])
     }
 }
 
@@ -89,57 +91,57 @@
 
 /// A value on its way to this node.
 #[derive(Clone, Debug)]
-pub struct Gathering {
-    outline: Outline,
-    pieces: HashMap<Id, Bytes>,
+pub struct Assembler {
+    manifest: Manifest,
+    chunks: HashMap<Id, Bytes>,
 }
 
-impl Gathering {
+impl Assembler {
     /// Begins with the pieces that an older value has in common.
-    pub fn open(outline: Outline, older: Option<&Cut>) -> Self {
-        let mut gathering = Self { outline, pieces: HashMap::new() };
+    pub fn new(manifest: Manifest, older: Option<&ChunkedValue>) -> Self {
+        let mut assembler = Self { manifest, chunks: HashMap::new() };
         if let Some(older) = older {
-            gathering.take_known(|id| older.piece(id).map(Bytes::copy_from_slice));
+            assembler.add_known(|id| older.chunk(id).map(Bytes::copy_from_slice));
         }
-        gathering
+        assembler
     }
 
     /// Turns to another outline of the same value; pieces in common are kept.
-    pub fn turn(self, outline: Outline, older: Option<&Cut>) -> Self {
-        let mut next = Self::open(outline, older);
-        next.take_known(|id| self.pieces.get(&id).cloned());
+    pub fn switch_to(self, manifest: Manifest, older: Option<&ChunkedValue>) -> Self {
+        let mut next = Self::new(manifest, older);
+        next.add_known(|id| self.chunks.get(&id).cloned());
         next
     }
 
     /// The pieces that are still missing, each once.
     pub fn missing(&self) -> Vec<Id> {
         let mut named = HashSet::new();
-        let is_missing = |id: &&Id| !self.pieces.contains_key(id) && named.insert(**id);
-        self.outline.pieces.iter().filter(is_missing).copied().collect()
+        let is_missing = |id: &&Id| !self.chunks.contains_key(id) && named.insert(**id);
+        self.manifest.chunks.iter().filter(is_missing).copied().collect()
     }
 
     /// Takes a piece; whether it was missing.
-    pub fn take(&mut self, piece: Bytes) -> bool {
-        let id = Id::of(&piece);
-        let wanted = self.outline.pieces.contains(&id);
-        wanted && self.pieces.insert(id, piece).is_none()
+    pub fn add(&mut self, chunk: Bytes) -> bool {
+        let id = Id::of(&chunk);
+        let is_wanted = self.manifest.chunks.contains(&id);
+        is_wanted && self.chunks.insert(id, chunk).is_none()
     }
 
     /// The value, once nothing is missing.
     pub fn assemble(&self) -> Result<String, Mismatch> {
-        let pieces = self.outline.pieces.iter().map(|id| self.pieces.get(id));
-        let pieces: Option<Vec<&Bytes>> = pieces.collect();
-        let bytes = pieces.ok_or(Mismatch)?.into_iter().flatten().copied().collect::<Vec<u8>>();
-        if Id::of(&bytes) != self.outline.whole {
+        let chunks = self.manifest.chunks.iter().map(|id| self.chunks.get(id));
+        let chunks: Option<Vec<&Bytes>> = chunks.collect();
+        let bytes = chunks.ok_or(Mismatch)?.into_iter().flatten().copied().collect::<Vec<u8>>();
+        if Id::of(&bytes) != self.manifest.digest {
             return Err(Mismatch);
         }
         String::from_utf8(bytes).map_err(|_| Mismatch)
     }
 
-    fn take_known(&mut self, find: impl Fn(Id) -> Option<Bytes>) {
-        for id in &self.outline.pieces {
-            if let Some(piece) = find(*id) {
-                self.pieces.insert(*id, piece);
+    fn add_known(&mut self, find: impl Fn(Id) -> Option<Bytes>) {
+        for id in &self.manifest.chunks {
+            if let Some(chunk) = find(*id) {
+                self.chunks.insert(*id, chunk);
             }
         }
     }
--- a/crates/path/src/config.rs
+++ b/crates/path/src/config.rs
@@ -28,7 +28,7 @@
     /// It may run more than once.
     Idempotent,
     /// It runs at most once for each attempt of the caller.
-    Once,
+    AtMostOnce,
     /// A stream of events that begins once.
     Stream,
     /// A stream of events that another target may take up.
@@ -63,15 +63,15 @@
     /// The time within which an answer, or a stream's first event, is wanted.
     pub goal: Duration,
     /// The longest wanted pause between two events of a stream.
-    pub gap: Option<Duration>,
+    pub event_gap_goal: Option<Duration>,
     /// Its rank; 0 is the highest.
     pub priority: u32,
     /// The services it goes to, with their weights.
     pub split: Vec<(id::Service, u32)>,
     /// Targets that one attempt of a caller may be sent to.
-    pub targets_max: u32,
+    pub max_targets: u32,
     /// Whether callers need no key.
-    pub public: bool,
+    pub is_public: bool,
 }
 
 /// A service.
@@ -80,7 +80,7 @@
     /// Its name.
     pub name: id::Service,
     /// Requests a second that a cold target bears; `None` where it bears all.
-    pub cold_rate: Option<f64>,
+    pub max_cold_rate: Option<f64>,
     /// The figures of its engines, where it is a model's.
     pub engine: Option<engine::Profile>,
 }
@@ -98,11 +98,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The head of a request.
-    pub header: size::Bytes,
+    pub max_header: size::Bytes,
     /// Its body.
-    pub body: size::Bytes,
+    pub max_body: size::Bytes,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
@@ -110,9 +110,9 @@
     /// commonly take.
     fn default() -> Self {
         Self {
-            header: size::Bytes(16 << 10),
-            body: size::Bytes(4 << 20),
-            idle: Duration::from_secs(15),
+            max_header: size::Bytes(16 << 10),
+            max_body: size::Bytes(4 << 20),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -130,7 +130,7 @@
     }
 
     /// The engine figures of a service.
-    pub fn engine_of(&self, service: &id::Service) -> Option<&engine::Profile> {
+    pub fn engine_profile(&self, service: &id::Service) -> Option<&engine::Profile> {
         self.services.get(service)?.engine.as_ref()
     }
 }
@@ -138,15 +138,15 @@
 /// How long callers wait for an event before they leave a stream: the longest
 /// of this, of so many goals, and of so many wanted pauses. It is what the
 /// users say of their callers; work for one who has left is lost.
-const PATIENCE_LEAST: Duration = Duration::from_secs(2);
-const PATIENCE_GOALS: u32 = 4;
-const PATIENCE_PAUSES: u32 = 8;
+const MIN_ABANDONMENT_TIMEOUT: Duration = Duration::from_secs(2);
+const ABANDONMENT_GOALS: u32 = 4;
+const ABANDONMENT_GAPS: u32 = 8;
 
 impl Route {
     /// How long callers wait for the first event of a stream before they leave.
-    pub fn patience(&self) -> Option<Duration> {
-        let pause = self.gap.unwrap_or_default() * PATIENCE_PAUSES;
-        let longest = PATIENCE_LEAST.max(self.goal * PATIENCE_GOALS).max(pause);
+    pub fn abandonment_timeout(&self) -> Option<Duration> {
+        let pause = self.event_gap_goal.unwrap_or_default() * ABANDONMENT_GAPS;
+        let longest = MIN_ABANDONMENT_TIMEOUT.max(self.goal * ABANDONMENT_GOALS).max(pause);
         self.kind.is_stream().then_some(longest)
     }
 
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -1,15 +1,15 @@
 //! What the parts of a node share.
 
 use crate::dialect::Dialect;
-use crate::fleet::{Running, Silence};
-use crate::give::Giving;
+use crate::fleet::{Unanswered, Uptime};
 use crate::gossip::{Outgoing, PeerStates};
 use crate::items::Items;
+use crate::lag::{Lag, LagTracker};
 use crate::ledger::{Ledger, Number};
-use crate::news::{Lag, News};
 use crate::owner::Owner;
 use crate::placement::Answer;
 use crate::settings::{Bounds, Settings};
+use crate::sync_server::Outbox;
 use crate::view::{Tag, View};
 use hickory_client::Client;
 use hickory_policy::ejection::Ejection;
@@ -64,14 +64,14 @@
     pub(crate) client: Client,
     pub(crate) member: OnceLock<Member<Metered<S, C>, C>>,
     items: Mutex<Items>,
-    news: Mutex<News>,
-    giving: Mutex<Giving>,
+    news: Mutex<LagTracker>,
+    giving: Mutex<Outbox>,
     view: RwLock<Arc<View>>,
     ledger: Mutex<Ledger>,
     membership: Mutex<Membership>,
     peer_states: Mutex<PeerStates>,
     owner: Mutex<Owner>,
-    silences: Mutex<HashMap<id::Node, Silence>>,
+    silences: Mutex<HashMap<id::Node, Unanswered>>,
     expected: Mutex<HashMap<Number, UnboundedSender<Answer>>>,
     ejection: Mutex<Ejection<Tag>>,
     suspects: Mutex<Suspects>,
@@ -80,7 +80,7 @@
     draining_since: OnceLock<Instant>,
     revisions: Mutex<(Revision, Revision)>,
     /// Since when this node has been told what runs where.
-    running: Mutex<Running>,
+    running: Mutex<Uptime>,
     outgoing: UnboundedSender<Outgoing>,
     /// Until the task that sends takes it.
     unsent: Mutex<Option<UnboundedReceiver<Outgoing>>>,
@@ -130,7 +130,7 @@
             store_away: AtomicBool::new(false),
             draining_since: OnceLock::new(),
             revisions: Mutex::default(),
-            running: Mutex::new(Running { since: now, ticked: now }),
+            running: Mutex::new(Uptime { since: now, last_tick: now }),
             outgoing,
             unsent: Mutex::new(Some(unsent)),
             members_due: Notify::new(),
@@ -182,7 +182,7 @@
         lock(&self.suspects)
     }
 
-    pub(crate) fn giving(&self) -> MutexGuard<'_, Giving> {
+    pub(crate) fn giving(&self) -> MutexGuard<'_, Outbox> {
         lock(&self.giving)
     }
 
@@ -199,21 +199,22 @@
         }
         let now = self.now();
         for prefix in [D::OPERATOR_PREFIX, D::TARGET_PREFIX] {
-            items.forget(now, prefix);
+            items.expire_tombstones(now, prefix);
         }
         let before = self.view();
-        let next = before.read::<D>(&items, now, may_lapse);
-        let waited = lock(&self.news).settle(now, items.newest(D::OPERATOR_PREFIX));
+        let next = before.updated::<D>(&items, now, may_lapse);
+        let waited = lock(&self.news).note_known(now, items.newest_revision(D::OPERATOR_PREFIX));
         if next.config_revision != before.config_revision {
             self.note_configuration(&next, waited);
         }
         let next = Arc::new(next);
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = next.clone();
-        *lock(&self.revisions) = (items.newest(D::OPERATOR_PREFIX), items.newest(D::TARGET_PREFIX));
+        *lock(&self.revisions) =
+            (items.newest_revision(D::OPERATOR_PREFIX), items.newest_revision(D::TARGET_PREFIX));
         self.revisions_due.notify_one();
         drop(items);
         if !next.changes.is_empty() {
-            self.log_changes(&next);
+            self.log_target_changes(&next);
         }
     }
 
@@ -243,13 +244,13 @@
     pub(crate) fn hear(&self, told: Revision) {
         let (known, _) = self.revisions();
         if told > known {
-            lock(&self.news).hear(self.now(), told, known);
+            lock(&self.news).note_announced(self.now(), told, known);
         }
     }
 
     /// How far this node is behind what it has heard operators wrote.
     pub(crate) fn lag(&self) -> Option<Lag> {
-        let known = self.items().newest(D::OPERATOR_PREFIX);
+        let known = self.items().newest_revision(D::OPERATOR_PREFIX);
         lock(&self.news).lag(self.now(), known)
     }
 
@@ -296,11 +297,11 @@
         budgets.entry(service.clone()).or_default().spend(now, &bounds.repeats, nodes)
     }
 
-    pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, Silence>> {
+    pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, Unanswered>> {
         lock(&self.silences)
     }
 
-    pub(crate) fn running(&self) -> MutexGuard<'_, Running> {
+    pub(crate) fn running(&self) -> MutexGuard<'_, Uptime> {
         lock(&self.running)
     }
 
--- a/crates/path/src/death.rs
+++ b/crates/path/src/death.rs
@@ -55,6 +55,6 @@
     };
     if let Some(suspect) = told {
         log::warn!(fingerprint, deaths = suspect.deaths; "a target died under a request");
-        core.send_to_all(&Event::Suspect { fingerprint, deaths: suspect.deaths });
+        core.broadcast(&Event::PoisonSuspect { fingerprint, deaths: suspect.deaths });
     }
 }
--- a/crates/path/src/known.rs
+++ b/crates/path/src/decision.rs
@@ -6,7 +6,7 @@
 
 /// What decided where a prompt goes, or that it goes nowhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Known {
+pub(crate) struct DecisionContext {
     /// Its size.
     pub(crate) prompt: Tokens,
     /// What is left of the time within which its first token is wanted.
@@ -20,9 +20,9 @@
 }
 
 /// Writes a log line with what a decision knew after the line's own fields.
-macro_rules! log_known {
+macro_rules! log_decision {
     ($known:expr, { $($field:tt)* }, $($message:tt)*) => {
-        let known: &$crate::known::Known = $known;
+        let known: &$crate::decision::DecisionContext = $known;
         log::info!(
             $($field)*
             prompt = known.prompt.0,
@@ -42,4 +42,4 @@
     };
 }
 
-pub(crate) use log_known;
+pub(crate) use log_decision;
--- a/crates/path/src/entry.rs
+++ b/crates/path/src/entry.rs
@@ -19,7 +19,7 @@
 pub(crate) fn answer<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> Option<String> {
     let own = core.is_ready().then_some(core.settings.callers);
     let mut addresses: Vec<SocketAddr> = own.into_iter().collect();
-    addresses.extend(core.callers().into_iter().take(ADDRESSES_MAX - addresses.len()));
+    addresses.extend(core.caller_addresses().into_iter().take(ADDRESSES_MAX - addresses.len()));
     let keep = KEEP.min(core.bounds().keep);
     (!addresses.is_empty()).then(|| D::write_directory(&addresses, keep))
 }
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -1,12 +1,12 @@
 //! Fetching from peers what they know and this node doesn't.
 
+use crate::chunk::{Assembler, Manifest};
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
-use crate::give::{PIECES_PATH, TurnedAway, WORDS_PATH};
 use crate::gossip::Part;
-use crate::items::Word;
-use crate::piece::{Gathering, Outline};
-use crate::sync;
+use crate::items::Update;
+use crate::store_watch;
+use crate::sync_server::{BusyReply, CHUNKS_PATH, UPDATES_PATH};
 use bytes::{Bytes, BytesMut};
 use compact_str::CompactString;
 use hickory_client::{Call, Exchange, Reuse};
@@ -53,7 +53,7 @@
             Self::Operator => (after.0, u64::MAX),
             Self::Targets => (u64::MAX, after.0),
         };
-        format!("{WORDS_PATH}?operator={operator}&targets={targets}")
+        format!("{UPDATES_PATH}?operator={operator}&targets={targets}")
     }
 }
 
@@ -75,7 +75,7 @@
     behind_since: Option<Instant>,
     givers: Givers<SocketAddr>,
     /// Pieces of a value that could not be completed yet.
-    kept: Option<(CompactString, Gathering)>,
+    kept: Option<(CompactString, Assembler)>,
 }
 
 /// Starts fetching. Each part by itself, so that the word that a target leaves
@@ -105,7 +105,8 @@
                 continue;
             }
             let since = *self.behind_since.get_or_insert(now);
-            let watches = self.core.view().configuration.is_some() && sync::is_watcher(&self.core);
+            let watches =
+                self.core.view().configuration.is_some() && store_watch::is_watcher(&self.core);
             if watches && now.saturating_duration_since(since) < WATCH_LAG {
                 continue;
             }
@@ -115,7 +116,7 @@
 
     /// The newest revision that this node knows.
     fn known(&self) -> Revision {
-        self.core.items().newest(self.part.prefix::<D>())
+        self.core.items().newest_revision(self.part.prefix::<D>())
     }
 
     /// Where peers are that know of a revision after this one.
@@ -155,28 +156,28 @@
 
     /// Takes words, the oldest first. Those behind a value that can't be had yet
     /// are left, or the node would believe that it has all up to them.
-    async fn take_words(&mut self, words: Vec<Word>, may_lapse: bool) {
+    async fn take_words(&mut self, words: Vec<Update>, may_lapse: bool) {
         let mut taken = Vec::new();
         for word in words {
-            let Some(outline) = word.outline else {
+            let Some(outline) = word.manifest else {
                 taken.push(word);
                 continue;
             };
             self.update(std::mem::take(&mut taken), may_lapse);
             let Some(value) = self.gather(&word.key, word.revision, outline).await else { return };
-            taken.push(Word::whole(word.key, word.revision, Some(value)));
+            taken.push(Update::full(word.key, word.revision, Some(value)));
         }
         self.update(taken, may_lapse);
     }
 
-    fn update(&self, words: Vec<Word>, may_lapse: bool) {
+    fn update(&self, words: Vec<Update>, may_lapse: bool) {
         if words.is_empty() {
             return;
         }
         log::info!(words = words.len(); "items taken over from peers");
         let now = self.core.now();
         self.core.update(may_lapse, |items| {
-            let news = words.into_iter().map(|word| items.take(now, word));
+            let news = words.into_iter().map(|word| items.apply(now, word));
             news.fold(false, |any, one| any | one)
         });
     }
@@ -187,7 +188,7 @@
         &mut self,
         key: &CompactString,
         revision: Revision,
-        outline: Outline,
+        outline: Manifest,
     ) -> Option<String> {
         let began = self.core.now();
         let mut gathering = self.begin(key, outline);
@@ -214,20 +215,20 @@
         None
     }
 
-    fn begin(&mut self, key: &CompactString, outline: Outline) -> Gathering {
+    fn begin(&mut self, key: &CompactString, outline: Manifest) -> Assembler {
         let kept = self.kept.take().filter(|(kept, _)| kept == key);
         let items = self.core.items();
-        let older = items.get(key).and_then(|item| item.cut.as_deref());
+        let older = items.get(key).and_then(|item| item.chunks.as_deref());
         match kept {
-            Some((_, kept)) => kept.turn(outline, older),
-            None => Gathering::open(outline, older),
+            Some((_, kept)) => kept.switch_to(outline, older),
+            None => Assembler::new(outline, older),
         }
     }
 
     fn complete(
         &self,
         key: &CompactString,
-        gathering: &Gathering,
+        gathering: &Assembler,
         pieces: usize,
         began: Instant,
     ) -> Option<String> {
@@ -251,7 +252,7 @@
         &mut self,
         peer: SocketAddr,
         key: &str,
-        gathering: &mut Gathering,
+        gathering: &mut Assembler,
         patience: Duration,
     ) -> bool {
         let now = self.core.now();
@@ -293,7 +294,7 @@
     peer: SocketAddr,
     path: &str,
     patience: Duration,
-) -> Answer<Vec<Word>> {
+) -> Answer<Vec<Update>> {
     let call = Call { method: Method::GET, path, key: None, body: Bytes::new() };
     let answer = match core.client.exchange(peer, call, patience).await {
         Ok(answer) => answer,
@@ -314,8 +315,8 @@
 }
 
 fn read_busy<T>(body: &[u8]) -> Answer<T> {
-    match serde_json::from_slice::<TurnedAway>(body) {
-        Ok(TurnedAway { wait_ms, others }) => {
+    match serde_json::from_slice::<BusyReply>(body) {
+        Ok(BusyReply { wait_ms, others }) => {
             let wait = Duration::from_millis(wait_ms).clamp(WAIT_BOUNDS.0, WAIT_BOUNDS.1);
             Answer::Busy(Busy { wait }, others)
         }
@@ -329,13 +330,13 @@
     core: &Core<D, S, C>,
     peer: SocketAddr,
     key: &str,
-    gathering: &mut Gathering,
+    gathering: &mut Assembler,
     patience: Duration,
 ) -> Answer<usize> {
     let missing = gathering.missing();
     let of: Vec<String> = missing.iter().take(ASKED_MOST).map(ToString::to_string).collect();
     let from = core.settings.sync;
-    let path = format!("{PIECES_PATH}?key={key}&from={from}&of={}", of.join(","));
+    let path = format!("{CHUNKS_PATH}?key={key}&from={from}&of={}", of.join(","));
     let request = Request::get(path).header(http::header::HOST, peer.to_string());
     let request = match request.body(Full::default()) {
         Ok(request) => request,
@@ -369,7 +370,7 @@
 async fn read_pieces<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     mut exchange: Exchange,
-    gathering: &mut Gathering,
+    gathering: &mut Assembler,
 ) -> Answer<usize> {
     let mut codec = LengthDelimitedCodec::new();
     let mut buffer = BytesMut::new();
@@ -391,7 +392,7 @@
         buffer.extend_from_slice(&data);
         loop {
             match codec.decode(&mut buffer) {
-                Ok(Some(piece)) => taken += usize::from(gathering.take(piece.freeze())),
+                Ok(Some(piece)) => taken += usize::from(gathering.add(piece.freeze())),
                 Ok(None) => break,
                 Err(error) => return Answer::Failed(error.to_string()),
             }
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -35,14 +35,14 @@
 
 /// How long a node has been running without a break.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Running {
+pub(crate) struct Uptime {
     pub(crate) since: Instant,
-    pub(crate) ticked: Instant,
+    pub(crate) last_tick: Instant,
 }
 
 /// Asks that an owner left unanswered.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Silence {
+pub(crate) struct Unanswered {
     count: u32,
     last: Instant,
 }
@@ -59,7 +59,7 @@
     }
 
     /// Where callers may connect besides this node.
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let membership = self.membership();
         let ready = membership.alive().filter(|record| record.contact.ready);
         ready.map(|record| record.contact.callers).collect()
@@ -68,10 +68,10 @@
     /// Notes that this node runs; one that was held up was told nothing meanwhile.
     pub(crate) fn note_tick(&self, now: Instant) {
         let mut running = self.running();
-        if now.saturating_duration_since(running.ticked) > HELD_UP {
+        if now.saturating_duration_since(running.last_tick) > HELD_UP {
             running.since = now;
         }
-        running.ticked = now;
+        running.last_tick = now;
     }
 
     /// Whether this node has been told what runs where.
@@ -87,21 +87,21 @@
         let contact = membership.own().contact.clone();
         membership.set_contact(Contact { ready, settled, store_away, ..contact });
         drop(membership);
-        self.note_members();
+        self.notify_member_updates();
     }
 
-    fn note_members(&self) {
+    fn notify_member_updates(&self) {
         if self.membership().has_untold() {
             self.members_due.notify_one();
         }
     }
 
     /// Sends what the table of members wants sent.
-    pub(crate) fn send_members(&self, out: Vec<gossip::Outgoing>) {
+    pub(crate) fn send_membership(&self, out: Vec<gossip::Outgoing>) {
         for (to, message) in out {
             self.send(to, Event::Member(message));
         }
-        self.note_members();
+        self.notify_member_updates();
     }
 
     /// Sends an event to a node.
@@ -115,7 +115,7 @@
     }
 
     /// Tells all other nodes.
-    pub(crate) fn send_to_all(&self, event: &Event) {
+    pub(crate) fn broadcast(&self, event: &Event) {
         let membership = self.membership();
         let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peers).collect();
         drop(membership);
@@ -123,7 +123,7 @@
     }
 
     /// Where a node receives datagrams.
-    pub(crate) fn find_peer(&self, node: &id::Node) -> Option<SocketAddr> {
+    pub(crate) fn peer_address(&self, node: &id::Node) -> Option<SocketAddr> {
         self.membership().get(node).map(|record| record.contact.peers)
     }
 
@@ -153,7 +153,7 @@
 
     /// Logs what changed of targets: each at the owner of its group, and everywhere
     /// for whoever looks into one node.
-    pub(crate) fn log_changes(&self, view: &View) {
+    pub(crate) fn log_target_changes(&self, view: &View) {
         let mut owned: HashMap<Group, bool> = HashMap::new();
         for (change, target) in &view.changes {
             let service = &target.entry.service;
@@ -174,10 +174,10 @@
     }
 
     /// Other nodes that are told what is placed in a group.
-    pub(crate) fn told_owners(&self, group: &Group) -> Vec<id::Node> {
+    pub(crate) fn allocation_recipients(&self, group: &Group) -> Vec<id::Node> {
         let mut told = self.owners(group);
         told.truncate(TOLD);
-        let answering = self.answering_owners(group);
+        let answering = self.responsive_owners(group);
         for node in answering.into_iter().take(TOLD) {
             if !told.contains(&node) {
                 told.push(node);
@@ -188,7 +188,7 @@
     }
 
     /// The nodes that decide on a group, but for those that answered nothing lately.
-    pub(crate) fn answering_owners(&self, group: &Group) -> Vec<id::Node> {
+    pub(crate) fn responsive_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
         let (now, mut silences) = (self.now(), self.silences());
         silences.retain(|_, silence| now.saturating_duration_since(silence.last) < PASSED_OVER);
@@ -197,10 +197,10 @@
     }
 
     /// Notes that an owner did not answer in time.
-    pub(crate) fn note_silent(&self, node: &id::Node) {
+    pub(crate) fn note_owner_timeout(&self, node: &id::Node) {
         let now = self.now();
         let mut silences = self.silences();
-        let silence = silences.entry(node.clone()).or_insert(Silence { count: 0, last: now });
+        let silence = silences.entry(node.clone()).or_insert(Unanswered { count: 0, last: now });
         silence.count += 1;
         silence.last = now;
         if silence.count == SILENCES {
@@ -209,21 +209,21 @@
     }
 
     /// Notes that an owner answered.
-    pub(crate) fn note_heard(&self, node: &id::Node) {
+    pub(crate) fn note_owner_answered(&self, node: &id::Node) {
         self.silences().remove(node);
     }
 
     /// Tells those who decide on a group.
-    pub(crate) fn tell_owners(&self, group: &Group, event: &Event) {
-        for node in self.told_owners(group) {
-            if let Some(to) = self.find_peer(&node) {
+    pub(crate) fn send_to_owners(&self, group: &Group, event: &Event) {
+        for node in self.allocation_recipients(group) {
+            if let Some(to) = self.peer_address(&node) {
                 self.send(to, event.clone());
             }
         }
     }
 
     /// What this node has placed, as it is told.
-    pub(crate) fn tell_own(&self, now: Instant) -> Vec<(Number, Allocation)> {
+    pub(crate) fn own_allocations(&self, now: Instant) -> Vec<(Number, Allocation)> {
         self.ledger().tell(now).collect()
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// Hands an answer to whoever waits for it.
-    pub(crate) fn deliver(&self, number: Number, answer: Answer) {
+    pub(crate) fn deliver_answer(&self, number: Number, answer: Answer) {
         if let Some(sender) = self.expected().get(&number) {
             // Whoever waited has just gone.
             let _ = sender.send(answer);
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -63,13 +63,13 @@
     /// Who is alive.
     Member(Message),
     /// A request for a place.
-    Ask(Number, Request),
+    Request(Number, Request),
     /// The answer to it.
     Answer(Number, Answer),
     /// A request was placed, or still lasts.
     Placed(Number, Allocation),
     /// Its first token came.
-    Writing(Number),
+    FirstToken(Number),
     /// It ended, or is no longer asked for.
     Ended(Number),
     /// A target served or failed a request.
@@ -77,11 +77,11 @@
     /// Nothing listens at a target.
     Down(Tag),
     /// A target refused to read a part of a prompt for another one.
-    Shut(Tag),
+    PrefillRefused(Tag),
     /// A request was running when a target died.
-    Suspect { fingerprint: u64, deaths: u32 },
+    PoisonSuspect { fingerprint: u64, deaths: u32 },
     /// A node has what operators wrote up to this revision.
-    Holder { node: id::Node, operator: Revision },
+    OperatorRevision { node: id::Node, operator: Revision },
 }
 
 /// An event and where it goes; none where only the sender's revisions are told.
@@ -226,7 +226,7 @@
     }
     take_holder(core, &datagram.node, datagram.operator);
     // What stands before a host's address may send from another one.
-    let from = core.find_peer(&datagram.node).unwrap_or(from);
+    let from = core.peer_address(&datagram.node).unwrap_or(from);
     for event in datagram.events {
         take_event(core, now, &datagram.node, from, event);
     }
@@ -243,14 +243,14 @@
     match event {
         Event::Member(message) => {
             let out = core.membership().receive(now, node, from, message);
-            core.send_members(out);
+            core.send_membership(out);
         }
-        Event::Ask(number, request) => {
+        Event::Request(number, request) => {
             owner::take_ask(core, Asker { ticket: ticket(number), address: from }, request);
         }
-        Event::Answer(number, answer) => core.deliver(number, answer),
+        Event::Answer(number, answer) => core.deliver_answer(number, answer),
         Event::Placed(number, allocation) => core.ledger().take(now, node, number, allocation),
-        Event::Writing(number) => {
+        Event::FirstToken(number) => {
             core.ledger().take_writing(now, node, number);
             core.queue_due.notify_one();
         }
@@ -261,12 +261,12 @@
         }
         Event::Outcome { target, served } => core.ejection().note(now, target, served),
         Event::Down(target) => core.ejection().note_down(now, target),
-        Event::Shut(target) => core.ejection().note_shut(now, target),
-        Event::Suspect { fingerprint, deaths } => {
+        Event::PrefillRefused(target) => core.ejection().note_shut(now, target),
+        Event::PoisonSuspect { fingerprint, deaths } => {
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
         }
-        Event::Holder { node, operator } => take_holder(core, &node, operator),
+        Event::OperatorRevision { node, operator } => take_holder(core, &node, operator),
     }
 }
 
@@ -281,7 +281,7 @@
     if core.peer_states().note_holder(node, operator, own) {
         let peers = core.membership().pick(REVISION_FANOUT);
         for peer in peers {
-            core.send(peer, Event::Holder { node: node.clone(), operator });
+            core.send(peer, Event::OperatorRevision { node: node.clone(), operator });
         }
     }
 }
@@ -294,7 +294,7 @@
         core.note_tick(now);
         core.update_contact();
         let out = core.membership().tick(now);
-        core.send_members(out);
+        core.send_membership(out);
         core.ledger().expire(now);
         core.owner().expire(now);
         core.peer_states().expire(now);
@@ -343,7 +343,7 @@
         core.members_due.notified().await;
         tokio::time::sleep(GATHER).await;
         let out = core.membership().push();
-        core.send_members(out);
+        core.send_membership(out);
     }
 }
 
@@ -366,9 +366,9 @@
         tokio::time::sleep(TICK).await;
         let now = core.now();
         let mut by_node: HashMap<id::Node, Vec<Event>> = HashMap::new();
-        for (number, allocation) in core.tell_own(now) {
+        for (number, allocation) in core.own_allocations(now) {
             let group = core.group_of(&allocation);
-            for node in core.told_owners(&group) {
+            for node in core.allocation_recipients(&group) {
                 let event = Event::Placed(number, allocation.clone());
                 by_node.entry(node).or_default().push(event);
             }
@@ -379,7 +379,7 @@
             if last.is_some_and(|at| now.saturating_duration_since(at) < ALLOCATIONS_EVERY) {
                 continue;
             }
-            let Some(to) = core.find_peer(&node) else { continue };
+            let Some(to) = core.peer_address(&node) else { continue };
             events.into_iter().for_each(|event| core.send(to, event));
             told.insert(node, now);
         }
--- a/crates/path/src/intake.rs
+++ b/crates/path/src/intake.rs
@@ -6,7 +6,7 @@
 use crate::dialect::Dialect;
 use crate::reply::{self, Reply};
 use crate::settings::Settings;
-use crate::{entry, give, serve};
+use crate::{entry, serve, sync_server};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -93,7 +93,7 @@
     let limits = |core: &Core<D, S, C>| {
         core.view().configuration.as_ref().map_or_else(Limits::default, |c| c.limits)
     };
-    let control = |_: &Core<D, S, C>| Limits { idle: CONTROL_IDLE, ..Limits::default() };
+    let control = |_: &Core<D, S, C>| Limits { idle_timeout: CONTROL_IDLE, ..Limits::default() };
     tokio::spawn(accept(core.clone(), sockets.callers, limits, serve::serve));
     tokio::spawn(accept(core.clone(), sockets.ready, control, answer_ready));
     tokio::spawn(accept(core.clone(), sockets.directory, control, answer_directory));
@@ -172,8 +172,8 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle)
-        .max_buf_size((limits.header.0 as usize * 2).max(BUFFER_LEAST))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size((limits.max_header.0 as usize * 2).max(BUFFER_LEAST))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
@@ -216,5 +216,5 @@
     core: Arc<Core<D, S, C>>,
     request: Request<Incoming>,
 ) -> Response<Reply> {
-    give::answer(&core, request.uri())
+    sync_server::answer(&core, request.uri())
 }
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -5,7 +5,7 @@
 //! revision of a key is the later word, and a removal is a word like any
 //! other. A node that the store turns away stays up to date by its peers.
 
-use crate::piece::{Cut, Outline};
+use crate::chunk::{ChunkedValue, Manifest};
 use compact_str::CompactString;
 use hickory_store::store::{Entry, Revision};
 use hickory_unit::size;
@@ -18,12 +18,12 @@
 /// How long a removal is remembered, so that a peer that was cut off can't
 /// bring the item back. Longer than any store outage that peers come out of
 /// with items of before; some hundred bytes each.
-const REMOVAL_KEPT: Duration = Duration::from_secs(600);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(600);
 
 /// Values up to this size go whole from node to node, greater ones in pieces:
 /// an answer must be short enough to end in time over a link that others use
 /// as well.
-const WHOLE_MOST: usize = 8 << 10;
+const MAX_INLINE_VALUE_BYTES: usize = 8 << 10;
 
 /// What the store last said of a key.
 #[derive(Clone, Debug)]
@@ -33,23 +33,23 @@
     /// The value; `None` where the key was removed.
     pub value: Option<Arc<str>>,
     /// When this node learned of it.
-    pub seen: Instant,
+    pub learned_at: Instant,
     /// The pieces of a large value.
-    pub cut: Option<Arc<Cut>>,
+    pub chunks: Option<Arc<ChunkedValue>>,
 }
 
 impl Item {
-    fn of(word: Word, seen: Instant) -> Self {
+    fn of(word: Update, seen: Instant) -> Self {
         let value: Option<Arc<str>> = word.value.map(Arc::from);
-        let large = value.as_ref().filter(|value| value.len() > WHOLE_MOST);
-        let cut = large.map(|value| Arc::new(Cut::of(value.clone())));
-        Self { revision: word.revision, value, seen, cut }
+        let large = value.as_ref().filter(|value| value.len() > MAX_INLINE_VALUE_BYTES);
+        let chunks = large.map(|value| Arc::new(ChunkedValue::of(value.clone())));
+        Self { revision: word.revision, value, learned_at: seen, chunks }
     }
 }
 
 /// An item on its way between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// The key.
     pub key: CompactString,
     /// The revision.
@@ -57,22 +57,22 @@
     /// The value; `None` where the key was removed, or where there is an outline.
     pub value: Option<String>,
     /// What a large value consists of: its pieces are fetched by themselves.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub outline: Option<Outline>,
+    #[serde(rename = "outline", default, skip_serializing_if = "Option::is_none")]
+    pub manifest: Option<Manifest>,
 }
 
-impl Word {
+impl Update {
     /// A word that has all that it says.
-    pub fn whole(key: CompactString, revision: Revision, value: Option<String>) -> Self {
-        Self { key, revision, value, outline: None }
+    pub fn full(key: CompactString, revision: Revision, value: Option<String>) -> Self {
+        Self { key, revision, value, manifest: None }
     }
 
     fn of(key: &CompactString, item: &Item) -> Self {
-        let (value, outline) = match &item.cut {
-            Some(cut) => (None, Some(cut.outline().clone())),
+        let (value, manifest) = match &item.chunks {
+            Some(chunks) => (None, Some(chunks.manifest().clone())),
             None => (item.value.as_deref().map(str::to_owned), None),
         };
-        Self { key: key.clone(), revision: item.revision, value, outline }
+        Self { key: key.clone(), revision: item.revision, value, manifest }
     }
 }
 
@@ -84,7 +84,7 @@
 
 impl Items {
     /// Takes a word; whether it was news.
-    pub fn take(&mut self, now: Instant, word: Word) -> bool {
+    pub fn apply(&mut self, now: Instant, word: Update) -> bool {
         match self.items.entry(word.key.clone()) {
             btree_map::Entry::Vacant(vacant) => {
                 vacant.insert(Item::of(word, now));
@@ -102,7 +102,7 @@
 
     /// Takes all keys with a prefix as the store has them at a revision; keys
     /// that it does not have are removed. Whether anything was news.
-    pub fn take_all<'a>(
+    pub fn apply_snapshot<'a>(
         &mut self,
         now: Instant,
         prefix: &str,
@@ -120,11 +120,11 @@
             .collect();
         let mut news = false;
         for key in gone {
-            news |= self.take(now, Word::whole(key, at, None));
+            news |= self.apply(now, Update::full(key, at, None));
         }
         for entry in entries {
             let (key, value) = (CompactString::from(&entry.key), Some(entry.value.clone()));
-            news |= self.take(now, Word::whole(key, entry.revision, value));
+            news |= self.apply(now, Update::full(key, entry.revision, value));
         }
         news
     }
@@ -132,12 +132,12 @@
     /// Forgets old removals under a prefix, but for the newest word there: by its
     /// revision nodes tell how far they are, and one that goes back would look to
     /// itself as if it missed something that nobody has.
-    pub fn forget(&mut self, now: Instant, prefix: &str) {
-        let newest = self.newest(prefix);
+    pub fn expire_tombstones(&mut self, now: Instant, prefix: &str) {
+        let newest = self.newest_revision(prefix);
         let is_kept = |item: &Item| {
             item.value.is_some()
                 || item.revision == newest
-                || now.saturating_duration_since(item.seen) < REMOVAL_KEPT
+                || now.saturating_duration_since(item.learned_at) < TOMBSTONE_TTL
         };
         self.items.retain(|key, item| !key.starts_with(prefix) || is_kept(item));
     }
@@ -155,7 +155,7 @@
     }
 
     /// The greatest revision that is known under a prefix.
-    pub fn newest(&self, prefix: &str) -> Revision {
+    pub fn newest_revision(&self, prefix: &str) -> Revision {
         self.with_prefix(prefix).map(|(_, item)| item.revision).max().unwrap_or_default()
     }
 
@@ -163,7 +163,7 @@
     /// ones once their values have this many bytes. Whoever takes them in this
     /// order has all words up to the last one that it took, and asks for the
     /// next ones from there.
-    pub fn words_after(&self, prefix: &str, after: Revision, most: size::Bytes) -> Vec<Word> {
+    pub fn updates_after(&self, prefix: &str, after: Revision, most: size::Bytes) -> Vec<Update> {
         let newer = self.with_prefix(prefix).filter(|(_, item)| item.revision > after);
         let mut newer: Vec<_> = newer.collect();
         newer.sort_by_key(|(_, item)| item.revision);
@@ -171,11 +171,11 @@
         for (key, item) in newer {
             // Words of one revision stay together: what lies behind the last
             // revision that is known is never asked for again.
-            let begins = words.last().is_none_or(|last: &Word| last.revision < item.revision);
+            let begins = words.last().is_none_or(|last: &Update| last.revision < item.revision);
             if begins && bytes > most.0 as usize {
                 break;
             }
-            let word = Word::of(key, item);
+            let word = Update::of(key, item);
             bytes += key.len() + word.value.as_deref().map_or(0, str::len);
             words.push(word);
         }
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -5,32 +5,31 @@
 //! targets by the owner of their group ([`ask`], [`group`], [`owner`],
 //! [`placement`]) and by what runs there ([`ledger`]), sent ([`attempt`]), and
 //! relayed ([`serve`], [`stream`]). What a node believes comes from the store
-//! ([`sync`]) and from its peers ([`gossip`], [`fetch`], [`give`], large values
-//! in pieces by [`piece`]), merged by revision ([`items`]) and read as one
+//! ([`store_watch`]) and from its peers ([`gossip`], [`fetch`], [`sync_server`], large values
+//! in pieces by [`chunk`]), merged by revision ([`items`]) and read as one
 //! [`view`].
 
 mod ask;
 pub mod attempt;
+pub mod chunk;
 pub mod config;
 pub mod core;
 mod death;
+mod decision;
 pub mod demand;
 pub mod dialect;
 mod drain;
 mod entry;
 mod fetch;
 mod fleet;
-mod give;
 mod gossip;
 pub mod group;
 mod intake;
 pub mod items;
-mod known;
+pub mod lag;
 pub mod ledger;
-pub mod news;
 pub mod outage;
 mod owner;
-pub mod piece;
 mod place;
 pub mod placement;
 mod record;
@@ -40,8 +39,9 @@
 mod run;
 mod serve;
 pub mod settings;
+mod store_watch;
 mod stream;
-mod sync;
+mod sync_server;
 pub mod view;
 pub mod watcher;
 
@@ -81,7 +81,7 @@
     pub fn serve(settings: Settings, sockets: Sockets, store: S, clock: C) -> io::Result<Self> {
         let metrics = Metrics::open().map_err(io::Error::other)?;
         let core = Arc::new(Core::open(settings, store, clock, metrics));
-        sync::spawn(&core);
+        store_watch::spawn(&core);
         fetch::spawn(&core);
         gossip::spawn(&core, sockets.peers.clone());
         intake::spawn(&core, sockets);
--- a/crates/path/src/outage.rs
+++ b/crates/path/src/outage.rs
@@ -20,7 +20,7 @@
 
 impl Outage {
     /// Whether the store is out of reach.
-    pub fn lasts(self) -> bool {
+    pub fn is_ongoing(self) -> bool {
         self.failing
     }
 
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -215,7 +215,7 @@
 
 fn tell<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>, asker: &Asker, answer: Answer) {
     match asker.ticket.node == core.settings.node {
-        true => core.deliver(asker.ticket.number, answer),
+        true => core.deliver_answer(asker.ticket.number, answer),
         false => core.send(asker.address, Event::Answer(asker.ticket.number, answer)),
     }
 }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -52,7 +52,7 @@
         decider: Decider,
     ) -> Option<Self> {
         let Grant { allocation, expected, survey } = grant;
-        let find = |tag: Tag| view.find(tag).cloned();
+        let find = |tag: Tag| view.find_target(tag).cloned();
         let memory = allocation.memory.iter().map(|&(tag, tokens)| Some((find(tag)?, tokens)));
         Some(Self {
             core: core.clone(),
@@ -84,7 +84,7 @@
     }
 
     fn tell(&self, event: &Event) {
-        self.core.tell_owners(&self.group, event);
+        self.core.send_to_owners(&self.group, event);
     }
 
     /// The engine that kept the prompt from being read, where it isn't the one
@@ -104,7 +104,7 @@
     pub(crate) fn begin_writing(&self) {
         self.core.ledger().begin_writing(self.core.now(), self.number);
         self.core.queue_due.notify_one();
-        self.tell(&Event::Writing(self.number));
+        self.tell(&Event::FirstToken(self.number));
     }
 
     /// Notes how the request ended at its target.
@@ -124,7 +124,7 @@
     /// Notes that a target refused to read a part of the prompt.
     pub(crate) fn note_shut(&self, target: Tag) {
         self.core.ejection().note_shut(self.core.now(), target);
-        self.tell(&Event::Shut(target));
+        self.tell(&Event::PrefillRefused(target));
     }
 }
 
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -156,10 +156,10 @@
         }
         let view = core.view();
         let configuration = view.configuration.clone()?;
-        let cold_rate = configuration.services.get(service)?.cold_rate;
+        let cold_rate = configuration.services.get(service)?.max_cold_rate;
         let targets = find_targets(core, &view, service, cold_rate, scope, now);
         let ledger = core.ledger();
-        let mut loads = ledger.loads(now, &targets, configuration.engine_of(service));
+        let mut loads = ledger.loads(now, &targets, configuration.engine_profile(service));
         let usual = ledger.usual_time(service);
         drop(ledger);
         mark(core, now, &targets, &mut loads, scope);
@@ -168,7 +168,7 @@
 
     /// The engines' profile, where it is a model's service.
     pub(crate) fn profile(&self, service: &id::Service) -> Option<&Profile> {
-        self.configuration.engine_of(service)
+        self.configuration.engine_profile(service)
     }
 
     /// Chooses for a request behind those ahead of it.
@@ -322,10 +322,10 @@
         _ => true,
     };
     let meant = match scope {
-        Scope::Group(index) => view.targets_in(service, index),
+        Scope::Group(index) => view.targets_in_group(service, index),
         Scope::Alone(_) => view.targets_of(service),
     };
-    let takes = |target: &&Arc<Target>| view.may_send(target, now) && bears(target);
+    let takes = |target: &&Arc<Target>| view.can_send(target, now) && bears(target);
     meant.iter().filter(takes).cloned().collect()
 }
 
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -1,7 +1,7 @@
 //! The log lines of a request's course.
 
+use crate::decision::{DecisionContext, log_decision};
 use crate::dialect::Dialect;
-use crate::known::{Known, log_known};
 use crate::place::Place;
 use crate::run::Run;
 use crate::view::Target;
@@ -20,7 +20,7 @@
         if place.short {
             return;
         }
-        log_known!(
+        log_decision!(
             &self.known(self.waited, place.survey),
             {
                 request = self.job.demand.attempt.as_str(),
@@ -37,7 +37,7 @@
 
     /// That it begins to wait for engines.
     pub(crate) fn log_waiting(&self, survey: Survey) {
-        log_known!(
+        log_decision!(
             &self.known(self.waited, survey),
             {
                 request = self.job.demand.attempt.as_str(),
@@ -48,9 +48,9 @@
     }
 
     /// What a decision about it knows now.
-    pub(crate) fn known(&self, waited: Duration, survey: Survey) -> Known {
+    pub(crate) fn known(&self, waited: Duration, survey: Survey) -> DecisionContext {
         let now = self.core.now();
-        Known {
+        DecisionContext {
             prompt: self.job.demand.prompt.map_or(Tokens(0), |prompt| prompt.tokens),
             goal_left: self.due().saturating_duration_since(now),
             limit_left: self.first_deadline().saturating_duration_since(now),
@@ -87,7 +87,7 @@
             goal_ms = self.job.route.goal.as_millis() as u64,
             wait_ms = self.waited.as_millis() as u64,
             pause_ms = self.longest_pause.as_millis() as u64,
-            pause_max_ms = self.job.route.gap.unwrap_or_default().as_millis() as u64,
+            pause_max_ms = self.job.route.event_gap_goal.unwrap_or_default().as_millis() as u64,
             short = place.short,
             part_ms = place.part.as_millis() as u64,
             prompt = self.job.demand.prompt.map_or(0, |prompt| prompt.tokens.0),
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -1,8 +1,8 @@
 //! Refusals: final, said at once, and true about whether the request ran.
 
 use crate::core::Core;
+use crate::decision::{DecisionContext, log_decision};
 use crate::dialect::Dialect;
-use crate::known::{Known, log_known};
 use crate::placement::NoPlace;
 use crate::reply::{self, Reply};
 use hickory_policy::refuse::{Ran, Reason};
@@ -30,7 +30,7 @@
     /// The size of its prompt, as far as it was read.
     pub(crate) prompt: Tokens,
     /// What decided it, where it found no place.
-    pub(crate) known: Option<Box<Known>>,
+    pub(crate) known: Option<Box<DecisionContext>>,
 }
 
 impl Refusal {
@@ -121,11 +121,11 @@
     let status = refusal.status.as_u16();
     let view = core.view();
     let config = view.version();
-    let config_age = view.configured.map(|at| core.now().saturating_duration_since(at));
+    let config_age = view.configured_at.map(|at| core.now().saturating_duration_since(at));
     let config_age_ms = config_age.unwrap_or_default().as_millis() as u64;
     let behind_ms = core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
     if let Some(known) = &refusal.known {
-        log_known!(
+        log_decision!(
             known,
             {
                 request = attempt,
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -1,6 +1,6 @@
 //! Answers to callers.
 
-use crate::piece::{self, Cut};
+use crate::chunk::{self, ChunkedValue};
 use bytes::{Bytes, BytesMut};
 use hickory_unit::size;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -27,21 +27,21 @@
 /// each peer that asks for it.
 #[derive(Debug)]
 pub struct Pieces {
-    cut: Arc<Cut>,
-    left: VecDeque<piece::Id>,
+    value: Arc<ChunkedValue>,
+    left: VecDeque<chunk::Id>,
     /// Bytes that the connection has not taken yet.
     unsent: watch::Sender<size::Bytes>,
 }
 
 impl Pieces {
     /// Those of the named pieces that the value has, each once.
-    pub(crate) fn of(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
+    pub(crate) fn of(value: Arc<ChunkedValue>, pieces: &[chunk::Id]) -> Self {
         let mut named = HashSet::new();
-        let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && named.insert(*id);
+        let is_wanted = |id: &chunk::Id| value.chunk(*id).is_some() && named.insert(*id);
         let left: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
-        let sizes = left.iter().filter_map(|id| cut.piece(*id)).map(|piece| piece.len() as u64);
+        let sizes = left.iter().filter_map(|id| value.chunk(*id)).map(|piece| piece.len() as u64);
         let unsent = watch::channel(size::Bytes(sizes.sum())).0;
-        Self { cut, left, unsent }
+        Self { value, left, unsent }
     }
 
     /// Their number.
@@ -55,7 +55,7 @@
     }
 
     fn next(&mut self) -> Option<Result<Bytes, Broken>> {
-        let piece = self.cut.piece(self.left.pop_front()?)?;
+        let piece = self.value.chunk(self.left.pop_front()?)?;
         let size = size::Bytes(piece.len() as u64);
         self.unsent.send_modify(|unsent| *unsent = unsent.saturating_sub(size));
         let mut frame = BytesMut::new();
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -213,14 +213,16 @@
     /// When its next token is wanted.
     pub(crate) fn due(&self) -> Instant {
         match self.first_event {
-            Some(_) => resume::due(self.core.now(), self.job.route.gap, self.job.deadline),
+            Some(_) => {
+                resume::due(self.core.now(), self.job.route.event_gap_goal, self.job.deadline)
+            }
             None => self.job.arrived + self.job.route.goal,
         }
     }
 
     /// When the caller gives up on a first event.
     pub(crate) fn first_deadline(&self) -> Instant {
-        let patience = self.job.route.patience().filter(|_| self.first_event.is_none());
+        let patience = self.job.route.abandonment_timeout().filter(|_| self.first_event.is_none());
         let gives_up = patience.map(|patience| self.job.arrived + patience);
         gives_up.map_or(self.job.deadline, |at| at.min(self.job.deadline))
     }
@@ -289,7 +291,7 @@
                 let counts = status != StatusCode::MISDIRECTED_REQUEST && other.is_none();
                 self.sends -= u32::from(!counts);
                 self.not_run += 1;
-                if self.sends < self.job.route.targets_max
+                if self.sends < self.job.route.max_targets
                     && self.not_run <= NOT_RUN_MAX
                     && self.spend()
                 {
@@ -339,7 +341,7 @@
 
     /// Whether a further target may be sent what may have run.
     pub(crate) fn may_repeat(&self) -> bool {
-        self.job.route.kind.is_repeatable() && self.sends < self.job.route.targets_max
+        self.job.route.kind.is_repeatable() && self.sends < self.job.route.max_targets
     }
 
     pub(crate) fn spend(&self) -> bool {
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -94,7 +94,7 @@
         let refusal = Refusal::new(Reason::Draining, "this node is stopping");
         return Err(refusal.after(DRAINING_RETRY));
     }
-    let body = read_body(body, configuration.limits.body).await;
+    let body = read_body(body, configuration.limits.max_body).await;
     let body = body.map_err(|refusal| defer(core, refusal))?;
     let time = demand.time_left.map_or(route.timeout, |time| time.min(route.timeout));
     let message = Message { method: parts.method, uri: parts.uri, headers: parts.headers, body };
@@ -196,7 +196,7 @@
     demand: &Demand,
 ) -> Result<Option<Arc<Account>>, Refusal> {
     let known = demand.key.as_deref().and_then(|key| configuration.find_account(key));
-    if known.is_none() && configuration.accounts.is_some() && !route.public {
+    if known.is_none() && configuration.accounts.is_some() && !route.is_public {
         return Err(Refusal::new(Reason::Unauthenticated, "no such key"));
     }
     Ok(known.cloned())
--- a/crates/path/src/sync.rs
+++ b/crates/path/src/store_watch.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
 use crate::outage::Outage;
-use crate::watcher::{Candidate, leads, takeover_delay, watches};
+use crate::watcher::{Candidate, is_leader, is_selected, takeover_delay};
 use hickory_state::follow::{self, Follower};
 use hickory_state::member::{self, Info, Member};
 use hickory_store::store::{Entry, Store};
@@ -161,7 +161,7 @@
 }
 
 pub(crate) fn is_watcher<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> bool {
-    with_candidates(core, watches)
+    with_candidates(core, is_selected)
 }
 
 /// What a decision about watching says of this node, among all that are heard.
@@ -210,13 +210,13 @@
         };
         core.note_store(answered);
         if prefix == D::TARGET_PREFIX {
-            let leads = with_candidates(&core, leads);
-            follower.set_spread(if leads { WATCH_SPREAD } else { FOLLOWING_SPREAD });
+            let is_leader = with_candidates(&core, is_leader);
+            follower.set_spread(if is_leader { WATCH_SPREAD } else { FOLLOWING_SPREAD });
         }
         if step.changed {
             let entries = follower.view().values();
             let at = follower.revision();
-            core.update(may_lapse, |items| items.take_all(now, prefix, entries, at));
+            core.update(may_lapse, |items| items.apply_snapshot(now, prefix, entries, at));
         }
         core.stage() != Stage::Closed
     })
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -261,7 +261,7 @@
     }
 
     async fn read(&self, reader: &mut Reader) -> Result<Next, End> {
-        let wanted = self.run.job.route.gap.unwrap_or(STALLED_LEAST);
+        let wanted = self.run.job.route.event_gap_goal.unwrap_or(STALLED_LEAST);
         let mut stalled = Some((wanted * STALLED_PAUSES).max(STALLED_LEAST));
         loop {
             let left = self.run.time_left();
--- a/crates/path/src/give.rs
+++ b/crates/path/src/sync_server.rs
@@ -1,10 +1,10 @@
 //! What a node gives to its peers: words of the store's items, and the pieces
 //! of large values.
 
+use crate::chunk::{self, ChunkedValue};
 use crate::core::Core;
 use crate::dialect::Dialect;
-use crate::items::Word;
-use crate::piece::{self, Cut};
+use crate::items::Update;
 use crate::reply::{self, Pieces, Reply};
 use hickory_policy::spread::{Busy, Given, Meter, Ticket};
 use hickory_store::store::{Revision, Store};
@@ -20,10 +20,10 @@
 use tokio::sync::watch;
 
 /// Where peers ask for words.
-pub(crate) const WORDS_PATH: &str = "/words";
+pub(crate) const UPDATES_PATH: &str = "/words";
 
 /// Where peers ask for pieces.
-pub(crate) const PIECES_PATH: &str = "/pieces";
+pub(crate) const CHUNKS_PATH: &str = "/pieces";
 
 /// Bytes of words in one answer: it has to end in time also on a link that others
 /// use. The rest follows in the next one.
@@ -37,7 +37,7 @@
 
 /// What this node gives, and gave.
 #[derive(Debug, Default)]
-pub(crate) struct Giving {
+pub(crate) struct Outbox {
     meter: Meter,
     /// Those that were given all pieces of a value of this revision.
     revision: Revision,
@@ -46,7 +46,7 @@
 
 /// The answer to a peer that is turned away.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct TurnedAway {
+pub(crate) struct BusyReply {
     /// When to ask again.
     pub(crate) wait_ms: u64,
     /// Who else has what was asked for.
@@ -56,7 +56,7 @@
 /// Pieces that a peer asks for.
 struct Ask<'a> {
     key: &'a str,
-    pieces: Vec<piece::Id>,
+    pieces: Vec<chunk::Id>,
     /// Where it gives them on.
     from: SocketAddr,
 }
@@ -68,8 +68,8 @@
 ) -> Response<Reply> {
     let query = uri.query().unwrap_or_default();
     let answered = match uri.path() {
-        WORDS_PATH => answer_words(core, query),
-        PIECES_PATH => answer_pieces(core, query),
+        UPDATES_PATH => answer_words(core, query),
+        CHUNKS_PATH => answer_pieces(core, query),
         _ => Ok(reply::plain(StatusCode::NOT_FOUND, "no such path")),
     };
     answered.unwrap_or_else(|error| reply::plain(StatusCode::BAD_REQUEST, &error))
@@ -84,11 +84,11 @@
 ) -> Result<Response<Reply>, String> {
     let is_busy = core.giving().meter.is_busy(core.now(), core.settings.link());
     let most = if is_busy { WORDS_BUSY } else { WORDS_MOST };
-    let mut words: Vec<Word> = Vec::new();
+    let mut words: Vec<Update> = Vec::new();
     for (name, prefix) in [("operator", D::OPERATOR_PREFIX), ("targets", D::TARGET_PREFIX)] {
         if find(query, name).is_some() {
             let after = Revision(read(query, name)?);
-            words.extend(core.items().words_after(prefix, after, most));
+            words.extend(core.items().updates_after(prefix, after, most));
         }
     }
     let body = serde_json::to_string(&words).map_err(|error| error.to_string())?;
@@ -177,10 +177,10 @@
 fn find_cut<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     key: &str,
-) -> Option<(Revision, Arc<Cut>)> {
+) -> Option<(Revision, Arc<ChunkedValue>)> {
     let items = core.items();
     let item = items.get(key)?;
-    Some((item.revision, item.cut.clone()?))
+    Some((item.revision, item.chunks.clone()?))
 }
 
 fn turn_away<D: Dialect, S: Store, C: Clock>(
@@ -189,7 +189,7 @@
     others: Vec<SocketAddr>,
 ) -> Response<Reply> {
     core.metrics.fetch(Fetch::TurnedAway);
-    let turned_away = TurnedAway { wait_ms: busy.wait.as_millis() as u64, others };
+    let turned_away = BusyReply { wait_ms: busy.wait.as_millis() as u64, others };
     match serde_json::to_string(&turned_away) {
         Ok(body) => reply::json(StatusCode::SERVICE_UNAVAILABLE, body),
         Err(error) => reply::plain(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
@@ -198,7 +198,7 @@
 
 fn read_ask(query: &str) -> Result<Ask<'_>, String> {
     let pieces = find(query, "of").ok_or("query of: missing")?;
-    let pieces: Result<Vec<piece::Id>, _> = pieces.split(',').map(str::parse).collect();
+    let pieces: Result<Vec<chunk::Id>, _> = pieces.split(',').map(str::parse).collect();
     Ok(Ask {
         key: find(query, "key").ok_or("query key: missing")?,
         pieces: pieces.map_err(|error| format!("query of: {error}"))?,
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -15,7 +15,7 @@
 /// Entries lapse while targets can't renew them; those of living targets are
 /// back within two seconds of the store's return. Dropping them at once would
 /// leave no target at all just when the store comes back.
-pub const LAPSED_KEPT: Duration = Duration::from_millis(2_200);
+pub const LAPSED_TARGET_TTL: Duration = Duration::from_millis(2_200);
 
 /// Names a target in one incarnation, in the few bytes of a datagram.
 #[derive(
@@ -35,7 +35,7 @@
     /// Until when it is cold.
     pub cold_until: Option<Instant>,
     /// Until when it is used although its entry is gone.
-    pub lapses: Option<Instant>,
+    pub lapsed_until: Option<Instant>,
     /// The revision of the entry.
     pub revision: Revision,
 }
@@ -45,10 +45,10 @@
 pub enum Change {
     /// Its entry is new, or says something new.
     #[display("target known")]
-    Known,
+    Updated,
     /// Its entry is gone.
     #[display("target gone")]
-    Gone,
+    Removed,
 }
 
 /// Targets as requests look for them.
@@ -90,15 +90,15 @@
     /// The same by their tags and by their groups, made where it is first asked for.
     index: OnceLock<Index>,
     /// When it was taken over.
-    pub configured: Option<Instant>,
+    pub configured_at: Option<Instant>,
     /// The revision of the configuration's item.
     pub config_revision: Revision,
 }
 
 impl Target {
     /// Whether new work may be sent to it at `now`.
-    pub fn takes_work(&self, now: Instant) -> bool {
-        !self.entry.draining && self.lapses.is_none_or(|at| now < at)
+    pub fn is_accepting(&self, now: Instant) -> bool {
+        !self.entry.draining && self.lapsed_until.is_none_or(|at| now < at)
     }
 
     /// Whether it is cold at `now`.
@@ -110,14 +110,14 @@
 impl View {
     /// The view of changed items. `may_lapse` says whether entries that are
     /// gone may have lapsed because the store was out of reach.
-    pub fn read<D: Dialect>(&self, items: &Items, now: Instant, may_lapse: bool) -> Self {
+    pub fn updated<D: Dialect>(&self, items: &Items, now: Instant, may_lapse: bool) -> Self {
         let mut next = Self {
             configuration: self.configuration.clone(),
             zones_out: read_zones::<D>(items),
             targets: HashMap::new(),
             changes: Vec::new(),
             index: OnceLock::new(),
-            configured: self.configured,
+            configured_at: self.configured_at,
             config_revision: self.config_revision,
         };
         next.read_configuration::<D>(items, now);
@@ -129,7 +129,7 @@
             let known = before.get(id).copied();
             let target = match &item.value {
                 Some(text) => read_target::<D>(id, text, item, known),
-                None => keep_lapsed(known, item.seen, now, may_lapse),
+                None => keep_lapsed(known, item.learned_at, now, may_lapse),
             };
             next.changes.extend(find_change(known, target.as_ref()));
             if let Some(target) = target {
@@ -147,7 +147,7 @@
         let Some(text) = &item.value else { return };
         match D::read_configuration(text) {
             Ok(configuration) => {
-                self.configured = Some(now);
+                self.configured_at = Some(now);
                 self.configuration = Some(Arc::new(configuration));
                 self.config_revision = item.revision;
             }
@@ -163,13 +163,13 @@
     }
 
     /// The targets of a group of a service's targets.
-    pub fn targets_in(&self, service: &id::Service, group: u16) -> &[Arc<Target>] {
+    pub fn targets_in_group(&self, service: &id::Service, group: u16) -> &[Arc<Target>] {
         let groups = self.index().by_group.get(service);
         groups.and_then(|groups| groups.get(usize::from(group))).map_or(&[], Vec::as_slice)
     }
 
     /// The target with a tag.
-    pub fn find(&self, tag: Tag) -> Option<&Arc<Target>> {
+    pub fn find_target(&self, tag: Tag) -> Option<&Arc<Target>> {
         self.index().by_tag.get(&tag)
     }
 
@@ -178,8 +178,8 @@
     }
 
     /// Whether new work may be sent to a target at `now`.
-    pub fn may_send(&self, target: &Target, now: Instant) -> bool {
-        target.takes_work(now) && !self.zones_out.contains(&target.entry.zone)
+    pub fn can_send(&self, target: &Target, now: Instant) -> bool {
+        target.is_accepting(now) && !self.zones_out.contains(&target.entry.zone)
     }
 
     /// The version of the configuration, 0 before the first one.
@@ -210,11 +210,11 @@
     before: Option<&Arc<Target>>,
     after: Option<&Arc<Target>>,
 ) -> Option<(Change, Arc<Target>)> {
-    let before = before.filter(|target| target.lapses.is_none());
-    match (before, after.filter(|target| target.lapses.is_none())) {
+    let before = before.filter(|target| target.lapsed_until.is_none());
+    match (before, after.filter(|target| target.lapsed_until.is_none())) {
         (Some(before), Some(after)) if before.entry == after.entry => None,
-        (_, Some(after)) => Some((Change::Known, after.clone())),
-        (Some(before), None) => Some((Change::Gone, before.clone())),
+        (_, Some(after)) => Some((Change::Updated, after.clone())),
+        (Some(before), None) => Some((Change::Removed, before.clone())),
         (None, None) => None,
     }
 }
@@ -226,7 +226,7 @@
     item: &Item,
     known: Option<&Arc<Target>>,
 ) -> Option<Arc<Target>> {
-    let known = known.filter(|known| known.lapses.is_none());
+    let known = known.filter(|known| known.lapsed_until.is_none());
     if let Some(known) = known.filter(|known| known.revision == item.revision) {
         return Some(known.clone());
     }
@@ -237,9 +237,9 @@
     if let Some(known) = known.filter(|known| known.entry == entry) {
         return Some(Arc::new(Target { revision: item.revision, ..Target::clone(known) }));
     }
-    let cold_until = (!entry.cold_left.is_zero()).then(|| item.seen + entry.cold_left);
+    let cold_until = (!entry.cold_left.is_zero()).then(|| item.learned_at + entry.cold_left);
     let (tag, revision) = (tag_target(id, entry.born), item.revision);
-    Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapses: None, revision }))
+    Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapsed_until: None, revision }))
 }
 
 /// A target whose entry is gone: dropped, unless entries may have lapsed.
@@ -250,9 +250,11 @@
     may_lapse: bool,
 ) -> Option<Arc<Target>> {
     let known = known?;
-    let lapses = known.lapses.or((may_lapse && !known.entry.draining).then(|| seen + LAPSED_KEPT));
-    let lapses = lapses.filter(|at| now < *at)?;
-    Some(Arc::new(Target { lapses: Some(lapses), ..Target::clone(known) }))
+    let lapsed_until = known
+        .lapsed_until
+        .or((may_lapse && !known.entry.draining).then(|| seen + LAPSED_TARGET_TTL));
+    let lapsed_until = lapsed_until.filter(|at| now < *at)?;
+    Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(known) }))
 }
 
 fn tag_target(id: &str, born: u64) -> Tag {
--- a/crates/path/src/watcher.rs
+++ b/crates/path/src/watcher.rs
@@ -32,7 +32,7 @@
 
 /// Whether a node watches, among all nodes that are heard and itself: the first
 /// few do, and the first few of those that reach the store.
-pub fn watches(me: &id::Node, nodes: &[Candidate<'_>]) -> bool {
+pub fn is_selected(me: &id::Node, nodes: &[Candidate<'_>]) -> bool {
     let reaching = nodes.iter().filter(|candidate| !candidate.store_away);
     is_among_first(me, nodes.iter().map(|candidate| candidate.node))
         || is_among_first(me, reaching.map(|candidate| candidate.node))
@@ -55,7 +55,7 @@
 /// Whether a node is the first of those that watch and reach the store. It hears
 /// of each change at once and tells the others, whose watches then only have to
 /// make up for it.
-pub fn leads(me: &id::Node, nodes: &[Candidate<'_>]) -> bool {
+pub fn is_leader(me: &id::Node, nodes: &[Candidate<'_>]) -> bool {
     let reaching = nodes.iter().filter(|candidate| !candidate.store_away);
     let ranked = rank_nodes(&"watch".into(), reaching.map(|candidate| candidate.node));
     ranked.first().is_some_and(|first| *first == me)
--- a/crates/path/tests/items.rs
+++ b/crates/path/tests/items.rs
@@ -1,6 +1,6 @@
 //! Items merged by revision, from the store and from peers.
 
-use hickory_path::items::{Items, Word};
+use hickory_path::items::{Items, Update};
 use hickory_store::store::{Entry, Revision};
 use hickory_unit::size;
 use std::time::Instant;
@@ -8,8 +8,8 @@
 /// Bytes of one answer.
 const MOST: size::Bytes = size::Bytes(24 << 10);
 
-fn word(key: &str, revision: u64, value: Option<&str>) -> Word {
-    Word::whole(key.into(), Revision(revision), value.map(str::to_owned))
+fn word(key: &str, revision: u64, value: Option<&str>) -> Update {
+    Update::full(key.into(), Revision(revision), value.map(str::to_owned))
 }
 
 fn value(items: &Items, key: &str) -> Option<String> {
@@ -21,9 +21,9 @@
 #[test]
 fn an_older_word_changes_nothing() {
     let (mut items, now) = (Items::default(), Instant::now());
-    assert!(items.take(now, word("op/config", 5, Some("new"))));
-    assert!(!items.take(now, word("op/config", 4, Some("old"))));
-    assert!(!items.take(now, word("op/config", 5, Some("same"))));
+    assert!(items.apply(now, word("op/config", 5, Some("new"))));
+    assert!(!items.apply(now, word("op/config", 4, Some("old"))));
+    assert!(!items.apply(now, word("op/config", 5, Some("same"))));
     assert_eq!(value(&items, "op/config").as_deref(), Some("new"));
 }
 
@@ -32,25 +32,25 @@
 #[test]
 fn a_removal_is_a_word_like_any_other() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.take(now, word("servers/1", 5, Some("x")));
-    items.take(now, word("servers/1", 7, None));
-    assert!(!items.take(now, word("servers/1", 5, Some("x"))));
+    items.apply(now, word("servers/1", 5, Some("x")));
+    items.apply(now, word("servers/1", 7, None));
+    assert!(!items.apply(now, word("servers/1", 5, Some("x"))));
     assert_eq!(value(&items, "servers/1"), None);
-    assert!(items.take(now, word("servers/1", 9, Some("back"))));
+    assert!(items.apply(now, word("servers/1", 9, Some("back"))));
 }
 
 #[test]
 fn a_list_removes_what_it_does_not_name() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.take(now, word("servers/1", 5, Some("x")));
-    items.take(now, word("servers/2", 6, Some("y")));
-    items.take(now, word("op/config", 3, Some("c")));
+    items.apply(now, word("servers/1", 5, Some("x")));
+    items.apply(now, word("servers/2", 6, Some("y")));
+    items.apply(now, word("op/config", 3, Some("c")));
     let entry = Entry { key: "servers/2".into(), value: "y".into(), revision: Revision(6) };
-    assert!(items.take_all(now, "servers/", [&entry].into_iter(), Revision(8)));
+    assert!(items.apply_snapshot(now, "servers/", [&entry].into_iter(), Revision(8)));
     assert_eq!(value(&items, "servers/1"), None);
     assert_eq!(value(&items, "servers/2").as_deref(), Some("y"));
     assert_eq!(value(&items, "op/config").as_deref(), Some("c"));
-    assert!(!items.take_all(now, "servers/", [&entry].into_iter(), Revision(8)));
+    assert!(!items.apply_snapshot(now, "servers/", [&entry].into_iter(), Revision(8)));
 }
 
 /// A target that has just registered vanishes again: a peer told of it, and a
@@ -58,18 +58,18 @@
 #[test]
 fn a_list_does_not_remove_what_is_newer() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.take(now, word("servers/1", 9, Some("new")));
-    items.take_all(now, "servers/", std::iter::empty(), Revision(8));
+    items.apply(now, word("servers/1", 9, Some("new")));
+    items.apply_snapshot(now, "servers/", std::iter::empty(), Revision(8));
     assert_eq!(value(&items, "servers/1").as_deref(), Some("new"));
 }
 
 #[test]
 fn peers_are_told_what_they_miss() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.take(now, word("servers/1", 5, Some("x")));
-    items.take(now, word("servers/2", 8, None));
-    items.take(now, word("op/config", 9, Some("c")));
-    assert_eq!(items.newest("servers/"), Revision(8));
-    assert_eq!(items.words_after("servers/", Revision(5), MOST), [word("servers/2", 8, None)]);
-    assert_eq!(items.words_after("servers/", Revision(0), MOST).len(), 2);
+    items.apply(now, word("servers/1", 5, Some("x")));
+    items.apply(now, word("servers/2", 8, None));
+    items.apply(now, word("op/config", 9, Some("c")));
+    assert_eq!(items.newest_revision("servers/"), Revision(8));
+    assert_eq!(items.updates_after("servers/", Revision(5), MOST), [word("servers/2", 8, None)]);
+    assert_eq!(items.updates_after("servers/", Revision(0), MOST).len(), 2);
 }
--- a/crates/path/tests/ledger.rs
+++ b/crates/path/tests/ledger.rs
@@ -43,7 +43,7 @@
             born: 1,
         },
         cold_until: None,
-        lapses: None,
+        lapsed_until: None,
         revision: Revision::default(),
     };
     (1..=3).map(target).map(Arc::new).collect()
--- a/crates/path/tests/outage.rs
+++ b/crates/path/tests/outage.rs
@@ -21,9 +21,9 @@
 fn what_the_first_answer_shows_at_once_may_have_lapsed() {
     let mut outage = Outage::default();
     outage.note_failure();
-    assert!(outage.lasts());
+    assert!(outage.is_ongoing());
     assert!(outage.note_answer(Duration::from_millis(4)));
-    assert!(!outage.lasts());
+    assert!(!outage.is_ongoing());
 }
 
 #[test]
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -5,7 +5,7 @@
 use hickory_path::demand::Demand;
 use hickory_path::dialect::{Answer, Dialect, Entry, Order, Sending};
 use hickory_path::group;
-use hickory_path::items::{Items, Word};
+use hickory_path::items::{Items, Update};
 use hickory_path::view::{Change, View};
 use hickory_store::store::Revision;
 use hickory_unit::finding::Finding;
@@ -71,7 +71,7 @@
 
 fn take(items: &mut Items, target: u64, revision: u64, entry: &str) {
     let key = format!("targets/{target}").into();
-    items.take(Instant::now(), Word::whole(key, Revision(revision), Some(entry.to_owned())));
+    items.apply(Instant::now(), Update::full(key, Revision(revision), Some(entry.to_owned())));
 }
 
 fn slots(view: &View) -> Vec<u32> {
@@ -89,10 +89,10 @@
     const TARGETS: u64 = 500;
     let (mut items, now) = (Items::default(), Instant::now());
     (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
-    let mut view = View::default().read::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<Plain>(&items, now, false);
     for change in 0..10 {
         take(&mut items, change, TARGETS + change + 1, "6");
-        view = view.read::<Plain>(&items, now, false);
+        view = view.updated::<Plain>(&items, now, false);
     }
     assert_eq!(ENTRIES_READ.get() as u64, TARGETS + 10);
     assert_eq!(slots(&view).iter().filter(|&&slots| slots == 6).count(), 10);
@@ -104,10 +104,10 @@
 fn an_entry_that_is_written_anew_as_it_was_is_read_once_more() {
     let (mut items, now) = (Items::default(), Instant::now());
     take(&mut items, 1, 1, "12");
-    let mut view = View::default().read::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<Plain>(&items, now, false);
     take(&mut items, 1, 2, "12");
     for _ in 0..5 {
-        view = view.read::<Plain>(&items, now, false);
+        view = view.updated::<Plain>(&items, now, false);
     }
     assert_eq!((ENTRIES_READ.get(), slots(&view)), (2, vec![12]));
 }
@@ -117,19 +117,19 @@
 fn an_entry_that_comes_back_is_read_again() {
     let (mut items, now) = (Items::default(), Instant::now());
     take(&mut items, 1, 1, "12");
-    let view = View::default().read::<Plain>(&items, now, true);
-    assert_eq!(changes(&view), [Change::Known]);
-    items.take(now, Word::whole("targets/1".into(), Revision(2), None));
-    let lapsed = view.read::<Plain>(&items, now, true);
-    assert!(lapsed.targets_of(&"model".into())[0].lapses.is_some());
-    assert_eq!(changes(&lapsed), [Change::Gone]);
-    assert_eq!(changes(&lapsed.read::<Plain>(&items, now, true)), []);
+    let view = View::default().updated::<Plain>(&items, now, true);
+    assert_eq!(changes(&view), [Change::Updated]);
+    items.apply(now, Update::full("targets/1".into(), Revision(2), None));
+    let lapsed = view.updated::<Plain>(&items, now, true);
+    assert!(lapsed.targets_of(&"model".into())[0].lapsed_until.is_some());
+    assert_eq!(changes(&lapsed), [Change::Removed]);
+    assert_eq!(changes(&lapsed.updated::<Plain>(&items, now, true)), []);
     take(&mut items, 1, 3, "12");
-    let back = lapsed.read::<Plain>(&items, now, true);
-    assert!(back.targets_of(&"model".into())[0].lapses.is_none());
-    assert_eq!(changes(&back), [Change::Known]);
+    let back = lapsed.updated::<Plain>(&items, now, true);
+    assert!(back.targets_of(&"model".into())[0].lapsed_until.is_none());
+    assert_eq!(changes(&back), [Change::Updated]);
     take(&mut items, 1, 4, "6");
-    assert_eq!(changes(&back.read::<Plain>(&items, now, true)), [Change::Known]);
+    assert_eq!(changes(&back.updated::<Plain>(&items, now, true)), [Change::Updated]);
 }
 
 #[test]
@@ -137,18 +137,19 @@
     const TARGETS: u64 = 500;
     let (mut items, now, service) = (Items::default(), Instant::now(), "model".into());
     (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
-    let mut view = View::default().read::<Plain>(&items, now, false);
-    items.take(now, Word::whole("targets/3".into(), Revision(TARGETS + 1), None));
-    view.targets_in(&service, 0);
-    view = view.read::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<Plain>(&items, now, false);
+    items.apply(now, Update::full("targets/3".into(), Revision(TARGETS + 1), None));
+    view.targets_in_group(&service, 0);
+    view = view.updated::<Plain>(&items, now, false);
     let groups = group::count_groups(view.targets_of(&service).len());
-    let in_groups: usize = (0..groups).map(|index| view.targets_in(&service, index).len()).sum();
+    let in_groups: usize =
+        (0..groups).map(|index| view.targets_in_group(&service, index).len()).sum();
     assert_eq!((groups, in_groups), (4, TARGETS as usize - 1));
     for target in view.targets_of(&service) {
         let index = group::find_group(target.tag, groups);
-        assert!(view.targets_in(&service, index).iter().any(|other| other.tag == target.tag));
-        assert_eq!(view.find(target.tag).map(|found| &found.id), Some(&target.id));
+        assert!(view.targets_in_group(&service, index).iter().any(|other| other.tag == target.tag));
+        assert_eq!(view.find_target(target.tag).map(|found| &found.id), Some(&target.id));
     }
-    assert!(view.targets_in(&service, groups).is_empty());
-    assert!(view.targets_in(&"other".into(), 0).is_empty());
+    assert!(view.targets_in_group(&service, groups).is_empty());
+    assert!(view.targets_in_group(&"other".into(), 0).is_empty());
 }
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -1,6 +1,6 @@
 //! Which nodes watch the store.
 
-use hickory_path::watcher::{Candidate, leads, takeover_delay, watches};
+use hickory_path::watcher::{Candidate, is_leader, is_selected, takeover_delay};
 use hickory_unit::id;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
         .enumerate()
         .map(|(place, node)| Candidate { node, store_away: away.contains(&place) })
         .collect();
-    (0..nodes.len()).filter(|&place| watches(&nodes[place], &candidates)).collect()
+    (0..nodes.len()).filter(|&place| is_selected(&nodes[place], &candidates)).collect()
 }
 
 #[test]
@@ -60,7 +60,7 @@
 fn a_node_alone_watches() {
     let all = nodes(9);
     for node in &all {
-        assert!(watches(node, &[Candidate { node, store_away: true }]));
+        assert!(is_selected(node, &[Candidate { node, store_away: true }]));
     }
 }
 
@@ -73,7 +73,7 @@
     let leading = |away: &[usize]| -> Vec<usize> {
         let candidate = |(place, node)| Candidate { node, store_away: away.contains(&place) };
         let candidates: Vec<Candidate<'_>> = nodes.iter().enumerate().map(candidate).collect();
-        (0..nodes.len()).filter(|&place| leads(&nodes[place], &candidates)).collect()
+        (0..nodes.len()).filter(|&place| is_leader(&nodes[place], &candidates)).collect()
     };
     let first = leading(&[]);
     assert_eq!(first.len(), 1);
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -62,7 +62,7 @@
 impl fmt::Display for Invalid {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let file = self.file.display();
-        write!(f, "{file}: {}", finding::count(&self.findings))?;
+        write!(f, "{file}: {}", finding::count_text(&self.findings))?;
         self.findings.iter().try_for_each(|finding| write!(f, "\n{}", finding.in_file(&file)))
     }
 }
--- a/crates/unit/src/finding.rs
+++ b/crates/unit/src/finding.rs
@@ -33,7 +33,7 @@
 }
 
 /// How many findings there are, as text.
-pub fn count(findings: &[Finding]) -> String {
+pub fn count_text(findings: &[Finding]) -> String {
     match findings.len() {
         1 => "1 finding".to_owned(),
         count => format!("{count} findings"),
--- a/crates/unit/src/rate.rs
+++ b/crates/unit/src/rate.rs
@@ -28,7 +28,7 @@
 
 impl BytesPerSecond {
     /// The rate of a link of so many megabits a second.
-    pub fn of_megabits(megabits: f64) -> Self {
+    pub fn from_megabits(megabits: f64) -> Self {
         Self(megabits * 1e6 / 8.0)
     }
 
--- a/crates/unit/src/size.rs
+++ b/crates/unit/src/size.rs
@@ -36,7 +36,7 @@
 
 impl Tokens {
     /// The tokens of a text of `bytes` bytes, rounded up.
-    pub fn of_bytes(bytes: Bytes) -> Self {
+    pub fn from_bytes(bytes: Bytes) -> Self {
         Self(bytes.0.div_ceil(BYTES_PER_TOKEN))
     }
 }
