--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -18,10 +18,10 @@
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Between two looks whether the settings file has changed without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(5);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long connections are given to end after the node has closed.
-const LAST_BYTES: Duration = Duration::from_millis(100);
+const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(100);
 
 /// Serves callers beside the other nodes of a fleet.
 #[derive(Debug, Parser)]
@@ -42,8 +42,8 @@
 
 fn main() -> eyre::Result<()> {
     let options = Options::parse();
-    let path = options.settings.clone().unwrap_or_else(find_settings);
-    let mut settings = open_settings(&path)?;
+    let path = options.settings.clone().unwrap_or_else(settings_path);
+    let mut settings = read_settings(&path)?;
     settings.metrics = options.metrics.map(|port| SocketAddr::new(settings.callers.ip(), port));
     if options.check {
         println!("{settings:#?}");
@@ -57,11 +57,11 @@
     runtime.block_on(run(settings, &path))
 }
 
-fn find_settings() -> PathBuf {
+fn settings_path() -> PathBuf {
     std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| SETTINGS_PATH.into(), PathBuf::from)
 }
 
-fn open_settings(path: &Path) -> eyre::Result<Settings> {
+fn read_settings(path: &Path) -> eyre::Result<Settings> {
     let text = std::fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
     settings::read(&text).map_err(|finding| eyre::eyre!(finding.in_file(&path.display())))
 }
@@ -72,19 +72,19 @@
     let mut hang_up = signal(SignalKind::hangup())?;
     let store = store::Store::open(settings.store, STORE_TIMEOUT);
     log::info!(node = settings.node.as_str(), callers:% = settings.callers; "started");
-    let mut known = settings.clone();
+    let mut active = settings.clone();
     let node: Node<Platform, _, _> = Node::spawn(settings, store, clock::Boot::start()).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hang_up.recv() => {}
-            () = tokio::time::sleep(SETTINGS_LOOK) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
-        match open_settings(path) {
-            Ok(settings) if settings.bounds != known.bounds => {
+        match read_settings(path) {
+            Ok(settings) if settings.bounds != active.bounds => {
                 log::info!("settings taken over");
-                known = settings.clone();
+                active = settings.clone();
                 node.reload(settings);
             }
             Ok(_) => {}
@@ -94,6 +94,6 @@
     node.drain();
     node.closed().await;
     // Connections get their last bytes out before the process ends.
-    tokio::time::sleep(LAST_BYTES).await;
+    tokio::time::sleep(CLOSE_GRACE_PERIOD).await;
     Ok(())
 }
--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -44,22 +44,22 @@
     }
 
     /// The lines that pass. A line that is just being written is not among them.
-    fn lines(&self, passes: impl Fn(&Value) -> bool) -> Vec<Value> {
+    fn lines(&self, is_match: impl Fn(&Value) -> bool) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap();
-        let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-        let lines = whole.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
-        lines.filter(passes).collect()
+        let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
+        let lines = complete_lines.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
+        lines.filter(is_match).collect()
     }
 }
 
 /// A daemon before a store and two replicas of each service.
-struct Scene {
+struct Harness {
     daemon: Daemon,
     callers: SocketAddr,
     replicas: Vec<Replica>,
 }
 
-impl Scene {
+impl Harness {
     async fn open(name: &str) -> Self {
         let store = Store::spawn().await;
         store.put_configuration(CONFIG);
@@ -76,7 +76,7 @@
         Self { daemon, callers: settings.callers, replicas }
     }
 
-    fn all(&self, service: &str, act: &Act) {
+    fn queue_for_service(&self, service: &str, act: &Act) {
         for replica in self.replicas.iter().filter(|replica| replica.service == service) {
             replica.next(act.clone());
         }
@@ -88,7 +88,7 @@
     }
 
     /// The log's lines of a request, once there are so many.
-    async fn lines(&self, attempt: &str, count: usize) -> Vec<Value> {
+    async fn wait_for_lines(&self, attempt: &str, count: usize) -> Vec<Value> {
         for _ in 0..100 {
             let own = self.daemon.lines(|line| line["attributes"]["request"] == attempt);
             if own.len() >= count {
@@ -100,7 +100,7 @@
     }
 }
 
-fn number(line: &Value, name: &str) -> u64 {
+fn read_number(line: &Value, name: &str) -> u64 {
     line["attributes"][name].as_str().unwrap().parse().unwrap()
 }
 
@@ -108,18 +108,18 @@
 /// says that it did not wait at the node, which target was late, and what had
 /// been expected of it.
 #[tokio::test]
-async fn a_late_first_event_names_its_target() {
-    let scene = Scene::open("late").await;
-    scene.all("model", &Act::Pause(1, 5));
-    assert_eq!(scene.ask("late-1", "/once/1").await.status, 200);
-    let lines = scene.lines("late-1", 1).await;
+async fn a_late_first_event_is_logged_with_its_target() {
+    let harness = Harness::open("late").await;
+    harness.queue_for_service("model", &Act::Pause(1, 5));
+    assert_eq!(harness.ask("late-1", "/once/1").await.status, 200);
+    let lines = harness.wait_for_lines("late-1", 1).await;
     let line = &lines[0];
     assert_eq!((&line["message"], &line["mdc"]["node"]), (&"answered".into(), &"node-1".into()));
-    assert!(number(line, "first_ms") >= 1_500, "{line}");
-    assert!(number(line, "expected_ms") < 300, "{line}");
-    assert_eq!(number(line, "wait_ms"), 0, "{line}");
-    assert!(number(line, "goal_ms") < number(line, "first_ms"), "{line}");
-    assert!(number(line, "part_ms") < number(line, "expected_ms"), "{line}");
+    assert!(read_number(line, "first_ms") >= 1_500, "{line}");
+    assert!(read_number(line, "expected_ms") < 300, "{line}");
+    assert_eq!(read_number(line, "wait_ms"), 0, "{line}");
+    assert!(read_number(line, "goal_ms") < read_number(line, "first_ms"), "{line}");
+    assert!(read_number(line, "part_ms") < read_number(line, "expected_ms"), "{line}");
     assert_eq!(line["attributes"]["short"], "true", "{line}");
     assert!(line["attributes"]["target_id"].as_str().unwrap().starts_with("m-"), "{line}");
 }
@@ -127,73 +127,74 @@
 /// An order ended without an answer. The lines say that it reached a target,
 /// that the connection broke, and that it may have run.
 #[tokio::test]
-async fn an_order_without_an_answer_says_that_it_may_have_run() {
-    let scene = Scene::open("order").await;
-    scene.all("plain", &Act::Close);
-    assert_eq!(scene.ask("order-1", "/pay/1").await.status, 502);
-    let lines = scene.lines("order-1", 2).await;
+async fn a_request_without_an_answer_is_logged_as_possibly_executed() {
+    let harness = Harness::open("order").await;
+    harness.queue_for_service("plain", &Act::Close);
+    assert_eq!(harness.ask("order-1", "/pay/1").await.status, 502);
+    let lines = harness.wait_for_lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
     assert!(lines[0]["attributes"]["target_id"].as_str().unwrap().starts_with("p-"));
     let refusal = &lines[1]["attributes"];
     assert_eq!((&refusal["ran"], &refusal["reason"]), (&"unknown".into(), &"target-failed".into()));
-    assert_eq!(number(&lines[1], "prompt"), 1_460);
+    assert_eq!(read_number(&lines[1], "prompt"), 1_460);
 }
 
 /// A stream that its engines failed before its first event. The lines name both,
 /// and the answer's line bears what a stream of its route is judged by.
 #[tokio::test]
-async fn a_stream_that_two_targets_failed_names_both() {
-    let scene = Scene::open("failed").await;
-    scene.all("model", &Act::Status(500));
-    assert_eq!(scene.ask("failed-1", "/say/1").await.status, 500);
-    let lines = scene.lines("failed-1", 2).await;
+async fn the_log_names_both_targets_that_failed_a_stream() {
+    let harness = Harness::open("failed").await;
+    harness.queue_for_service("model", &Act::Status(500));
+    assert_eq!(harness.ask("failed-1", "/say/1").await.status, 500);
+    let lines = harness.wait_for_lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
     assert!(first["message"].as_str().unwrap().starts_with("attempt failed: status 500"));
     assert_ne!(first["attributes"]["target_id"], last["attributes"]["target_id"]);
-    assert_eq!((&last["message"], number(last, "status")), (&"answered".into(), 500));
-    assert_eq!(number(last, "sends"), 2, "{last}");
-    assert!(number(last, "goal_ms") > 0 && number(last, "pause_max_ms") > 0, "{last}");
+    assert_eq!((&last["message"], read_number(last, "status")), (&"answered".into(), 500));
+    assert_eq!(read_number(last, "sends"), 2, "{last}");
+    assert!(read_number(last, "goal_ms") > 0 && read_number(last, "pause_max_ms") > 0, "{last}");
 }
 
 /// A stream was cut in the middle and went on. The lines name the target that
 /// broke off and the one that took it up.
 #[tokio::test]
-async fn a_stream_that_was_cut_names_both_targets() {
-    let scene = Scene::open("cut").await;
-    scene.replicas[2].next(Act::Cut(2, 0));
-    scene.replicas[3].next(Act::Cut(2, 0));
-    scene.replicas[2].next(Act::Stream(5));
-    scene.replicas[3].next(Act::Stream(5));
+async fn the_log_names_both_targets_of_an_interrupted_stream() {
+    let harness = Harness::open("cut").await;
+    harness.replicas[2].next(Act::Cut(2, 0));
+    harness.replicas[3].next(Act::Cut(2, 0));
+    harness.replicas[2].next(Act::Stream(5));
+    harness.replicas[3].next(Act::Stream(5));
     // The first stream is cut by both; the second one finds both sound again.
-    let cut = scene.ask("cut-1", "/say/1").await;
+    let cut = harness.ask("cut-1", "/say/1").await;
     assert_eq!((cut.ids(), cut.complete), (vec![1, 2], false));
-    let lines = scene.lines("cut-1", 3).await;
+    let lines = harness.wait_for_lines("cut-1", 3).await;
     let targets: Vec<&str> =
         lines[..2].iter().map(|line| line["attributes"]["target_id"].as_str().unwrap()).collect();
     assert_ne!(targets[0], targets[1], "{lines:?}");
     assert!(lines[2]["message"].as_str().unwrap().starts_with("given up on"), "{lines:?}");
-    assert_eq!(number(&lines[2], "last_event"), 2);
-    assert_eq!(number(&lines[2], "prompt"), 1_460);
+    assert_eq!(read_number(&lines[2], "last_event"), 2);
+    assert_eq!(read_number(&lines[2], "prompt"), 1_460);
 }
 
 /// A report's caller was refused beside two idle engines. The line says how long
 /// the prompt is, what time was left, and that both engines together could not
 /// have read it in that time.
 #[tokio::test]
-async fn a_refusal_names_what_it_was_decided_by() {
-    let scene = Scene::open("refused").await;
+async fn a_refusal_is_logged_with_the_inputs_of_its_decision() {
+    let harness = Harness::open("refused").await;
     let text = caller::request_as("refused-1", "POST", "/long/1", "body")
         .replace("1460,80", "400000,80")
         .replace("3000", "15000");
-    assert_eq!(caller::send(scene.callers, &text).await.status, 503);
-    let lines = scene.lines("refused-1", 1).await;
+    assert_eq!(caller::send(harness.callers, &text).await.status, 503);
+    let lines = harness.wait_for_lines("refused-1", 1).await;
     let line = &lines[0];
-    assert_eq!(number(line, "prompt"), 400_000, "{line}");
-    assert!((2_500..=3_000).contains(&number(line, "goal_left_ms")), "{line}");
-    let engines = ["engines_known", "idle", "clear", "penalized", "full"].map(|n| number(line, n));
+    assert_eq!(read_number(line, "prompt"), 400_000, "{line}");
+    assert!((2_500..=3_000).contains(&read_number(line, "goal_left_ms")), "{line}");
+    let engines =
+        ["engines_known", "idle", "clear", "penalized", "full"].map(|n| read_number(line, n));
     assert_eq!(engines, [2, 2, 2, 0, 0], "{line}");
-    assert_eq!([number(line, "wait_ms"), number(line, "ahead_ms")], [0, 0], "{line}");
-    assert!(number(line, "retry_after_ms") > 0, "{line}");
+    assert_eq!([read_number(line, "wait_ms"), read_number(line, "ahead_ms")], [0, 0], "{line}");
+    assert!(read_number(line, "retry_after_ms") > 0, "{line}");
 }
 
 /// Guards against logs of which half say on each node what became of each target.
@@ -210,8 +211,9 @@
     for node in &nodes {
         daemons.push(Daemon::start(&format!("change-{}", node.node), node).await);
     }
-    let owns = |line: &Value| line["message"] == "groups owned by this node";
-    let owners = || daemons.iter().filter(|daemon| !daemon.lines(owns).is_empty()).count();
+    let is_ownership_line = |line: &Value| line["message"] == "groups owned by this node";
+    let owners =
+        || daemons.iter().filter(|daemon| !daemon.lines(is_ownership_line).is_empty()).count();
     caller::wait_for("an owner", || owners() > 0).await;
     // The owner may change until all have been told what runs.
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -3,7 +3,7 @@
 use crate::chunk::{Assembler, Manifest};
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
-use crate::gossip::Part;
+use crate::gossip::Keyspace;
 use crate::items::Update;
 use crate::store_watch;
 use crate::sync_server::{BusyReply, CHUNKS_PATH, UPDATES_PATH};
@@ -25,19 +25,19 @@
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
 /// Between two looks whether a peer knows more.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long a peer must have known more before it is asked by a node that
 /// watches itself: a watch that is well brings the same within milliseconds.
-const WATCH_LAG: Duration = Duration::from_millis(150);
+const WATCH_HEAD_START: Duration = Duration::from_millis(150);
 
 /// Pieces asked for at once: their names have to go into the head of a request.
-const ASKED_MOST: usize = 256;
+const MAX_CHUNKS_PER_REQUEST: usize = 256;
 
 /// How long a busy peer may tell this node to wait, whatever it says.
-const WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
+const RETRY_WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
 
-impl Part {
+impl Keyspace {
     fn prefix<D: Dialect>(self) -> &'static str {
         match self {
             Self::Operator => D::OPERATOR_PREFIX,
@@ -48,7 +48,7 @@
     /// The path at which words of this part after a revision are asked for. A
     /// node of an older version wants both parts named, and has nothing after the
     /// last of all revisions.
-    fn name_words(self, after: Revision) -> String {
+    fn updates_path(self, after: Revision) -> String {
         let (operator, targets) = match self {
             Self::Operator => (after.0, u64::MAX),
             Self::Targets => (u64::MAX, after.0),
@@ -58,9 +58,9 @@
 }
 
 /// What came of asking a peer.
-enum Answer<T> {
+enum Fetched<T> {
     /// All that it has of what was asked for.
-    Whole(T),
+    Complete(T),
     /// It is busy, and names others.
     Busy(Busy, Vec<SocketAddr>),
     /// Nothing, or not all of it.
@@ -68,204 +68,206 @@
 }
 
 /// Follows one part of the items by what peers know.
-struct Follow<D: Dialect, S: Store, C: Clock> {
+struct Fetcher<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
-    part: Part,
+    keyspace: Keyspace,
     /// Since when some peer has known more.
     behind_since: Option<Instant>,
-    givers: Givers<SocketAddr>,
+    sources: Givers<SocketAddr>,
     /// Pieces of a value that could not be completed yet.
-    kept: Option<(CompactString, Assembler)>,
+    partial: Option<(CompactString, Assembler)>,
 }
 
 /// Starts fetching. Each part by itself, so that the word that a target leaves
 /// doesn't wait behind a large configuration.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
-    for part in [Part::Operator, Part::Targets] {
-        let mut follow = Follow {
+    for keyspace in [Keyspace::Operator, Keyspace::Targets] {
+        let mut fetcher = Fetcher {
             core: core.clone(),
-            part,
+            keyspace,
             behind_since: None,
-            givers: Givers::default(),
-            kept: None,
+            sources: Givers::default(),
+            partial: None,
         };
-        tokio::spawn(async move { follow.run().await });
+        tokio::spawn(async move { fetcher.run().await });
     }
 }
 
-impl<D: Dialect, S: Store, C: Clock> Follow<D, S, C> {
+impl<D: Dialect, S: Store, C: Clock> Fetcher<D, S, C> {
     async fn run(&mut self) {
         while self.core.stage() != Stage::Closed {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let now = self.core.now();
-            let ahead = self.find_ahead(self.known());
+            let ahead = self.peers_ahead(self.known_revision());
             if ahead.is_empty() {
                 self.behind_since = None;
-                self.givers = Givers::default();
+                self.sources = Givers::default();
                 continue;
             }
             let since = *self.behind_since.get_or_insert(now);
             let watches =
                 self.core.view().configuration.is_some() && store_watch::is_watcher(&self.core);
-            if watches && now.saturating_duration_since(since) < WATCH_LAG {
+            if watches && now.saturating_duration_since(since) < WATCH_HEAD_START {
                 continue;
             }
-            self.ask_words(&ahead).await;
+            self.request_updates(&ahead).await;
         }
     }
 
     /// The newest revision that this node knows.
-    fn known(&self) -> Revision {
-        self.core.items().newest_revision(self.part.prefix::<D>())
+    fn known_revision(&self) -> Revision {
+        self.core.items().newest_revision(self.keyspace.prefix::<D>())
     }
 
     /// Where peers are that know of a revision after this one.
-    fn find_ahead(&self, after: Revision) -> Vec<SocketAddr> {
-        let ahead = self.core.peer_states().ahead(self.part, after);
+    fn peers_ahead(&self, after: Revision) -> Vec<SocketAddr> {
+        let ahead = self.core.peer_states().peers_ahead(self.keyspace, after);
         let membership = self.core.membership();
         let records = ahead.iter().filter_map(|node| membership.get(node));
         let alive = records.filter(|record| record.state == State::Alive);
         alive.map(|record| record.contact.sync).collect()
     }
 
-    /// Asks one of those that are ahead for its words, and takes them.
-    async fn ask_words(&mut self, ahead: &[SocketAddr]) {
+    /// Asks one of those that are ahead for its updates, and takes them.
+    async fn request_updates(&mut self, ahead: &[SocketAddr]) {
         let now = self.core.now();
-        let peer = match self.givers.choose(now, ahead, rand::random()) {
+        let peer = match self.sources.choose(now, ahead, rand::random()) {
             Choice::Ask(peer) => peer,
             Choice::Wait(_) | Choice::Nobody => return,
         };
-        let path = self.part.name_words(self.known());
-        let patience = self.givers.patience(peer, ahead);
-        match fetch_words(&self.core, peer, &path, patience).await {
-            Answer::Whole(words) => {
-                self.givers.note_answered();
-                let may_lapse = self.is_store_away(peer);
-                self.take_words(words, may_lapse).await;
+        let path = self.keyspace.updates_path(self.known_revision());
+        let answer_timeout = self.sources.patience(peer, ahead);
+        match fetch_updates(&self.core, peer, &path, answer_timeout).await {
+            Fetched::Complete(updates) => {
+                self.sources.note_answered();
+                let may_have_lapsed = self.is_store_away_at(peer);
+                self.apply_updates(updates, may_have_lapsed).await;
             }
-            Answer::Busy(busy, others) => self.note_busy(peer, busy, &others),
-            Answer::Failed(error) => self.note_failed(peer, now, &error),
+            Fetched::Busy(busy, others) => self.note_busy(peer, busy, &others),
+            Fetched::Failed(error) => self.note_failed(peer, now, &error),
         }
     }
 
     /// Whether entries may have lapsed in the outage of a peer's store.
-    fn is_store_away(&self, at: SocketAddr) -> bool {
+    fn is_store_away_at(&self, at: SocketAddr) -> bool {
         let membership = self.core.membership();
         membership.alive().any(|r| r.contact.sync == at && r.contact.store_away)
     }
 
-    /// Takes words, the oldest first. Those behind a value that can't be had yet
+    /// Takes updates, the oldest first. Those behind a value that can't be had yet
     /// are left, or the node would believe that it has all up to them.
-    async fn take_words(&mut self, words: Vec<Update>, may_lapse: bool) {
-        let mut taken = Vec::new();
-        for word in words {
-            let Some(outline) = word.manifest else {
-                taken.push(word);
+    async fn apply_updates(&mut self, updates: Vec<Update>, may_have_lapsed: bool) {
+        let mut ready = Vec::new();
+        for update in updates {
+            let Some(manifest) = update.manifest else {
+                ready.push(update);
                 continue;
             };
-            self.update(std::mem::take(&mut taken), may_lapse);
-            let Some(value) = self.gather(&word.key, word.revision, outline).await else { return };
-            taken.push(Update::full(word.key, word.revision, Some(value)));
+            self.apply(std::mem::take(&mut ready), may_have_lapsed);
+            let Some(value) = self.fetch_value(&update.key, update.revision, manifest).await else {
+                return;
+            };
+            ready.push(Update::full(update.key, update.revision, Some(value)));
         }
-        self.update(taken, may_lapse);
+        self.apply(ready, may_have_lapsed);
     }
 
-    fn update(&self, words: Vec<Update>, may_lapse: bool) {
-        if words.is_empty() {
+    fn apply(&self, updates: Vec<Update>, may_have_lapsed: bool) {
+        if updates.is_empty() {
             return;
         }
-        log::info!(words = words.len(); "items taken over from peers");
+        log::info!(words = updates.len(); "items taken over from peers");
         let now = self.core.now();
-        self.core.update(may_lapse, |items| {
-            let news = words.into_iter().map(|word| items.apply(now, word));
-            news.fold(false, |any, one| any | one)
+        self.core.update(may_have_lapsed, |items| {
+            let changes = updates.into_iter().map(|update| items.apply(now, update));
+            changes.fold(false, |any, changed| any | changed)
         });
     }
 
     /// Gathers the pieces of a value from those that have it. `None` where it
     /// can't be had: the peers have a newer one, or are gone.
-    async fn gather(
+    async fn fetch_value(
         &mut self,
         key: &CompactString,
         revision: Revision,
-        outline: Manifest,
+        manifest: Manifest,
     ) -> Option<String> {
         let began = self.core.now();
-        let mut gathering = self.begin(key, outline);
-        let wanted = gathering.missing().len();
+        let mut assembler = self.start_assembly(key, manifest);
+        let chunk_count = assembler.missing().len();
         // The store's watch may bring it meanwhile.
-        while self.known() < revision && self.core.stage() != Stage::Closed {
-            if gathering.missing().is_empty() {
-                return self.complete(key, &gathering, wanted, began);
+        while self.known_revision() < revision && self.core.stage() != Stage::Closed {
+            if assembler.missing().is_empty() {
+                return self.finish_assembly(key, &assembler, chunk_count, began);
             }
             let now = self.core.now();
-            let holders = self.find_ahead(Revision(revision.0.saturating_sub(1)));
-            match self.givers.choose(now, &holders, rand::random()) {
+            let holders = self.peers_ahead(Revision(revision.0.saturating_sub(1)));
+            match self.sources.choose(now, &holders, rand::random()) {
                 Choice::Ask(peer) => {
-                    let patience = self.givers.patience(peer, &holders);
-                    if !self.ask_pieces(peer, key, &mut gathering, patience).await {
+                    let answer_timeout = self.sources.patience(peer, &holders);
+                    if !self.request_chunks(peer, key, &mut assembler, answer_timeout).await {
                         break;
                     }
                 }
-                Choice::Wait(time) => tokio::time::sleep(time.min(LOOK)).await,
+                Choice::Wait(time) => tokio::time::sleep(time.min(POLL_INTERVAL)).await,
                 Choice::Nobody => break,
             }
         }
-        self.kept = Some((key.clone(), gathering));
+        self.partial = Some((key.clone(), assembler));
         None
     }
 
-    fn begin(&mut self, key: &CompactString, outline: Manifest) -> Assembler {
-        let kept = self.kept.take().filter(|(kept, _)| kept == key);
+    fn start_assembly(&mut self, key: &CompactString, manifest: Manifest) -> Assembler {
+        let partial = self.partial.take().filter(|(partial_key, _)| partial_key == key);
         let items = self.core.items();
         let older = items.get(key).and_then(|item| item.chunks.as_deref());
-        match kept {
-            Some((_, kept)) => kept.switch_to(outline, older),
-            None => Assembler::new(outline, older),
+        match partial {
+            Some((_, assembler)) => assembler.switch_to(manifest, older),
+            None => Assembler::new(manifest, older),
         }
     }
 
-    fn complete(
+    fn finish_assembly(
         &self,
         key: &CompactString,
-        gathering: &Assembler,
-        pieces: usize,
+        assembler: &Assembler,
+        chunk_count: usize,
         began: Instant,
     ) -> Option<String> {
         let took_ms = self.core.now().saturating_duration_since(began).as_millis() as u64;
-        match gathering.assemble() {
+        match assembler.assemble() {
             Ok(value) => {
-                log::info!(key = key.as_str(), pieces, bytes = value.len(), took_ms;
+                log::info!(key = key.as_str(), pieces = chunk_count, bytes = value.len(), took_ms;
                     "value gathered from peers");
                 Some(value)
             }
             Err(error) => {
-                log::error!(key = key.as_str(), pieces, took_ms; "value dropped: {error}");
+                log::error!(key = key.as_str(), pieces = chunk_count, took_ms; "value dropped: {error}");
                 None
             }
         }
     }
 
-    /// Asks a peer for missing pieces; whether to go on with this outline. Where a
+    /// Asks a peer for missing pieces; whether to go on with this manifest. Where a
     /// peer answers and has none of them, the value has changed since.
-    async fn ask_pieces(
+    async fn request_chunks(
         &mut self,
         peer: SocketAddr,
         key: &str,
-        gathering: &mut Assembler,
-        patience: Duration,
+        assembler: &mut Assembler,
+        answer_timeout: Duration,
     ) -> bool {
         let now = self.core.now();
-        match fetch_pieces(&self.core, peer, key, gathering, patience).await {
-            Answer::Whole(taken) => {
-                self.givers.note_answered();
-                taken > 0
+        match fetch_chunks(&self.core, peer, key, assembler, answer_timeout).await {
+            Fetched::Complete(added) => {
+                self.sources.note_answered();
+                added > 0
             }
-            Answer::Busy(busy, others) => {
+            Fetched::Busy(busy, others) => {
                 self.note_busy(peer, busy, &others);
                 true
             }
-            Answer::Failed(error) => {
+            Fetched::Failed(error) => {
                 self.note_failed(peer, now, &error);
                 true
             }
@@ -276,7 +278,7 @@
         self.core.metrics.fetch(Fetch::Busy);
         let others: Vec<SocketAddr> =
             others.iter().filter(|other| **other != self.core.settings.sync).copied().collect();
-        self.givers.note_busy(self.core.now(), peer, busy, &others, rand::random());
+        self.sources.note_busy(self.core.now(), peer, busy, &others, rand::random());
     }
 
     fn note_failed(&mut self, peer: SocketAddr, began: Instant, error: &str) {
@@ -285,119 +287,122 @@
         let behind_ms = self.core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
         log::warn!(peer:%, took_ms, behind_ms; "peer gave no items: {error}");
         self.core.metrics.fetch(Fetch::Failed);
-        self.givers.note_failed(now, peer);
+        self.sources.note_failed(now, peer);
     }
 }
 
-async fn fetch_words<D: Dialect, S: Store, C: Clock>(
+async fn fetch_updates<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     peer: SocketAddr,
     path: &str,
-    patience: Duration,
-) -> Answer<Vec<Update>> {
+    answer_timeout: Duration,
+) -> Fetched<Vec<Update>> {
     let call = Call { method: Method::GET, path, key: None, body: Bytes::new() };
-    let answer = match core.client.exchange(peer, call, patience).await {
+    let answer = match core.client.exchange(peer, call, answer_timeout).await {
         Ok(answer) => answer,
-        Err(error) => return Answer::Failed(error.to_string()),
+        Err(error) => return Fetched::Failed(error.to_string()),
     };
     core.metrics.fetch_bytes(Way::Taken, size::Bytes(answer.body.len() as u64));
     match answer.status {
         StatusCode::OK => match serde_json::from_slice(&answer.body) {
-            Ok(words) => {
+            Ok(updates) => {
                 core.metrics.fetch(Fetch::Taken);
-                Answer::Whole(words)
+                Fetched::Complete(updates)
             }
-            Err(error) => Answer::Failed(error.to_string()),
+            Err(error) => Fetched::Failed(error.to_string()),
         },
-        StatusCode::SERVICE_UNAVAILABLE => read_busy(&answer.body),
-        status => Answer::Failed(format!("status {status}")),
+        StatusCode::SERVICE_UNAVAILABLE => parse_busy_reply(&answer.body),
+        status => Fetched::Failed(format!("status {status}")),
     }
 }
 
-fn read_busy<T>(body: &[u8]) -> Answer<T> {
+fn parse_busy_reply<T>(body: &[u8]) -> Fetched<T> {
     match serde_json::from_slice::<BusyReply>(body) {
         Ok(BusyReply { wait_ms, others }) => {
-            let wait = Duration::from_millis(wait_ms).clamp(WAIT_BOUNDS.0, WAIT_BOUNDS.1);
-            Answer::Busy(Busy { wait }, others)
+            let wait =
+                Duration::from_millis(wait_ms).clamp(RETRY_WAIT_BOUNDS.0, RETRY_WAIT_BOUNDS.1);
+            Fetched::Busy(Busy { wait }, others)
         }
-        Err(error) => Answer::Failed(error.to_string()),
+        Err(error) => Fetched::Failed(error.to_string()),
     }
 }
 
 /// Asks a peer for the missing pieces; those that come are kept also where the
 /// answer breaks off.
-async fn fetch_pieces<D: Dialect, S: Store, C: Clock>(
+async fn fetch_chunks<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     peer: SocketAddr,
     key: &str,
-    gathering: &mut Assembler,
-    patience: Duration,
-) -> Answer<usize> {
-    let missing = gathering.missing();
-    let of: Vec<String> = missing.iter().take(ASKED_MOST).map(ToString::to_string).collect();
+    assembler: &mut Assembler,
+    answer_timeout: Duration,
+) -> Fetched<usize> {
+    let missing = assembler.missing();
+    let requested: Vec<String> =
+        missing.iter().take(MAX_CHUNKS_PER_REQUEST).map(ToString::to_string).collect();
     let from = core.settings.sync;
-    let path = format!("{CHUNKS_PATH}?key={key}&from={from}&of={}", of.join(","));
+    let path = format!("{CHUNKS_PATH}?key={key}&from={from}&of={}", requested.join(","));
     let request = Request::get(path).header(http::header::HOST, peer.to_string());
     let request = match request.body(Full::default()) {
         Ok(request) => request,
-        Err(error) => return Answer::Failed(error.to_string()),
+        Err(error) => return Fetched::Failed(error.to_string()),
     };
-    let exchange = match timeout(patience, core.client.send(peer, request, Reuse::Any)).await {
+    let exchange = match timeout(answer_timeout, core.client.send(peer, request, Reuse::Any)).await
+    {
         Ok(Ok(exchange)) => exchange,
-        Ok(Err(error)) => return Answer::Failed(error.to_string()),
-        Err(_) => return Answer::Failed("no answer in time".to_owned()),
+        Ok(Err(error)) => return Fetched::Failed(error.to_string()),
+        Err(_) => return Fetched::Failed("no answer in time".to_owned()),
     };
     match exchange.head.status {
-        StatusCode::OK => read_pieces(core, exchange, gathering).await,
-        StatusCode::SERVICE_UNAVAILABLE => read_refusal(exchange).await,
+        StatusCode::OK => read_chunks(core, exchange, assembler).await,
+        StatusCode::SERVICE_UNAVAILABLE => read_busy_reply(exchange).await,
         // It has no such value any more, or a small one, which goes whole.
-        StatusCode::NOT_FOUND => Answer::Whole(0),
-        status => Answer::Failed(format!("status {status}")),
+        StatusCode::NOT_FOUND => Fetched::Complete(0),
+        status => Fetched::Failed(format!("status {status}")),
     }
 }
 
-async fn read_refusal(mut exchange: Exchange) -> Answer<usize> {
+async fn read_busy_reply(mut exchange: Exchange) -> Fetched<usize> {
     match timeout(SILENCE, (&mut exchange.body).collect()).await {
         Ok(Ok(body)) => {
             exchange.keep(None);
-            read_busy(&body.to_bytes())
+            parse_busy_reply(&body.to_bytes())
         }
-        Ok(Err(error)) => Answer::Failed(error.to_string()),
-        Err(_) => Answer::Failed("silent within its answer".to_owned()),
+        Ok(Err(error)) => Fetched::Failed(error.to_string()),
+        Err(_) => Fetched::Failed("silent within its answer".to_owned()),
     }
 }
 
-async fn read_pieces<D: Dialect, S: Store, C: Clock>(
+async fn read_chunks<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     mut exchange: Exchange,
-    gathering: &mut Assembler,
-) -> Answer<usize> {
+    assembler: &mut Assembler,
+) -> Fetched<usize> {
     let mut codec = LengthDelimitedCodec::new();
     let mut buffer = BytesMut::new();
-    let mut taken = 0;
+    let mut added = 0;
     let until = core.now() + ANSWER_MOST;
     while core.now() < until {
         let frame = match timeout(SILENCE, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
-            Ok(Some(Err(error))) => return Answer::Failed(error.to_string()),
+            Ok(Some(Err(error))) => return Fetched::Failed(error.to_string()),
             Ok(None) => {
                 exchange.keep(None);
                 core.metrics.fetch(Fetch::Taken);
-                return Answer::Whole(taken);
+                return Fetched::Complete(added);
             }
-            Err(_) => return Answer::Failed("silent within its answer".to_owned()),
+            Err(_) => return Fetched::Failed("silent within its answer".to_owned()),
         };
         let Ok(data) = frame.into_data() else { continue };
         core.metrics.fetch_bytes(Way::Taken, size::Bytes(data.len() as u64));
         buffer.extend_from_slice(&data);
         loop {
             match codec.decode(&mut buffer) {
-                Ok(Some(piece)) => taken += usize::from(gathering.add(piece.freeze())),
+                Ok(Some(chunk)) => added += usize::from(assembler.add(chunk.freeze())),
                 Ok(None) => break,
-                Err(error) => return Answer::Failed(error.to_string()),
+                Err(error) => return Fetched::Failed(error.to_string()),
             }
         }
     }
     // The rest is asked for anew, of another one if there is any.
-    Answer::Busy(Busy { wait: WAIT_BOUNDS.1 }, Vec::new())
+    Fetched::Busy(Busy { wait: RETRY_WAIT_BOUNDS.1 }, Vec::new())
 }
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -19,19 +19,19 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 /// Nodes that are told what is placed in a group: its owner and its successor.
-const TOLD: usize = 2;
+const MAX_ALLOCATION_RECIPIENTS: usize = 2;
 
 /// How long a node runs until it was told all that runs.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
+const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 
 /// A tick that comes so late was held up: what was told before is old.
-const HELD_UP: Duration = Duration::from_secs(1);
+const MAX_TICK_DELAY: Duration = Duration::from_secs(1);
 
 /// Silences in a row after which an owner is passed over.
-const SILENCES: u32 = 2;
+const MAX_OWNER_TIMEOUTS: u32 = 2;
 
 /// How long an owner is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+const OWNER_BACKOFF: Duration = Duration::from_secs(1);
 
 /// How long a node has been running without a break.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unanswered {
     count: u32,
-    last: Instant,
+    last_at: Instant,
 }
 
 impl<D: Dialect, S: Store, C: Clock> Core<D, S, C> {
@@ -67,16 +67,16 @@
 
     /// Notes that this node runs; one that was held up was told nothing meanwhile.
     pub(crate) fn note_tick(&self, now: Instant) {
-        let mut running = self.running();
-        if now.saturating_duration_since(running.last_tick) > HELD_UP {
-            running.since = now;
+        let mut uptime = self.running();
+        if now.saturating_duration_since(uptime.last_tick) > MAX_TICK_DELAY {
+            uptime.since = now;
         }
-        running.last_tick = now;
+        uptime.last_tick = now;
     }
 
     /// Whether this node has been told what runs where.
     pub(crate) fn is_settled(&self) -> bool {
-        self.now().saturating_duration_since(self.running().since) >= SETTLED_AFTER
+        self.now().saturating_duration_since(self.running().since) >= SETTLING_TIME
     }
 
     /// Tells the others what this node says of itself, where that changed.
@@ -175,35 +175,41 @@
 
     /// Other nodes that are told what is placed in a group.
     pub(crate) fn allocation_recipients(&self, group: &Group) -> Vec<id::Node> {
-        let mut told = self.owners(group);
-        told.truncate(TOLD);
-        let answering = self.responsive_owners(group);
-        for node in answering.into_iter().take(TOLD) {
-            if !told.contains(&node) {
-                told.push(node);
+        let mut recipients = self.owners(group);
+        recipients.truncate(MAX_ALLOCATION_RECIPIENTS);
+        let responsive = self.responsive_owners(group);
+        for node in responsive.into_iter().take(MAX_ALLOCATION_RECIPIENTS) {
+            if !recipients.contains(&node) {
+                recipients.push(node);
             }
         }
-        told.retain(|node| *node != self.settings.node);
-        told
+        recipients.retain(|node| *node != self.settings.node);
+        recipients
     }
 
     /// The nodes that decide on a group, but for those that answered nothing lately.
     pub(crate) fn responsive_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
-        let (now, mut silences) = (self.now(), self.silences());
-        silences.retain(|_, silence| now.saturating_duration_since(silence.last) < PASSED_OVER);
-        let is_silent = |node: &id::Node| silences.get(node).is_some_and(|s| s.count >= SILENCES);
-        owners.into_iter().filter(|node| !is_silent(node)).collect()
+        let (now, mut unanswered_by_owner) = (self.now(), self.silences());
+        unanswered_by_owner.retain(|_, unanswered| {
+            now.saturating_duration_since(unanswered.last_at) < OWNER_BACKOFF
+        });
+        let is_unresponsive = |node: &id::Node| {
+            unanswered_by_owner.get(node).is_some_and(|s| s.count >= MAX_OWNER_TIMEOUTS)
+        };
+        owners.into_iter().filter(|node| !is_unresponsive(node)).collect()
     }
 
     /// Notes that an owner did not answer in time.
     pub(crate) fn note_owner_timeout(&self, node: &id::Node) {
         let now = self.now();
-        let mut silences = self.silences();
-        let silence = silences.entry(node.clone()).or_insert(Unanswered { count: 0, last: now });
-        silence.count += 1;
-        silence.last = now;
-        if silence.count == SILENCES {
+        let mut unanswered_by_owner = self.silences();
+        let unanswered = unanswered_by_owner
+            .entry(node.clone())
+            .or_insert(Unanswered { count: 0, last_at: now });
+        unanswered.count += 1;
+        unanswered.last_at = now;
+        if unanswered.count == MAX_OWNER_TIMEOUTS {
             log::warn!(owner:% = node; "owner answers nothing");
         }
     }
@@ -222,7 +228,7 @@
         }
     }
 
-    /// What this node has placed, as it is told.
+    /// What this node has placed, as it is recipients.
     pub(crate) fn own_allocations(&self, now: Instant) -> Vec<(Number, Allocation)> {
         self.ledger().tell(now).collect()
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -30,32 +30,32 @@
 const REVISION_FANOUT: usize = 4;
 
 /// Between two such tellings.
-const REVISION_EVERY: Duration = Duration::from_millis(50);
+const REVISION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Nodes that have newer operators' data which a node tells others of: all hear of it
 /// within some milliseconds, and of more than one that they can have it from.
-const HOLDERS_TOLD: usize = 3;
+const MAX_ANNOUNCED_HOLDERS: usize = 3;
 
 /// Between two log lines about members.
-const LOGGED_EVERY: Duration = Duration::from_secs(1);
+const MEMBER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long news of members is gathered before it is pushed.
-const GATHER: Duration = Duration::from_millis(10);
+const MEMBER_BATCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Between two tellings of all allocations.
-const ALLOCATIONS_EVERY: Duration = Duration::from_millis(500);
+const ALLOCATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a peer's revisions count after it was last heard.
-const HEARD_FOR: Duration = Duration::from_secs(10);
+/// How long a peer's revisions count after it was last state.
+const PEER_STATE_TTL: Duration = Duration::from_secs(10);
 
 /// The greatest datagram: what goes through all links unfragmented.
-const DATAGRAM_MAX: usize = 1_200;
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 /// The receive buffer: the greatest datagram of a peer.
-const RECEIVE: usize = 2_048;
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
 /// Events that are sent together at most.
-const BATCH: usize = 256;
+const MAX_BATCHED_EVENTS: usize = 256;
 
 /// One thing that a node tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
     /// A request was running when a target died.
     PoisonSuspect { fingerprint: u64, deaths: u32 },
     /// A node has what operators wrote up to this revision.
-    OperatorRevision { node: id::Node, operator: Revision },
+    OperatorRevision { node: id::Node, revision: Revision },
 }
 
 /// An event and where it goes; none where only the sender's revisions are told.
@@ -97,34 +97,34 @@
     node: id::Node,
     incarnation: id::Incarnation,
     /// The newest revision that the node has of what operators wrote.
-    operator: Revision,
+    operator_revision: Revision,
     /// The newest revision that it has of targets' entries.
-    targets: Revision,
+    targets_revision: Revision,
     events: Vec<Event>,
 }
 
 /// What a node's datagrams said last.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerState {
     incarnation: id::Incarnation,
-    operator: Revision,
-    targets: Revision,
-    at: Instant,
+    operator_revision: Revision,
+    targets_revision: Revision,
+    received_at: Instant,
 }
 
 /// What was heard of peers directly.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStates {
-    peers: HashMap<id::Node, Heard>,
+    peers: HashMap<id::Node, PeerState>,
     /// The newest revision of operators' data that others have and this node hasn't.
-    newest: Revision,
+    newest_operator_revision: Revision,
     /// Nodes that are known to have it, the first that were told of.
     holders: Vec<id::Node>,
 }
 
 /// What is followed of the store's items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum Keyspace {
     /// What operators write.
     Operator,
     /// Targets' entries.
@@ -133,50 +133,51 @@
 
 impl PeerStates {
     /// Takes what a datagram says; whether its node started anew.
-    fn take(&mut self, now: Instant, datagram: &Datagram) -> bool {
-        let heard = Heard {
+    fn record(&mut self, now: Instant, datagram: &Datagram) -> bool {
+        let state = PeerState {
             incarnation: datagram.incarnation,
-            operator: datagram.operator,
-            targets: datagram.targets,
-            at: now,
+            operator_revision: datagram.operator_revision,
+            targets_revision: datagram.targets_revision,
+            received_at: now,
         };
-        let before = self.peers.insert(datagram.node.clone(), heard);
-        before.is_some_and(|before| before.incarnation != datagram.incarnation)
+        let previous = self.peers.insert(datagram.node.clone(), state);
+        previous.is_some_and(|previous| previous.incarnation != datagram.incarnation)
     }
 
     fn expire(&mut self, now: Instant) {
-        self.peers.retain(|_, heard| now.saturating_duration_since(heard.at) < HEARD_FOR);
+        self.peers
+            .retain(|_, state| now.saturating_duration_since(state.received_at) < PEER_STATE_TTL);
     }
 
     /// Notes that a node has a revision of operators' data; whether others should
     /// be told of it by a node that has `own`.
-    fn note_holder(&mut self, node: &id::Node, revision: Revision, own: Revision) -> bool {
-        if revision <= own || revision < self.newest {
+    fn note_holder(&mut self, node: &id::Node, revision: Revision, own_revision: Revision) -> bool {
+        if revision <= own_revision || revision < self.newest_operator_revision {
             return false;
         }
-        if revision > self.newest {
-            self.newest = revision;
+        if revision > self.newest_operator_revision {
+            self.newest_operator_revision = revision;
             self.holders.clear();
         }
-        let is_news = self.holders.len() < HOLDERS_TOLD && !self.holders.contains(node);
-        if is_news {
+        let is_new = self.holders.len() < MAX_ANNOUNCED_HOLDERS && !self.holders.contains(node);
+        if is_new {
             self.holders.push(node.clone());
         }
-        is_news
+        is_new
     }
 
     /// Peers that have a revision of a part after this one.
-    pub(crate) fn ahead(&self, part: Part, after: Revision) -> Vec<id::Node> {
-        let revision = |heard: &Heard| match part {
-            Part::Operator => heard.operator,
-            Part::Targets => heard.targets,
+    pub(crate) fn peers_ahead(&self, keyspace: Keyspace, after: Revision) -> Vec<id::Node> {
+        let revision = |state: &PeerState| match keyspace {
+            Keyspace::Operator => state.operator_revision,
+            Keyspace::Targets => state.targets_revision,
         };
-        let heard = self.peers.iter().filter(|(_, heard)| revision(heard) > after);
-        let mut ahead: Vec<id::Node> = heard.map(|(node, _)| node.clone()).collect();
-        if part == Part::Operator && self.newest > after {
-            let told = self.holders.iter().filter(|node| !ahead.contains(*node));
-            let told: Vec<id::Node> = told.cloned().collect();
-            ahead.extend(told);
+        let states = self.peers.iter().filter(|(_, state)| revision(state) > after);
+        let mut ahead: Vec<id::Node> = states.map(|(node, _)| node.clone()).collect();
+        if keyspace == Keyspace::Operator && self.newest_operator_revision > after {
+            let holders = self.holders.iter().filter(|node| !ahead.contains(*node));
+            let holders: Vec<id::Node> = holders.cloned().collect();
+            ahead.extend(holders);
         }
         ahead
     }
@@ -189,28 +190,28 @@
 ) {
     tokio::spawn(receive(core.clone(), socket.clone()));
     if let Some(outgoing) = core.take_unsent() {
-        tokio::spawn(send_all(core.clone(), socket, outgoing));
+        tokio::spawn(run_sender(core.clone(), socket, outgoing));
     }
-    tokio::spawn(keep_members(core.clone()));
-    tokio::spawn(push_news(core.clone()));
-    tokio::spawn(tell_revisions(core.clone()));
-    tokio::spawn(tell_allocations(core.clone()));
+    tokio::spawn(maintain_membership(core.clone()));
+    tokio::spawn(push_member_updates(core.clone()));
+    tokio::spawn(announce_revisions(core.clone()));
+    tokio::spawn(announce_allocations(core.clone()));
     tokio::spawn(owner::run(core.clone()));
 }
 
 async fn receive<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; RECEIVE];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
         // An error is the echo of a datagram to a peer that is gone.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes::<Datagram>(&buffer[..length]) {
-            Ok(datagram) => take(&core, datagram, from),
+            Ok(datagram) => handle_datagram(&core, datagram, from),
             Err(error) => log::warn!(from:%; "datagram can't be read: {error}"),
         }
     }
 }
 
-fn take<D: Dialect, S: Store, C: Clock>(
+fn handle_datagram<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     datagram: Datagram,
     from: SocketAddr,
@@ -219,20 +220,20 @@
         return;
     }
     let now = core.now();
-    if core.peer_states().take(now, &datagram) {
+    if core.peer_states().record(now, &datagram) {
         log::info!(peer:% = datagram.node; "peer started anew");
         core.ledger().forget(&datagram.node);
         core.owner().forget(&datagram.node);
     }
-    take_holder(core, &datagram.node, datagram.operator);
+    handle_operator_revision(core, &datagram.node, datagram.operator_revision);
     // What stands before a host's address may send from another one.
     let from = core.peer_address(&datagram.node).unwrap_or(from);
     for event in datagram.events {
-        take_event(core, now, &datagram.node, from, event);
+        handle_event(core, now, &datagram.node, from, event);
     }
 }
 
-fn take_event<D: Dialect, S: Store, C: Clock>(
+fn handle_event<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     now: Instant,
     node: &id::Node,
@@ -266,29 +267,31 @@
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
         }
-        Event::OperatorRevision { node, operator } => take_holder(core, &node, operator),
+        Event::OperatorRevision { node, revision } => {
+            handle_operator_revision(core, &node, revision)
+        }
     }
 }
 
 /// Takes the word that a node has newer operators' data, and passes it on.
-fn take_holder<D: Dialect, S: Store, C: Clock>(
+fn handle_operator_revision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     node: &id::Node,
-    operator: Revision,
+    revision: Revision,
 ) {
-    core.hear(operator);
-    let (own, _) = core.revisions();
-    if core.peer_states().note_holder(node, operator, own) {
+    core.hear(revision);
+    let (own_revision, _) = core.revisions();
+    if core.peer_states().note_holder(node, revision, own_revision) {
         let peers = core.membership().pick(REVISION_FANOUT);
         for peer in peers {
-            core.send(peer, Event::OperatorRevision { node: node.clone(), operator });
+            core.send(peer, Event::OperatorRevision { node: node.clone(), revision });
         }
     }
 }
 
 /// Keeps the table of members, and forgets what is over.
-async fn keep_members<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
-    let mut told = Told::default();
+async fn maintain_membership<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+    let mut logged = LoggedState::default();
     while core.stage() != Stage::Closed {
         let now = core.now();
         core.note_tick(now);
@@ -298,23 +301,23 @@
         core.ledger().expire(now);
         core.owner().expire(now);
         core.peer_states().expire(now);
-        told.log(&core, now);
+        logged.log(&core, now);
         tokio::time::sleep(TICK).await;
     }
 }
 
 /// What the log was last told of members and groups.
 #[derive(Debug, Default)]
-struct Told {
+struct LoggedState {
     at: Option<Instant>,
     count: Count,
     owned: Vec<Group>,
 }
 
-impl Told {
+impl LoggedState {
     /// Logs what changed, at most once in a while: many nodes come and go at once.
     fn log<D: Dialect, S: Store, C: Clock>(&mut self, core: &Core<D, S, C>, now: Instant) {
-        if self.at.is_some_and(|at| now.saturating_duration_since(at) < LOGGED_EVERY) {
+        if self.at.is_some_and(|at| now.saturating_duration_since(at) < MEMBER_LOG_INTERVAL) {
             return;
         }
         self.at = Some(now);
@@ -338,10 +341,10 @@
     }
 }
 
-async fn push_news<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+async fn push_member_updates<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.members_due.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(MEMBER_BATCH_DELAY).await;
         let out = core.membership().push();
         core.send_membership(out);
     }
@@ -349,19 +352,19 @@
 
 /// Tells a few peers at once that this node has newer items; they fetch them and
 /// tell others in turn.
-async fn tell_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+async fn announce_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.revisions_due.notified().await;
         let peers = core.membership().pick(REVISION_FANOUT);
         peers.into_iter().for_each(|peer| core.send_revisions(peer));
-        tokio::time::sleep(REVISION_EVERY).await;
+        tokio::time::sleep(REVISION_INTERVAL).await;
     }
 }
 
 /// Tells what this node has placed to those who decide: now and then, and at once
 /// where somebody else decides than before.
-async fn tell_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
-    let mut told: HashMap<id::Node, Instant> = HashMap::new();
+async fn announce_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+    let mut announced: HashMap<id::Node, Instant> = HashMap::new();
     while core.stage() != Stage::Closed {
         tokio::time::sleep(TICK).await;
         let now = core.now();
@@ -373,53 +376,53 @@
                 by_node.entry(node).or_default().push(event);
             }
         }
-        told.retain(|node, at| by_node.contains_key(node) && *at <= now);
+        announced.retain(|node, at| by_node.contains_key(node) && *at <= now);
         for (node, events) in by_node {
-            let last = told.get(&node).copied();
-            if last.is_some_and(|at| now.saturating_duration_since(at) < ALLOCATIONS_EVERY) {
+            let last = announced.get(&node).copied();
+            if last.is_some_and(|at| now.saturating_duration_since(at) < ALLOCATION_INTERVAL) {
                 continue;
             }
             let Some(to) = core.peer_address(&node) else { continue };
             events.into_iter().for_each(|event| core.send(to, event));
-            told.insert(node, now);
+            announced.insert(node, now);
         }
     }
 }
 
-async fn send_all<D: Dialect, S: Store, C: Clock>(
+async fn run_sender<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     socket: Arc<UdpSocket>,
     mut outgoing: UnboundedReceiver<Outgoing>,
 ) {
     let mut batch = Vec::new();
-    while outgoing.recv_many(&mut batch, BATCH).await > 0 {
+    while outgoing.recv_many(&mut batch, MAX_BATCHED_EVENTS).await > 0 {
         let mut by_peer: HashMap<SocketAddr, Vec<Event>> = HashMap::new();
         for outgoing in batch.drain(..) {
             by_peer.entry(outgoing.to).or_default().extend(outgoing.event);
         }
         for (to, events) in by_peer {
-            send_to(&core, &socket, to, events).await;
+            send_events(&core, &socket, to, events).await;
         }
     }
 }
 
 /// Sends events to a peer, in as many datagrams as they take.
-async fn send_to<D: Dialect, S: Store, C: Clock>(
+async fn send_events<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     socket: &UdpSocket,
     to: SocketAddr,
     events: Vec<Event>,
 ) {
-    let mut rest = events;
+    let mut remaining = events;
     loop {
-        let (datagram, left) = encode(core, rest);
+        let (datagram, left) = encode(core, remaining);
         core.metrics.datagram(hickory_unit::size::Bytes(datagram.len() as u64));
         // A datagram that can't be sent is like one that is lost.
         let _ = socket.send_to(&datagram, to).await;
         if left.is_empty() {
             return;
         }
-        rest = left;
+        remaining = left;
     }
 }
 
@@ -430,15 +433,15 @@
 ) -> (Vec<u8>, Vec<Event>) {
     let mut left = Vec::new();
     loop {
-        let (operator, targets) = core.revisions();
+        let (operator_revision, targets_revision) = core.revisions();
         let (node, incarnation) = (core.settings.node.clone(), core.incarnation);
-        let datagram = Datagram { node, incarnation, operator, targets, events };
+        let datagram = Datagram { node, incarnation, operator_revision, targets_revision, events };
         let bytes = postcard::to_stdvec(&datagram).unwrap_or_else(|error| {
             log::error!("datagram can't be written: {error}");
             Vec::new()
         });
         events = datagram.events;
-        if bytes.len() <= DATAGRAM_MAX || events.len() <= 1 {
+        if bytes.len() <= MAX_DATAGRAM_BYTES || events.len() <= 1 {
             return (bytes, left);
         }
         let mut rest = events.split_off(events.len().div_ceil(2));
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -39,11 +39,11 @@
 }
 
 impl Item {
-    fn of(word: Update, seen: Instant) -> Self {
-        let value: Option<Arc<str>> = word.value.map(Arc::from);
+    fn of(update: Update, learned_at: Instant) -> Self {
+        let value: Option<Arc<str>> = update.value.map(Arc::from);
         let large = value.as_ref().filter(|value| value.len() > MAX_INLINE_VALUE_BYTES);
         let chunks = large.map(|value| Arc::new(ChunkedValue::of(value.clone())));
-        Self { revision: word.revision, value, learned_at: seen, chunks }
+        Self { revision: update.revision, value, learned_at, chunks }
     }
 }
 
@@ -84,18 +84,18 @@
 
 impl Items {
     /// Takes a word; whether it was news.
-    pub fn apply(&mut self, now: Instant, word: Update) -> bool {
-        match self.items.entry(word.key.clone()) {
+    pub fn apply(&mut self, now: Instant, update: Update) -> bool {
+        match self.items.entry(update.key.clone()) {
             btree_map::Entry::Vacant(vacant) => {
-                vacant.insert(Item::of(word, now));
+                vacant.insert(Item::of(update, now));
                 true
             }
             btree_map::Entry::Occupied(mut known) => {
-                let newer = word.revision > known.get().revision;
-                if newer {
-                    known.insert(Item::of(word, now));
+                let is_newer = update.revision > known.get().revision;
+                if is_newer {
+                    known.insert(Item::of(update, now));
                 }
-                newer
+                is_newer
             }
         }
     }
@@ -107,26 +107,26 @@
         now: Instant,
         prefix: &str,
         entries: impl Iterator<Item = &'a Entry> + Clone,
-        at: Revision,
+        revision: Revision,
     ) -> bool {
         let present: std::collections::HashSet<&str> =
             entries.clone().map(|entry| entry.key.as_str()).collect();
-        let gone: Vec<CompactString> = self
+        let removed: Vec<CompactString> = self
             .with_prefix(prefix)
             .filter(|(key, item)| {
-                item.value.is_some() && item.revision < at && !present.contains(key.as_str())
+                item.value.is_some() && item.revision < revision && !present.contains(key.as_str())
             })
             .map(|(key, _)| key.clone())
             .collect();
-        let mut news = false;
-        for key in gone {
-            news |= self.apply(now, Update::full(key, at, None));
+        let mut changed = false;
+        for key in removed {
+            changed |= self.apply(now, Update::full(key, revision, None));
         }
         for entry in entries {
             let (key, value) = (CompactString::from(&entry.key), Some(entry.value.clone()));
-            news |= self.apply(now, Update::full(key, entry.revision, value));
+            changed |= self.apply(now, Update::full(key, entry.revision, value));
         }
-        news
+        changed
     }
 
     /// Forgets old removals under a prefix, but for the newest word there: by its
@@ -134,12 +134,12 @@
     /// itself as if it missed something that nobody has.
     pub fn expire_tombstones(&mut self, now: Instant, prefix: &str) {
         let newest = self.newest_revision(prefix);
-        let is_kept = |item: &Item| {
+        let is_retained = |item: &Item| {
             item.value.is_some()
                 || item.revision == newest
                 || now.saturating_duration_since(item.learned_at) < TOMBSTONE_TTL
         };
-        self.items.retain(|key, item| !key.starts_with(prefix) || is_kept(item));
+        self.items.retain(|key, item| !key.starts_with(prefix) || is_retained(item));
     }
 
     /// The items with a prefix, removals included.
@@ -163,22 +163,28 @@
     /// ones once their values have this many bytes. Whoever takes them in this
     /// order has all words up to the last one that it took, and asks for the
     /// next ones from there.
-    pub fn updates_after(&self, prefix: &str, after: Revision, most: size::Bytes) -> Vec<Update> {
+    pub fn updates_after(
+        &self,
+        prefix: &str,
+        after: Revision,
+        max_bytes: size::Bytes,
+    ) -> Vec<Update> {
         let newer = self.with_prefix(prefix).filter(|(_, item)| item.revision > after);
         let mut newer: Vec<_> = newer.collect();
         newer.sort_by_key(|(_, item)| item.revision);
-        let (mut words, mut bytes) = (Vec::new(), 0);
+        let (mut updates, mut bytes) = (Vec::new(), 0);
         for (key, item) in newer {
             // Words of one revision stay together: what lies behind the last
             // revision that is known is never asked for again.
-            let begins = words.last().is_none_or(|last: &Update| last.revision < item.revision);
-            if begins && bytes > most.0 as usize {
+            let is_new_revision =
+                updates.last().is_none_or(|last: &Update| last.revision < item.revision);
+            if is_new_revision && bytes > max_bytes.0 as usize {
                 break;
             }
-            let word = Update::of(key, item);
-            bytes += key.len() + word.value.as_deref().map_or(0, str::len);
-            words.push(word);
+            let update = Update::of(key, item);
+            bytes += key.len() + update.value.as_deref().map_or(0, str::len);
+            updates.push(update);
         }
-        words
+        updates
     }
 }
--- a/crates/path/src/outage.rs
+++ b/crates/path/src/outage.rs
@@ -4,7 +4,7 @@
 
 /// An answer that took longer than this was waited for: what it tells happened
 /// while the store was in reach. What happened before comes at once.
-const AT_ONCE: Duration = Duration::from_millis(500);
+const MAX_IMMEDIATE_ANSWER_TIME: Duration = Duration::from_millis(500);
 
 /// The outages of the store as one follower meets them.
 ///
@@ -15,24 +15,24 @@
 /// the outage tells at once may have lapsed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outage {
-    failing: bool,
+    is_failing: bool,
 }
 
 impl Outage {
     /// Whether the store is out of reach.
     pub fn is_ongoing(self) -> bool {
-        self.failing
+        self.is_failing
     }
 
     /// Notes a call that failed.
     pub fn note_failure(&mut self) {
-        self.failing = true;
+        self.is_failing = true;
     }
 
     /// Notes an answer that took this long; whether entries that it shows to
     /// be gone may have lapsed.
     pub fn note_answer(&mut self, took: Duration) -> bool {
-        let was_failing = std::mem::replace(&mut self.failing, false);
-        was_failing && took < AT_ONCE
+        let was_failing = std::mem::replace(&mut self.is_failing, false);
+        was_failing && took < MAX_IMMEDIATE_ANSWER_TIME
     }
 }
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -27,13 +27,13 @@
 
 /// Bytes of words in one answer: it has to end in time also on a link that others
 /// use. The rest follows in the next one.
-const WORDS_MOST: size::Bytes = size::Bytes(24 << 10);
+const MAX_UPDATE_BYTES: size::Bytes = size::Bytes(24 << 10);
 
 /// The same while the link is busy with documents.
-const WORDS_BUSY: size::Bytes = size::Bytes(2 << 10);
+const MAX_UPDATE_BYTES_WHEN_BUSY: size::Bytes = size::Bytes(2 << 10);
 
 /// How long the end of an answer may be on its way after the connection took it.
-const LAST_BYTES: Duration = Duration::from_millis(50);
+const DELIVERY_MARGIN: Duration = Duration::from_millis(50);
 
 /// What this node gives, and gave.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
     meter: Meter,
     /// Those that were given all pieces of a value of this revision.
     revision: Revision,
-    given: Given<SocketAddr>,
+    recipients: Given<SocketAddr>,
 }
 
 /// The answer to a peer that is turned away.
@@ -54,9 +54,9 @@
 }
 
 /// Pieces that a peer asks for.
-struct Ask<'a> {
+struct ChunkRequest<'a> {
     key: &'a str,
-    pieces: Vec<chunk::Id>,
+    chunks: Vec<chunk::Id>,
     /// Where it gives them on.
     from: SocketAddr,
 }
@@ -68,8 +68,8 @@
 ) -> Response<Reply> {
     let query = uri.query().unwrap_or_default();
     let answered = match uri.path() {
-        UPDATES_PATH => answer_words(core, query),
-        CHUNKS_PATH => answer_pieces(core, query),
+        UPDATES_PATH => answer_updates(core, query),
+        CHUNKS_PATH => answer_chunks(core, query),
         _ => Ok(reply::plain(StatusCode::NOT_FOUND, "no such path")),
     };
     answered.unwrap_or_else(|error| reply::plain(StatusCode::BAD_REQUEST, &error))
@@ -78,45 +78,45 @@
 /// The words after the revision that is named, of one prefix or of both. A node
 /// whose link is busy gives the first few: the word that a target leaves must not
 /// wait behind a document, however many there are.
-fn answer_words<D: Dialect, S: Store, C: Clock>(
+fn answer_updates<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     query: &str,
 ) -> Result<Response<Reply>, String> {
     let is_busy = core.giving().meter.is_busy(core.now(), core.settings.link());
-    let most = if is_busy { WORDS_BUSY } else { WORDS_MOST };
-    let mut words: Vec<Update> = Vec::new();
+    let max_bytes = if is_busy { MAX_UPDATE_BYTES_WHEN_BUSY } else { MAX_UPDATE_BYTES };
+    let mut updates: Vec<Update> = Vec::new();
     for (name, prefix) in [("operator", D::OPERATOR_PREFIX), ("targets", D::TARGET_PREFIX)] {
-        if find(query, name).is_some() {
-            let after = Revision(read(query, name)?);
-            words.extend(core.items().updates_after(prefix, after, most));
+        if find_parameter(query, name).is_some() {
+            let after = Revision(parse_parameter(query, name)?);
+            updates.extend(core.items().updates_after(prefix, after, max_bytes));
         }
     }
-    let body = serde_json::to_string(&words).map_err(|error| error.to_string())?;
+    let body = serde_json::to_string(&updates).map_err(|error| error.to_string())?;
     core.metrics.fetch(Fetch::Given);
     core.metrics.fetch_bytes(Way::Given, size::Bytes(body.len() as u64));
     Ok(reply::json(StatusCode::OK, body))
 }
 
 /// The pieces that are named, as far as this node has them.
-fn answer_pieces<D: Dialect, S: Store, C: Clock>(
+fn answer_chunks<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     query: &str,
 ) -> Result<Response<Reply>, String> {
-    let ask = read_ask(query)?;
-    let Some((revision, cut)) = find_cut(core, ask.key) else {
+    let request = parse_chunk_request(query)?;
+    let Some((revision, value)) = find_chunked_value(core, request.key) else {
         return Ok(reply::plain(StatusCode::NOT_FOUND, "no such value"));
     };
-    let pieces = Pieces::of(cut, &ask.pieces);
+    let pieces = Pieces::of(value, &request.chunks);
     let size = *pieces.unsent().borrow();
     let admitted = admit(core, revision, size);
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err((busy, others)) => return Ok(turn_away(core, busy, others)),
+        Err((busy, others)) => return Ok(reply_busy(core, busy, others)),
     };
     core.metrics.fetch(Fetch::Given);
     core.metrics.fetch_bytes(Way::Given, size);
-    let transfer = Transfer { ticket, revision, to: ask.from, pieces: pieces.len(), size };
-    tokio::spawn(follow_transfer(core.clone(), transfer, pieces.unsent()));
+    let transfer = Transfer { ticket, revision, to: request.from, chunk_count: pieces.len(), size };
+    tokio::spawn(track_transfer(core.clone(), transfer, pieces.unsent()));
     Ok(Response::new(Reply::Pieces(pieces)))
 }
 
@@ -127,13 +127,13 @@
     size: size::Bytes,
 ) -> Result<Ticket, (Busy, Vec<SocketAddr>)> {
     let now = core.now();
-    let mut giving = core.giving();
-    if giving.revision != revision {
-        giving.revision = revision;
-        giving.given.clear();
+    let mut outbox = core.giving();
+    if outbox.revision != revision {
+        outbox.revision = revision;
+        outbox.recipients.clear();
     }
-    let admitted = giving.meter.admit(now, size, core.settings.link());
-    admitted.map_err(|busy| (busy, giving.given.name(now)))
+    let admitted = outbox.meter.admit(now, size, core.settings.link());
+    admitted.map_err(|busy| (busy, outbox.recipients.name(now)))
 }
 
 /// An answer with pieces, on its way.
@@ -141,40 +141,40 @@
     ticket: Ticket,
     revision: Revision,
     to: SocketAddr,
-    pieces: usize,
+    chunk_count: usize,
     size: size::Bytes,
 }
 
 /// Tells the meter how far an answer is, until it ends.
-async fn follow_transfer<D: Dialect, S: Store, C: Clock>(
+async fn track_transfer<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     transfer: Transfer,
     mut unsent: watch::Receiver<size::Bytes>,
 ) {
     let began = core.now();
     while unsent.changed().await.is_ok() {
-        let left = *unsent.borrow_and_update();
-        core.giving().meter.note_left(core.now(), transfer.ticket, left);
+        let unsent_bytes = *unsent.borrow_and_update();
+        core.giving().meter.note_left(core.now(), transfer.ticket, unsent_bytes);
     }
     let now = core.now();
-    let left = *unsent.borrow();
-    let mut giving = core.giving();
-    giving.meter.end(transfer.ticket);
-    if left == size::Bytes(0) && giving.revision == transfer.revision {
-        giving.given.note(now + LAST_BYTES, transfer.to);
+    let unsent_bytes = *unsent.borrow();
+    let mut outbox = core.giving();
+    outbox.meter.end(transfer.ticket);
+    if unsent_bytes == size::Bytes(0) && outbox.revision == transfer.revision {
+        outbox.recipients.note(now + DELIVERY_MARGIN, transfer.to);
     }
-    drop(giving);
+    drop(outbox);
     log::info!(
         peer:% = transfer.to,
-        pieces = transfer.pieces,
+        pieces = transfer.chunk_count,
         bytes = transfer.size.0,
-        unsent = left.0,
+        unsent = unsent_bytes.0,
         took_ms = now.saturating_duration_since(began).as_millis() as u64;
         "pieces given to a peer"
     );
 }
 
-fn find_cut<D: Dialect, S: Store, C: Clock>(
+fn find_chunked_value<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     key: &str,
 ) -> Option<(Revision, Arc<ChunkedValue>)> {
@@ -183,34 +183,37 @@
     Some((item.revision, item.chunks.clone()?))
 }
 
-fn turn_away<D: Dialect, S: Store, C: Clock>(
+fn reply_busy<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     busy: Busy,
     others: Vec<SocketAddr>,
 ) -> Response<Reply> {
     core.metrics.fetch(Fetch::TurnedAway);
-    let turned_away = BusyReply { wait_ms: busy.wait.as_millis() as u64, others };
-    match serde_json::to_string(&turned_away) {
+    let busy_reply = BusyReply { wait_ms: busy.wait.as_millis() as u64, others };
+    match serde_json::to_string(&busy_reply) {
         Ok(body) => reply::json(StatusCode::SERVICE_UNAVAILABLE, body),
         Err(error) => reply::plain(StatusCode::SERVICE_UNAVAILABLE, &error.to_string()),
     }
 }
 
-fn read_ask(query: &str) -> Result<Ask<'_>, String> {
-    let pieces = find(query, "of").ok_or("query of: missing")?;
-    let pieces: Result<Vec<chunk::Id>, _> = pieces.split(',').map(str::parse).collect();
-    Ok(Ask {
-        key: find(query, "key").ok_or("query key: missing")?,
-        pieces: pieces.map_err(|error| format!("query of: {error}"))?,
-        from: read(query, "from")?,
+fn parse_chunk_request(query: &str) -> Result<ChunkRequest<'_>, String> {
+    let chunks = find_parameter(query, "of").ok_or("query of: missing")?;
+    let chunks: Result<Vec<chunk::Id>, _> = chunks.split(',').map(str::parse).collect();
+    Ok(ChunkRequest {
+        key: find_parameter(query, "key").ok_or("query key: missing")?,
+        chunks: chunks.map_err(|error| format!("query of: {error}"))?,
+        from: parse_parameter(query, "from")?,
     })
 }
 
-fn find<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn find_parameter<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
 
-fn read<T: FromStr<Err: std::fmt::Display>>(query: &str, name: &str) -> Result<T, String> {
-    let value = find(query, name).ok_or_else(|| format!("query {name}: missing"))?;
+fn parse_parameter<T: FromStr<Err: std::fmt::Display>>(
+    query: &str,
+    name: &str,
+) -> Result<T, String> {
+    let value = find_parameter(query, name).ok_or_else(|| format!("query {name}: missing"))?;
     value.parse().map_err(|error| format!("query {name}: {error}"))
 }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -108,30 +108,30 @@
 }
 
 impl View {
-    /// The view of changed items. `may_lapse` says whether entries that are
+    /// The view of changed items. `may_have_lapsed` says whether entries that are
     /// gone may have lapsed because the store was out of reach.
-    pub fn updated<D: Dialect>(&self, items: &Items, now: Instant, may_lapse: bool) -> Self {
+    pub fn updated<D: Dialect>(&self, items: &Items, now: Instant, may_have_lapsed: bool) -> Self {
         let mut next = Self {
             configuration: self.configuration.clone(),
-            zones_out: read_zones::<D>(items),
+            zones_out: decode_zones::<D>(items),
             targets: HashMap::new(),
             changes: Vec::new(),
             index: OnceLock::new(),
             configured_at: self.configured_at,
             config_revision: self.config_revision,
         };
-        next.read_configuration::<D>(items, now);
+        next.decode_configuration::<D>(items, now);
         let before: HashMap<&str, &Arc<Target>> =
             self.targets.values().flatten().map(|target| (target.id.as_str(), target)).collect();
-        log_zones(&self.zones_out, &next.zones_out);
+        log_zone_changes(&self.zones_out, &next.zones_out);
         for (key, item) in items.with_prefix(D::TARGET_PREFIX) {
             let id = &key[D::TARGET_PREFIX.len()..];
             let known = before.get(id).copied();
             let target = match &item.value {
-                Some(text) => read_target::<D>(id, text, item, known),
-                None => keep_lapsed(known, item.learned_at, now, may_lapse),
+                Some(text) => decode_target::<D>(id, text, item, known),
+                None => keep_lapsed(known, item.learned_at, now, may_have_lapsed),
             };
-            next.changes.extend(find_change(known, target.as_ref()));
+            next.changes.extend(detect_change(known, target.as_ref()));
             if let Some(target) = target {
                 next.targets.entry(target.entry.service.clone()).or_default().push(target);
             }
@@ -139,7 +139,7 @@
         next
     }
 
-    fn read_configuration<D: Dialect>(&mut self, items: &Items, now: Instant) {
+    fn decode_configuration<D: Dialect>(&mut self, items: &Items, now: Instant) {
         let Some(item) = items.get(D::CONFIG_KEY) else { return };
         if item.revision <= self.config_revision {
             return;
@@ -188,7 +188,7 @@
     }
 }
 
-fn read_zones<D: Dialect>(items: &Items) -> HashSet<id::Zone> {
+fn decode_zones<D: Dialect>(items: &Items) -> HashSet<id::Zone> {
     items
         .with_prefix(D::ZONE_PREFIX)
         .filter(|(_, item)| item.value.is_some())
@@ -196,7 +196,7 @@
         .collect()
 }
 
-fn log_zones(before: &HashSet<id::Zone>, after: &HashSet<id::Zone>) {
+fn log_zone_changes(before: &HashSet<id::Zone>, after: &HashSet<id::Zone>) {
     for zone in after.difference(before) {
         log::info!(zone = zone.as_str(); "zone out of service");
     }
@@ -206,7 +206,7 @@
 }
 
 /// What became of a target, if anything.
-fn find_change(
+fn detect_change(
     before: Option<&Arc<Target>>,
     after: Option<&Arc<Target>>,
 ) -> Option<(Change, Arc<Target>)> {
@@ -220,7 +220,7 @@
 }
 
 /// The target of an entry; an entry that has not changed since is not read again.
-fn read_target<D: Dialect>(
+fn decode_target<D: Dialect>(
     id: &str,
     text: &str,
     item: &Item,
@@ -238,7 +238,7 @@
         return Some(Arc::new(Target { revision: item.revision, ..Target::clone(known) }));
     }
     let cold_until = (!entry.cold_left.is_zero()).then(|| item.learned_at + entry.cold_left);
-    let (tag, revision) = (tag_target(id, entry.born), item.revision);
+    let (tag, revision) = (compute_tag(id, entry.born), item.revision);
     Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapsed_until: None, revision }))
 }
 
@@ -247,17 +247,17 @@
     known: Option<&Arc<Target>>,
     seen: Instant,
     now: Instant,
-    may_lapse: bool,
+    may_have_lapsed: bool,
 ) -> Option<Arc<Target>> {
     let known = known?;
     let lapsed_until = known
         .lapsed_until
-        .or((may_lapse && !known.entry.draining).then(|| seen + LAPSED_TARGET_TTL));
+        .or((may_have_lapsed && !known.entry.draining).then(|| seen + LAPSED_TARGET_TTL));
     let lapsed_until = lapsed_until.filter(|at| now < *at)?;
     Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(known) }))
 }
 
-fn tag_target(id: &str, born: u64) -> Tag {
+fn compute_tag(id: &str, born: u64) -> Tag {
     let mut hasher = blake3::Hasher::new();
     hasher.update(id.as_bytes()).update(&born.to_le_bytes());
     let hash = hasher.finalize();
--- a/crates/path/tests/items.rs
+++ b/crates/path/tests/items.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 /// Bytes of one answer.
-const MOST: size::Bytes = size::Bytes(24 << 10);
+const MAX_BYTES: size::Bytes = size::Bytes(24 << 10);
 
-fn word(key: &str, revision: u64, value: Option<&str>) -> Update {
+fn update(key: &str, revision: u64, value: Option<&str>) -> Update {
     Update::full(key.into(), Revision(revision), value.map(str::to_owned))
 }
 
@@ -19,32 +19,32 @@
 /// A route that was dropped serves again: a peer that was cut off tells an
 /// older word after the newer one.
 #[test]
-fn an_older_word_changes_nothing() {
+fn an_older_update_is_ignored() {
     let (mut items, now) = (Items::default(), Instant::now());
-    assert!(items.apply(now, word("op/config", 5, Some("new"))));
-    assert!(!items.apply(now, word("op/config", 4, Some("old"))));
-    assert!(!items.apply(now, word("op/config", 5, Some("same"))));
+    assert!(items.apply(now, update("op/config", 5, Some("new"))));
+    assert!(!items.apply(now, update("op/config", 4, Some("old"))));
+    assert!(!items.apply(now, update("op/config", 5, Some("same"))));
     assert_eq!(value(&items, "op/config").as_deref(), Some("new"));
 }
 
 /// A target that left gets requests: a peer tells of its entry after this node
 /// has seen it removed.
 #[test]
-fn a_removal_is_a_word_like_any_other() {
+fn removals_are_ordered_by_revision() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.apply(now, word("servers/1", 5, Some("x")));
-    items.apply(now, word("servers/1", 7, None));
-    assert!(!items.apply(now, word("servers/1", 5, Some("x"))));
+    items.apply(now, update("servers/1", 5, Some("x")));
+    items.apply(now, update("servers/1", 7, None));
+    assert!(!items.apply(now, update("servers/1", 5, Some("x"))));
     assert_eq!(value(&items, "servers/1"), None);
-    assert!(items.apply(now, word("servers/1", 9, Some("back"))));
+    assert!(items.apply(now, update("servers/1", 9, Some("back"))));
 }
 
 #[test]
-fn a_list_removes_what_it_does_not_name() {
+fn a_snapshot_removes_missing_keys() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.apply(now, word("servers/1", 5, Some("x")));
-    items.apply(now, word("servers/2", 6, Some("y")));
-    items.apply(now, word("op/config", 3, Some("c")));
+    items.apply(now, update("servers/1", 5, Some("x")));
+    items.apply(now, update("servers/2", 6, Some("y")));
+    items.apply(now, update("op/config", 3, Some("c")));
     let entry = Entry { key: "servers/2".into(), value: "y".into(), revision: Revision(6) };
     assert!(items.apply_snapshot(now, "servers/", [&entry].into_iter(), Revision(8)));
     assert_eq!(value(&items, "servers/1"), None);
@@ -56,20 +56,23 @@
 /// A target that has just registered vanishes again: a peer told of it, and a
 /// list from before it is taken afterwards.
 #[test]
-fn a_list_does_not_remove_what_is_newer() {
+fn a_snapshot_keeps_newer_items() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.apply(now, word("servers/1", 9, Some("new")));
+    items.apply(now, update("servers/1", 9, Some("new")));
     items.apply_snapshot(now, "servers/", std::iter::empty(), Revision(8));
     assert_eq!(value(&items, "servers/1").as_deref(), Some("new"));
 }
 
 #[test]
-fn peers_are_told_what_they_miss() {
+fn peers_get_the_updates_that_they_miss() {
     let (mut items, now) = (Items::default(), Instant::now());
-    items.apply(now, word("servers/1", 5, Some("x")));
-    items.apply(now, word("servers/2", 8, None));
-    items.apply(now, word("op/config", 9, Some("c")));
+    items.apply(now, update("servers/1", 5, Some("x")));
+    items.apply(now, update("servers/2", 8, None));
+    items.apply(now, update("op/config", 9, Some("c")));
     assert_eq!(items.newest_revision("servers/"), Revision(8));
-    assert_eq!(items.updates_after("servers/", Revision(5), MOST), [word("servers/2", 8, None)]);
-    assert_eq!(items.updates_after("servers/", Revision(0), MOST).len(), 2);
+    assert_eq!(
+        items.updates_after("servers/", Revision(5), MAX_BYTES),
+        [update("servers/2", 8, None)]
+    );
+    assert_eq!(items.updates_after("servers/", Revision(0), MAX_BYTES).len(), 2);
 }
--- a/crates/path/tests/lag.rs
+++ b/crates/path/tests/lag.rs
@@ -6,23 +6,23 @@
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-fn second(number: u64) -> Duration {
+fn seconds(number: u64) -> Duration {
     Duration::from_secs(number)
 }
 
 #[test]
-fn a_node_is_behind_from_the_first_word_until_it_has_it() {
+fn a_node_lags_from_the_first_announcement_until_it_has_the_revision() {
     let (begin, mut tracker) = (Instant::now(), LagTracker::default());
     tracker.note_announced(begin, Revision(5), Revision(5));
     assert_eq!(tracker.lag(begin, Revision(5)), None);
-    tracker.note_announced(begin + second(1), Revision(7), Revision(5));
-    tracker.note_announced(begin + second(2), Revision(6), Revision(5));
-    assert_eq!(tracker.lag(begin + second(3), Revision(5)).unwrap().time, second(2));
-    assert_eq!(tracker.note_known(begin + second(4), Revision(6)), None, "a newer one was told");
-    assert!(tracker.lag(begin + second(4), Revision(6)).is_some());
-    assert_eq!(tracker.note_known(begin + second(5), Revision(7)), Some(second(4)));
-    assert_eq!(tracker.lag(begin + second(5), Revision(7)), None);
-    assert_eq!(tracker.note_known(begin + second(6), Revision(7)), None, "it is said once");
+    tracker.note_announced(begin + seconds(1), Revision(7), Revision(5));
+    tracker.note_announced(begin + seconds(2), Revision(6), Revision(5));
+    assert_eq!(tracker.lag(begin + seconds(3), Revision(5)).unwrap().time, seconds(2));
+    assert_eq!(tracker.note_known(begin + seconds(4), Revision(6)), None, "a newer one was told");
+    assert!(tracker.lag(begin + seconds(4), Revision(6)).is_some());
+    assert_eq!(tracker.note_known(begin + seconds(5), Revision(7)), Some(seconds(4)));
+    assert_eq!(tracker.lag(begin + seconds(5), Revision(7)), None);
+    assert_eq!(tracker.note_known(begin + seconds(6), Revision(7)), None, "it is said once");
 }
 
 /// Every request with a wrong path waits and gets 503, until the node is
@@ -30,14 +30,14 @@
 /// count only while somebody tells it, and a little longer, since whoever told of
 /// something true may have died.
 #[test]
-fn a_word_that_nobody_tells_any_more_is_forgotten() {
+fn an_announcement_that_is_not_repeated_expires() {
     let (begin, mut tracker) = (Instant::now(), LagTracker::default());
     tracker.note_announced(begin, Revision(u64::MAX), Revision(5));
-    assert!(tracker.lag(begin + second(5), Revision(5)).is_some());
-    assert_eq!(tracker.lag(begin + second(15), Revision(5)), None);
-    tracker.note_announced(begin + second(20), Revision(6), Revision(5));
-    assert_eq!(tracker.lag(begin + second(21), Revision(5)).unwrap().time, second(1));
-    assert_eq!(tracker.note_known(begin + second(22), Revision(6)), Some(second(2)));
+    assert!(tracker.lag(begin + seconds(5), Revision(5)).is_some());
+    assert_eq!(tracker.lag(begin + seconds(15), Revision(5)), None);
+    tracker.note_announced(begin + seconds(20), Revision(6), Revision(5));
+    assert_eq!(tracker.lag(begin + seconds(21), Revision(5)).unwrap().time, seconds(1));
+    assert_eq!(tracker.note_known(begin + seconds(22), Revision(6)), Some(seconds(2)));
 }
 
 /// The same refusals, ten minutes after a zone was put back into service. The
@@ -45,17 +45,17 @@
 /// had forgotten it heard from another that there is something newer, asked for
 /// it, and nobody had it any more.
 #[test]
-fn the_newest_word_is_never_forgotten() {
+fn the_newest_tombstone_never_expires() {
     let now = Instant::now();
     let mut items = Items::default();
     items.apply(now, Update::full("op/config".into(), Revision(90), Some("c".into())));
     items.apply(now, Update::full("op/evacuate/a".into(), Revision(95), None));
     items.apply(now, Update::full("op/evacuate/b".into(), Revision(100), None));
     items.apply(now, Update::full("servers/1".into(), Revision(99), None));
-    items.expire_tombstones(now + second(601), "op/");
+    items.expire_tombstones(now + seconds(601), "op/");
     assert_eq!(items.newest_revision("op/"), Revision(100));
-    let words = items.updates_after("op/", Revision(90), size::Bytes(1_000));
-    assert_eq!(words, [Update::full("op/evacuate/b".into(), Revision(100), None)]);
+    let updates = items.updates_after("op/", Revision(90), size::Bytes(1_000));
+    assert_eq!(updates, [Update::full("op/evacuate/b".into(), Revision(100), None)]);
     assert!(items.get("op/evacuate/a").is_none(), "older removals are forgotten");
     assert!(items.get("servers/1").is_some(), "another prefix has its own newest word");
 }
--- a/crates/path/tests/outage.rs
+++ b/crates/path/tests/outage.rs
@@ -8,7 +8,7 @@
 /// later, a target leaves. That answer is the first after the outage, and the
 /// removal in it is no lapse.
 #[test]
-fn a_removal_that_was_waited_for_is_no_lapse() {
+fn a_removal_in_a_delayed_answer_is_not_a_lapse() {
     let mut outage = Outage::default();
     outage.note_failure();
     assert!(!outage.note_answer(Duration::from_secs(3)));
@@ -18,7 +18,7 @@
 /// was away, and the first answer shows none. Callers get refusals for two
 /// seconds unless those targets are kept.
 #[test]
-fn what_the_first_answer_shows_at_once_may_have_lapsed() {
+fn a_removal_in_an_immediate_first_answer_may_be_a_lapse() {
     let mut outage = Outage::default();
     outage.note_failure();
     assert!(outage.is_ongoing());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn without_an_outage_what_goes_was_removed() {
+fn without_an_outage_a_removal_is_not_a_lapse() {
     let mut outage = Outage::default();
     assert!(!outage.note_answer(Duration::from_millis(4)));
     outage.note_failure();
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 thread_local! {
-    static ENTRIES_READ: Cell<usize> = const { Cell::new(0) };
+    static DECODED_ENTRIES: Cell<usize> = const { Cell::new(0) };
 }
 
 /// A platform whose entries are the number of the target's slots.
@@ -29,7 +29,7 @@
     const ZONE_PREFIX: &str = "operators/zones/";
 
     fn read_target(_: &str, text: &str) -> Option<Entry> {
-        ENTRIES_READ.set(ENTRIES_READ.get() + 1);
+        DECODED_ENTRIES.set(DECODED_ENTRIES.get() + 1);
         let address = "10.1.0.1:80".parse().ok()?;
         let (service, zone, slots) = ("model".into(), "a".into(), text.parse().ok()?);
         let cold_left = Duration::ZERO;
@@ -69,7 +69,7 @@
     }
 }
 
-fn take(items: &mut Items, target: u64, revision: u64, entry: &str) {
+fn write_entry(items: &mut Items, target: u64, revision: u64, entry: &str) {
     let key = format!("targets/{target}").into();
     items.apply(Instant::now(), Update::full(key, Revision(revision), Some(entry.to_owned())));
 }
@@ -85,38 +85,38 @@
 /// Guards against nodes that read thousands of entries for each one that changes: a
 /// zone's targets come back one by one.
 #[test]
-fn an_entry_is_read_once_for_each_change_of_it() {
+fn an_entry_is_decoded_once_per_change() {
     const TARGETS: u64 = 500;
     let (mut items, now) = (Items::default(), Instant::now());
-    (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
+    (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
     let mut view = View::default().updated::<Plain>(&items, now, false);
     for change in 0..10 {
-        take(&mut items, change, TARGETS + change + 1, "6");
+        write_entry(&mut items, change, TARGETS + change + 1, "6");
         view = view.updated::<Plain>(&items, now, false);
     }
-    assert_eq!(ENTRIES_READ.get() as u64, TARGETS + 10);
+    assert_eq!(DECODED_ENTRIES.get() as u64, TARGETS + 10);
     assert_eq!(slots(&view).iter().filter(|&&slots| slots == 6).count(), 10);
 }
 
 /// Guards against a target that is written anew as it was, and read at each change
 /// from then on.
 #[test]
-fn an_entry_that_is_written_anew_as_it_was_is_read_once_more() {
+fn an_unchanged_rewrite_is_decoded_only_once() {
     let (mut items, now) = (Items::default(), Instant::now());
-    take(&mut items, 1, 1, "12");
+    write_entry(&mut items, 1, 1, "12");
     let mut view = View::default().updated::<Plain>(&items, now, false);
-    take(&mut items, 1, 2, "12");
+    write_entry(&mut items, 1, 2, "12");
     for _ in 0..5 {
         view = view.updated::<Plain>(&items, now, false);
     }
-    assert_eq!((ENTRIES_READ.get(), slots(&view)), (2, vec![12]));
+    assert_eq!((DECODED_ENTRIES.get(), slots(&view)), (2, vec![12]));
 }
 
 /// A target whose entry lapsed and came back takes work again.
 #[test]
-fn an_entry_that_comes_back_is_read_again() {
+fn an_entry_that_returns_is_decoded_again() {
     let (mut items, now) = (Items::default(), Instant::now());
-    take(&mut items, 1, 1, "12");
+    write_entry(&mut items, 1, 1, "12");
     let view = View::default().updated::<Plain>(&items, now, true);
     assert_eq!(changes(&view), [Change::Updated]);
     items.apply(now, Update::full("targets/1".into(), Revision(2), None));
@@ -124,11 +124,11 @@
     assert!(lapsed.targets_of(&"model".into())[0].lapsed_until.is_some());
     assert_eq!(changes(&lapsed), [Change::Removed]);
     assert_eq!(changes(&lapsed.updated::<Plain>(&items, now, true)), []);
-    take(&mut items, 1, 3, "12");
+    write_entry(&mut items, 1, 3, "12");
     let back = lapsed.updated::<Plain>(&items, now, true);
     assert!(back.targets_of(&"model".into())[0].lapsed_until.is_none());
     assert_eq!(changes(&back), [Change::Updated]);
-    take(&mut items, 1, 4, "6");
+    write_entry(&mut items, 1, 4, "6");
     assert_eq!(changes(&back.updated::<Plain>(&items, now, true)), [Change::Updated]);
 }
 
@@ -136,7 +136,7 @@
 fn each_target_is_found_by_its_tag_and_in_one_group() {
     const TARGETS: u64 = 500;
     let (mut items, now, service) = (Items::default(), Instant::now(), "model".into());
-    (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
+    (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
     let mut view = View::default().updated::<Plain>(&items, now, false);
     items.apply(now, Update::full("targets/3".into(), Revision(TARGETS + 1), None));
     view.targets_in_group(&service, 0);
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -12,13 +12,13 @@
     let candidates: Vec<Candidate<'_>> = nodes
         .iter()
         .enumerate()
-        .map(|(place, node)| Candidate { node, store_away: away.contains(&place) })
+        .map(|(index, node)| Candidate { node, is_store_away: away.contains(&index) })
         .collect();
-    (0..nodes.len()).filter(|&place| is_selected(&nodes[place], &candidates)).collect()
+    (0..nodes.len()).filter(|&index| is_selected(&nodes[index], &candidates)).collect()
 }
 
 #[test]
-fn a_few_of_many_watch() {
+fn three_of_many_nodes_watch() {
     assert_eq!(watching(&nodes(79), &[]).len(), 3);
     assert_eq!(watching(&nodes(2), &[]).len(), 2);
     assert_eq!(watching(&nodes(1), &[]).len(), 1);
@@ -27,29 +27,29 @@
 /// A configuration is in force nowhere: the store turns away just those nodes
 /// that watch. Others must watch as well, and the first go on trying.
 #[test]
-fn others_watch_where_the_store_turns_the_first_away() {
+fn other_nodes_watch_when_the_store_rejects_the_first() {
     let nodes = nodes(9);
     let first = watching(&nodes, &[]);
     let all = watching(&nodes, &first);
     assert_eq!(all.len(), 6);
-    assert!(first.iter().all(|place| all.contains(place)));
+    assert!(first.iter().all(|index| all.contains(index)));
 }
 
 /// Guards against a store that is down and is called by all nodes in turn.
 #[test]
-fn nodes_take_over_the_later_the_more_were_turned_away() {
+fn takeover_delay_grows_with_the_number_of_rejected_nodes() {
     let nodes = nodes(67);
     let first = watching(&nodes, &[]);
     let delay = |me: usize, away: &[usize]| {
         let candidate =
-            |place: usize| Candidate { node: &nodes[place], store_away: away.contains(&place) };
+            |index: usize| Candidate { node: &nodes[index], is_store_away: away.contains(&index) };
         let candidates: Vec<Candidate<'_>> = (0..nodes.len()).map(candidate).collect();
         takeover_delay(&nodes[me], &candidates)
     };
-    let other = (0..nodes.len()).find(|place| !first.contains(place)).unwrap();
+    let other = (0..nodes.len()).find(|index| !first.contains(index)).unwrap();
     assert_eq!(delay(other, &first[..1]), Duration::ZERO, "one node alone is cut off");
-    assert!(first.iter().all(|&place| delay(place, &first).is_zero()));
-    let rest: Vec<usize> = (0..nodes.len()).filter(|place| *place != other).collect();
+    assert!(first.iter().all(|&index| delay(index, &first).is_zero()));
+    let rest: Vec<usize> = (0..nodes.len()).filter(|index| *index != other).collect();
     let delays = [3, 6, 9, 30, 60].map(|away| delay(other, &rest[..away]));
     assert!(delays.is_sorted() && delays[0] > Duration::ZERO, "{delays:?}");
     assert!(delays[4] <= Duration::from_secs(5), "{delays:?}");
@@ -57,10 +57,10 @@
 
 /// A node that is cut off from its peers hears nobody, and must watch itself.
 #[test]
-fn a_node_alone_watches() {
+fn an_isolated_node_watches() {
     let all = nodes(9);
     for node in &all {
-        assert!(is_selected(node, &[Candidate { node, store_away: true }]));
+        assert!(is_selected(node, &[Candidate { node, is_store_away: true }]));
     }
 }
 
@@ -68,12 +68,12 @@
 /// one hears of it at once, and where the store turns that one away, another of
 /// those that watch.
 #[test]
-fn one_of_those_that_watch_leads() {
+fn exactly_one_watcher_leads() {
     let nodes = nodes(9);
     let leading = |away: &[usize]| -> Vec<usize> {
-        let candidate = |(place, node)| Candidate { node, store_away: away.contains(&place) };
+        let candidate = |(index, node)| Candidate { node, is_store_away: away.contains(&index) };
         let candidates: Vec<Candidate<'_>> = nodes.iter().enumerate().map(candidate).collect();
-        (0..nodes.len()).filter(|&place| is_leader(&nodes[place], &candidates)).collect()
+        (0..nodes.len()).filter(|&index| is_leader(&nodes[index], &candidates)).collect()
     };
     let first = leading(&[]);
     assert_eq!(first.len(), 1);
--- a/crates/unit/src/clock.rs
+++ b/crates/unit/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock, passed in wherever time decides something.
+//! The clock, elapsed in wherever time decides something.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -39,19 +39,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
     origin: Instant,
-    booted: Duration,
+    boot_time_at_origin: Duration,
 }
 
 impl Boot {
     /// A clock that agrees with [`System`] now.
     pub fn start() -> Self {
-        Self { origin: Instant::now(), booted: read_boot_time() }
+        Self { origin: Instant::now(), boot_time_at_origin: read_boot_time() }
     }
 }
 
 impl Clock for Boot {
     fn now(&self) -> Instant {
-        self.origin + read_boot_time().saturating_sub(self.booted)
+        self.origin + read_boot_time().saturating_sub(self.boot_time_at_origin)
     }
 
     fn wall(&self) -> SystemTime {
@@ -68,13 +68,13 @@
 #[derive(Clone, Debug)]
 pub struct Manual {
     start: Instant,
-    passed: Arc<Mutex<Duration>>,
+    elapsed: Arc<Mutex<Duration>>,
 }
 
 impl Manual {
     /// A clock that starts at wall-clock time zero plus one day.
     pub fn start() -> Self {
-        Self { start: Instant::now(), passed: Arc::default() }
+        Self { start: Instant::now(), elapsed: Arc::default() }
     }
 
     /// Moves the clock on by `step`.
@@ -83,7 +83,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Duration> {
-        self.passed.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.elapsed.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
