--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The hickoryrun daemon of an entry host: settings in, a node that runs until
+//! The hickoryrun daemon of an entry host. It reads the settings and runs a node until
 //! SIGTERM.
 
 use clap::Parser;
@@ -13,29 +13,29 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long a call to the platform's store may take: some hundred times what
-/// it takes in calm.
+/// The timeout of a call to the platform's store: some hundred times its usual duration.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Between two looks whether the settings file has changed without a signal.
+/// The interval at which the settings file is checked for changes that came without a
+/// signal.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long connections are given to end after the node has closed.
+/// How long connections may take to finish after the node has closed.
 const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Serves callers beside the other nodes of a fleet.
+/// Runs a node that serves callers together with the other nodes of a fleet.
 #[derive(Debug, Parser)]
 #[command(name = "hickory-entry", version)]
 struct Options {
-    /// The settings file, in place of the one that the environment names.
+    /// Settings file; overrides the path in the environment.
     settings: Option<PathBuf>,
-    /// Least level of log lines: off, error, warn, info, debug or trace.
+    /// Minimum level of log lines: off, error, warn, info, debug or trace.
     #[arg(long, default_value = "info")]
     log: log::LevelFilter,
-    /// Port on which metrics are served, at any path; none without it.
+    /// Port on which metrics are served, at any path; without it they are not served.
     #[arg(long)]
     metrics: Option<u16>,
-    /// Read the settings, say what is wrong with them, and end.
+    /// Read and check the settings, then exit.
     #[arg(long)]
     check: bool,
 }
@@ -51,8 +51,8 @@
     }
     hickory_telemetry::logs::open_stdout(options.log)?;
     hickory_telemetry::logs::set_node(&settings.node);
-    // One thread: a host has a quarter of a core, and each further thread
-    // costs memory for its stack and its allocations.
+    // A single thread is enough for a quarter of a core, and each further thread costs
+    // memory for its stack and its allocations.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(settings, &path))
 }
@@ -93,7 +93,7 @@
     }
     node.drain();
     node.closed().await;
-    // Connections get their last bytes out before the process ends.
+    // Let connections send their last bytes before the process ends.
     tokio::time::sleep(CLOSE_GRACE_PERIOD).await;
     Ok(())
 }
--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: what its log says of requests that failed, and of targets.
+//! The log of a running daemon: what it reports about failed requests and about targets.
 
 use hickory_adapter_standin::caller::{self, Answer};
 use hickory_adapter_standin::replica::{Act, Replica};
@@ -11,7 +11,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// A process and its log.
+/// A daemon process and its log file.
 struct Daemon {
     process: Child,
     log: PathBuf,
@@ -19,14 +19,14 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It fails where the daemon has ended by itself.
+        // This fails if the daemon has already ended.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 }
 
 impl Daemon {
-    /// Starts a daemon whose files have this name, and waits until it is ready.
+    /// Starts a daemon with files of this name, and waits until it is ready.
     async fn start(name: &str, settings: &Settings) -> Self {
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let file = directory.join(format!("{name}.json"));
@@ -43,7 +43,8 @@
         daemon
     }
 
-    /// The lines that pass. A line that is just being written is not among them.
+    /// Returns the complete log lines that match; a line that is still being written is
+    /// left out.
     fn lines(&self, is_match: impl Fn(&Value) -> bool) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap();
         let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
@@ -52,7 +53,7 @@
     }
 }
 
-/// A daemon before a store and two replicas of each service.
+/// A daemon with a store and two replicas of each service.
 struct Harness {
     daemon: Daemon,
     callers: SocketAddr,
@@ -87,7 +88,7 @@
         caller::send(self.callers, &text).await
     }
 
-    /// The log's lines of a request, once there are so many.
+    /// Waits until the log has `count` lines about a request, and returns them.
     async fn wait_for_lines(&self, attempt: &str, count: usize) -> Vec<Value> {
         for _ in 0..100 {
             let own = self.daemon.lines(|line| line["attributes"]["request"] == attempt);
@@ -104,9 +105,9 @@
     line["attributes"][name].as_str().unwrap().parse().unwrap()
 }
 
-/// A caller's advice came after a second and a half, and it asks why. One line
-/// says that it did not wait at the node, which target was late, and what had
-/// been expected of it.
+/// Operators must be able to explain why a first event came 1.5 seconds late: one line
+/// shows that the request did not wait at the node, which target was late, and the expected
+/// time.
 #[tokio::test]
 async fn a_late_first_event_is_logged_with_its_target() {
     let harness = Harness::open("late").await;
@@ -124,8 +125,8 @@
     assert!(line["attributes"]["target_id"].as_str().unwrap().starts_with("m-"), "{line}");
 }
 
-/// An order ended without an answer. The lines say that it reached a target,
-/// that the connection broke, and that it may have run.
+/// A request ends without an answer. The lines show that it reached a target, that the
+/// connection broke, and that it may have run.
 #[tokio::test]
 async fn a_request_without_an_answer_is_logged_as_possibly_executed() {
     let harness = Harness::open("order").await;
@@ -139,8 +140,8 @@
     assert_eq!(read_number(&lines[1], "prompt"), 1_460);
 }
 
-/// A stream that its engines failed before its first event. The lines name both,
-/// and the answer's line bears what a stream of its route is judged by.
+/// Two engines fail a stream before its first event. The lines name both, and the line of
+/// the answer has the goals that the route's streams are judged by.
 #[tokio::test]
 async fn the_log_names_both_targets_that_failed_a_stream() {
     let harness = Harness::open("failed").await;
@@ -155,8 +156,7 @@
     assert!(read_number(last, "goal_ms") > 0 && read_number(last, "pause_max_ms") > 0, "{last}");
 }
 
-/// A stream was cut in the middle and went on. The lines name the target that
-/// broke off and the one that took it up.
+/// A stream is cut off and resumed, then cut off again. The lines name both targets.
 #[tokio::test]
 async fn the_log_names_both_targets_of_an_interrupted_stream() {
     let harness = Harness::open("cut").await;
@@ -164,7 +164,7 @@
     harness.replicas[3].next(Act::Cut(2, 0));
     harness.replicas[2].next(Act::Stream(5));
     harness.replicas[3].next(Act::Stream(5));
-    // The first stream is cut by both; the second one finds both sound again.
+    // Both targets cut off the first stream; later streams succeed.
     let cut = harness.ask("cut-1", "/say/1").await;
     assert_eq!((cut.ids(), cut.complete), (vec![1, 2], false));
     let lines = harness.wait_for_lines("cut-1", 3).await;
@@ -176,9 +176,9 @@
     assert_eq!(read_number(&lines[2], "prompt"), 1_460);
 }
 
-/// A report's caller was refused beside two idle engines. The line says how long
-/// the prompt is, what time was left, and that both engines together could not
-/// have read it in that time.
+/// A long request is refused although two engines are idle. The line shows the length of
+/// the prompt, the time left, and that both engines together could not have prefilled it in
+/// that time.
 #[tokio::test]
 async fn a_refusal_is_logged_with_the_inputs_of_its_decision() {
     let harness = Harness::open("refused").await;
@@ -197,7 +197,7 @@
     assert!(read_number(line, "retry_after_ms") > 0, "{line}");
 }
 
-/// Guards against logs of which half say on each node what became of each target.
+/// Guards against logs in which every node reports every change of every target.
 #[tokio::test]
 async fn a_change_of_a_target_is_logged_by_one_node() {
     let store = Store::spawn().await;
@@ -215,7 +215,7 @@
     let owners =
         || daemons.iter().filter(|daemon| !daemon.lines(is_ownership_line).is_empty()).count();
     caller::wait_for("an owner", || owners() > 0).await;
-    // The owner may change until all have been told what runs.
+    // The owner may change until all nodes have received the running allocations.
     tokio::time::sleep(Duration::from_secs(2)).await;
     store.put(&entry_key("m-1"), &replica.entry("draining"));
     let changes = || {
--- a/crates/path/src/chunk.rs
+++ b/crates/path/src/chunk.rs
@@ -1,9 +1,9 @@
-//! Large values in pieces, as nodes pass them on.
+//! Large values in chunks, as nodes exchange them.
 //!
-//! A value is cut where its content says so, so that two versions that differ
-//! in a few places have most pieces in common. Whoever has an older version
-//! asks for the pieces that it lacks, of any node that has them, and keeps what
-//! it got of a node that broke off.
+//! A value is split by content-defined chunking, so that two versions with a few
+//! differences share most chunks. A node that has an older version requests only the
+//! missing chunks, from any node that has them, and keeps the chunks it received if a
+//! source disconnects.
 
 use bytes::Bytes;
 use derive_more::Display;
@@ -14,11 +14,11 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Bytes of a piece: the least, those aimed at, and the most. Smaller ones would
-/// make the outline large, greater ones send more for a small change.
+/// The minimum, average and maximum size of a chunk. Smaller chunks would make the manifest
+/// large; larger ones would send more data for a small change.
 const CHUNK_BYTES: [usize; 3] = [1 << 10, 4 << 10, 16 << 10];
 
-/// Names a piece by its content.
+/// The id of a chunk: a hash of its content.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[display("{_0:016x}")]
 pub struct Id(u64);
@@ -38,18 +38,18 @@
     }
 }
 
-/// What a value consists of.
+/// The chunks that make up a value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// Its pieces, in order.
+    /// The ids of the chunks, in order.
     #[serde(rename = "pieces")]
     chunks: Vec<Id>,
-    /// The whole.
+    /// The hash of the complete value.
     #[serde(rename = "whole")]
     digest: Id,
 }
 
-/// A value and its pieces.
+/// A value that is split into chunks.
 #[derive(Clone, Debug)]
 pub struct ChunkedValue {
     text: Arc<str>,
@@ -58,7 +58,7 @@
 }
 
 impl ChunkedValue {
-    /// Cuts a value.
+    /// Splits a value into chunks.
     pub fn of(text: Arc<str>) -> Self {
         let [min, target, max] = CHUNK_BYTES;
         let mut chunks = Vec::new();
@@ -73,23 +73,23 @@
         Self { text, manifest: Manifest { chunks, digest }, ranges }
     }
 
-    /// What it consists of.
+    /// Returns the manifest of the value.
     pub fn manifest(&self) -> &Manifest {
         &self.manifest
     }
 
-    /// A piece.
+    /// Returns the chunk with an id.
     pub fn chunk(&self, id: Id) -> Option<&[u8]> {
         self.ranges.get(&id).map(|range| &self.text.as_bytes()[range.clone()])
     }
 }
 
-/// A gathered value that is not what its outline says.
+/// The assembled value doesn't match its manifest.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
 #[display("the pieces don't make the value")]
 pub struct Mismatch;
 
-/// A value on its way to this node.
+/// Assembles a value from chunks as they arrive.
 #[derive(Clone, Debug)]
 pub struct Assembler {
     manifest: Manifest,
@@ -97,7 +97,7 @@
 }
 
 impl Assembler {
-    /// Begins with the pieces that an older value has in common.
+    /// Creates an assembler that already holds the chunks shared with an older value.
     pub fn new(manifest: Manifest, older: Option<&ChunkedValue>) -> Self {
         let mut assembler = Self { manifest, chunks: HashMap::new() };
         if let Some(older) = older {
@@ -106,28 +106,28 @@
         assembler
     }
 
-    /// Turns to another outline of the same value; pieces in common are kept.
+    /// Switches to another manifest of the same value, and keeps the chunks they share.
     pub fn switch_to(self, manifest: Manifest, older: Option<&ChunkedValue>) -> Self {
         let mut next = Self::new(manifest, older);
         next.add_known(|id| self.chunks.get(&id).cloned());
         next
     }
 
-    /// The pieces that are still missing, each once.
+    /// Returns the ids of the missing chunks, each once.
     pub fn missing(&self) -> Vec<Id> {
         let mut named = HashSet::new();
         let is_missing = |id: &&Id| !self.chunks.contains_key(id) && named.insert(**id);
         self.manifest.chunks.iter().filter(is_missing).copied().collect()
     }
 
-    /// Takes a piece; whether it was missing.
+    /// Adds a chunk. Returns whether it was missing.
     pub fn add(&mut self, chunk: Bytes) -> bool {
         let id = Id::of(&chunk);
         let is_wanted = self.manifest.chunks.contains(&id);
         is_wanted && self.chunks.insert(id, chunk).is_none()
     }
 
-    /// The value, once nothing is missing.
+    /// Returns the value, once no chunk is missing.
     pub fn assemble(&self) -> Result<String, Mismatch> {
         let chunks = self.manifest.chunks.iter().map(|id| self.chunks.get(id));
         let chunks: Option<Vec<&Bytes>> = chunks.collect();
--- a/crates/path/src/config.rs
+++ b/crates/path/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators set: routes, services, accounts, limits.
+//! The configuration that operators write: routes, services, accounts and limits.
 
 use compact_str::CompactString;
 use hickory_policy::engine;
@@ -7,107 +7,107 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Its version; later ones are greater.
+    /// The version; it increases with every change.
     pub version: u64,
-    /// Routes by host, those with the longest prefix first.
+    /// Routes by host, sorted by descending length of the path prefix.
     pub routes: HashMap<CompactString, Vec<Arc<Route>>>,
     /// Services by name.
     pub services: HashMap<id::Service, Arc<Service>>,
-    /// Accounts by key; `None` where callers need no key.
+    /// Accounts by API key; `None` if callers need no key.
     pub accounts: Option<HashMap<CompactString, Arc<Account>>>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
-/// What may be repeated of a request.
+/// Whether a route's requests may be retried, and whether the answer is an event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run more than once.
+    /// The request is idempotent and may run more than once.
     Idempotent,
-    /// It runs at most once for each attempt of the caller.
+    /// The request may run at most once per attempt of the caller.
     AtMostOnce,
-    /// A stream of events that begins once.
+    /// An event stream that can't move to another target once it has begun.
     Stream,
-    /// A stream of events that another target may take up.
+    /// An event stream that another target can resume.
     ResumableStream,
 }
 
 impl Kind {
-    /// Whether the answer is a stream of events.
+    /// Returns whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether it may run more than once.
+    /// Returns whether the request may run more than once.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// A route.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name, for logs.
     pub name: CompactString,
-    /// The host it is for.
+    /// The host that the route matches.
     pub host: CompactString,
-    /// The beginning of the paths it is for.
+    /// The path prefix that the route matches.
     pub prefix: CompactString,
-    /// What may be repeated.
+    /// The retry rule and the form of the answer.
     pub kind: Kind,
-    /// How long a caller may be kept waiting.
+    /// The longest time a caller may wait for the answer.
     pub timeout: Duration,
-    /// The time within which an answer, or a stream's first event, is wanted.
+    /// The target time until the answer, or until a stream's first event.
     pub goal: Duration,
-    /// The longest wanted pause between two events of a stream.
+    /// The target for the longest gap between two events of a stream.
     pub event_gap_goal: Option<Duration>,
-    /// Its rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// The services it goes to, with their weights.
+    /// The services that serve the route, with their weights.
     pub split: Vec<(id::Service, u32)>,
-    /// Targets that one attempt of a caller may be sent to.
+    /// The maximum number of targets that one attempt of a caller may be sent to.
     pub max_targets: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_public: bool,
 }
 
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name.
     pub name: id::Service,
-    /// Requests a second that a cold target bears; `None` where it bears all.
+    /// The maximum request rate per second of a cold target; `None` means no limit.
     pub max_cold_rate: Option<f64>,
-    /// The figures of its engines, where it is a model's.
+    /// The engine profile, if the service is a model.
     pub engine: Option<engine::Profile>,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Account {
-    /// Its name.
+    /// The name.
     pub name: id::Account,
-    /// Its rank, in place of the route's.
+    /// The priority, which overrides the route's.
     pub priority: Option<u32>,
 }
 
-/// What callers may send, and how long they may be idle.
+/// Limits on a caller's requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The head of a request.
+    /// The maximum size of a request's header section.
     pub max_header: size::Bytes,
-    /// Its body.
+    /// The maximum size of a request's body.
     pub max_body: size::Bytes,
-    /// How long a connection may be idle.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// In force before the first configuration is known: what HTTP servers
-    /// commonly take.
+    /// Returns the limits that apply until a configuration is known: the usual defaults of
+    /// HTTP servers.
     fn default() -> Self {
         Self {
             max_header: size::Bytes(16 << 10),
@@ -118,39 +118,41 @@
 }
 
 impl Configuration {
-    /// The route for a host and path.
+    /// Returns the route that matches a host and path.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// The account of a key.
+    /// Returns the account that an API key belongs to.
     pub fn find_account(&self, key: &str) -> Option<&Arc<Account>> {
         self.accounts.as_ref()?.get(key)
     }
 
-    /// The engine figures of a service.
+    /// Returns the engine profile of a service.
     pub fn engine_profile(&self, service: &id::Service) -> Option<&engine::Profile> {
         self.services.get(service)?.engine.as_ref()
     }
 }
 
-/// How long callers wait for an event before they leave a stream: the longest
-/// of this, of so many goals, and of so many wanted pauses. It is what the
-/// users say of their callers; work for one who has left is lost.
+/// Callers abandon a stream when its next event takes longer than the largest of this time,
+/// [`ABANDONMENT_GOALS`] times the route's goal and [`ABANDONMENT_GAPS`] times its event
+/// gap goal. The factors are the users' description of their callers. Work for a caller
+/// that has gone is wasted.
 const MIN_ABANDONMENT_TIMEOUT: Duration = Duration::from_secs(2);
 const ABANDONMENT_GOALS: u32 = 4;
 const ABANDONMENT_GAPS: u32 = 8;
 
 impl Route {
-    /// How long callers wait for the first event of a stream before they leave.
+    /// Returns how long callers wait for the first event of a stream before they
+    /// disconnect.
     pub fn abandonment_timeout(&self) -> Option<Duration> {
         let pause = self.event_gap_goal.unwrap_or_default() * ABANDONMENT_GAPS;
         let longest = MIN_ABANDONMENT_TIMEOUT.max(self.goal * ABANDONMENT_GOALS).max(pause);
         self.kind.is_stream().then_some(longest)
     }
 
-    /// The service that a random number from 0 to 1 falls on, by weight.
+    /// Returns the service that `random`, a number from 0 to 1, selects by weight.
     pub fn pick_service(&self, random: f64) -> Option<&id::Service> {
         let total: f64 = self.split.iter().map(|(_, weight)| f64::from(*weight)).sum();
         let mut left = random * total;
--- a/crates/path/src/decision.rs
+++ b/crates/path/src/decision.rs
@@ -1,25 +1,25 @@
-//! What a decision about a request knew, for its log line.
+//! The inputs of a placement decision, for its log line.
 
 use hickory_policy::survey::Survey;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// What decided where a prompt goes, or that it goes nowhere.
+/// The inputs of the decision where to place a prompt, or to refuse it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct DecisionContext {
-    /// Its size.
+    /// The size of the prompt.
     pub(crate) prompt: Tokens,
-    /// What is left of the time within which its first token is wanted.
+    /// The time left to meet the goal for the first token.
     pub(crate) goal_left: Duration,
-    /// What is left until its caller gives up on a first token.
+    /// The time left until the caller stops waiting for the first token.
     pub(crate) limit_left: Duration,
-    /// How long it has waited.
+    /// The time that the request has waited.
     pub(crate) waited: Duration,
-    /// What it would wait for.
+    /// The state of the engines and of the queue ahead of the request.
     pub(crate) survey: Survey,
 }
 
-/// Writes a log line with what a decision knew after the line's own fields.
+/// Writes a log line with the line's own fields, followed by the inputs of a decision.
 macro_rules! log_decision {
     ($known:expr, { $($field:tt)* }, $($message:tt)*) => {
         let known: &$crate::decision::DecisionContext = $known;
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching from peers what they know and this node doesn't.
+//! Fetches updates of the store's items from peers that have a newer revision.
 
 use crate::chunk::{Assembler, Manifest};
 use crate::core::{Core, Stage};
@@ -24,17 +24,17 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, LengthDelimitedCodec};
 
-/// Between two looks whether a peer knows more.
+/// The interval at which the node checks whether a peer has a newer revision.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long a peer must have known more before it is asked by a node that
-/// watches itself: a watch that is well brings the same within milliseconds.
+/// How long a node that watches the store itself waits before it fetches from a peer: a
+/// working watch delivers the same update within milliseconds.
 const WATCH_HEAD_START: Duration = Duration::from_millis(150);
 
-/// Pieces asked for at once: their names have to go into the head of a request.
+/// The maximum number of chunks per request; their ids are part of the request's URI.
 const MAX_CHUNKS_PER_REQUEST: usize = 256;
 
-/// How long a busy peer may tell this node to wait, whatever it says.
+/// The bounds of the retry time that a busy peer may ask for.
 const RETRY_WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_secs(1));
 
 impl Keyspace {
@@ -45,9 +45,8 @@
         }
     }
 
-    /// The path at which words of this part after a revision are asked for. A
-    /// node of an older version wants both parts named, and has nothing after the
-    /// last of all revisions.
+    /// Returns the path that requests the updates of this keyspace after a revision. Older
+    /// nodes require a revision for both keyspaces; [`u64::MAX`] selects no updates.
     fn updates_path(self, after: Revision) -> String {
         let (operator, targets) = match self {
             Self::Operator => (after.0, u64::MAX),
@@ -57,29 +56,29 @@
     }
 }
 
-/// What came of asking a peer.
+/// The result of a request to a peer.
 enum Fetched<T> {
-    /// All that it has of what was asked for.
+    /// Everything requested that the peer has.
     Complete(T),
-    /// It is busy, and names others.
+    /// The peer is busy, with the addresses of other nodes that have the data.
     Busy(Busy, Vec<SocketAddr>),
-    /// Nothing, or not all of it.
+    /// The request failed, or the answer was incomplete.
     Failed(String),
 }
 
-/// Follows one part of the items by what peers know.
+/// Keeps one keyspace up to date with the peers.
 struct Fetcher<D: Dialect, S: Store, C: Clock> {
     core: Arc<Core<D, S, C>>,
     keyspace: Keyspace,
-    /// Since when some peer has known more.
+    /// When a peer was first seen to be ahead.
     behind_since: Option<Instant>,
     sources: Givers<SocketAddr>,
-    /// Pieces of a value that could not be completed yet.
+    /// The key and the chunks of a value that could not be completed yet.
     partial: Option<(CompactString, Assembler)>,
 }
 
-/// Starts fetching. Each part by itself, so that the word that a target leaves
-/// doesn't wait behind a large configuration.
+/// Starts one fetcher per keyspace, so that the update of a draining target doesn't wait
+/// behind a large configuration.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
     for keyspace in [Keyspace::Operator, Keyspace::Targets] {
         let mut fetcher = Fetcher {
@@ -114,12 +113,12 @@
         }
     }
 
-    /// The newest revision that this node knows.
+    /// Returns the newest revision that this node has.
     fn known_revision(&self) -> Revision {
         self.core.items().newest_revision(self.keyspace.prefix::<D>())
     }
 
-    /// Where peers are that know of a revision after this one.
+    /// Returns the addresses of the live peers that have a revision after `after`.
     fn peers_ahead(&self, after: Revision) -> Vec<SocketAddr> {
         let ahead = self.core.peer_states().peers_ahead(self.keyspace, after);
         let membership = self.core.membership();
@@ -128,7 +127,7 @@
         alive.map(|record| record.contact.sync).collect()
     }
 
-    /// Asks one of those that are ahead for its updates, and takes them.
+    /// Requests updates from one of the peers in `ahead` and applies them.
     async fn request_updates(&mut self, ahead: &[SocketAddr]) {
         let now = self.core.now();
         let peer = match self.sources.choose(now, ahead, rand::random()) {
@@ -148,14 +147,16 @@
         }
     }
 
-    /// Whether entries may have lapsed in the outage of a peer's store.
+    /// Returns whether entries may have lapsed because the peer at an address can't reach
+    /// the store.
     fn is_store_away_at(&self, at: SocketAddr) -> bool {
         let membership = self.core.membership();
         membership.alive().any(|r| r.contact.sync == at && r.contact.store_away)
     }
 
-    /// Takes updates, the oldest first. Those behind a value that can't be had yet
-    /// are left, or the node would believe that it has all up to them.
+    /// Applies updates in order of revision. Stops at the first value that can't be
+    /// fetched: if later updates were applied, the node's newest revision would hide the
+    /// missing one.
     async fn apply_updates(&mut self, updates: Vec<Update>, may_have_lapsed: bool) {
         let mut ready = Vec::new();
         for update in updates {
@@ -184,8 +185,8 @@
         });
     }
 
-    /// Gathers the pieces of a value from those that have it. `None` where it
-    /// can't be had: the peers have a newer one, or are gone.
+    /// Fetches the chunks of a value from the peers that have it. Returns `None` if the
+    /// value is unavailable because the peers have a newer one or are gone.
     async fn fetch_value(
         &mut self,
         key: &CompactString,
@@ -195,7 +196,7 @@
         let began = self.core.now();
         let mut assembler = self.start_assembly(key, manifest);
         let chunk_count = assembler.missing().len();
-        // The store's watch may bring it meanwhile.
+        // The store's watch may deliver the value in the meantime.
         while self.known_revision() < revision && self.core.stage() != Stage::Closed {
             if assembler.missing().is_empty() {
                 return self.finish_assembly(key, &assembler, chunk_count, began);
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Asks a peer for missing pieces; whether to go on with this manifest. Where a
-    /// peer answers and has none of them, the value has changed since.
+    /// Requests missing chunks from a peer. Returns whether to continue with this manifest:
+    /// a peer that answers with none of the chunks has a newer value.
     async fn request_chunks(
         &mut self,
         peer: SocketAddr,
@@ -327,8 +328,8 @@
     }
 }
 
-/// Asks a peer for the missing pieces; those that come are kept also where the
-/// answer breaks off.
+/// Requests the missing chunks from a peer. Chunks that arrive before the answer breaks off
+/// are kept.
 async fn fetch_chunks<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     peer: SocketAddr,
@@ -355,7 +356,8 @@
     match exchange.head.status {
         StatusCode::OK => read_chunks(core, exchange, assembler).await,
         StatusCode::SERVICE_UNAVAILABLE => read_busy_reply(exchange).await,
-        // It has no such value any more, or a small one, which goes whole.
+        // The peer no longer has the value, or has one that is small enough to be sent
+        // inline.
         StatusCode::NOT_FOUND => Fetched::Complete(0),
         status => Fetched::Failed(format!("status {status}")),
     }
@@ -403,6 +405,7 @@
             }
         }
     }
-    // The rest is asked for anew, of another one if there is any.
+    // The time limit for one answer has passed. The remaining chunks are requested again,
+    // from another peer if there is one.
     Fetched::Busy(Busy { wait: RETRY_WAIT_BOUNDS.1 }, Vec::new())
 }
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How a node reaches the others: those who decide on a group, and all.
+//! How a node addresses the other nodes: the owners of a group, or all of them.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
@@ -18,29 +18,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Nodes that are told what is placed in a group: its owner and its successor.
-const MAX_ALLOCATION_RECIPIENTS: usize = 2;
+/// The number of a group's first nodes by rank that receive its allocations: the owner and
+/// its successor.
+const ALLOCATION_OWNERS: usize = 2;
 
-/// How long a node runs until it was told all that runs.
+/// How long a node must run without interruption before it has received all running
+/// allocations.
 const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 
-/// A tick that comes so late was held up: what was told before is old.
+/// A tick that is later than this means that the process was suspended, so its knowledge of
+/// allocations is stale.
 const MAX_TICK_DELAY: Duration = Duration::from_secs(1);
 
-/// Silences in a row after which an owner is passed over.
+/// The number of consecutive timeouts after which an owner is skipped.
 const MAX_OWNER_TIMEOUTS: u32 = 2;
 
-/// How long an owner is passed over.
+/// How long an owner is skipped after its last timeout.
 const OWNER_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How long a node has been running without a break.
+/// How long a node has been running without interruption.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Uptime {
     pub(crate) since: Instant,
     pub(crate) last_tick: Instant,
 }
 
-/// Asks that an owner left unanswered.
+/// Consecutive requests that an owner did not answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unanswered {
     count: u32,
@@ -48,24 +51,25 @@
 }
 
 impl<D: Dialect, S: Store, C: Clock> Core<D, S, C> {
-    /// Nodes that are not known to be dead, and this one.
+    /// Returns the number of nodes that are not known to be dead, including this one.
     pub(crate) fn count_nodes(&self) -> usize {
         self.membership().present().count() + 1
     }
 
-    /// Other nodes that are alive.
+    /// Returns the number of other nodes that are alive.
     pub(crate) fn count_peers(&self) -> usize {
         self.membership().alive().count()
     }
 
-    /// Where callers may connect besides this node.
+    /// Returns the addresses at which the other nodes accept callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let membership = self.membership();
         let ready = membership.alive().filter(|record| record.contact.ready);
         ready.map(|record| record.contact.callers).collect()
     }
 
-    /// Notes that this node runs; one that was held up was told nothing meanwhile.
+    /// Records a tick. After an interruption the uptime starts again, because the node
+    /// missed the allocations that were sent meanwhile.
     pub(crate) fn note_tick(&self, now: Instant) {
         let mut uptime = self.running();
         if now.saturating_duration_since(uptime.last_tick) > MAX_TICK_DELAY {
@@ -74,12 +78,12 @@
         uptime.last_tick = now;
     }
 
-    /// Whether this node has been told what runs where.
+    /// Returns whether this node has received all running allocations.
     pub(crate) fn is_settled(&self) -> bool {
         self.now().saturating_duration_since(self.running().since) >= SETTLING_TIME
     }
 
-    /// Tells the others what this node says of itself, where that changed.
+    /// Updates this node's own contact and spreads it if it changed.
     pub(crate) fn update_contact(&self) {
         let (ready, settled, store_away) =
             (self.is_ready(), self.is_settled(), self.is_store_away());
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Sends what the table of members wants sent.
+    /// Sends outgoing messages of the membership protocol.
     pub(crate) fn send_membership(&self, out: Vec<gossip::Outgoing>) {
         for (to, message) in out {
             self.send(to, Event::Member(message));
@@ -109,12 +113,12 @@
         self.post(Outgoing { to, event: Some(event) });
     }
 
-    /// Tells a node the newest revisions that this one has.
+    /// Sends a node the newest revisions that this node has.
     pub(crate) fn send_revisions(&self, to: SocketAddr) {
         self.post(Outgoing { to, event: None });
     }
 
-    /// Tells all other nodes.
+    /// Sends an event to all other nodes.
     pub(crate) fn broadcast(&self, event: &Event) {
         let membership = self.membership();
         let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peers).collect();
@@ -122,12 +126,12 @@
         peers.into_iter().for_each(|peer| self.send(peer, event.clone()));
     }
 
-    /// Where a node receives datagrams.
+    /// Returns the address at which a node receives datagrams.
     pub(crate) fn peer_address(&self, node: &id::Node) -> Option<SocketAddr> {
         self.membership().get(node).map(|record| record.contact.peers)
     }
 
-    /// The nodes that decide on a group, the owner first.
+    /// Returns the nodes that place requests in a group, the owner first.
     fn owners(&self, group: &Group) -> Vec<id::Node> {
         let membership = self.membership();
         let records = membership.alive().chain([membership.own()]);
@@ -139,7 +143,7 @@
         self.owners(group).first() == Some(&self.settings.node)
     }
 
-    /// The groups that this node owns.
+    /// Returns the groups that this node owns.
     pub(crate) fn owned_groups(&self) -> Vec<Group> {
         let view = self.view();
         let groups = view.targets.iter().flat_map(|(service, targets)| {
@@ -151,8 +155,8 @@
         owned
     }
 
-    /// Logs what changed of targets: each at the owner of its group, and everywhere
-    /// for whoever looks into one node.
+    /// Logs the changes of targets: at info level on the owner of the target's group, and
+    /// at debug level on all other nodes, for operators who examine a single node.
     pub(crate) fn log_target_changes(&self, view: &View) {
         let mut owned: HashMap<Group, bool> = HashMap::new();
         for (change, target) in &view.changes {
@@ -173,12 +177,12 @@
         }
     }
 
-    /// Other nodes that are told what is placed in a group.
+    /// Returns the other nodes that receive the allocations of a group.
     pub(crate) fn allocation_recipients(&self, group: &Group) -> Vec<id::Node> {
         let mut recipients = self.owners(group);
-        recipients.truncate(MAX_ALLOCATION_RECIPIENTS);
+        recipients.truncate(ALLOCATION_OWNERS);
         let responsive = self.responsive_owners(group);
-        for node in responsive.into_iter().take(MAX_ALLOCATION_RECIPIENTS) {
+        for node in responsive.into_iter().take(ALLOCATION_OWNERS) {
             if !recipients.contains(&node) {
                 recipients.push(node);
             }
@@ -187,7 +191,8 @@
         recipients
     }
 
-    /// The nodes that decide on a group, but for those that answered nothing lately.
+    /// Returns the nodes that place requests in a group, without those that are skipped
+    /// after timeouts.
     pub(crate) fn responsive_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
         let (now, mut unanswered_by_owner) = (self.now(), self.silences());
@@ -200,7 +205,7 @@
         owners.into_iter().filter(|node| !is_unresponsive(node)).collect()
     }
 
-    /// Notes that an owner did not answer in time.
+    /// Records that an owner did not answer in time.
     pub(crate) fn note_owner_timeout(&self, node: &id::Node) {
         let now = self.now();
         let mut unanswered_by_owner = self.silences();
@@ -214,12 +219,12 @@
         }
     }
 
-    /// Notes that an owner answered.
+    /// Records that an owner answered.
     pub(crate) fn note_owner_answered(&self, node: &id::Node) {
         self.silences().remove(node);
     }
 
-    /// Tells those who decide on a group.
+    /// Sends an event to the nodes that place requests in a group.
     pub(crate) fn send_to_owners(&self, group: &Group, event: &Event) {
         for node in self.allocation_recipients(group) {
             if let Some(to) = self.peer_address(&node) {
@@ -228,34 +233,34 @@
         }
     }
 
-    /// What this node has placed, as it is recipients.
+    /// Returns the allocations of this node, in the form in which they are sent.
     pub(crate) fn own_allocations(&self, now: Instant) -> Vec<(Number, Allocation)> {
         self.ledger().tell(now).collect()
     }
 
-    /// The group that an allocation is in.
+    /// Returns the group that an allocation belongs to.
     pub(crate) fn group_of(&self, allocation: &Allocation) -> Group {
         let groups = group::count_groups(self.view().targets_of(&allocation.service).len());
         let index = group::find_group(allocation.first, groups);
         Group { service: allocation.service.clone(), index }
     }
 
-    /// The answers to an ask, as they come.
+    /// Returns a channel that receives the answers to a placement request.
     pub(crate) fn expect_answer(&self, number: Number) -> UnboundedReceiver<Answer> {
         let (sender, receiver) = unbounded_channel();
         self.expected().insert(number, sender);
         receiver
     }
 
-    /// Expects no further answer.
+    /// Stops expecting answers to a placement request.
     pub(crate) fn forget_answer(&self, number: Number) {
         self.expected().remove(&number);
     }
 
-    /// Hands an answer to whoever waits for it.
+    /// Delivers an answer to the task that waits for it.
     pub(crate) fn deliver_answer(&self, number: Number, answer: Answer) {
         if let Some(sender) = self.expected().get(&number) {
-            // Whoever waited has just gone.
+            // The receiver may have been dropped in the meantime.
             let _ = sender.send(answer);
         }
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -1,9 +1,9 @@
-//! What nodes tell each other by datagrams.
+//! Datagrams between nodes.
 //!
-//! A datagram may be lost, so nothing hangs on a single one: allocations are told
-//! again, asks are repeated, and who is alive is known by
-//! [`hickory_policy::membership`]. What is too large for a datagram (the store's
-//! items) is fetched from a peer that has it; see [`crate::fetch`].
+//! A datagram may be lost, so the protocol never depends on a single one: allocations are
+//! sent periodically, placement requests are retried, and [`hickory_policy::membership`]
+//! tracks which nodes are alive. Data that is too large for a datagram (the store's items)
+//! is fetched from a peer that has it; see [`crate::fetch`].
 
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
@@ -26,84 +26,85 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Peers that are told at once of a newer revision.
+/// The number of peers that are notified immediately of a newer revision.
 const REVISION_FANOUT: usize = 4;
 
-/// Between two such tellings.
+/// The minimum time between two such notifications.
 const REVISION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Nodes that have newer operators' data which a node tells others of: all hear of it
-/// within some milliseconds, and of more than one that they can have it from.
+/// The maximum number of nodes with a newer operator revision that a node announces to
+/// others. All nodes learn of the revision within milliseconds, and of more than one node
+/// to fetch it from.
 const MAX_ANNOUNCED_HOLDERS: usize = 3;
 
-/// Between two log lines about members.
+/// The minimum time between two log lines about members.
 const MEMBER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long news of members is gathered before it is pushed.
+/// How long membership updates are collected before they are pushed.
 const MEMBER_BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Between two tellings of all allocations.
+/// The interval at which all allocations are sent again.
 const ALLOCATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a peer's revisions count after it was last state.
+/// How long a peer's revisions remain valid after its last datagram.
 const PEER_STATE_TTL: Duration = Duration::from_secs(10);
 
-/// The greatest datagram: what goes through all links unfragmented.
+/// The maximum datagram size, which passes all links without fragmentation.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The receive buffer: the greatest datagram of a peer.
+/// The size of the receive buffer, above any peer's maximum datagram size.
 const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// Events that are sent together at most.
+/// The maximum number of events that are taken from the send queue together.
 const MAX_BATCHED_EVENTS: usize = 256;
 
-/// One thing that a node tells.
+/// One event of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Event {
-    /// Who is alive.
+    /// A message of the membership protocol.
     Member(Message),
-    /// A request for a place.
+    /// A placement request.
     Request(Number, Request),
-    /// The answer to it.
+    /// The answer to a placement request.
     Answer(Number, Answer),
-    /// A request was placed, or still lasts.
+    /// A request was placed, or is still running.
     Placed(Number, Allocation),
-    /// Its first token came.
+    /// A request's first token arrived.
     FirstToken(Number),
-    /// It ended, or is no longer asked for.
+    /// A request ended, or its placement request was withdrawn.
     Ended(Number),
     /// A target served or failed a request.
     Outcome { target: Tag, served: bool },
-    /// Nothing listens at a target.
+    /// A target refused the connection.
     Down(Tag),
-    /// A target refused to read a part of a prompt for another one.
+    /// A target refused to prefill a part of a prompt for another target.
     PrefillRefused(Tag),
     /// A request was running when a target died.
     PoisonSuspect { fingerprint: u64, deaths: u32 },
-    /// A node has what operators wrote up to this revision.
+    /// A node has the operators' data up to this revision.
     OperatorRevision { node: id::Node, revision: Revision },
 }
 
-/// An event and where it goes; none where only the sender's revisions are told.
+/// An event and its destination; without an event, only the sender's revisions are sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     pub(crate) to: SocketAddr,
     pub(crate) event: Option<Event>,
 }
 
-/// What goes in one datagram.
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Datagram {
     node: id::Node,
     incarnation: id::Incarnation,
-    /// The newest revision that the node has of what operators wrote.
+    /// The newest revision of the operators' data that the node has.
     operator_revision: Revision,
-    /// The newest revision that it has of targets' entries.
+    /// The newest revision of the targets' entries that the node has.
     targets_revision: Revision,
     events: Vec<Event>,
 }
 
-/// What a node's datagrams said last.
+/// The state in a node's last datagram.
 #[derive(Clone, Copy, Debug)]
 struct PeerState {
     incarnation: id::Incarnation,
@@ -112,27 +113,27 @@
     received_at: Instant,
 }
 
-/// What was heard of peers directly.
+/// The state that peers reported in their own datagrams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStates {
     peers: HashMap<id::Node, PeerState>,
-    /// The newest revision of operators' data that others have and this node hasn't.
+    /// The newest revision of the operators' data that peers have and this node lacks.
     newest_operator_revision: Revision,
-    /// Nodes that are known to have it, the first that were told of.
+    /// The first nodes that were announced to have this revision.
     holders: Vec<id::Node>,
 }
 
-/// What is followed of the store's items.
+/// A part of the store's items that is synchronized separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Keyspace {
-    /// What operators write.
+    /// The operators' data.
     Operator,
-    /// Targets' entries.
+    /// The targets' entries.
     Targets,
 }
 
 impl PeerStates {
-    /// Takes what a datagram says; whether its node started anew.
+    /// Records a datagram's state. Returns whether its node has restarted.
     fn record(&mut self, now: Instant, datagram: &Datagram) -> bool {
         let state = PeerState {
             incarnation: datagram.incarnation,
@@ -149,8 +150,8 @@
             .retain(|_, state| now.saturating_duration_since(state.received_at) < PEER_STATE_TTL);
     }
 
-    /// Notes that a node has a revision of operators' data; whether others should
-    /// be told of it by a node that has `own`.
+    /// Records that a node has a revision of the operators' data. Returns whether a node
+    /// whose own revision is `own_revision` should announce this to others.
     fn note_holder(&mut self, node: &id::Node, revision: Revision, own_revision: Revision) -> bool {
         if revision <= own_revision || revision < self.newest_operator_revision {
             return false;
@@ -166,7 +167,7 @@
         is_new
     }
 
-    /// Peers that have a revision of a part after this one.
+    /// Returns the peers that have a revision of a keyspace after `after`.
     pub(crate) fn peers_ahead(&self, keyspace: Keyspace, after: Revision) -> Vec<id::Node> {
         let revision = |state: &PeerState| match keyspace {
             Keyspace::Operator => state.operator_revision,
@@ -183,7 +184,7 @@
     }
 }
 
-/// Starts sending and receiving.
+/// Starts the tasks that send and receive datagrams.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     socket: Arc<UdpSocket>,
@@ -202,7 +203,7 @@
 async fn receive<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
-        // An error is the echo of a datagram to a peer that is gone.
+        // An error reports that an earlier datagram went to a peer that is gone.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes::<Datagram>(&buffer[..length]) {
             Ok(datagram) => handle_datagram(&core, datagram, from),
@@ -226,7 +227,8 @@
         core.owner().forget(&datagram.node);
     }
     handle_operator_revision(core, &datagram.node, datagram.operator_revision);
-    // What stands before a host's address may send from another one.
+    // Behind an address translation, datagrams may arrive from another address than the one
+    // at which the node receives.
     let from = core.peer_address(&datagram.node).unwrap_or(from);
     for event in datagram.events {
         handle_event(core, now, &datagram.node, from, event);
@@ -273,7 +275,8 @@
     }
 }
 
-/// Takes the word that a node has newer operators' data, and passes it on.
+/// Handles the announcement that a node has a revision of the operators' data, and forwards
+/// it if it is new.
 fn handle_operator_revision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     node: &id::Node,
@@ -289,7 +292,7 @@
     }
 }
 
-/// Keeps the table of members, and forgets what is over.
+/// Runs the membership protocol, and expires outdated state.
 async fn maintain_membership<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     let mut logged = LoggedState::default();
     while core.stage() != Stage::Closed {
@@ -306,7 +309,7 @@
     }
 }
 
-/// What the log was last told of members and groups.
+/// The members and groups at the time of the last log line.
 #[derive(Debug, Default)]
 struct LoggedState {
     at: Option<Instant>,
@@ -315,7 +318,8 @@
 }
 
 impl LoggedState {
-    /// Logs what changed, at most once in a while: many nodes come and go at once.
+    /// Logs changes at most once per [`MEMBER_LOG_INTERVAL`], since many nodes may join or
+    /// leave at the same time.
     fn log<D: Dialect, S: Store, C: Clock>(&mut self, core: &Core<D, S, C>, now: Instant) {
         if self.at.is_some_and(|at| now.saturating_duration_since(at) < MEMBER_LOG_INTERVAL) {
             return;
@@ -350,8 +354,7 @@
     }
 }
 
-/// Tells a few peers at once that this node has newer items; they fetch them and
-/// tell others in turn.
+/// Announces newer items to a few peers, which fetch them and announce them in turn.
 async fn announce_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.revisions_due.notified().await;
@@ -361,8 +364,8 @@
     }
 }
 
-/// Tells what this node has placed to those who decide: now and then, and at once
-/// where somebody else decides than before.
+/// Sends this node's allocations to the nodes that place requests in their groups:
+/// periodically, and immediately to a node that has just become responsible.
 async fn announce_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     let mut announced: HashMap<id::Node, Instant> = HashMap::new();
     while core.stage() != Stage::Closed {
@@ -406,7 +409,7 @@
     }
 }
 
-/// Sends events to a peer, in as many datagrams as they take.
+/// Sends events to a peer, in as many datagrams as needed.
 async fn send_events<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     socket: &UdpSocket,
@@ -417,7 +420,7 @@
     loop {
         let (datagram, left) = encode(core, remaining);
         core.metrics.datagram(hickory_unit::size::Bytes(datagram.len() as u64));
-        // A datagram that can't be sent is like one that is lost.
+        // A datagram that can't be sent is treated as lost.
         let _ = socket.send_to(&datagram, to).await;
         if left.is_empty() {
             return;
@@ -426,7 +429,7 @@
     }
 }
 
-/// A datagram with as many of the events as it holds, and the others.
+/// Encodes as many of the events as fit into one datagram, and returns the rest.
 fn encode<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     mut events: Vec<Event>,
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -1,9 +1,9 @@
-//! The store's items as this node knows them, merged by revision.
+//! This node's copy of the store's items, merged by revision.
 //!
-//! Items come from the node's own watches and from its peers, in any order and
-//! more than once. The store counts revisions over all keys, so the greater
-//! revision of a key is the later word, and a removal is a word like any
-//! other. A node that the store turns away stays up to date by its peers.
+//! Updates come from the node's own watches and from its peers, in any order and
+//! repeatedly. The store numbers revisions across all keys, so for each key the update with
+//! the greater revision wins. A removal is an update like a write and leaves a tombstone. A
+//! node that the store rejects stays up to date through its peers.
 
 use crate::chunk::{ChunkedValue, Manifest};
 use compact_str::CompactString;
@@ -15,26 +15,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a removal is remembered, so that a peer that was cut off can't
-/// bring the item back. Longer than any store outage that peers come out of
-/// with items of before; some hundred bytes each.
+/// How long a tombstone is kept, so that a peer that was partitioned can't restore the
+/// item. It exceeds the longest store outage after which peers may return with old items. A
+/// tombstone takes a few hundred bytes.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(600);
 
-/// Values up to this size go whole from node to node, greater ones in pieces:
-/// an answer must be short enough to end in time over a link that others use
-/// as well.
+/// Values up to this size are sent inline, larger ones in chunks: an answer must be short
+/// enough to complete in time on a link with other traffic.
 const MAX_INLINE_VALUE_BYTES: usize = 8 << 10;
 
-/// What the store last said of a key.
+/// The last known state of a key in the store.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// The revision of that word.
+    /// The revision of this state.
     pub revision: Revision,
-    /// The value; `None` where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Arc<str>>,
-    /// When this node learned of it.
+    /// When this node received the update.
     pub learned_at: Instant,
-    /// The pieces of a large value.
+    /// The chunks, if the value is large.
     pub chunks: Option<Arc<ChunkedValue>>,
 }
 
@@ -47,22 +46,22 @@
     }
 }
 
-/// An item on its way between nodes.
+/// The state of one key, as nodes send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
     /// The key.
     pub key: CompactString,
     /// The revision.
     pub revision: Revision,
-    /// The value; `None` where the key was removed, or where there is an outline.
+    /// The value; `None` if the key was removed, or if the update has a manifest.
     pub value: Option<String>,
-    /// What a large value consists of: its pieces are fetched by themselves.
+    /// The manifest of a large value, whose chunks are fetched separately.
     #[serde(rename = "outline", default, skip_serializing_if = "Option::is_none")]
     pub manifest: Option<Manifest>,
 }
 
 impl Update {
-    /// A word that has all that it says.
+    /// Creates an update that carries its value inline.
     pub fn full(key: CompactString, revision: Revision, value: Option<String>) -> Self {
         Self { key, revision, value, manifest: None }
     }
@@ -83,7 +82,7 @@
 }
 
 impl Items {
-    /// Takes a word; whether it was news.
+    /// Applies an update. Returns whether it was newer than the known state.
     pub fn apply(&mut self, now: Instant, update: Update) -> bool {
         match self.items.entry(update.key.clone()) {
             btree_map::Entry::Vacant(vacant) => {
@@ -100,8 +99,8 @@
         }
     }
 
-    /// Takes all keys with a prefix as the store has them at a revision; keys
-    /// that it does not have are removed. Whether anything was news.
+    /// Applies a snapshot of all keys with a prefix, taken at `revision`; keys that are
+    /// missing in it are removed. Returns whether anything changed.
     pub fn apply_snapshot<'a>(
         &mut self,
         now: Instant,
@@ -129,9 +128,9 @@
         changed
     }
 
-    /// Forgets old removals under a prefix, but for the newest word there: by its
-    /// revision nodes tell how far they are, and one that goes back would look to
-    /// itself as if it missed something that nobody has.
+    /// Drops old tombstones under a prefix, except the newest item there. Nodes compare
+    /// their progress by the newest revision; a node whose revision went back would try to
+    /// fetch an update that no peer has.
     pub fn expire_tombstones(&mut self, now: Instant, prefix: &str) {
         let newest = self.newest_revision(prefix);
         let is_retained = |item: &Item| {
@@ -142,27 +141,26 @@
         self.items.retain(|key, item| !key.starts_with(prefix) || is_retained(item));
     }
 
-    /// The items with a prefix, removals included.
+    /// Returns the items with a prefix, including tombstones.
     pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&CompactString, &Item)> {
         self.items
             .range(CompactString::from(prefix)..)
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// An item.
+    /// Returns the item with a key.
     pub fn get(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// The greatest revision that is known under a prefix.
+    /// Returns the newest known revision under a prefix.
     pub fn newest_revision(&self, prefix: &str) -> Revision {
         self.with_prefix(prefix).map(|(_, item)| item.revision).max().unwrap_or_default()
     }
 
-    /// Words under a prefix after a revision, the oldest first, and no further
-    /// ones once their values have this many bytes. Whoever takes them in this
-    /// order has all words up to the last one that it took, and asks for the
-    /// next ones from there.
+    /// Returns the updates under a prefix after a revision, in order of revision, until
+    /// their size exceeds `max_bytes`. A receiver that applies them in this order has all
+    /// updates up to the last one applied, and requests the next ones from there.
     pub fn updates_after(
         &self,
         prefix: &str,
@@ -174,8 +172,8 @@
         newer.sort_by_key(|(_, item)| item.revision);
         let (mut updates, mut bytes) = (Vec::new(), 0);
         for (key, item) in newer {
-            // Words of one revision stay together: what lies behind the last
-            // revision that is known is never asked for again.
+            // Updates with the same revision stay together, because a receiver only
+            // requests revisions after its newest one.
             let is_new_revision =
                 updates.last().is_none_or(|last: &Update| last.revision < item.revision);
             if is_new_revision && bytes > max_bytes.0 as usize {
--- a/crates/path/src/lag.rs
+++ b/crates/path/src/lag.rs
@@ -1,20 +1,20 @@
-//! What a node has heard of and does not have yet.
+//! Tracks how far this node is behind revisions that its peers have announced.
 
 use hickory_store::store::Revision;
 use std::time::{Duration, Instant};
 
-/// How long the word of something newer counts after it was last told. Whoever
-/// told it may have died, and another node brings it within seconds; a word that
-/// was wrong must not make a node hold back its refusals for good.
+/// How long an announcement remains valid after it was last repeated. The node that made it
+/// may have died, in which case another node delivers the revision within seconds. A false
+/// announcement must not make a node defer its refusals forever.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(10);
 
-/// The newest of what operators wrote that peers have told of.
+/// Tracks the newest announced revision of the operators' data that this node lacks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LagTracker {
     announcement: Option<Announcement>,
 }
 
-/// What was told that is newer than what is known.
+/// A revision that is newer than the known one.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     revision: Revision,
@@ -25,12 +25,12 @@
 /// How far a node is behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lag {
-    /// For how long the node has known of something newer than it has.
+    /// How long the node has known that a newer revision exists.
     pub time: Duration,
 }
 
 impl LagTracker {
-    /// Notes a revision that a peer told of, by one who knows `known`.
+    /// Records a revision that a peer announced; `known` is this node's own revision.
     pub fn note_announced(&mut self, now: Instant, announced: Revision, known: Revision) {
         if announced <= known {
             return;
@@ -44,14 +44,15 @@
         });
     }
 
-    /// Notes what is known now; how long it was waited for, if it was.
+    /// Records this node's own revision. If it reaches the announced one, returns how long
+    /// the node has waited for it.
     pub fn note_known(&mut self, now: Instant, known: Revision) -> Option<Duration> {
         let announcement =
             self.announcement.take_if(|announcement| announcement.revision <= known)?;
         Some(now.saturating_duration_since(announcement.first_at))
     }
 
-    /// How far one who knows `known` is behind.
+    /// Returns how far a node with the revision `known` is behind.
     pub fn lag(&self, now: Instant, known: Revision) -> Option<Lag> {
         let announcement = self
             .announcement
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -1,13 +1,12 @@
 //! The request path of an entry host.
 //!
 //! A request is decoded by a [`dialect::Dialect`] into the product's own terms
-//! ([`demand`]), matched to a route and an account ([`config`]), placed on
-//! targets by the owner of their group ([`ask`], [`group`], [`owner`],
-//! [`placement`]) and by what runs there ([`ledger`]), sent ([`attempt`]), and
-//! relayed ([`serve`], [`stream`]). What a node believes comes from the store
-//! ([`store_watch`]) and from its peers ([`gossip`], [`fetch`], [`sync_server`], large values
-//! in pieces by [`chunk`]), merged by revision ([`items`]) and read as one
-//! [`view`].
+//! ([`demand`]), matched to a route and an account ([`config`]), placed on targets by the
+//! owner of their group ([`ask`], [`group`], [`owner`], [`placement`]) based on the running
+//! requests ([`ledger`]), sent ([`attempt`]), and relayed ([`serve`], [`stream`]). A node's
+//! knowledge comes from the store ([`store_watch`]) and from its peers ([`gossip`],
+//! [`fetch`], [`sync_server`], large values in chunks by [`chunk`]). It is merged by
+//! revision ([`items`]) and decoded into one [`view`].
 
 mod ask;
 pub mod attempt;
@@ -62,22 +61,22 @@
 }
 
 impl<D: Dialect, S: Store, C: Clock> Node<D, S, C> {
-    /// Binds the addresses of the settings and starts the node on the current
-    /// Tokio runtime.
+    /// Binds the addresses in the settings and starts the node on the current Tokio
+    /// runtime.
     ///
     /// # Errors
     ///
-    /// An address that can't be bound, and metrics that can't be opened.
+    /// Returns an error if an address can't be bound or the metrics can't be opened.
     pub async fn spawn(settings: Settings, store: S, clock: C) -> io::Result<Self> {
         let sockets = Sockets::bind(&settings).await?;
         Self::serve(settings, sockets, store, clock)
     }
 
-    /// Starts the node on sockets that are bound, on the current Tokio runtime.
+    /// Starts the node on sockets that are already bound, on the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// Metrics that can't be opened.
+    /// Returns an error if the metrics can't be opened.
     pub fn serve(settings: Settings, sockets: Sockets, store: S, clock: C) -> io::Result<Self> {
         let metrics = Metrics::open().map_err(io::Error::other)?;
         let core = Arc::new(Core::open(settings, store, clock, metrics));
@@ -88,20 +87,20 @@
         Ok(Self { core })
     }
 
-    /// Takes settings that changed while the node runs; addresses stay.
+    /// Applies changed settings while the node runs. Addresses don't change.
     pub fn reload(&self, settings: Settings) {
         self.core.set_bounds(settings.bounds);
     }
 
-    /// Begins a planned stop; [`Node::closed`] tells when it is done.
+    /// Begins a planned stop; [`Node::closed`] waits for its end.
     pub fn drain(&self) {
         drain::begin(&self.core);
     }
 
-    /// Waits until the node takes nothing more and its last request has ended.
+    /// Waits until the node accepts no more requests and its last request has ended.
     pub async fn closed(&self) {
         let mut stage = self.core.stage.subscribe();
-        // The sender lives as long as the node.
+        // The sender lives as long as the node, so waiting can't fail.
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
     }
 }
--- a/crates/path/src/outage.rs
+++ b/crates/path/src/outage.rs
@@ -1,36 +1,36 @@
-//! Which removals may be lapses of a store outage.
+//! Decides which removals may be lease expiries caused by a store outage.
 
 use std::time::Duration;
 
-/// An answer that took longer than this was waited for: what it tells happened
-/// while the store was in reach. What happened before comes at once.
+/// An answer to a watch that takes longer than this reports a change that happened while
+/// the store was reachable. Changes that happened before are reported immediately.
 const MAX_IMMEDIATE_ANSWER_TIME: Duration = Duration::from_millis(500);
 
-/// The outages of the store as one follower meets them.
+/// The store's outages as one watcher observes them.
 ///
-/// Entries of living targets lapse while targets can't renew them, and what is
-/// missing after an outage is no word that a target has gone. But a target
-/// that goes right after the outage has gone, and callers are sent into it for
-/// as long as its entry counts as lapsed. So only what the first answer after
-/// the outage tells at once may have lapsed.
+/// Entries of live targets expire while the targets can't renew them, so an entry that is
+/// missing after an outage doesn't prove that its target is gone. But if a target that
+/// leaves right after the outage were treated the same way, requests would be sent to it
+/// for as long as its entry counts as lapsed. Therefore only removals in an immediate first
+/// answer after the outage count as possible lapses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outage {
     is_failing: bool,
 }
 
 impl Outage {
-    /// Whether the store is out of reach.
+    /// Returns whether the store is currently unreachable.
     pub fn is_ongoing(self) -> bool {
         self.is_failing
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call.
     pub fn note_failure(&mut self) {
         self.is_failing = true;
     }
 
-    /// Notes an answer that took this long; whether entries that it shows to
-    /// be gone may have lapsed.
+    /// Records an answer that took this long. Returns whether entries that are missing in
+    /// it may have lapsed.
     pub fn note_answer(&mut self, took: Duration) -> bool {
         let was_failing = std::mem::replace(&mut self.is_failing, false);
         was_failing && took < MAX_IMMEDIATE_ANSWER_TIME
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Keeping the items up to date from the store's watches.
+//! Watches the store and keeps the items up to date.
 
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
@@ -13,60 +13,60 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Time to live of the registration by which nodes find each other at the
-/// start; that a node is alive is told by its datagrams.
+/// The time to live of the registration that lets nodes discover each other at startup.
+/// Datagrams, not registrations, show that a node is alive.
 const REGISTRATION_TTL: Duration = Duration::from_secs(15);
 
-/// How long a watch waits. A store that is silent to the few nodes that watch
-/// looks like one in which nothing changes, and all nodes would serve an old
-/// configuration until the wait and the call's timeout have passed: two seconds
-/// at most. Three nodes make six such calls a second.
+/// The timeout of a watch call. If the store stops answering the few nodes that watch, this
+/// looks like a store without changes, and all nodes serve an old configuration until this
+/// time and the call's own timeout have passed: two seconds at most. Three watching nodes
+/// make six such calls per second.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Between two looks whether it is this node's turn to watch.
+/// The interval at which a node checks whether it should watch.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long others must have been watching before this node stops.
+/// How long a node must have been unneeded as a watcher before it stops watching.
 const MIN_RELIEF_TIME: Duration = Duration::from_secs(1);
 
-/// Between two looks at that.
+/// The interval at which this is checked.
 const RELIEF_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a node watches before it registers. Nodes that start together all
-/// watch until they hear each other, and a registration costs two calls and
-/// its renewals from then on. Shorter than [`DISCOVERY_INTERVAL`], so that who looks for nodes
-/// finds those that watch at its first look.
+/// How long a node watches before it registers. Nodes that start together all watch until
+/// they discover each other, and a registration costs two calls and its renewals from then
+/// on. It is shorter than [`DISCOVERY_INTERVAL`], so that a node's first lookup finds the
+/// nodes that watch.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long a node that starts listens for peers that know what it needs: they
-/// answer its first datagram at once.
+/// How long a starting node waits for peers before it decides whether to watch: peers
+/// answer its first datagram immediately.
 const START_DELAY: Duration = Duration::from_millis(60);
 
-/// The same where the whole system starts for the first time: nobody calls yet.
-/// Addresses pass from node to node with the beats, and within this time all have
-/// heard each other though they started one after the other. Who hears only a
-/// few believes that it is among the first of all, and watches.
+/// The same delay when the whole system starts for the first time and there are no callers
+/// yet. Addresses spread by gossip, and within this time all nodes discover each other even
+/// if they start one after the other. A node that knows only a few others would rank among
+/// the first of them, and watch.
 const FIRST_START_DELAY: Duration = Duration::from_millis(1_000);
 
-/// After a change, a watch goes out again at random within this time, so that
-/// changes that come together cost one call.
+/// After a change, the next watch starts after a random delay up to this time, so that
+/// changes in quick succession cost one call.
 const WATCH_JITTER: Duration = Duration::from_millis(40);
 
-/// The same after a change of targets, where another node watches for all.
-/// Targets' entries change several times a second, and each change ends the
-/// watches of all nodes that watch, which costs a call each. Should the first one
-/// be cut off, changes are known so much later, of the seconds that a leaving
-/// target serves.
+/// The same delay after a change of targets, on nodes that watch behind the leader.
+/// Targets' entries change several times per second, and each change ends the watches of
+/// all watching nodes, which costs a call each. If the leader is partitioned, changes
+/// arrive later by this delay, out of the seconds for which a draining target still serves.
 const FOLLOWER_WATCH_JITTER: Duration = Duration::from_millis(400);
 
-/// Between two looks for registered nodes while no node is heard.
+/// The interval at which registered nodes are looked up while no peer is known.
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a node that left the watch to others counts the store as out of its reach,
-/// after it was turned away. Longer than others need to find it away as well.
+/// How long a node that has stopped watching counts the store as unreachable after a
+/// rejected call. This is longer than the other nodes need to find the store unreachable
+/// themselves.
 const AWAY_TTL: Duration = Duration::from_secs(2);
 
-/// Starts following the store.
+/// Starts watching the store.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
     for prefix in [D::OPERATOR_PREFIX, D::TARGET_PREFIX] {
         tokio::spawn(watch_store(core.clone(), prefix));
@@ -74,8 +74,8 @@
     tokio::spawn(discover_nodes(core.clone()));
 }
 
-/// Registers this node once it has watched for a while, so that nodes which know
-/// no living seed find one that knows all others.
+/// Registers this node once it has watched for a while, so that nodes without a live seed
+/// find a node that knows all others.
 async fn keep_registered<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) {
     tokio::time::sleep(REGISTRATION_DELAY).await;
     let settings = &core.settings;
@@ -94,7 +94,7 @@
     std::future::pending().await
 }
 
-/// Looks up registered nodes as long as none is heard.
+/// Looks up registered nodes while no peer is known.
 async fn discover_nodes<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         tokio::time::sleep(DISCOVERY_INTERVAL).await;
@@ -120,7 +120,7 @@
     }
 }
 
-/// Watches a prefix of the store whenever it is this node's turn.
+/// Watches a prefix of the store while this node is selected as a watcher.
 async fn watch_store<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     prefix: &'static str,
@@ -137,7 +137,7 @@
             }
             stopped_at = Some(core.now());
         }
-        // What is not watched is not known to be away.
+        // A node that doesn't watch has no evidence that the store is unreachable.
         if stopped_at.is_some_and(|at| core.now().saturating_duration_since(at) > AWAY_TTL) {
             core.note_store(true);
             stopped_at = None;
@@ -146,8 +146,8 @@
     }
 }
 
-/// Whether it is this node's turn to watch, and still is once those before it had
-/// time to reach the store.
+/// Returns whether this node should watch: it must remain selected until the nodes before
+/// it have had time to reach the store.
 async fn confirm_takeover<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> bool {
     let began = core.now();
     while is_watcher(core) {
@@ -164,7 +164,7 @@
     decide_with_candidates(core, is_selected)
 }
 
-/// What a decision about watching says of this node, among all that are heard.
+/// Returns the result of a decision about watching for this node, given all live nodes.
 fn decide_with_candidates<D: Dialect, S: Store, C: Clock, T>(
     core: &Core<D, S, C>,
     decide: fn(&id::Node, &[Candidate<'_>]) -> T,
@@ -178,8 +178,8 @@
     decide(me, &nodes)
 }
 
-/// Waits until others have had to watch for a while. A node that has just
-/// started hears nobody yet, and watches until it does.
+/// Waits until this node has not been selected for a while. A node that has just started
+/// knows no peers yet, and watches until it does.
 async fn wait_until_relieved<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) {
     let mut relieved = Duration::ZERO;
     while relieved < MIN_RELIEF_TIME {
@@ -199,7 +199,8 @@
     let mut outage = Outage::default();
     follow::run(store, clock, follower, move |follower, step, sent| {
         let now = core.now();
-        // A watch whose history is gone is answered, and followed by a list.
+        // If the history that a watch needs is gone, the store answers the watch call and a
+        // list call follows, so this counts as an answer.
         let is_answered = step.confirmed || step.pause.is_zero();
         let may_have_lapsed = match is_answered {
             true if step.confirmed => outage.note_answer(now.saturating_duration_since(sent)),
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -1,5 +1,4 @@
-//! What a node gives to its peers: words of the store's items, and the pieces
-//! of large values.
+//! Serves the store's items to peers: updates, and the chunks of large values.
 
 use crate::chunk::{self, ChunkedValue};
 use crate::core::Core;
@@ -19,49 +18,50 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Where peers ask for words.
+/// The path at which peers request updates.
 pub(crate) const UPDATES_PATH: &str = "/words";
 
-/// Where peers ask for pieces.
+/// The path at which peers request chunks.
 pub(crate) const CHUNKS_PATH: &str = "/pieces";
 
-/// Bytes of words in one answer: it has to end in time also on a link that others
-/// use. The rest follows in the next one.
+/// The maximum size of the updates in one answer, so that it completes in time on a link
+/// with other traffic. The peer requests the remaining updates afterwards.
 const MAX_UPDATE_BYTES: size::Bytes = size::Bytes(24 << 10);
 
-/// The same while the link is busy with documents.
+/// The same limit while the link is busy with large values.
 const MAX_UPDATE_BYTES_WHEN_BUSY: size::Bytes = size::Bytes(2 << 10);
 
-/// How long the end of an answer may be on its way after the connection took it.
+/// How long the end of an answer may still be in transit after the connection has accepted
+/// its last bytes.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(50);
 
-/// What this node gives, and gave.
+/// What this node is sending to peers, and which peers already have the newest value.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     meter: Meter,
-    /// Those that were given all pieces of a value of this revision.
+    /// The revision of the value that `recipients` have received completely.
     revision: Revision,
     recipients: Given<SocketAddr>,
 }
 
-/// The answer to a peer that is turned away.
+/// The answer to a peer whose request is rejected because the link is busy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct BusyReply {
-    /// When to ask again.
+    /// The time after which the peer may ask again.
     pub(crate) wait_ms: u64,
-    /// Who else has what was asked for.
+    /// Other nodes that have the requested value.
     pub(crate) others: Vec<SocketAddr>,
 }
 
-/// Pieces that a peer asks for.
+/// A peer's request for chunks of a value.
 struct ChunkRequest<'a> {
     key: &'a str,
     chunks: Vec<chunk::Id>,
-    /// Where it gives them on.
+    /// The address at which the peer serves the chunks to others.
     from: SocketAddr,
 }
 
-/// Answers a peer.
+/// Answers a request of a peer.
 pub(crate) fn answer<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     uri: &Uri,
@@ -75,9 +75,9 @@
     answered.unwrap_or_else(|error| reply::plain(StatusCode::BAD_REQUEST, &error))
 }
 
-/// The words after the revision that is named, of one prefix or of both. A node
-/// whose link is busy gives the first few: the word that a target leaves must not
-/// wait behind a document, however many there are.
+/// Answers with the updates after a revision, for one prefix or both. While the link is
+/// busy the answer holds only the first few, so that the update of a draining target
+/// doesn't wait behind a large value.
 fn answer_updates<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     query: &str,
@@ -97,7 +97,7 @@
     Ok(reply::json(StatusCode::OK, body))
 }
 
-/// The pieces that are named, as far as this node has them.
+/// Answers with those of the requested chunks that this node has.
 fn answer_chunks<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     query: &str,
@@ -120,7 +120,7 @@
     Ok(Response::new(Reply::Pieces(pieces)))
 }
 
-/// Takes on an answer, or says when to ask again, and whom else.
+/// Admits an answer, or returns when to ask again and which other nodes have the value.
 fn admit<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     revision: Revision,
@@ -136,7 +136,7 @@
     admitted.map_err(|busy| (busy, outbox.recipients.name(now)))
 }
 
-/// An answer with pieces, on its way.
+/// An answer with chunks that is being sent.
 struct Transfer {
     ticket: Ticket,
     revision: Revision,
@@ -145,7 +145,7 @@
     size: size::Bytes,
 }
 
-/// Tells the meter how far an answer is, until it ends.
+/// Reports the progress of an answer to the meter until the answer ends.
 async fn track_transfer<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     transfer: Transfer,
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -1,4 +1,4 @@
-//! What the items say, decoded once for each change.
+//! The node's view of the items, decoded once per change.
 
 use crate::config::Configuration;
 use crate::dialect::{Dialect, Entry};
@@ -10,48 +10,48 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How long a target is still used whose entry went while the store was away.
+/// How long a target is used after its entry lapsed in a store outage.
 ///
-/// Entries lapse while targets can't renew them; those of living targets are
-/// back within two seconds of the store's return. Dropping them at once would
-/// leave no target at all just when the store comes back.
+/// Entries expire while targets can't renew them; those of live targets return within two
+/// seconds after the store is reachable again. Removing the targets immediately would leave
+/// none just when the store returns.
 pub const LAPSED_TARGET_TTL: Duration = Duration::from_millis(2_200);
 
-/// Names a target in one incarnation, in the few bytes of a datagram.
+/// Identifies one incarnation of a target in the few bytes that a datagram has room for.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Tag(pub u64);
 
-/// A target as its entry has it.
+/// A target, decoded from its entry.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its id.
+    /// The id.
     pub id: id::Target,
-    /// Its name among nodes.
+    /// The short id that nodes use among each other.
     pub tag: Tag,
-    /// Its entry.
+    /// The decoded entry.
     pub entry: Entry,
-    /// Until when it is cold.
+    /// When the target stops being cold.
     pub cold_until: Option<Instant>,
-    /// Until when it is used although its entry is gone.
+    /// Until when the target is used although its entry has lapsed.
     pub lapsed_until: Option<Instant>,
     /// The revision of the entry.
     pub revision: Revision,
 }
 
-/// What became of a target.
+/// A change of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Change {
-    /// Its entry is new, or says something new.
+    /// The entry is new or has new content.
     #[display("target known")]
     Updated,
-    /// Its entry is gone.
+    /// The entry was removed.
     #[display("target gone")]
     Removed,
 }
 
-/// Targets as requests look for them.
+/// Targets indexed for lookups by requests.
 #[derive(Clone, Debug, Default)]
 struct Index {
     by_tag: HashMap<Tag, Arc<Target>>,
@@ -76,40 +76,40 @@
     }
 }
 
-/// What a node knows.
+/// A node's decoded knowledge of the store's items.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration in force; `None` before the first one.
+    /// The current configuration; `None` before the first one.
     pub configuration: Option<Arc<Configuration>>,
-    /// Zones that are out of service.
+    /// The zones that are out of service.
     pub zones_out: HashSet<id::Zone>,
     /// Targets by service.
     pub targets: HashMap<id::Service, Vec<Arc<Target>>>,
-    /// What changed of them, against the view before.
+    /// The changes of targets since the previous view.
     pub changes: Vec<(Change, Arc<Target>)>,
-    /// The same by their tags and by their groups, made where it is first asked for.
+    /// The targets by tag and by group, built on first use.
     index: OnceLock<Index>,
-    /// When it was taken over.
+    /// When the current configuration was applied.
     pub configured_at: Option<Instant>,
-    /// The revision of the configuration's item.
+    /// The revision of the current configuration.
     pub config_revision: Revision,
 }
 
 impl Target {
-    /// Whether new work may be sent to it at `now`.
+    /// Returns whether the target itself accepts new requests at `now`.
     pub fn is_accepting(&self, now: Instant) -> bool {
         !self.entry.draining && self.lapsed_until.is_none_or(|at| now < at)
     }
 
-    /// Whether it is cold at `now`.
+    /// Returns whether the target is cold at `now`.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|at| now < at)
     }
 }
 
 impl View {
-    /// The view of changed items. `may_have_lapsed` says whether entries that are
-    /// gone may have lapsed because the store was out of reach.
+    /// Returns the view after a change of the items. `may_have_lapsed` states whether
+    /// missing entries may have expired because the store was unreachable.
     pub fn updated<D: Dialect>(&self, items: &Items, now: Instant, may_have_lapsed: bool) -> Self {
         let mut next = Self {
             configuration: self.configuration.clone(),
@@ -157,18 +157,18 @@
         }
     }
 
-    /// The targets of a service.
+    /// Returns the targets of a service.
     pub fn targets_of(&self, service: &id::Service) -> &[Arc<Target>] {
         self.targets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The targets of a group of a service's targets.
+    /// Returns the targets in one group of a service.
     pub fn targets_in_group(&self, service: &id::Service, group: u16) -> &[Arc<Target>] {
         let groups = self.index().by_group.get(service);
         groups.and_then(|groups| groups.get(usize::from(group))).map_or(&[], Vec::as_slice)
     }
 
-    /// The target with a tag.
+    /// Returns the target with a tag.
     pub fn find_target(&self, tag: Tag) -> Option<&Arc<Target>> {
         self.index().by_tag.get(&tag)
     }
@@ -177,12 +177,12 @@
         self.index.get_or_init(|| Index::of(&self.targets))
     }
 
-    /// Whether new work may be sent to a target at `now`.
+    /// Returns whether new requests may be sent to a target at `now`, considering its zone.
     pub fn can_send(&self, target: &Target, now: Instant) -> bool {
         target.is_accepting(now) && !self.zones_out.contains(&target.entry.zone)
     }
 
-    /// The version of the configuration, 0 before the first one.
+    /// Returns the version of the configuration, 0 before the first one.
     pub fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
@@ -205,7 +205,7 @@
     }
 }
 
-/// What became of a target, if anything.
+/// Returns the change between two states of a target, if there is one.
 fn detect_change(
     before: Option<&Arc<Target>>,
     after: Option<&Arc<Target>>,
@@ -219,7 +219,7 @@
     }
 }
 
-/// The target of an entry; an entry that has not changed since is not read again.
+/// Returns the target for an entry. An entry that has not changed is not decoded again.
 fn decode_target<D: Dialect>(
     id: &str,
     text: &str,
@@ -242,7 +242,7 @@
     Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapsed_until: None, revision }))
 }
 
-/// A target whose entry is gone: dropped, unless entries may have lapsed.
+/// Returns the target for a missing entry: `None`, unless the entry may have lapsed.
 fn keep_lapsed(
     known: Option<&Arc<Target>>,
     seen: Instant,
--- a/crates/path/src/watcher.rs
+++ b/crates/path/src/watcher.rs
@@ -1,46 +1,49 @@
-//! Which nodes watch the store; the others hear of changes from them.
+//! Selects the nodes that watch the store; the others learn of changes from them.
 //!
-//! Each watch that ends and begins again is a call that is paid for, and a
-//! change ends all of them: calls would grow with the number of nodes. A few
-//! watch, by rank, and tell the others within milliseconds. Two sets overlap, so that neither a
-//! node that died nor one that the store turns away leaves nobody watching.
+//! Each watch call has a cost, and a change ends the watches of all watching nodes, so the
+//! number of calls would grow with the number of nodes. Therefore only a few nodes watch,
+//! selected by rank, and they announce changes to the others within milliseconds. Two
+//! overlapping sets of nodes watch: the first among all nodes and the first among those
+//! that reach the store. So there is always a watcher, even if a watching node dies or the
+//! store rejects it.
 
 use hickory_state::rank::rank_nodes;
 use hickory_unit::id;
 use std::time::Duration;
 
-/// Nodes that watch: one that dies is missed for a second, and two at once are
-/// to be borne.
+/// The number of watching nodes. A dead node is detected after a second, and the failure of
+/// two at once must be tolerated.
 const WATCHER_COUNT: usize = 3;
 
-/// How long nodes leave the watch to those that the store turned away, doubled for
-/// each further [`WATCHER_COUNT`] of these.
+/// The delay before a node takes over from watching nodes that the store rejected, doubled
+/// for each further [`WATCHER_COUNT`] rejected nodes.
 const MIN_TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 
-/// Doublings of that at most: a store that is back for some nodes only is found again
-/// within seconds.
+/// The maximum number of doublings, so that a store that returns for only some nodes is
+/// found within seconds.
 const MAX_TAKEOVER_DOUBLINGS: u32 = 3;
 
-/// A node as far as watching goes.
+/// A node that may be selected as a watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The node.
     pub node: &'a id::Node,
-    /// Whether the store is out of its reach.
+    /// Whether the node can't reach the store.
     pub is_store_away: bool,
 }
 
-/// Whether a node watches, among all nodes that are heard and itself: the first
-/// few do, and the first few of those that reach the store.
+/// Returns whether a node watches, given all live nodes including itself. The first
+/// [`WATCHER_COUNT`] nodes by rank watch, and the first [`WATCHER_COUNT`] of those that
+/// reach the store.
 pub fn is_selected(node: &id::Node, nodes: &[Candidate<'_>]) -> bool {
     let connected = nodes.iter().filter(|candidate| !candidate.is_store_away);
     is_among_first(node, nodes.iter().map(|candidate| candidate.node))
         || is_among_first(node, connected.map(|candidate| candidate.node))
 }
 
-/// How long a node whose turn it became leaves the watch to the others, by how many of
-/// all nodes the store turned away. One that is down for all would else be called by
-/// all in turn.
+/// Returns how long a newly selected node waits before it watches, by the number of nodes
+/// that the store has rejected. Without this delay all nodes in turn would call a store
+/// that is down.
 pub fn takeover_delay(node: &id::Node, nodes: &[Candidate<'_>]) -> Duration {
     if is_among_first(node, nodes.iter().map(|candidate| candidate.node)) {
         return Duration::ZERO;
@@ -52,9 +55,9 @@
     }
 }
 
-/// Whether a node is the first of those that watch and reach the store. It hears
-/// of each change at once and tells the others, whose watches then only have to
-/// make up for it.
+/// Returns whether a node is the first of the watching nodes that reach the store. It
+/// receives each change immediately and announces it, so that the watches of the others
+/// only serve as a fallback.
 pub fn is_leader(node: &id::Node, nodes: &[Candidate<'_>]) -> bool {
     let connected = nodes.iter().filter(|candidate| !candidate.is_store_away);
     let ranked = rank_nodes(&"watch".into(), connected.map(|candidate| candidate.node));
--- a/crates/path/tests/chunk.rs
+++ b/crates/path/tests/chunk.rs
@@ -1,4 +1,4 @@
-//! Large values in pieces: what two versions have in common, what broke off.
+//! Large values in chunks: chunks shared by two versions, and interrupted transfers.
 
 use bytes::Bytes;
 use hickory_path::chunk::{Assembler, ChunkedValue, Id};
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Bytes of one answer.
+/// The maximum size of one answer.
 const MAX_BYTES: size::Bytes = size::Bytes(24 << 10);
 
-/// Rows of a document, each unlike the others.
+/// Generates the rows of a document, all different.
 fn write_rows(seed: u64, rows: usize) -> Vec<String> {
     let mut random = StdRng::seed_from_u64(seed);
     (0..rows)
@@ -45,10 +45,10 @@
     }
 }
 
-/// A change of one row of a large document makes every link of the fleet carry
-/// the document again. An operator changes a row, adds some at the front and
-/// drops one: a node that has the version before asks for a few pieces only,
-/// wherever the change moved the rest.
+/// Guards against sending a large document again over every link for a change of one row.
+/// An operator changes a row, adds some at the front and removes one: a node with the
+/// previous version requests only a few chunks, regardless of how far the change moved the
+/// rest.
 #[test]
 fn chunks_shared_by_two_versions_are_not_requested() {
     let before = write_rows(2, 5_000);
@@ -68,9 +68,9 @@
     assert!(assembler.assemble().is_ok());
 }
 
-/// A node begins a document anew each time that its giver dies, and never has
-/// it. The first giver broke off in the middle; the next one has a newer
-/// version. What came of the first counts for the second.
+/// Guards against a node that starts a document over whenever its source dies, and never
+/// completes it. The first source disconnects in the middle and the next one has a newer
+/// version; the chunks from the first count for the second.
 #[test]
 fn chunks_are_kept_when_the_source_and_the_version_change() {
     let rows = write_rows(4, 5_000);
@@ -97,9 +97,9 @@
     assert!(!assembler.add(Bytes::from_static(b"nothing of it")));
 }
 
-/// A node that was away asks for all words, and the answer is larger than its
-/// link carries in time. It takes the oldest first, a part at a time, and must
-/// end with all of them, whatever lies between the parts.
+/// Guards against lost updates when a node that was partitioned requests all of them, and
+/// they exceed what its link can carry in one answer. The node receives them in batches in
+/// order of revision, and must end with all of them wherever the batches are divided.
 #[test]
 fn updates_arrive_in_batches_without_gaps() {
     let now = Instant::now();
--- a/crates/path/tests/items.rs
+++ b/crates/path/tests/items.rs
@@ -1,11 +1,11 @@
-//! Items merged by revision, from the store and from peers.
+//! Merging of items by revision, from the store and from peers.
 
 use hickory_path::items::{Items, Update};
 use hickory_store::store::{Entry, Revision};
 use hickory_unit::size;
 use std::time::Instant;
 
-/// Bytes of one answer.
+/// The maximum size of one answer.
 const MAX_BYTES: size::Bytes = size::Bytes(24 << 10);
 
 fn update(key: &str, revision: u64, value: Option<&str>) -> Update {
@@ -16,8 +16,8 @@
     items.get(key)?.value.as_deref().map(str::to_owned)
 }
 
-/// A route that was dropped serves again: a peer that was cut off tells an
-/// older word after the newer one.
+/// Guards against a removed route that serves again: a peer that was partitioned sends an
+/// older update after the newer one.
 #[test]
 fn an_older_update_is_ignored() {
     let (mut items, now) = (Items::default(), Instant::now());
@@ -27,8 +27,8 @@
     assert_eq!(value(&items, "op/config").as_deref(), Some("new"));
 }
 
-/// A target that left gets requests: a peer tells of its entry after this node
-/// has seen it removed.
+/// Guards against requests to a target that has left: a peer sends the target's entry after
+/// this node has seen its removal.
 #[test]
 fn removals_are_ordered_by_revision() {
     let (mut items, now) = (Items::default(), Instant::now());
@@ -53,8 +53,8 @@
     assert!(!items.apply_snapshot(now, "servers/", [&entry].into_iter(), Revision(8)));
 }
 
-/// A target that has just registered vanishes again: a peer told of it, and a
-/// list from before it is taken afterwards.
+/// Guards against the removal of a target that has just registered: its entry came from a
+/// peer, and an older snapshot is applied afterwards.
 #[test]
 fn a_snapshot_keeps_newer_items() {
     let (mut items, now) = (Items::default(), Instant::now());
--- a/crates/path/tests/lag.rs
+++ b/crates/path/tests/lag.rs
@@ -1,4 +1,4 @@
-//! What a node that has heard of something newer believes, and for how long.
+//! How long a node that knows of a newer revision counts as behind.
 
 use hickory_path::items::{Items, Update};
 use hickory_path::lag::LagTracker;
@@ -25,10 +25,10 @@
     assert_eq!(tracker.note_known(begin + seconds(6), Revision(7)), None, "it is said once");
 }
 
-/// Every request with a wrong path waits and gets 503, until the node is
-/// restarted. One datagram told of a revision that nobody has. Its word must
-/// count only while somebody tells it, and a little longer, since whoever told of
-/// something true may have died.
+/// Guards against a node on which every request with an unknown path waits and gets a 503
+/// until the node is restarted, because a single datagram announced a revision that doesn't
+/// exist. An announcement must expire when it is no longer repeated, but not immediately,
+/// since the node that made a true one may have died.
 #[test]
 fn an_announcement_that_is_not_repeated_expires() {
     let (begin, mut tracker) = (Instant::now(), LagTracker::default());
@@ -40,10 +40,9 @@
     assert_eq!(tracker.note_known(begin + seconds(22), Revision(6)), Some(seconds(2)));
 }
 
-/// The same refusals, ten minutes after a zone was put back into service. The
-/// removal was the newest word, and each node forgot it at its own time: one that
-/// had forgotten it heard from another that there is something newer, asked for
-/// it, and nobody had it any more.
+/// Guards against the same refusals ten minutes after a zone is put back into service. The
+/// removal was the newest item, and each node dropped its tombstone at its own time: a node
+/// without it saw a newer revision at a peer, requested it, and no peer had it any more.
 #[test]
 fn the_newest_tombstone_never_expires() {
     let now = Instant::now();
--- a/crates/path/tests/outage.rs
+++ b/crates/path/tests/outage.rs
@@ -1,12 +1,12 @@
-//! Which removals may be lapses of a store outage.
+//! Which removals may be lease expiries caused by a store outage.
 
 use hickory_path::outage::Outage;
 use std::time::Duration;
 
-/// Callers are sent to a target for two seconds after it has left. The store
-/// turned a node away; the node's next watch is answered only when, seconds
-/// later, a target leaves. That answer is the first after the outage, and the
-/// removal in it is no lapse.
+/// Guards against requests to a target for two seconds after it has left. The store
+/// rejected a call of the node, and the next watch is answered only seconds later, when a
+/// target leaves. This is the first answer after the outage, but the removal in it is not a
+/// lapse.
 #[test]
 fn a_removal_in_a_delayed_answer_is_not_a_lapse() {
     let mut outage = Outage::default();
@@ -14,9 +14,9 @@
     assert!(!outage.note_answer(Duration::from_secs(3)));
 }
 
-/// All targets vanish when the store comes back: their entries lapsed while it
-/// was away, and the first answer shows none. Callers get refusals for two
-/// seconds unless those targets are kept.
+/// Guards against the loss of all targets when the store returns: their entries expired
+/// during the outage, and the first answer contains none. Without the lapse rule callers
+/// get refusals for two seconds.
 #[test]
 fn a_removal_in_an_immediate_first_answer_may_be_a_lapse() {
     let mut outage = Outage::default();
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -1,4 +1,4 @@
-//! What a node makes of changed items.
+//! The view that a node derives from changed items.
 
 use compact_str::CompactString;
 use hickory_path::config::Configuration;
@@ -19,7 +19,7 @@
     static DECODED_ENTRIES: Cell<usize> = const { Cell::new(0) };
 }
 
-/// A platform whose entries are the number of the target's slots.
+/// A platform whose entries hold only the target's number of slots.
 struct Plain;
 
 impl Dialect for Plain {
@@ -82,8 +82,8 @@
     view.changes.iter().map(|(change, _)| *change).collect()
 }
 
-/// Guards against nodes that read thousands of entries for each one that changes: a
-/// zone's targets come back one by one.
+/// Guards against decoding thousands of entries for each one that changes, for example when
+/// a zone's targets return one by one.
 #[test]
 fn an_entry_is_decoded_once_per_change() {
     const TARGETS: u64 = 500;
@@ -98,8 +98,8 @@
     assert_eq!(slots(&view).iter().filter(|&&slots| slots == 6).count(), 10);
 }
 
-/// Guards against a target that is written anew as it was, and read at each change
-/// from then on.
+/// Guards against a target whose entry is rewritten unchanged and then decoded again at
+/// every later change.
 #[test]
 fn an_unchanged_rewrite_is_decoded_only_once() {
     let (mut items, now) = (Items::default(), Instant::now());
@@ -112,7 +112,7 @@
     assert_eq!((DECODED_ENTRIES.get(), slots(&view)), (2, vec![12]));
 }
 
-/// A target whose entry lapsed and came back takes work again.
+/// Checks that a target accepts requests again after its entry lapsed and returned.
 #[test]
 fn an_entry_that_returns_is_decoded_again() {
     let (mut items, now) = (Items::default(), Instant::now());
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! Which nodes watch the store.
+//! Selection of the nodes that watch the store.
 
 use hickory_path::watcher::{Candidate, is_leader, is_selected, takeover_delay};
 use hickory_unit::id;
@@ -24,8 +24,9 @@
     assert_eq!(watching(&nodes(1), &[]).len(), 1);
 }
 
-/// A configuration is in force nowhere: the store turns away just those nodes
-/// that watch. Others must watch as well, and the first go on trying.
+/// Guards against a configuration that takes effect nowhere because the store rejects
+/// exactly the nodes that watch. Other nodes must watch as well, and the first ones keep
+/// trying.
 #[test]
 fn other_nodes_watch_when_the_store_rejects_the_first() {
     let nodes = nodes(9);
@@ -35,7 +36,7 @@
     assert!(first.iter().all(|index| all.contains(index)));
 }
 
-/// Guards against a store that is down and is called by all nodes in turn.
+/// Guards against all nodes in turn calling a store that is down.
 #[test]
 fn takeover_delay_grows_with_the_number_of_rejected_nodes() {
     let nodes = nodes(67);
@@ -55,7 +56,7 @@
     assert!(delays[4] <= Duration::from_secs(5), "{delays:?}");
 }
 
-/// A node that is cut off from its peers hears nobody, and must watch itself.
+/// Checks that a node that is cut off from its peers watches itself.
 #[test]
 fn an_isolated_node_watches() {
     let all = nodes(9);
@@ -64,9 +65,8 @@
     }
 }
 
-/// Each change of a target's entry costs a call of every node that watches. Just
-/// one hears of it at once, and where the store turns that one away, another of
-/// those that watch.
+/// Each change of a target's entry costs one call per watching node. Exactly one of them
+/// watches without delay; if the store rejects it, another watching node takes its place.
 #[test]
 fn exactly_one_watcher_leads() {
     let nodes = nodes(9);
--- a/crates/unit/src/clock.rs
+++ b/crates/unit/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock, elapsed in wherever time decides something.
+//! The clock interface. Code that makes decisions by time receives its clock as an
+//! argument.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,18 +7,19 @@
 
 /// A source of time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Monotonic time, for durations and leases.
+    /// Returns monotonic time, for durations and leases.
     fn now(&self) -> Instant;
-    /// Wall-clock time, only for what crosses hosts (deadlines within ids).
+    /// Returns wall-clock time, only for values that are exchanged between hosts (deadlines
+    /// within ids).
     fn wall(&self) -> SystemTime;
 
-    /// Wall-clock time in milliseconds since the Unix epoch.
+    /// Returns wall-clock time in milliseconds since the Unix epoch.
     fn wall_ms(&self) -> u64 {
         self.wall().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
     }
 }
 
-/// The clock of the machine.
+/// The system's monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct System;
 
@@ -31,11 +33,11 @@
     }
 }
 
-/// The clock of a machine that may be suspended.
+/// A clock that keeps counting while the machine is suspended.
 ///
-/// A suspended machine's monotonic clock stands still, so that a deadline or a
-/// lease measured by it would outlive its time by as long as the machine slept.
-/// This one counts the boot-time clock and shows it on the same scale.
+/// The usual monotonic clock stops during a suspension, so that a deadline or lease
+/// measured by it would be extended by the length of the suspension. This clock reads the
+/// boot-time clock and reports it on the same scale.
 #[derive(Clone, Copy, Debug)]
 pub struct Boot {
     origin: Instant,
@@ -43,7 +45,7 @@
 }
 
 impl Boot {
-    /// A clock that agrees with [`System`] now.
+    /// Creates a clock that agrees with [`System`] at this moment.
     pub fn start() -> Self {
         Self { origin: Instant::now(), boot_time_at_origin: read_boot_time() }
     }
@@ -64,7 +66,7 @@
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// A clock that stands still until it is moved, for tests and simulations.
+/// A clock that only advances when it is told to, for tests and simulations.
 #[derive(Clone, Debug)]
 pub struct Manual {
     start: Instant,
@@ -72,12 +74,12 @@
 }
 
 impl Manual {
-    /// A clock that starts at wall-clock time zero plus one day.
+    /// Creates a clock whose wall-clock time starts one day after the Unix epoch.
     pub fn start() -> Self {
         Self { start: Instant::now(), elapsed: Arc::default() }
     }
 
-    /// Moves the clock on by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
         *self.lock() += step;
     }
--- a/crates/unit/src/id.rs
+++ b/crates/unit/src/id.rs
@@ -16,7 +16,7 @@
         pub struct $name(pub CompactString);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -31,7 +31,7 @@
 }
 
 name! {
-    /// A node: one process of ours on an entry host.
+    /// A node: one hickoryrun process on an entry host.
     Node
 }
 name! {
@@ -43,7 +43,7 @@
     Account
 }
 name! {
-    /// A partner of the joint venture, who holds a share of the fleet.
+    /// A partner of the joint venture, which holds a share of the fleet.
     Partner
 }
 name! {
@@ -55,7 +55,7 @@
     Model
 }
 name! {
-    /// An adapter laid over a model.
+    /// An adapter applied to a model.
     Adapter
 }
 name! {
@@ -80,37 +80,36 @@
 }
 
 number! {
-    /// One request of a caller, the same over all its attempts.
+    /// One request of a caller; the same id is used for all its attempts.
     Request(Uuid)
 }
 number! {
-    /// An incarnation of a process: differs after each start.
+    /// The incarnation of a process, different after each start.
     Incarnation(u64), Default
 }
 number! {
-    /// The epoch of an ownership, which is also the fencing number of orders.
+    /// The epoch of an ownership, which is also the fencing epoch of orders.
     Epoch(u64), Default
 }
 number! {
-    /// A version of the configuration; each accepted release note adds one.
+    /// A version of the configuration; each accepted release note increments it.
     Release(u64), Default
 }
 
-/// A stream on an engine: who sent it, for which attempt, and until when it
-/// may live.
+/// A stream on an engine.
 ///
-/// The sender and the deadline stand in the id itself, so that whoever finds
-/// the stream can tell without any other state whether it is an orphan.
+/// The id contains the sender and the deadline, so that any node that finds the stream can
+/// tell without further state whether it is an orphan.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Stream {
-    /// The request the stream answers.
+    /// The request that the stream answers.
     pub request: Request,
-    /// The attempt within the request, from 0.
+    /// The number of the attempt within the request, from 0.
     pub attempt: u32,
     /// The node that opened the stream.
     pub sender: Node,
-    /// When the stream must have ended, in milliseconds since the Unix epoch.
+    /// The time at which the stream must have ended, in milliseconds since the Unix epoch.
     pub deadline_ms: u64,
 }
 
@@ -120,7 +119,7 @@
     }
 }
 
-/// A stream id that can't be read.
+/// The text is not a valid stream id.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 #[display("malformed stream id")]
 pub struct MalformedStream;
--- a/crates/unit/src/rate.rs
+++ b/crates/unit/src/rate.rs
@@ -1,4 +1,4 @@
-//! Rates.
+//! Token and byte rates.
 
 use crate::size;
 use derive_more::{Display, FromStr};
@@ -13,7 +13,7 @@
 pub struct TokensPerSecond(pub f64);
 
 impl TokensPerSecond {
-    /// How long `tokens` take at this rate; [`Duration::MAX`] at rate zero.
+    /// Returns how long `tokens` take at this rate; [`Duration::MAX`] at rate zero.
     pub fn time_for(self, tokens: size::Tokens) -> Duration {
         Duration::try_from_secs_f64(tokens.0 as f64 / self.0).unwrap_or(Duration::MAX)
     }
@@ -27,12 +27,12 @@
 pub struct BytesPerSecond(pub f64);
 
 impl BytesPerSecond {
-    /// The rate of a link of so many megabits a second.
+    /// Converts a link rate in megabits per second.
     pub fn from_megabits(megabits: f64) -> Self {
         Self(megabits * 1e6 / 8.0)
     }
 
-    /// How long `bytes` take at this rate; [`Duration::MAX`] at rate zero.
+    /// Returns how long `bytes` take at this rate; [`Duration::MAX`] at rate zero.
     pub fn time_for(self, bytes: size::Bytes) -> Duration {
         Duration::try_from_secs_f64(bytes.0 as f64 / self.0).unwrap_or(Duration::MAX)
     }
--- a/crates/unit/src/size.rs
+++ b/crates/unit/src/size.rs
@@ -1,4 +1,4 @@
-//! Sizes: tokens and bytes.
+//! Sizes in tokens and bytes.
 
 use derive_more::{Add, AddAssign, Display, FromStr, Sub, SubAssign, Sum};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The difference, zero where `other` is greater.
+            /// Returns the difference, or zero if `other` is greater.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
@@ -23,7 +23,7 @@
 }
 
 size! {
-    /// Tokens of prompt, of answer, or of KV cache.
+    /// Tokens of a prompt, an answer or a KV cache.
     Tokens
 }
 size! {
@@ -31,11 +31,11 @@
     Bytes
 }
 
-/// Bytes of prompt text that count as one token where no tokenizer is at hand.
+/// Bytes of prompt text per token, where no tokenizer is available.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
 impl Tokens {
-    /// The tokens of a text of `bytes` bytes, rounded up.
+    /// Returns the number of tokens of a text of `bytes` bytes, rounded up.
     pub fn from_bytes(bytes: Bytes) -> Self {
         Self(bytes.0.div_ceil(BYTES_PER_TOKEN))
     }
