--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -73,7 +73,7 @@
     let store = store::Store::open(settings.store, STORE_TIMEOUT);
     log::info!(node = settings.node.as_str(), callers:% = settings.callers; "started");
     let mut active = settings.clone();
-    let node: Node<Platform, _, _> = Node::spawn(settings, store, clock::Boot::start()).await?;
+    let node: Node<Platform, _, _> = Node::spawn(settings, store, clock::BootTime::start()).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -45,7 +45,7 @@
 
     /// Returns the complete log lines that match; a line that is still being written is
     /// left out.
-    fn lines(&self, is_match: impl Fn(&Value) -> bool) -> Vec<Value> {
+    fn log_lines(&self, is_match: impl Fn(&Value) -> bool) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap();
         let complete_lines = text.rfind('\n').map_or("", |end| &text[..end]);
         let lines = complete_lines.lines().map(|line| serde_json::from_str::<Value>(line).unwrap());
@@ -83,7 +83,7 @@
         }
     }
 
-    async fn ask(&self, attempt: &str, path: &str) -> Answer {
+    async fn request(&self, attempt: &str, path: &str) -> Answer {
         let text = caller::request_as(attempt, "POST", path, "body");
         caller::send(self.callers, &text).await
     }
@@ -91,9 +91,9 @@
     /// Waits until the log has `count` lines about a request, and returns them.
     async fn wait_for_lines(&self, attempt: &str, count: usize) -> Vec<Value> {
         for _ in 0..100 {
-            let own = self.daemon.lines(|line| line["attributes"]["request"] == attempt);
-            if own.len() >= count {
-                return own;
+            let lines = self.daemon.log_lines(|line| line["attributes"]["request"] == attempt);
+            if lines.len() >= count {
+                return lines;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -112,7 +112,7 @@
 async fn a_late_first_event_is_logged_with_its_target() {
     let harness = Harness::open("late").await;
     harness.queue_for_service("model", &Act::Pause(1, 5));
-    assert_eq!(harness.ask("late-1", "/once/1").await.status, 200);
+    assert_eq!(harness.request("late-1", "/once/1").await.status, 200);
     let lines = harness.wait_for_lines("late-1", 1).await;
     let line = &lines[0];
     assert_eq!((&line["message"], &line["mdc"]["node"]), (&"answered".into(), &"node-1".into()));
@@ -131,7 +131,7 @@
 async fn a_request_without_an_answer_is_logged_as_possibly_executed() {
     let harness = Harness::open("order").await;
     harness.queue_for_service("plain", &Act::Close);
-    assert_eq!(harness.ask("order-1", "/pay/1").await.status, 502);
+    assert_eq!(harness.request("order-1", "/pay/1").await.status, 502);
     let lines = harness.wait_for_lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
     assert!(lines[0]["attributes"]["target_id"].as_str().unwrap().starts_with("p-"));
@@ -146,7 +146,7 @@
 async fn the_log_names_both_targets_that_failed_a_stream() {
     let harness = Harness::open("failed").await;
     harness.queue_for_service("model", &Act::Status(500));
-    assert_eq!(harness.ask("failed-1", "/say/1").await.status, 500);
+    assert_eq!(harness.request("failed-1", "/say/1").await.status, 500);
     let lines = harness.wait_for_lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
     assert!(first["message"].as_str().unwrap().starts_with("attempt failed: status 500"));
@@ -165,7 +165,7 @@
     harness.replicas[2].next(Act::Stream(5));
     harness.replicas[3].next(Act::Stream(5));
     // Both targets cut off the first stream; later streams succeed.
-    let cut = harness.ask("cut-1", "/say/1").await;
+    let cut = harness.request("cut-1", "/say/1").await;
     assert_eq!((cut.ids(), cut.complete), (vec![1, 2], false));
     let lines = harness.wait_for_lines("cut-1", 3).await;
     let targets: Vec<&str> =
@@ -213,7 +213,7 @@
     }
     let is_ownership_line = |line: &Value| line["message"] == "groups owned by this node";
     let owners =
-        || daemons.iter().filter(|daemon| !daemon.lines(is_ownership_line).is_empty()).count();
+        || daemons.iter().filter(|daemon| !daemon.log_lines(is_ownership_line).is_empty()).count();
     caller::wait_for("an owner", || owners() > 0).await;
     // The owner may change until all nodes have received the running allocations.
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -223,7 +223,7 @@
             let attributes = &line["attributes"];
             line["message"] == "target known" && attributes["draining"] == "true"
         };
-        daemons.iter().map(|daemon| daemon.lines(is_change).len()).sum::<usize>()
+        daemons.iter().map(|daemon| daemon.log_lines(is_change).len()).sum::<usize>()
     };
     caller::wait_for("the owner's line", || changes() > 0).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/path/src/chunk.rs
+++ b/crates/path/src/chunk.rs
@@ -24,7 +24,7 @@
 pub struct Id(u64);
 
 impl Id {
-    fn of(bytes: &[u8]) -> Self {
+    fn hash(bytes: &[u8]) -> Self {
         let hash = blake3::hash(bytes);
         Self(u64::from_le_bytes(*hash.as_bytes().first_chunk().unwrap_or(&[0; 8])))
     }
@@ -59,17 +59,17 @@
 
 impl ChunkedValue {
     /// Splits a value into chunks.
-    pub fn of(text: Arc<str>) -> Self {
+    pub fn split(text: Arc<str>) -> Self {
         let [min, target, max] = CHUNK_BYTES;
         let mut chunks = Vec::new();
         let mut ranges = HashMap::new();
         for chunk in FastCDC::new(text.as_bytes(), min, target, max) {
             let range = chunk.offset..chunk.offset + chunk.length;
-            let id = Id::of(&text.as_bytes()[range.clone()]);
+            let id = Id::hash(&text.as_bytes()[range.clone()]);
             chunks.push(id);
             ranges.insert(id, range);
         }
-        let digest = Id::of(text.as_bytes());
+        let digest = Id::hash(text.as_bytes());
         Self { text, manifest: Manifest { chunks, digest }, ranges }
     }
 
@@ -122,7 +122,7 @@
 
     /// Adds a chunk. Returns whether it was missing.
     pub fn add(&mut self, chunk: Bytes) -> bool {
-        let id = Id::of(&chunk);
+        let id = Id::hash(&chunk);
         let is_wanted = self.manifest.chunks.contains(&id);
         is_wanted && self.chunks.insert(id, chunk).is_none()
     }
@@ -132,7 +132,7 @@
         let chunks = self.manifest.chunks.iter().map(|id| self.chunks.get(id));
         let chunks: Option<Vec<&Bytes>> = chunks.collect();
         let bytes = chunks.ok_or(Mismatch)?.into_iter().flatten().copied().collect::<Vec<u8>>();
-        if Id::of(&bytes) != self.manifest.digest {
+        if Id::hash(&bytes) != self.manifest.digest {
             return Err(Mismatch);
         }
         String::from_utf8(bytes).map_err(|_| Mismatch)
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -104,9 +104,9 @@
                 continue;
             }
             let since = *self.behind_since.get_or_insert(now);
-            let watches =
+            let is_watching =
                 self.core.view().configuration.is_some() && store_watch::is_watcher(&self.core);
-            if watches && now.saturating_duration_since(since) < WATCH_HEAD_START {
+            if is_watching && now.saturating_duration_since(since) < WATCH_HEAD_START {
                 continue;
             }
             self.request_updates(&ahead).await;
@@ -193,13 +193,13 @@
         revision: Revision,
         manifest: Manifest,
     ) -> Option<String> {
-        let began = self.core.now();
+        let started_at = self.core.now();
         let mut assembler = self.start_assembly(key, manifest);
         let chunk_count = assembler.missing().len();
         // The store's watch may deliver the value in the meantime.
         while self.known_revision() < revision && self.core.stage() != Stage::Closed {
             if assembler.missing().is_empty() {
-                return self.finish_assembly(key, &assembler, chunk_count, began);
+                return self.finish_assembly(key, &assembler, chunk_count, started_at);
             }
             let now = self.core.now();
             let holders = self.peers_ahead(Revision(revision.0.saturating_sub(1)));
@@ -233,9 +233,9 @@
         key: &CompactString,
         assembler: &Assembler,
         chunk_count: usize,
-        began: Instant,
+        started_at: Instant,
     ) -> Option<String> {
-        let took_ms = self.core.now().saturating_duration_since(began).as_millis() as u64;
+        let took_ms = self.core.now().saturating_duration_since(started_at).as_millis() as u64;
         match assembler.assemble() {
             Ok(value) => {
                 log::info!(key = key.as_str(), pieces = chunk_count, bytes = value.len(), took_ms;
@@ -282,9 +282,9 @@
         self.sources.note_busy(self.core.now(), peer, busy, &others, rand::random());
     }
 
-    fn note_failed(&mut self, peer: SocketAddr, began: Instant, error: &str) {
+    fn note_failed(&mut self, peer: SocketAddr, started_at: Instant, error: &str) {
         let now = self.core.now();
-        let took_ms = now.saturating_duration_since(began).as_millis() as u64;
+        let took_ms = now.saturating_duration_since(started_at).as_millis() as u64;
         let behind_ms = self.core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
         log::warn!(peer:%, took_ms, behind_ms; "peer gave no items: {error}");
         self.core.metrics.fetch(Fetch::Failed);
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -139,7 +139,7 @@
         group::rank_owners(group, nodes).into_iter().cloned().collect()
     }
 
-    fn owns(&self, group: &Group) -> bool {
+    fn is_owner(&self, group: &Group) -> bool {
         self.owners(group).first() == Some(&self.settings.node)
     }
 
@@ -150,7 +150,7 @@
             let indexes = 0..group::count_groups(targets.len());
             indexes.map(|index| Group { service: service.clone(), index })
         });
-        let mut owned: Vec<Group> = groups.filter(|group| self.owns(group)).collect();
+        let mut owned: Vec<Group> = groups.filter(|group| self.is_owner(group)).collect();
         owned.sort_unstable();
         owned
     }
@@ -164,7 +164,7 @@
             let groups = group::count_groups(view.targets_of(service).len());
             let index = group::find_group(target.tag, groups);
             let group = Group { service: service.clone(), index };
-            let is_owned = *owned.entry(group).or_insert_with_key(|group| self.owns(group));
+            let is_owned = *owned.entry(group).or_insert_with_key(|group| self.is_owner(group));
             let level = if is_owned { Level::Info } else { Level::Debug };
             log::log!(
                 level,
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -38,10 +38,10 @@
 }
 
 impl Item {
-    fn of(update: Update, learned_at: Instant) -> Self {
+    fn from_update(update: Update, learned_at: Instant) -> Self {
         let value: Option<Arc<str>> = update.value.map(Arc::from);
         let large = value.as_ref().filter(|value| value.len() > MAX_INLINE_VALUE_BYTES);
-        let chunks = large.map(|value| Arc::new(ChunkedValue::of(value.clone())));
+        let chunks = large.map(|value| Arc::new(ChunkedValue::split(value.clone())));
         Self { revision: update.revision, value, learned_at, chunks }
     }
 }
@@ -66,7 +66,7 @@
         Self { key, revision, value, manifest: None }
     }
 
-    fn of(key: &CompactString, item: &Item) -> Self {
+    fn from_item(key: &CompactString, item: &Item) -> Self {
         let (value, manifest) = match &item.chunks {
             Some(chunks) => (None, Some(chunks.manifest().clone())),
             None => (item.value.as_deref().map(str::to_owned), None),
@@ -86,13 +86,13 @@
     pub fn apply(&mut self, now: Instant, update: Update) -> bool {
         match self.items.entry(update.key.clone()) {
             btree_map::Entry::Vacant(vacant) => {
-                vacant.insert(Item::of(update, now));
+                vacant.insert(Item::from_update(update, now));
                 true
             }
             btree_map::Entry::Occupied(mut known) => {
                 let is_newer = update.revision > known.get().revision;
                 if is_newer {
-                    known.insert(Item::of(update, now));
+                    known.insert(Item::from_update(update, now));
                 }
                 is_newer
             }
@@ -179,7 +179,7 @@
             if is_new_revision && bytes > max_bytes.0 as usize {
                 break;
             }
-            let update = Update::of(key, item);
+            let update = Update::from_item(key, item);
             bytes += key.len() + update.value.as_deref().map_or(0, str::len);
             updates.push(update);
         }
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -149,10 +149,10 @@
 /// Returns whether this node should watch: it must remain selected until the nodes before
 /// it have had time to reach the store.
 async fn confirm_takeover<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> bool {
-    let began = core.now();
+    let started_at = core.now();
     while is_watcher(core) {
         let delay = decide_with_candidates(core, takeover_delay);
-        if core.now().saturating_duration_since(began) >= delay {
+        if core.now().saturating_duration_since(started_at) >= delay {
             return true;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -67,12 +67,12 @@
     uri: &Uri,
 ) -> Response<Reply> {
     let query = uri.query().unwrap_or_default();
-    let answered = match uri.path() {
+    let answer = match uri.path() {
         UPDATES_PATH => answer_updates(core, query),
         CHUNKS_PATH => answer_chunks(core, query),
         _ => Ok(reply::plain(StatusCode::NOT_FOUND, "no such path")),
     };
-    answered.unwrap_or_else(|error| reply::plain(StatusCode::BAD_REQUEST, &error))
+    answer.unwrap_or_else(|error| reply::plain(StatusCode::BAD_REQUEST, &error))
 }
 
 /// Answers with the updates after a revision, for one prefix or both. While the link is
@@ -111,7 +111,7 @@
     let admitted = admit(core, revision, size);
     let ticket = match admitted {
         Ok(ticket) => ticket,
-        Err((busy, others)) => return Ok(reply_busy(core, busy, others)),
+        Err((busy, others)) => return Ok(busy_response(core, busy, others)),
     };
     core.metrics.fetch(Fetch::Given);
     core.metrics.fetch_bytes(Way::Given, size);
@@ -151,7 +151,7 @@
     transfer: Transfer,
     mut unsent: watch::Receiver<size::Bytes>,
 ) {
-    let began = core.now();
+    let started_at = core.now();
     while unsent.changed().await.is_ok() {
         let unsent_bytes = *unsent.borrow_and_update();
         core.giving().meter.note_left(core.now(), transfer.ticket, unsent_bytes);
@@ -169,7 +169,7 @@
         pieces = transfer.chunk_count,
         bytes = transfer.size.0,
         unsent = unsent_bytes.0,
-        took_ms = now.saturating_duration_since(began).as_millis() as u64;
+        took_ms = now.saturating_duration_since(started_at).as_millis() as u64;
         "pieces given to a peer"
     );
 }
@@ -183,7 +183,7 @@
     Some((item.revision, item.chunks.clone()?))
 }
 
-fn reply_busy<D: Dialect, S: Store, C: Clock>(
+fn busy_response<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     busy: Busy,
     others: Vec<SocketAddr>,
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -59,7 +59,7 @@
 }
 
 impl Index {
-    fn of(targets: &HashMap<id::Service, Vec<Arc<Target>>>) -> Self {
+    fn build(targets: &HashMap<id::Service, Vec<Arc<Target>>>) -> Self {
         let all = targets.values().flatten();
         let by_group = targets.iter().map(|(service, targets)| {
             let groups = group::count_groups(targets.len());
@@ -121,17 +121,17 @@
             config_revision: self.config_revision,
         };
         next.decode_configuration::<D>(items, now);
-        let before: HashMap<&str, &Arc<Target>> =
+        let previous: HashMap<&str, &Arc<Target>> =
             self.targets.values().flatten().map(|target| (target.id.as_str(), target)).collect();
         log_zone_changes(&self.zones_out, &next.zones_out);
         for (key, item) in items.with_prefix(D::TARGET_PREFIX) {
             let id = &key[D::TARGET_PREFIX.len()..];
-            let known = before.get(id).copied();
+            let previous_target = previous.get(id).copied();
             let target = match &item.value {
-                Some(text) => decode_target::<D>(id, text, item, known),
-                None => keep_lapsed(known, item.learned_at, now, may_have_lapsed),
+                Some(text) => decode_target::<D>(id, text, item, previous_target),
+                None => keep_lapsed(previous_target, item.learned_at, now, may_have_lapsed),
             };
-            next.changes.extend(detect_change(known, target.as_ref()));
+            next.changes.extend(detect_change(previous_target, target.as_ref()));
             if let Some(target) = target {
                 next.targets.entry(target.entry.service.clone()).or_default().push(target);
             }
@@ -174,7 +174,7 @@
     }
 
     fn index(&self) -> &Index {
-        self.index.get_or_init(|| Index::of(&self.targets))
+        self.index.get_or_init(|| Index::build(&self.targets))
     }
 
     /// Returns whether new requests may be sent to a target at `now`, considering its zone.
@@ -224,18 +224,18 @@
     id: &str,
     text: &str,
     item: &Item,
-    known: Option<&Arc<Target>>,
+    previous: Option<&Arc<Target>>,
 ) -> Option<Arc<Target>> {
-    let known = known.filter(|known| known.lapsed_until.is_none());
-    if let Some(known) = known.filter(|known| known.revision == item.revision) {
-        return Some(known.clone());
+    let previous = previous.filter(|previous| previous.lapsed_until.is_none());
+    if let Some(previous) = previous.filter(|previous| previous.revision == item.revision) {
+        return Some(previous.clone());
     }
     let Some(entry) = D::read_target(id, text) else {
         log::warn!(target_id = id; "entry names no target to use");
         return None;
     };
-    if let Some(known) = known.filter(|known| known.entry == entry) {
-        return Some(Arc::new(Target { revision: item.revision, ..Target::clone(known) }));
+    if let Some(previous) = previous.filter(|previous| previous.entry == entry) {
+        return Some(Arc::new(Target { revision: item.revision, ..Target::clone(previous) }));
     }
     let cold_until = (!entry.cold_left.is_zero()).then(|| item.learned_at + entry.cold_left);
     let (tag, revision) = (compute_tag(id, entry.born), item.revision);
@@ -244,17 +244,17 @@
 
 /// Returns the target for a missing entry: `None`, unless the entry may have lapsed.
 fn keep_lapsed(
-    known: Option<&Arc<Target>>,
-    seen: Instant,
+    previous: Option<&Arc<Target>>,
+    learned_at: Instant,
     now: Instant,
     may_have_lapsed: bool,
 ) -> Option<Arc<Target>> {
-    let known = known?;
-    let lapsed_until = known
+    let previous = previous?;
+    let lapsed_until = previous
         .lapsed_until
-        .or((may_have_lapsed && !known.entry.draining).then(|| seen + LAPSED_TARGET_TTL));
+        .or((may_have_lapsed && !previous.entry.draining).then(|| learned_at + LAPSED_TARGET_TTL));
     let lapsed_until = lapsed_until.filter(|at| now < *at)?;
-    Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(known) }))
+    Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(previous) }))
 }
 
 fn compute_tag(id: &str, born: u64) -> Tag {
--- a/crates/path/tests/chunk.rs
+++ b/crates/path/tests/chunk.rs
@@ -22,7 +22,7 @@
 }
 
 fn split(rows: &[String]) -> ChunkedValue {
-    ChunkedValue::of(Arc::from(rows.join(",")))
+    ChunkedValue::split(Arc::from(rows.join(",")))
 }
 
 fn copy(value: &ChunkedValue, id: Id) -> Bytes {
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -20,9 +20,9 @@
 }
 
 /// A platform whose entries hold only the target's number of slots.
-struct Plain;
+struct TestDialect;
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     const OPERATOR_PREFIX: &str = "operators/";
     const TARGET_PREFIX: &str = "targets/";
     const CONFIG_KEY: &str = "operators/config";
@@ -89,10 +89,10 @@
     const TARGETS: u64 = 500;
     let (mut items, now) = (Items::default(), Instant::now());
     (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
-    let mut view = View::default().updated::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
     for change in 0..10 {
         write_entry(&mut items, change, TARGETS + change + 1, "6");
-        view = view.updated::<Plain>(&items, now, false);
+        view = view.updated::<TestDialect>(&items, now, false);
     }
     assert_eq!(DECODED_ENTRIES.get() as u64, TARGETS + 10);
     assert_eq!(slots(&view).iter().filter(|&&slots| slots == 6).count(), 10);
@@ -104,10 +104,10 @@
 fn an_unchanged_rewrite_is_decoded_only_once() {
     let (mut items, now) = (Items::default(), Instant::now());
     write_entry(&mut items, 1, 1, "12");
-    let mut view = View::default().updated::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
     write_entry(&mut items, 1, 2, "12");
     for _ in 0..5 {
-        view = view.updated::<Plain>(&items, now, false);
+        view = view.updated::<TestDialect>(&items, now, false);
     }
     assert_eq!((DECODED_ENTRIES.get(), slots(&view)), (2, vec![12]));
 }
@@ -117,19 +117,19 @@
 fn an_entry_that_returns_is_decoded_again() {
     let (mut items, now) = (Items::default(), Instant::now());
     write_entry(&mut items, 1, 1, "12");
-    let view = View::default().updated::<Plain>(&items, now, true);
+    let view = View::default().updated::<TestDialect>(&items, now, true);
     assert_eq!(changes(&view), [Change::Updated]);
     items.apply(now, Update::full("targets/1".into(), Revision(2), None));
-    let lapsed = view.updated::<Plain>(&items, now, true);
+    let lapsed = view.updated::<TestDialect>(&items, now, true);
     assert!(lapsed.targets_of(&"model".into())[0].lapsed_until.is_some());
     assert_eq!(changes(&lapsed), [Change::Removed]);
-    assert_eq!(changes(&lapsed.updated::<Plain>(&items, now, true)), []);
+    assert_eq!(changes(&lapsed.updated::<TestDialect>(&items, now, true)), []);
     write_entry(&mut items, 1, 3, "12");
-    let back = lapsed.updated::<Plain>(&items, now, true);
+    let back = lapsed.updated::<TestDialect>(&items, now, true);
     assert!(back.targets_of(&"model".into())[0].lapsed_until.is_none());
     assert_eq!(changes(&back), [Change::Updated]);
     write_entry(&mut items, 1, 4, "6");
-    assert_eq!(changes(&back.updated::<Plain>(&items, now, true)), [Change::Updated]);
+    assert_eq!(changes(&back.updated::<TestDialect>(&items, now, true)), [Change::Updated]);
 }
 
 #[test]
@@ -137,10 +137,10 @@
     const TARGETS: u64 = 500;
     let (mut items, now, service) = (Items::default(), Instant::now(), "model".into());
     (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
-    let mut view = View::default().updated::<Plain>(&items, now, false);
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
     items.apply(now, Update::full("targets/3".into(), Revision(TARGETS + 1), None));
     view.targets_in_group(&service, 0);
-    view = view.updated::<Plain>(&items, now, false);
+    view = view.updated::<TestDialect>(&items, now, false);
     let groups = group::count_groups(view.targets_of(&service).len());
     let in_groups: usize =
         (0..groups).map(|index| view.targets_in_group(&service, index).len()).sum();
--- a/crates/unit/src/clock.rs
+++ b/crates/unit/src/clock.rs
@@ -39,19 +39,19 @@
 /// measured by it would be extended by the length of the suspension. This clock reads the
 /// boot-time clock and reports it on the same scale.
 #[derive(Clone, Copy, Debug)]
-pub struct Boot {
+pub struct BootTime {
     origin: Instant,
     boot_time_at_origin: Duration,
 }
 
-impl Boot {
+impl BootTime {
     /// Creates a clock that agrees with [`System`] at this moment.
     pub fn start() -> Self {
         Self { origin: Instant::now(), boot_time_at_origin: read_boot_time() }
     }
 }
 
-impl Clock for Boot {
+impl Clock for BootTime {
     fn now(&self) -> Instant {
         self.origin + read_boot_time().saturating_sub(self.boot_time_at_origin)
     }
