--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -88,7 +88,7 @@
                 node.reload(settings);
             }
             Ok(_) => {}
-            Err(error) => log::error!("settings can't be read: {error}"),
+            Err(error) => log::error!("can't read the settings: {error}"),
         }
     }
     node.drain();
--- a/crates/path/src/chunk.rs
+++ b/crates/path/src/chunk.rs
@@ -86,7 +86,7 @@
 
 /// The assembled value doesn't match its manifest.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, derive_more::Error)]
-#[display("the pieces don't make the value")]
+#[display("the assembled chunks don't match the digest in the manifest")]
 pub struct Mismatch;
 
 /// Assembles a value from chunks as they arrive.
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -177,7 +177,7 @@
         if updates.is_empty() {
             return;
         }
-        log::info!(words = updates.len(); "items taken over from peers");
+        log::info!(words = updates.len(); "updates applied from a peer");
         let now = self.core.now();
         self.core.update(may_have_lapsed, |items| {
             let changes = updates.into_iter().map(|update| items.apply(now, update));
@@ -243,7 +243,8 @@
                 Some(value)
             }
             Err(error) => {
-                log::error!(key = key.as_str(), pieces = chunk_count, took_ms; "value dropped: {error}");
+                log::error!(key = key.as_str(), pieces = chunk_count, took_ms;
+                    "value from peers discarded: {error}");
                 None
             }
         }
@@ -351,7 +352,7 @@
     {
         Ok(Ok(exchange)) => exchange,
         Ok(Err(error)) => return Fetched::Failed(error.to_string()),
-        Err(_) => return Fetched::Failed("no answer in time".to_owned()),
+        Err(_) => return Fetched::Failed("no answer within the timeout".to_owned()),
     };
     match exchange.head.status {
         StatusCode::OK => read_chunks(core, exchange, assembler).await,
@@ -370,7 +371,9 @@
             parse_busy_reply(&body.to_bytes())
         }
         Ok(Err(error)) => Fetched::Failed(error.to_string()),
-        Err(_) => Fetched::Failed("silent within its answer".to_owned()),
+        Err(_) => {
+            Fetched::Failed("no data within the timeout in the middle of the answer".to_owned())
+        }
     }
 }
 
@@ -392,7 +395,11 @@
                 core.metrics.fetch(Fetch::Taken);
                 return Fetched::Complete(added);
             }
-            Err(_) => return Fetched::Failed("silent within its answer".to_owned()),
+            Err(_) => {
+                return Fetched::Failed(
+                    "no data within the timeout in the middle of the answer".to_owned(),
+                );
+            }
         };
         let Ok(data) = frame.into_data() else { continue };
         core.metrics.fetch_bytes(Way::Taken, size::Bytes(data.len() as u64));
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -207,7 +207,7 @@
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes::<Datagram>(&buffer[..length]) {
             Ok(datagram) => handle_datagram(&core, datagram, from),
-            Err(error) => log::warn!(from:%; "datagram can't be read: {error}"),
+            Err(error) => log::warn!(from:%; "can't decode a datagram: {error}"),
         }
     }
 }
@@ -440,7 +440,7 @@
         let (node, incarnation) = (core.settings.node.clone(), core.incarnation);
         let datagram = Datagram { node, incarnation, operator_revision, targets_revision, events };
         let bytes = postcard::to_stdvec(&datagram).unwrap_or_else(|error| {
-            log::error!("datagram can't be written: {error}");
+            log::error!("can't encode a datagram: {error}");
             Vec::new()
         });
         events = datagram.events;
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -52,7 +52,7 @@
 /// changes in quick succession cost one call.
 const WATCH_JITTER: Duration = Duration::from_millis(40);
 
-/// The same delay after a change of targets, on nodes that watch behind the leader.
+/// The same delay after a change of targets, on watching nodes other than the leader.
 /// Targets' entries change several times per second, and each change ends the watches of
 /// all watching nodes, which costs a call each. If the leader is partitioned, changes
 /// arrive later by this delay, out of the seconds for which a draining target still serves.
@@ -105,7 +105,7 @@
             Ok((entries, _)) => {
                 core.membership().add_seeds(entries.iter().filter_map(parse_peer_address));
             }
-            Err(error) => log::warn!("registrations can't be listed: {error}"),
+            Err(error) => log::warn!("can't list the node registrations in the store: {error}"),
         }
     }
 }
@@ -114,7 +114,7 @@
     match serde_json::from_str::<Info>(&entry.value) {
         Ok(info) => Some(info.peers),
         Err(error) => {
-            log::warn!(key = entry.key.as_str(); "registration can't be read: {error}");
+            log::warn!(key = entry.key.as_str(); "can't decode a node registration: {error}");
             None
         }
     }
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -152,7 +152,7 @@
                 self.config_revision = item.revision;
             }
             Err(finding) => {
-                log::error!(revision:% = item.revision; "configuration can't be read: {finding}");
+                log::error!(revision:% = item.revision; "can't decode the configuration: {finding}");
             }
         }
     }
@@ -231,7 +231,7 @@
         return Some(previous.clone());
     }
     let Some(entry) = D::read_target(id, text) else {
-        log::warn!(target_id = id; "entry names no target to use");
+        log::warn!(target_id = id; "target entry ignored: it describes no usable target");
         return None;
     };
     if let Some(previous) = previous.filter(|previous| previous.entry == entry) {
--- a/crates/path/tests/chunk.rs
+++ b/crates/path/tests/chunk.rs
@@ -39,7 +39,7 @@
         for id in missing.iter().rev() {
             assert!(assembler.assemble().is_err());
             assert!(assembler.add(copy(&value, *id)));
-            assert!(!assembler.add(copy(&value, *id)), "once is enough");
+            assert!(!assembler.add(copy(&value, *id)), "a chunk is only added once");
         }
         assert_eq!(assembler.assemble().unwrap(), rows.join(","));
     }
@@ -117,9 +117,9 @@
             break;
         }
         let bytes: usize =
-            updates.iter().filter_map(|word| word.value.as_ref()).map(String::len).sum();
-        assert!(bytes < 32 << 10, "{bytes} bytes in one part");
-        updates.into_iter().for_each(|word| assert!(receiver.apply(now, word)));
+            updates.iter().filter_map(|update| update.value.as_ref()).map(String::len).sum();
+        assert!(bytes < 32 << 10, "{bytes} bytes in one batch");
+        updates.into_iter().for_each(|update| assert!(receiver.apply(now, update)));
         batches += 1;
     }
     assert!(batches > 3, "{batches}");
--- a/crates/path/tests/lag.rs
+++ b/crates/path/tests/lag.rs
@@ -18,11 +18,19 @@
     tracker.note_announced(begin + seconds(1), Revision(7), Revision(5));
     tracker.note_announced(begin + seconds(2), Revision(6), Revision(5));
     assert_eq!(tracker.lag(begin + seconds(3), Revision(5)).unwrap().time, seconds(2));
-    assert_eq!(tracker.note_known(begin + seconds(4), Revision(6)), None, "a newer one was told");
+    assert_eq!(
+        tracker.note_known(begin + seconds(4), Revision(6)),
+        None,
+        "a newer revision was announced"
+    );
     assert!(tracker.lag(begin + seconds(4), Revision(6)).is_some());
     assert_eq!(tracker.note_known(begin + seconds(5), Revision(7)), Some(seconds(4)));
     assert_eq!(tracker.lag(begin + seconds(5), Revision(7)), None);
-    assert_eq!(tracker.note_known(begin + seconds(6), Revision(7)), None, "it is said once");
+    assert_eq!(
+        tracker.note_known(begin + seconds(6), Revision(7)),
+        None,
+        "the wait is reported once"
+    );
 }
 
 /// Guards against a node on which every request with an unknown path waits and gets a 503
@@ -56,5 +64,5 @@
     let updates = items.updates_after("op/", Revision(90), size::Bytes(1_000));
     assert_eq!(updates, [Update::full("op/evacuate/b".into(), Revision(100), None)]);
     assert!(items.get("op/evacuate/a").is_none(), "older removals are forgotten");
-    assert!(items.get("servers/1").is_some(), "another prefix has its own newest word");
+    assert!(items.get("servers/1").is_some(), "each prefix has its own newest item");
 }
--- a/crates/unit/src/clock.rs
+++ b/crates/unit/src/clock.rs
@@ -66,7 +66,7 @@
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// A clock that only advances when it is told to, for tests and simulations.
+/// A clock that only advances by [`Manual::advance`], for tests and simulations.
 #[derive(Clone, Debug)]
 pub struct Manual {
     start: Instant,
