--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -139,7 +139,7 @@
         match fetch_updates(&self.core, peer, &path, answer_timeout).await {
             Fetched::Complete(updates) => {
                 self.sources.note_answered();
-                let may_have_lapsed = self.is_store_away_at(peer);
+                let may_have_lapsed = self.is_store_unreachable_at(peer);
                 self.apply_updates(updates, may_have_lapsed).await;
             }
             Fetched::Busy(busy, others) => self.note_busy(peer, busy, &others),
@@ -149,7 +149,7 @@
 
     /// Returns whether entries may have lapsed because the peer at an address can't reach
     /// the store.
-    fn is_store_away_at(&self, at: SocketAddr) -> bool {
+    fn is_store_unreachable_at(&self, at: SocketAddr) -> bool {
         let membership = self.core.membership();
         membership.alive().any(|r| r.contact.sync == at && r.contact.store_away)
     }
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -64,7 +64,7 @@
 /// How long a node that has stopped watching counts the store as unreachable after a
 /// rejected call. This is longer than the other nodes need to find the store unreachable
 /// themselves.
-const AWAY_TTL: Duration = Duration::from_secs(2);
+const UNREACHABLE_TTL: Duration = Duration::from_secs(2);
 
 /// Starts watching the store.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(core: &Arc<Core<D, S, C>>) {
@@ -138,7 +138,7 @@
             stopped_at = Some(core.now());
         }
         // A node that doesn't watch has no evidence that the store is unreachable.
-        if stopped_at.is_some_and(|at| core.now().saturating_duration_since(at) > AWAY_TTL) {
+        if stopped_at.is_some_and(|at| core.now().saturating_duration_since(at) > UNREACHABLE_TTL) {
             core.note_store(true);
             stopped_at = None;
         }
@@ -170,10 +170,11 @@
     decide: fn(&id::Node, &[Candidate<'_>]) -> T,
 ) -> T {
     let me = &core.settings.node;
-    let own = Candidate { node: me, is_store_away: core.is_store_away() };
+    let own = Candidate { node: me, is_store_unreachable: core.is_store_away() };
     let membership = core.membership();
     let peers = membership.alive();
-    let peers = peers.map(|r| Candidate { node: &r.node, is_store_away: r.contact.store_away });
+    let peers =
+        peers.map(|r| Candidate { node: &r.node, is_store_unreachable: r.contact.store_away });
     let nodes: Vec<Candidate<'_>> = peers.chain([own]).collect();
     decide(me, &nodes)
 }
--- a/crates/path/src/watcher.rs
+++ b/crates/path/src/watcher.rs
@@ -29,14 +29,14 @@
     /// The node.
     pub node: &'a id::Node,
     /// Whether the node can't reach the store.
-    pub is_store_away: bool,
+    pub is_store_unreachable: bool,
 }
 
 /// Returns whether a node watches, given all live nodes including itself. The first
 /// [`WATCHER_COUNT`] nodes by rank watch, and the first [`WATCHER_COUNT`] of those that
 /// reach the store.
 pub fn is_selected(node: &id::Node, nodes: &[Candidate<'_>]) -> bool {
-    let connected = nodes.iter().filter(|candidate| !candidate.is_store_away);
+    let connected = nodes.iter().filter(|candidate| !candidate.is_store_unreachable);
     is_among_first(node, nodes.iter().map(|candidate| candidate.node))
         || is_among_first(node, connected.map(|candidate| candidate.node))
 }
@@ -48,8 +48,9 @@
     if is_among_first(node, nodes.iter().map(|candidate| candidate.node)) {
         return Duration::ZERO;
     }
-    let away = nodes.iter().filter(|candidate| candidate.is_store_away).count() / WATCHER_COUNT;
-    match away as u32 {
+    let rejected =
+        nodes.iter().filter(|candidate| candidate.is_store_unreachable).count() / WATCHER_COUNT;
+    match rejected as u32 {
         0 => Duration::ZERO,
         rounds => MIN_TAKEOVER_DELAY * 2_u32.pow((rounds - 1).min(MAX_TAKEOVER_DOUBLINGS)),
     }
@@ -59,7 +60,7 @@
 /// receives each change immediately and announces it, so that the watches of the others
 /// only serve as a fallback.
 pub fn is_leader(node: &id::Node, nodes: &[Candidate<'_>]) -> bool {
-    let connected = nodes.iter().filter(|candidate| !candidate.is_store_away);
+    let connected = nodes.iter().filter(|candidate| !candidate.is_store_unreachable);
     let ranked = rank_nodes(&"watch".into(), connected.map(|candidate| candidate.node));
     ranked.first().is_some_and(|first| *first == node)
 }
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -8,11 +8,11 @@
     (0..count).map(|number| format!("node-{number}").as_str().into()).collect()
 }
 
-fn watching(nodes: &[id::Node], away: &[usize]) -> Vec<usize> {
+fn watching(nodes: &[id::Node], rejected: &[usize]) -> Vec<usize> {
     let candidates: Vec<Candidate<'_>> = nodes
         .iter()
         .enumerate()
-        .map(|(index, node)| Candidate { node, is_store_away: away.contains(&index) })
+        .map(|(index, node)| Candidate { node, is_store_unreachable: rejected.contains(&index) })
         .collect();
     (0..nodes.len()).filter(|&index| is_selected(&nodes[index], &candidates)).collect()
 }
@@ -41,9 +41,11 @@
 fn takeover_delay_grows_with_the_number_of_rejected_nodes() {
     let nodes = nodes(67);
     let first = watching(&nodes, &[]);
-    let delay = |me: usize, away: &[usize]| {
-        let candidate =
-            |index: usize| Candidate { node: &nodes[index], is_store_away: away.contains(&index) };
+    let delay = |me: usize, rejected: &[usize]| {
+        let candidate = |index: usize| Candidate {
+            node: &nodes[index],
+            is_store_unreachable: rejected.contains(&index),
+        };
         let candidates: Vec<Candidate<'_>> = (0..nodes.len()).map(candidate).collect();
         takeover_delay(&nodes[me], &candidates)
     };
@@ -51,7 +53,7 @@
     assert_eq!(delay(other, &first[..1]), Duration::ZERO, "one node alone is cut off");
     assert!(first.iter().all(|&index| delay(index, &first).is_zero()));
     let rest: Vec<usize> = (0..nodes.len()).filter(|index| *index != other).collect();
-    let delays = [3, 6, 9, 30, 60].map(|away| delay(other, &rest[..away]));
+    let delays = [3, 6, 9, 30, 60].map(|rejected| delay(other, &rest[..rejected]));
     assert!(delays.is_sorted() && delays[0] > Duration::ZERO, "{delays:?}");
     assert!(delays[4] <= Duration::from_secs(5), "{delays:?}");
 }
@@ -61,7 +63,7 @@
 fn an_isolated_node_watches() {
     let all = nodes(9);
     for node in &all {
-        assert!(is_selected(node, &[Candidate { node, is_store_away: true }]));
+        assert!(is_selected(node, &[Candidate { node, is_store_unreachable: true }]));
     }
 }
 
@@ -70,8 +72,9 @@
 #[test]
 fn exactly_one_watcher_leads() {
     let nodes = nodes(9);
-    let leading = |away: &[usize]| -> Vec<usize> {
-        let candidate = |(index, node)| Candidate { node, is_store_away: away.contains(&index) };
+    let leading = |rejected: &[usize]| -> Vec<usize> {
+        let candidate =
+            |(index, node)| Candidate { node, is_store_unreachable: rejected.contains(&index) };
         let candidates: Vec<Candidate<'_>> = nodes.iter().enumerate().map(candidate).collect();
         (0..nodes.len()).filter(|&index| is_leader(&nodes[index], &candidates)).collect()
     };
