--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -371,9 +371,7 @@
             parse_busy_reply(&body.to_bytes())
         }
         Ok(Err(error)) => Fetched::Failed(error.to_string()),
-        Err(_) => {
-            Fetched::Failed("no data within the timeout in the middle of the answer".to_owned())
-        }
+        Err(_) => Fetched::Failed("answer stalled before its end".to_owned()),
     }
 }
 
@@ -396,9 +394,7 @@
                 return Fetched::Complete(added);
             }
             Err(_) => {
-                return Fetched::Failed(
-                    "no data within the timeout in the middle of the answer".to_owned(),
-                );
+                return Fetched::Failed("answer stalled before its end".to_owned());
             }
         };
         let Ok(data) = frame.into_data() else { continue };
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -61,7 +61,7 @@
 }
 
 impl Update {
-    /// Creates an update that carries its value inline.
+    /// Creates an update that carries its value, or a removal, inline.
     pub fn full(key: CompactString, revision: Revision, value: Option<String>) -> Self {
         Self { key, revision, value, manifest: None }
     }
