--- a/crates/path/src/config.rs
+++ b/crates/path/src/config.rs
@@ -136,19 +136,19 @@
 }
 
 /// Callers abandon a stream when its next event takes longer than the largest of this time,
-/// [`ABANDONMENT_GOALS`] times the route's goal and [`ABANDONMENT_GAPS`] times its event
+/// [`ABANDONMENT_GOAL_FACTOR`] times the route's goal and [`ABANDONMENT_GAP_FACTOR`] times its event
 /// gap goal. The factors are the users' description of their callers. Work for a caller
 /// that has gone is wasted.
 const MIN_ABANDONMENT_TIMEOUT: Duration = Duration::from_secs(2);
-const ABANDONMENT_GOALS: u32 = 4;
-const ABANDONMENT_GAPS: u32 = 8;
+const ABANDONMENT_GOAL_FACTOR: u32 = 4;
+const ABANDONMENT_GAP_FACTOR: u32 = 8;
 
 impl Route {
     /// Returns how long callers wait for the first event of a stream before they
     /// disconnect.
     pub fn abandonment_timeout(&self) -> Option<Duration> {
-        let pause = self.event_gap_goal.unwrap_or_default() * ABANDONMENT_GAPS;
-        let longest = MIN_ABANDONMENT_TIMEOUT.max(self.goal * ABANDONMENT_GOALS).max(pause);
+        let pause = self.event_gap_goal.unwrap_or_default() * ABANDONMENT_GAP_FACTOR;
+        let longest = MIN_ABANDONMENT_TIMEOUT.max(self.goal * ABANDONMENT_GOAL_FACTOR).max(pause);
         self.kind.is_stream().then_some(longest)
     }
 
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -393,9 +393,7 @@
                 core.metrics.fetch(Fetch::Taken);
                 return Fetched::Complete(added);
             }
-            Err(_) => {
-                return Fetched::Failed("answer stalled before its end".to_owned());
-            }
+            Err(_) => return Fetched::Failed("answer stalled before its end".to_owned()),
         };
         let Ok(data) = frame.into_data() else { continue };
         core.metrics.fetch_bytes(Way::Taken, size::Bytes(data.len() as u64));
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -200,7 +200,9 @@
             now.saturating_duration_since(unanswered.last_at) < OWNER_BACKOFF
         });
         let is_unresponsive = |node: &id::Node| {
-            unanswered_by_owner.get(node).is_some_and(|s| s.count >= MAX_OWNER_TIMEOUTS)
+            unanswered_by_owner
+                .get(node)
+                .is_some_and(|unanswered| unanswered.count >= MAX_OWNER_TIMEOUTS)
         };
         owners.into_iter().filter(|node| !is_unresponsive(node)).collect()
     }
--- a/crates/path/src/watcher.rs
+++ b/crates/path/src/watcher.rs
@@ -33,8 +33,8 @@
 }
 
 /// Returns whether a node watches, given all live nodes including itself. The first
-/// [`WATCHER_COUNT`] nodes by rank watch, and the first [`WATCHER_COUNT`] of those that
-/// reach the store.
+/// `WATCHER_COUNT` nodes by rank watch, and the first `WATCHER_COUNT` of those that reach
+/// the store.
 pub fn is_selected(node: &id::Node, nodes: &[Candidate<'_>]) -> bool {
     let connected = nodes.iter().filter(|candidate| !candidate.is_store_unreachable);
     is_among_first(node, nodes.iter().map(|candidate| candidate.node))
--- a/crates/path/tests/chunk.rs
+++ b/crates/path/tests/chunk.rs
@@ -137,7 +137,7 @@
     let updates = items.updates_after("op/", Revision(0), MAX_BYTES);
     let shown: Vec<_> = updates
         .iter()
-        .map(|w| (w.key.as_str(), w.value.as_deref(), w.manifest.is_some()))
+        .map(|update| (update.key.as_str(), update.value.as_deref(), update.manifest.is_some()))
         .collect();
     assert_eq!(
         shown,
