--- a/crates/path/src/config.rs
+++ b/crates/path/src/config.rs
@@ -136,8 +136,8 @@
 }
 
 /// Callers abandon a stream when its next event takes longer than the largest of this time,
-/// [`ABANDONMENT_GOAL_FACTOR`] times the route's goal and [`ABANDONMENT_GAP_FACTOR`] times its event
-/// gap goal. The factors are the users' description of their callers. Work for a caller
+/// [`ABANDONMENT_GOAL_FACTOR`] times the route's goal and [`ABANDONMENT_GAP_FACTOR`] times
+/// its event gap goal. The users gave these figures for their callers. Work for a caller
 /// that has gone is wasted.
 const MIN_ABANDONMENT_TIMEOUT: Duration = Duration::from_secs(2);
 const ABANDONMENT_GOAL_FACTOR: u32 = 4;
--- a/crates/path/src/decision.rs
+++ b/crates/path/src/decision.rs
@@ -21,22 +21,22 @@
 
 /// Writes a log line with the line's own fields, followed by the inputs of a decision.
 macro_rules! log_decision {
-    ($known:expr, { $($field:tt)* }, $($message:tt)*) => {
-        let known: &$crate::decision::DecisionContext = $known;
+    ($context:expr, { $($field:tt)* }, $($message:tt)*) => {
+        let context: &$crate::decision::DecisionContext = $context;
         log::info!(
             $($field)*
-            prompt = known.prompt.0,
-            goal_left_ms = known.goal_left.as_millis() as u64,
-            limit_left_ms = known.limit_left.as_millis() as u64,
-            wait_ms = known.waited.as_millis() as u64,
-            engines_known = known.survey.engines,
-            full = known.survey.full,
-            idle = known.survey.idle,
-            clear = known.survey.clear,
-            penalized = known.survey.penalized,
-            unread_ms = known.survey.unread.as_millis() as u64,
-            ahead_ms = known.survey.ahead.as_millis() as u64,
-            ahead_short = known.survey.ahead_short;
+            prompt = context.prompt.0,
+            goal_left_ms = context.goal_left.as_millis() as u64,
+            limit_left_ms = context.limit_left.as_millis() as u64,
+            wait_ms = context.waited.as_millis() as u64,
+            engines_known = context.survey.engines,
+            full = context.survey.full,
+            idle = context.survey.idle,
+            clear = context.survey.clear,
+            penalized = context.survey.penalized,
+            unread_ms = context.survey.unread.as_millis() as u64,
+            ahead_ms = context.survey.ahead.as_millis() as u64,
+            ahead_short = context.survey.ahead_short;
             $($message)*
         );
     };
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -32,9 +32,8 @@
 /// The minimum time between two such notifications.
 const REVISION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The maximum number of nodes with a newer operator revision that a node announces to
-/// others. All nodes learn of the revision within milliseconds, and of more than one node
-/// to fetch it from.
+/// The maximum number of nodes that are announced to have a newer operator revision. All
+/// nodes learn of it within milliseconds, and of more than one node to fetch it from.
 const MAX_ANNOUNCED_HOLDERS: usize = 3;
 
 /// The minimum time between two log lines about members.
@@ -227,8 +226,7 @@
         core.owner().forget(&datagram.node);
     }
     handle_operator_revision(core, &datagram.node, datagram.operator_revision);
-    // Behind an address translation, datagrams may arrive from another address than the one
-    // at which the node receives.
+    // With address translation the source differs from the address that the node receives at.
     let from = core.peer_address(&datagram.node).unwrap_or(from);
     for event in datagram.events {
         handle_event(core, now, &datagram.node, from, event);
@@ -275,8 +273,7 @@
     }
 }
 
-/// Handles the announcement that a node has a revision of the operators' data, and forwards
-/// it if it is new.
+/// Handles a node's revision of the operators' data, and forwards it if it is new.
 fn handle_operator_revision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     node: &id::Node,
@@ -318,8 +315,7 @@
 }
 
 impl LoggedState {
-    /// Logs changes at most once per [`MEMBER_LOG_INTERVAL`], since many nodes may join or
-    /// leave at the same time.
+    /// Logs changes, at a limited rate since many nodes may join or leave at the same time.
     fn log<D: Dialect, S: Store, C: Clock>(&mut self, core: &Core<D, S, C>, now: Instant) {
         if self.at.is_some_and(|at| now.saturating_duration_since(at) < MEMBER_LOG_INTERVAL) {
             return;
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -152,7 +152,8 @@
                 self.config_revision = item.revision;
             }
             Err(finding) => {
-                log::error!(revision:% = item.revision; "can't decode the configuration: {finding}");
+                log::error!(revision:% = item.revision;
+                    "can't decode the configuration: {finding}");
             }
         }
     }
--- a/crates/path/tests/lag.rs
+++ b/crates/path/tests/lag.rs
@@ -48,9 +48,10 @@
     assert_eq!(tracker.note_known(begin + seconds(22), Revision(6)), Some(seconds(2)));
 }
 
-/// Guards against the same refusals ten minutes after a zone is put back into service. The
-/// removal was the newest item, and each node dropped its tombstone at its own time: a node
-/// without it saw a newer revision at a peer, requested it, and no peer had it any more.
+/// Guards against a 503 for every unknown path ten minutes after a zone is put back into
+/// service. The removal was the newest item, and each node dropped its tombstone at its own
+/// time: a node without it saw a newer revision at a peer, requested it, and no peer had it
+/// any more.
 #[test]
 fn the_newest_tombstone_never_expires() {
     let now = Instant::now();
--- a/crates/unit/src/lib.rs
+++ b/crates/unit/src/lib.rs
@@ -1,7 +1,7 @@
 //! Identifiers, sizes, rates and the clock that every hickoryrun package shares.
 //!
 //! Each identifier is a newtype with `Display` and `FromStr`, so that a zone
-//! can't be passed where a target is wanted.
+//! can't be passed where a target is expected.
 //!
 //! ```
 //! use hickory_unit::{id, size};
