--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -1,7 +1,7 @@
 //! What the parts of a node share.
 
 use crate::dialect::Dialect;
-use crate::fleet::{Unanswered, Uptime};
+use crate::fleet::{OwnerTimeouts, Uptime};
 use crate::gossip::{Outgoing, PeerStates};
 use crate::items::Items;
 use crate::lag::{Lag, LagTracker};
@@ -9,7 +9,7 @@
 use crate::owner::Owner;
 use crate::placement::Answer;
 use crate::settings::{Bounds, Settings};
-use crate::sync_server::Outbox;
+use crate::sync_server::Transfers;
 use crate::view::{Tag, View};
 use hickory_client::Client;
 use hickory_policy::ejection::Ejection;
@@ -65,13 +65,13 @@
     pub(crate) member: OnceLock<Member<Metered<S, C>, C>>,
     items: Mutex<Items>,
     news: Mutex<LagTracker>,
-    giving: Mutex<Outbox>,
+    giving: Mutex<Transfers>,
     view: RwLock<Arc<View>>,
     ledger: Mutex<Ledger>,
     membership: Mutex<Membership>,
     peer_states: Mutex<PeerStates>,
     owner: Mutex<Owner>,
-    silences: Mutex<HashMap<id::Node, Unanswered>>,
+    silences: Mutex<HashMap<id::Node, OwnerTimeouts>>,
     expected: Mutex<HashMap<Number, UnboundedSender<Answer>>>,
     ejection: Mutex<Ejection<Tag>>,
     suspects: Mutex<Suspects>,
@@ -182,7 +182,7 @@
         lock(&self.suspects)
     }
 
-    pub(crate) fn giving(&self) -> MutexGuard<'_, Outbox> {
+    pub(crate) fn giving(&self) -> MutexGuard<'_, Transfers> {
         lock(&self.giving)
     }
 
@@ -297,7 +297,7 @@
         budgets.entry(service.clone()).or_default().spend(now, &bounds.repeats, nodes)
     }
 
-    pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, Unanswered>> {
+    pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, OwnerTimeouts>> {
         lock(&self.silences)
     }
 
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -43,9 +43,9 @@
     pub(crate) last_tick: Instant,
 }
 
-/// Consecutive requests that an owner did not answer.
+/// Consecutive timeouts of requests to an owner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unanswered {
+pub(crate) struct OwnerTimeouts {
     count: u32,
     last_at: Instant,
 }
@@ -195,14 +195,11 @@
     /// after timeouts.
     pub(crate) fn responsive_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
-        let (now, mut unanswered_by_owner) = (self.now(), self.silences());
-        unanswered_by_owner.retain(|_, unanswered| {
-            now.saturating_duration_since(unanswered.last_at) < OWNER_BACKOFF
-        });
+        let (now, mut owner_timeouts) = (self.now(), self.silences());
+        owner_timeouts
+            .retain(|_, timeouts| now.saturating_duration_since(timeouts.last_at) < OWNER_BACKOFF);
         let is_unresponsive = |node: &id::Node| {
-            unanswered_by_owner
-                .get(node)
-                .is_some_and(|unanswered| unanswered.count >= MAX_OWNER_TIMEOUTS)
+            owner_timeouts.get(node).is_some_and(|timeouts| timeouts.count >= MAX_OWNER_TIMEOUTS)
         };
         owners.into_iter().filter(|node| !is_unresponsive(node)).collect()
     }
@@ -210,13 +207,12 @@
     /// Records that an owner did not answer in time.
     pub(crate) fn note_owner_timeout(&self, node: &id::Node) {
         let now = self.now();
-        let mut unanswered_by_owner = self.silences();
-        let unanswered = unanswered_by_owner
-            .entry(node.clone())
-            .or_insert(Unanswered { count: 0, last_at: now });
-        unanswered.count += 1;
-        unanswered.last_at = now;
-        if unanswered.count == MAX_OWNER_TIMEOUTS {
+        let mut owner_timeouts = self.silences();
+        let timeouts =
+            owner_timeouts.entry(node.clone()).or_insert(OwnerTimeouts { count: 0, last_at: now });
+        timeouts.count += 1;
+        timeouts.last_at = now;
+        if timeouts.count == MAX_OWNER_TIMEOUTS {
             log::warn!(owner:% = node; "owner answers nothing");
         }
     }
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -37,7 +37,7 @@
 
 /// What this node is sending to peers, and which peers already have the newest value.
 #[derive(Debug, Default)]
-pub(crate) struct Outbox {
+pub(crate) struct Transfers {
     meter: Meter,
     /// The revision of the value that `recipients` have received completely.
     revision: Revision,
@@ -127,13 +127,13 @@
     size: size::Bytes,
 ) -> Result<Ticket, (Busy, Vec<SocketAddr>)> {
     let now = core.now();
-    let mut outbox = core.giving();
-    if outbox.revision != revision {
-        outbox.revision = revision;
-        outbox.recipients.clear();
+    let mut transfers = core.giving();
+    if transfers.revision != revision {
+        transfers.revision = revision;
+        transfers.recipients.clear();
     }
-    let admitted = outbox.meter.admit(now, size, core.settings.link());
-    admitted.map_err(|busy| (busy, outbox.recipients.name(now)))
+    let admitted = transfers.meter.admit(now, size, core.settings.link());
+    admitted.map_err(|busy| (busy, transfers.recipients.name(now)))
 }
 
 /// An answer with chunks that is being sent.
@@ -158,12 +158,12 @@
     }
     let now = core.now();
     let unsent_bytes = *unsent.borrow();
-    let mut outbox = core.giving();
-    outbox.meter.end(transfer.ticket);
-    if unsent_bytes == size::Bytes(0) && outbox.revision == transfer.revision {
-        outbox.recipients.note(now + DELIVERY_MARGIN, transfer.to);
+    let mut transfers = core.giving();
+    transfers.meter.end(transfer.ticket);
+    if unsent_bytes == size::Bytes(0) && transfers.revision == transfer.revision {
+        transfers.recipients.note(now + DELIVERY_MARGIN, transfer.to);
     }
-    drop(outbox);
+    drop(transfers);
     log::info!(
         peer:% = transfer.to,
         pieces = transfer.chunk_count,
