--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! The hickoryrun daemon of an entry host: settings in, a node that runs until
+//! The hickoryrun daemon of an entry host. It reads the settings and runs a node until
 //! SIGTERM.
 
 use clap::Parser;
@@ -13,37 +13,37 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long a call to the platform's store may take: some hundred times what
-/// it takes in calm.
+/// The timeout of a call to the platform's store: some hundred times its usual duration.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Between two looks whether the settings file has changed without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(5);
+/// The interval at which the settings file is checked for changes that came without a
+/// signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long connections are given to end after the node has closed.
-const LAST_BYTES: Duration = Duration::from_millis(100);
+/// How long connections may take to finish after the node has closed.
+const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(100);
 
-/// Serves callers beside the other nodes of a fleet.
+/// Runs a node that serves callers together with the other nodes of a fleet.
 #[derive(Debug, Parser)]
 #[command(name = "hickory-entry", version)]
 struct Options {
-    /// The settings file, in place of the one that the environment names.
+    /// Settings file; overrides the path in the environment.
     settings: Option<PathBuf>,
-    /// Least level of log lines: off, error, warn, info, debug or trace.
+    /// Minimum level of log lines: off, error, warn, info, debug or trace.
     #[arg(long, default_value = "info")]
     log: log::LevelFilter,
-    /// Port on which metrics are served, at any path; none without it.
+    /// Port on which metrics are served, at any path; without it they are not served.
     #[arg(long)]
     metrics: Option<u16>,
-    /// Read the settings, say what is wrong with them, and end.
+    /// Read and check the settings, then exit.
     #[arg(long)]
     check: bool,
 }
 
 fn main() -> eyre::Result<()> {
     let options = Options::parse();
-    let path = options.settings.clone().unwrap_or_else(find_settings);
-    let mut settings = open_settings(&path)?;
+    let path = options.settings.clone().unwrap_or_else(settings_path);
+    let mut settings = read_settings(&path)?;
     settings.metrics = options.metrics.map(|port| SocketAddr::new(settings.callers.ip(), port));
     if options.check {
         println!("{settings:#?}");
@@ -51,17 +51,17 @@
     }
     hickory_telemetry::logs::open_stdout(options.log)?;
     hickory_telemetry::logs::set_node(&settings.node);
-    // One thread: a host has a quarter of a core, and each further thread
-    // costs memory for its stack and its allocations.
+    // A single thread is enough for a quarter of a core, and each further thread costs
+    // memory for its stack and its allocations.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(settings, &path))
 }
 
-fn find_settings() -> PathBuf {
+fn settings_path() -> PathBuf {
     std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| SETTINGS_PATH.into(), PathBuf::from)
 }
 
-fn open_settings(path: &Path) -> eyre::Result<Settings> {
+fn read_settings(path: &Path) -> eyre::Result<Settings> {
     let text = std::fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
     settings::read(&text).map_err(|finding| eyre::eyre!(finding.in_file(&path.display())))
 }
@@ -72,28 +72,28 @@
     let mut hang_up = signal(SignalKind::hangup())?;
     let store = store::Store::open(settings.store, STORE_TIMEOUT);
     log::info!(node = settings.node.as_str(), callers:% = settings.callers; "started");
-    let mut known = settings.clone();
-    let node: Node<Platform, _, _> = Node::spawn(settings, store, clock::Boot::start()).await?;
+    let mut active = settings.clone();
+    let node: Node<Platform, _, _> = Node::spawn(settings, store, clock::BootTime::start()).await?;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
             _ = hang_up.recv() => {}
-            () = tokio::time::sleep(SETTINGS_LOOK) => {}
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
         }
-        match open_settings(path) {
-            Ok(settings) if settings.bounds != known.bounds => {
+        match read_settings(path) {
+            Ok(settings) if settings.bounds != active.bounds => {
                 log::info!("settings taken over");
-                known = settings.clone();
+                active = settings.clone();
                 node.reload(settings);
             }
             Ok(_) => {}
-            Err(error) => log::error!("settings can't be read: {error}"),
+            Err(error) => log::error!("can't read the settings: {error}"),
         }
     }
     node.drain();
     node.closed().await;
-    // Connections get their last bytes out before the process ends.
-    tokio::time::sleep(LAST_BYTES).await;
+    // Let connections send their last bytes before the process ends.
+    tokio::time::sleep(CLOSE_GRACE_PERIOD).await;
     Ok(())
 }
--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -125,7 +125,7 @@
             goal: run.job.route.goal,
             goal_left: run.next_token_due().saturating_duration_since(now),
             limit_left: run.first_event_deadline().saturating_duration_since(now),
-            max_token_gap: run.job.route.gap,
+            max_token_gap: run.job.route.event_gap_goal,
             zone: run.core.settings.zone.clone(),
             tried: self.tried.clone(),
         }
@@ -152,7 +152,7 @@
         if unresponsive.len() >= MAX_OWNERS_ASKED || self.returned_grants >= MAX_RETURNED_GRANTS {
             return None;
         }
-        let owners = self.run.core.answering_owners(&self.group);
+        let owners = self.run.core.responsive_owners(&self.group);
         owners.into_iter().find(|owner| !unresponsive.contains(owner))
     }
 
@@ -164,11 +164,11 @@
     ) -> Option<PlaceResult<D, S, C>> {
         self.send_request(&owner);
         let Some(answer) = self.next_answer(OWNER_TIMEOUT).await else {
-            self.run.core.note_silent(&owner);
+            self.run.core.note_owner_timeout(&owner);
             unresponsive.push(owner);
             return None;
         };
-        self.run.core.note_heard(&owner);
+        self.run.core.note_owner_answered(&owner);
         let decider = if unresponsive.is_empty() { Decider::Owner } else { Decider::Successor };
         unresponsive.clear();
         let outcome = self.handle_answer(answer, decider);
@@ -208,8 +208,8 @@
                 Requester { ticket, address: core.settings.peers },
                 request,
             );
-        } else if let Some(address) = core.find_peer(owner) {
-            core.send(address, Event::Ask(self.id, request));
+        } else if let Some(address) = core.peer_address(owner) {
+            core.send(address, Event::Request(self.id, request));
         }
     }
 
@@ -295,7 +295,7 @@
         core.ledger().finish(core.now(), self.id);
         let ticket = Ticket { node: core.settings.node.clone(), id: self.id };
         core.owner().withdraw(core.now(), &ticket);
-        core.tell_owners(&self.group, &Event::Ended(self.id));
+        core.send_to_owners(&self.group, &Event::Ended(self.id));
     }
 }
 
@@ -310,6 +310,7 @@
 
 /// Returns a target of the grant that this node knows to be unusable.
 fn find_unusable(view: &View, grant: &Grant, now: Instant) -> Option<Tag> {
-    let is_usable = |tag: &Tag| view.find(*tag).is_some_and(|target| view.may_send(target, now));
+    let is_usable =
+        |tag: &Tag| view.find_target(*tag).is_some_and(|target| view.can_send(target, now));
     grant.allocation.engines().find(|tag| !is_usable(tag))
 }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -1,15 +1,15 @@
 //! The state that all parts of a node share.
 
 use crate::dialect::Dialect;
-use crate::fleet::{Running, Silence};
-use crate::give::Giving;
+use crate::fleet::{OwnerTimeouts, Uptime};
 use crate::gossip::{Outgoing, PeerStates};
 use crate::items::Items;
+use crate::lag::{Lag, LagTracker};
 use crate::ledger::{AllocationId, Ledger};
-use crate::news::{Lag, News};
 use crate::owner::Owner;
 use crate::placement::Answer;
 use crate::settings::{Bounds, Settings};
+use crate::sync_server::Transfers;
 use crate::view::{Tag, View};
 use hickory_client::Client;
 use hickory_policy::ejection::Ejection;
@@ -63,14 +63,14 @@
     pub(crate) client: Client,
     pub(crate) member: OnceLock<Member<Metered<S, C>, C>>,
     items: Mutex<Items>,
-    news: Mutex<News>,
-    transfers: Mutex<Giving>,
+    news: Mutex<LagTracker>,
+    transfers: Mutex<Transfers>,
     view: RwLock<Arc<View>>,
     ledger: Mutex<Ledger>,
     membership: Mutex<Membership>,
     peer_states: Mutex<PeerStates>,
     owner: Mutex<Owner>,
-    owner_timeouts: Mutex<HashMap<id::Node, Silence>>,
+    owner_timeouts: Mutex<HashMap<id::Node, OwnerTimeouts>>,
     pending_answers: Mutex<HashMap<AllocationId, UnboundedSender<Answer>>>,
     ejection: Mutex<Ejection<Tag>>,
     suspects: Mutex<Suspects>,
@@ -79,7 +79,7 @@
     draining_since: OnceLock<Instant>,
     revisions: Mutex<(Revision, Revision)>,
     /// How long this node has received reports of allocations without a break.
-    uptime: Mutex<Running>,
+    uptime: Mutex<Uptime>,
     outgoing: UnboundedSender<Outgoing>,
     /// Held until the sending task takes it.
     outgoing_receiver: Mutex<Option<UnboundedReceiver<Outgoing>>>,
@@ -129,7 +129,7 @@
             is_store_unreachable: AtomicBool::new(false),
             draining_since: OnceLock::new(),
             revisions: Mutex::default(),
-            uptime: Mutex::new(Running { since: now, ticked: now }),
+            uptime: Mutex::new(Uptime { since: now, last_tick: now }),
             outgoing,
             outgoing_receiver: Mutex::new(Some(outgoing_receiver)),
             membership_notify: Notify::new(),
@@ -181,7 +181,7 @@
         lock(&self.suspects)
     }
 
-    pub(crate) fn transfers(&self) -> MutexGuard<'_, Giving> {
+    pub(crate) fn transfers(&self) -> MutexGuard<'_, Transfers> {
         lock(&self.transfers)
     }
 
@@ -198,21 +198,22 @@
         }
         let now = self.now();
         for prefix in [D::OPERATOR_PREFIX, D::TARGET_PREFIX] {
-            items.forget(now, prefix);
+            items.expire_tombstones(now, prefix);
         }
         let before = self.view();
-        let next = before.read::<D>(&items, now, may_lapse);
-        let waited = lock(&self.news).settle(now, items.newest(D::OPERATOR_PREFIX));
+        let next = before.updated::<D>(&items, now, may_lapse);
+        let waited = lock(&self.news).note_known(now, items.newest_revision(D::OPERATOR_PREFIX));
         if next.config_revision != before.config_revision {
             self.note_configuration(&next, waited);
         }
         let next = Arc::new(next);
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = next.clone();
-        *lock(&self.revisions) = (items.newest(D::OPERATOR_PREFIX), items.newest(D::TARGET_PREFIX));
+        *lock(&self.revisions) =
+            (items.newest_revision(D::OPERATOR_PREFIX), items.newest_revision(D::TARGET_PREFIX));
         self.revision_notify.notify_one();
         drop(items);
         if !next.changes.is_empty() {
-            self.log_changes(&next);
+            self.log_target_changes(&next);
         }
     }
 
@@ -242,14 +243,14 @@
     pub(crate) fn note_operator_revision(&self, revision: Revision) {
         let (known, _) = self.revisions();
         if revision > known {
-            lock(&self.news).hear(self.now(), revision, known);
+            lock(&self.news).note_announced(self.now(), revision, known);
         }
     }
 
     /// Returns how far this node is behind the newest revision that it knows operators to have
     /// written; `None` if it is up to date.
     pub(crate) fn lag(&self) -> Option<Lag> {
-        let known = self.items().newest(D::OPERATOR_PREFIX);
+        let known = self.items().newest_revision(D::OPERATOR_PREFIX);
         lock(&self.news).lag(self.now(), known)
     }
 
@@ -296,11 +297,11 @@
         budgets.entry(service.clone()).or_default().spend(now, &bounds.retry_budget, nodes)
     }
 
-    pub(crate) fn owner_timeouts(&self) -> MutexGuard<'_, HashMap<id::Node, Silence>> {
+    pub(crate) fn owner_timeouts(&self) -> MutexGuard<'_, HashMap<id::Node, OwnerTimeouts>> {
         lock(&self.owner_timeouts)
     }
 
-    pub(crate) fn uptime(&self) -> MutexGuard<'_, Running> {
+    pub(crate) fn uptime(&self) -> MutexGuard<'_, Uptime> {
         lock(&self.uptime)
     }
 
--- a/crates/path/src/directory.rs
+++ b/crates/path/src/directory.rs
@@ -18,7 +18,7 @@
 pub(crate) fn render<D: Dialect, S: Store, C: Clock>(core: &Core<D, S, C>) -> Option<String> {
     let own = core.is_ready().then_some(core.settings.callers);
     let mut addresses: Vec<SocketAddr> = own.into_iter().collect();
-    addresses.extend(core.callers().into_iter().take(MAX_ADDRESSES - addresses.len()));
+    addresses.extend(core.caller_addresses().into_iter().take(MAX_ADDRESSES - addresses.len()));
     let max_age = MAX_ADDRESS_AGE.min(core.bounds().directory_max_age);
     (!addresses.is_empty()).then(|| D::write_directory(&addresses, max_age))
 }
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How a node reaches the others: those who decide on a group, and all.
+//! How a node addresses the other nodes: the owners of a group, or all of them.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
@@ -18,68 +18,72 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Nodes that are told what is placed in a group: its owner and its successor.
-const TOLD: usize = 2;
+/// The number of a group's first nodes by rank that receive its allocations: the owner and
+/// its successor.
+const ALLOCATION_OWNERS: usize = 2;
 
-/// How long a node runs until it was told all that runs.
-const SETTLED_AFTER: Duration = Duration::from_millis(1_500);
+/// How long a node must run without interruption before it has received all running
+/// allocations.
+const SETTLING_TIME: Duration = Duration::from_millis(1_500);
 
-/// A tick that comes so late was held up: what was told before is old.
-const HELD_UP: Duration = Duration::from_secs(1);
+/// A tick that is later than this means that the process was suspended, so its knowledge of
+/// allocations is stale.
+const MAX_TICK_DELAY: Duration = Duration::from_secs(1);
 
-/// Silences in a row after which an owner is passed over.
-const SILENCES: u32 = 2;
+/// The number of consecutive timeouts after which an owner is skipped.
+const MAX_OWNER_TIMEOUTS: u32 = 2;
 
-/// How long an owner is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+/// How long an owner is skipped after its last timeout.
+const OWNER_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How long a node has been running without a break.
+/// How long a node has been running without interruption.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Running {
+pub(crate) struct Uptime {
     pub(crate) since: Instant,
-    pub(crate) ticked: Instant,
+    pub(crate) last_tick: Instant,
 }
 
-/// Asks that an owner left unanswered.
+/// Consecutive timeouts of requests to an owner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Silence {
+pub(crate) struct OwnerTimeouts {
     count: u32,
-    last: Instant,
+    last_at: Instant,
 }
 
 impl<D: Dialect, S: Store, C: Clock> Core<D, S, C> {
-    /// Nodes that are not known to be dead, and this one.
+    /// Returns the number of nodes that are not known to be dead, including this one.
     pub(crate) fn count_nodes(&self) -> usize {
         self.membership().present().count() + 1
     }
 
-    /// Other nodes that are alive.
+    /// Returns the number of other nodes that are alive.
     pub(crate) fn count_peers(&self) -> usize {
         self.membership().alive().count()
     }
 
-    /// Where callers may connect besides this node.
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses at which the other nodes accept callers.
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let membership = self.membership();
         let ready = membership.alive().filter(|record| record.contact.ready);
         ready.map(|record| record.contact.callers).collect()
     }
 
-    /// Notes that this node runs; one that was held up was told nothing meanwhile.
+    /// Records a tick. After an interruption the uptime starts again, because the node
+    /// missed the allocations that were sent meanwhile.
     pub(crate) fn note_tick(&self, now: Instant) {
-        let mut running = self.uptime();
-        if now.saturating_duration_since(running.ticked) > HELD_UP {
-            running.since = now;
+        let mut uptime = self.uptime();
+        if now.saturating_duration_since(uptime.last_tick) > MAX_TICK_DELAY {
+            uptime.since = now;
         }
-        running.ticked = now;
+        uptime.last_tick = now;
     }
 
-    /// Whether this node has been told what runs where.
+    /// Returns whether this node has received all running allocations.
     pub(crate) fn is_settled(&self) -> bool {
-        self.now().saturating_duration_since(self.uptime().since) >= SETTLED_AFTER
+        self.now().saturating_duration_since(self.uptime().since) >= SETTLING_TIME
     }
 
-    /// Tells the others what this node says of itself, where that changed.
+    /// Updates this node's own contact and spreads it if it changed.
     pub(crate) fn update_contact(&self) {
         let (ready, settled, store_away) =
             (self.is_ready(), self.is_settled(), self.is_store_unreachable());
@@ -87,21 +91,21 @@
         let contact = membership.own().contact.clone();
         membership.set_contact(Contact { ready, settled, store_away, ..contact });
         drop(membership);
-        self.note_members();
+        self.notify_member_updates();
     }
 
-    fn note_members(&self) {
+    fn notify_member_updates(&self) {
         if self.membership().has_untold() {
             self.membership_notify.notify_one();
         }
     }
 
-    /// Sends what the table of members wants sent.
-    pub(crate) fn send_members(&self, out: Vec<gossip::Outgoing>) {
+    /// Sends outgoing messages of the membership protocol.
+    pub(crate) fn send_membership(&self, out: Vec<gossip::Outgoing>) {
         for (to, message) in out {
             self.send(to, Event::Member(message));
         }
-        self.note_members();
+        self.notify_member_updates();
     }
 
     /// Sends an event to a node.
@@ -109,25 +113,25 @@
         self.enqueue(Outgoing { to, event: Some(event) });
     }
 
-    /// Tells a node the newest revisions that this one has.
+    /// Sends a node the newest revisions that this node has.
     pub(crate) fn send_revisions(&self, to: SocketAddr) {
         self.enqueue(Outgoing { to, event: None });
     }
 
-    /// Tells all other nodes.
-    pub(crate) fn send_to_all(&self, event: &Event) {
+    /// Sends an event to all other nodes.
+    pub(crate) fn broadcast(&self, event: &Event) {
         let membership = self.membership();
         let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peers).collect();
         drop(membership);
         peers.into_iter().for_each(|peer| self.send(peer, event.clone()));
     }
 
-    /// Where a node receives datagrams.
-    pub(crate) fn find_peer(&self, node: &id::Node) -> Option<SocketAddr> {
+    /// Returns the address at which a node receives datagrams.
+    pub(crate) fn peer_address(&self, node: &id::Node) -> Option<SocketAddr> {
         self.membership().get(node).map(|record| record.contact.peers)
     }
 
-    /// The nodes that decide on a group, the owner first.
+    /// Returns the nodes that place requests in a group, the owner first.
     fn owners(&self, group: &Group) -> Vec<id::Node> {
         let membership = self.membership();
         let records = membership.alive().chain([membership.own()]);
@@ -135,32 +139,32 @@
         group::rank_owners(group, nodes).into_iter().cloned().collect()
     }
 
-    fn owns(&self, group: &Group) -> bool {
+    fn is_owner(&self, group: &Group) -> bool {
         self.owners(group).first() == Some(&self.settings.node)
     }
 
-    /// The groups that this node owns.
+    /// Returns the groups that this node owns.
     pub(crate) fn owned_groups(&self) -> Vec<Group> {
         let view = self.view();
         let groups = view.targets.iter().flat_map(|(service, targets)| {
             let indexes = 0..group::count_groups(targets.len());
             indexes.map(|index| Group { service: service.clone(), index })
         });
-        let mut owned: Vec<Group> = groups.filter(|group| self.owns(group)).collect();
+        let mut owned: Vec<Group> = groups.filter(|group| self.is_owner(group)).collect();
         owned.sort_unstable();
         owned
     }
 
-    /// Logs what changed of targets: each at the owner of its group, and everywhere
-    /// for whoever looks into one node.
-    pub(crate) fn log_changes(&self, view: &View) {
+    /// Logs the changes of targets: at info level on the owner of the target's group, and
+    /// at debug level on all other nodes, for operators who examine a single node.
+    pub(crate) fn log_target_changes(&self, view: &View) {
         let mut owned: HashMap<Group, bool> = HashMap::new();
         for (change, target) in &view.changes {
             let service = &target.entry.service;
             let groups = group::count_groups(view.targets_of(service).len());
             let index = group::find_group(target.tag, groups);
             let group = Group { service: service.clone(), index };
-            let is_owned = *owned.entry(group).or_insert_with_key(|group| self.owns(group));
+            let is_owned = *owned.entry(group).or_insert_with_key(|group| self.is_owner(group));
             let level = if is_owned { Level::Info } else { Level::Debug };
             log::log!(
                 level,
@@ -173,83 +177,88 @@
         }
     }
 
-    /// Other nodes that are told what is placed in a group.
-    pub(crate) fn told_owners(&self, group: &Group) -> Vec<id::Node> {
-        let mut told = self.owners(group);
-        told.truncate(TOLD);
-        let answering = self.answering_owners(group);
-        for node in answering.into_iter().take(TOLD) {
-            if !told.contains(&node) {
-                told.push(node);
+    /// Returns the other nodes that receive the allocations of a group.
+    pub(crate) fn allocation_recipients(&self, group: &Group) -> Vec<id::Node> {
+        let mut recipients = self.owners(group);
+        recipients.truncate(ALLOCATION_OWNERS);
+        let responsive = self.responsive_owners(group);
+        for node in responsive.into_iter().take(ALLOCATION_OWNERS) {
+            if !recipients.contains(&node) {
+                recipients.push(node);
             }
         }
-        told.retain(|node| *node != self.settings.node);
-        told
+        recipients.retain(|node| *node != self.settings.node);
+        recipients
     }
 
-    /// The nodes that decide on a group, but for those that answered nothing lately.
-    pub(crate) fn answering_owners(&self, group: &Group) -> Vec<id::Node> {
+    /// Returns the nodes that place requests in a group, without those that are skipped
+    /// after timeouts.
+    pub(crate) fn responsive_owners(&self, group: &Group) -> Vec<id::Node> {
         let owners = self.owners(group);
-        let (now, mut silences) = (self.now(), self.owner_timeouts());
-        silences.retain(|_, silence| now.saturating_duration_since(silence.last) < PASSED_OVER);
-        let is_silent = |node: &id::Node| silences.get(node).is_some_and(|s| s.count >= SILENCES);
-        owners.into_iter().filter(|node| !is_silent(node)).collect()
+        let (now, mut owner_timeouts) = (self.now(), self.owner_timeouts());
+        owner_timeouts
+            .retain(|_, timeouts| now.saturating_duration_since(timeouts.last_at) < OWNER_BACKOFF);
+        let is_unresponsive = |node: &id::Node| {
+            owner_timeouts.get(node).is_some_and(|timeouts| timeouts.count >= MAX_OWNER_TIMEOUTS)
+        };
+        owners.into_iter().filter(|node| !is_unresponsive(node)).collect()
     }
 
-    /// Notes that an owner did not answer in time.
-    pub(crate) fn note_silent(&self, node: &id::Node) {
+    /// Records that an owner did not answer in time.
+    pub(crate) fn note_owner_timeout(&self, node: &id::Node) {
         let now = self.now();
-        let mut silences = self.owner_timeouts();
-        let silence = silences.entry(node.clone()).or_insert(Silence { count: 0, last: now });
-        silence.count += 1;
-        silence.last = now;
-        if silence.count == SILENCES {
+        let mut owner_timeouts = self.owner_timeouts();
+        let timeouts =
+            owner_timeouts.entry(node.clone()).or_insert(OwnerTimeouts { count: 0, last_at: now });
+        timeouts.count += 1;
+        timeouts.last_at = now;
+        if timeouts.count == MAX_OWNER_TIMEOUTS {
             log::warn!(owner:% = node; "owner answers nothing");
         }
     }
 
-    /// Notes that an owner answered.
-    pub(crate) fn note_heard(&self, node: &id::Node) {
+    /// Records that an owner answered.
+    pub(crate) fn note_owner_answered(&self, node: &id::Node) {
         self.owner_timeouts().remove(node);
     }
 
-    /// Tells those who decide on a group.
-    pub(crate) fn tell_owners(&self, group: &Group, event: &Event) {
-        for node in self.told_owners(group) {
-            if let Some(to) = self.find_peer(&node) {
+    /// Sends an event to the nodes that place requests in a group.
+    pub(crate) fn send_to_owners(&self, group: &Group, event: &Event) {
+        for node in self.allocation_recipients(group) {
+            if let Some(to) = self.peer_address(&node) {
                 self.send(to, event.clone());
             }
         }
     }
 
-    /// What this node has placed, as it is told.
-    pub(crate) fn tell_own(&self, now: Instant) -> Vec<(AllocationId, Allocation)> {
+    /// Returns the allocations of this node, in the form in which they are sent.
+    pub(crate) fn own_allocations(&self, now: Instant) -> Vec<(AllocationId, Allocation)> {
         self.ledger().own_allocations(now).collect()
     }
 
-    /// The group that an allocation is in.
+    /// Returns the group that an allocation belongs to.
     pub(crate) fn group_of(&self, allocation: &Allocation) -> Group {
         let groups = group::count_groups(self.view().targets_of(&allocation.service).len());
         let index = group::find_group(allocation.target, groups);
         Group { service: allocation.service.clone(), index }
     }
 
-    /// The answers to an ask, as they come.
+    /// Returns a channel that receives the answers to a placement request.
     pub(crate) fn expect_answer(&self, number: AllocationId) -> UnboundedReceiver<Answer> {
         let (sender, receiver) = unbounded_channel();
         self.pending_answers().insert(number, sender);
         receiver
     }
 
-    /// Expects no further answer.
+    /// Stops expecting answers to a placement request.
     pub(crate) fn forget_answer(&self, number: AllocationId) {
         self.pending_answers().remove(&number);
     }
 
-    /// Hands an answer to whoever waits for it.
-    pub(crate) fn deliver(&self, number: AllocationId, answer: Answer) {
+    /// Delivers an answer to the task that waits for it.
+    pub(crate) fn deliver_answer(&self, number: AllocationId, answer: Answer) {
         if let Some(sender) = self.pending_answers().get(&number) {
-            // Whoever waited has just gone.
+            // The receiver may have been dropped in the meantime.
             let _ = sender.send(answer);
         }
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -1,9 +1,9 @@
-//! What nodes tell each other by datagrams.
+//! Datagrams between nodes.
 //!
-//! A datagram may be lost, so nothing hangs on a single one: allocations are told
-//! again, asks are repeated, and who is alive is known by
-//! [`hickory_policy::membership`]. What is too large for a datagram (the store's
-//! items) is fetched from a peer that has it; see [`crate::fetch`].
+//! A datagram may be lost, so the protocol never depends on a single one: allocations are
+//! sent periodically, placement requests are retried, and [`hickory_policy::membership`]
+//! tracks which nodes are alive. Data that is too large for a datagram (the store's items)
+//! is fetched from a peer that has it; see [`crate::fetch`].
 
 use crate::core::{Core, Stage};
 use crate::dialect::Dialect;
@@ -26,191 +26,192 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Peers that are told at once of a newer revision.
+/// The number of peers that are notified immediately of a newer revision.
 const REVISION_FANOUT: usize = 4;
 
-/// Between two such tellings.
-const REVISION_EVERY: Duration = Duration::from_millis(50);
+/// The minimum time between two such notifications.
+const REVISION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Nodes that have newer operators' data which a node tells others of: all hear of it
-/// within some milliseconds, and of more than one that they can have it from.
-const HOLDERS_TOLD: usize = 3;
+/// The maximum number of nodes that are announced to have a newer operator revision. All
+/// nodes learn of it within milliseconds, and of more than one node to fetch it from.
+const MAX_ANNOUNCED_HOLDERS: usize = 3;
 
-/// Between two log lines about members.
-const LOGGED_EVERY: Duration = Duration::from_secs(1);
+/// The minimum time between two log lines about members.
+const MEMBER_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long news of members is gathered before it is pushed.
-const GATHER: Duration = Duration::from_millis(10);
+/// How long membership updates are collected before they are pushed.
+const MEMBER_BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Between two tellings of all allocations.
-const ALLOCATIONS_EVERY: Duration = Duration::from_millis(500);
+/// The interval at which all allocations are sent again.
+const ALLOCATION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a peer's revisions count after it was last heard.
-const HEARD_FOR: Duration = Duration::from_secs(10);
+/// How long a peer's revisions remain valid after its last datagram.
+const PEER_STATE_TTL: Duration = Duration::from_secs(10);
 
-/// The greatest datagram: what goes through all links unfragmented.
-const DATAGRAM_MAX: usize = 1_200;
+/// The maximum datagram size, which passes all links without fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 
-/// The receive buffer: the greatest datagram of a peer.
-const RECEIVE: usize = 2_048;
+/// The size of the receive buffer, above any peer's maximum datagram size.
+const RECEIVE_BUFFER_BYTES: usize = 2_048;
 
-/// Events that are sent together at most.
-const BATCH: usize = 256;
+/// The maximum number of events that are taken from the send queue together.
+const MAX_BATCHED_EVENTS: usize = 256;
 
-/// One thing that a node tells.
+/// One event of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Event {
-    /// Who is alive.
+    /// A message of the membership protocol.
     Member(Message),
-    /// A request for a place.
-    Ask(AllocationId, Request),
-    /// The answer to it.
+    /// A placement request.
+    Request(AllocationId, Request),
+    /// The answer to a placement request.
     Answer(AllocationId, Answer),
-    /// A request was placed, or still lasts.
+    /// A request was placed, or is still running.
     Placed(AllocationId, Allocation),
-    /// Its first token came.
-    Writing(AllocationId),
-    /// It ended, or is no longer asked for.
+    /// A request's first token arrived.
+    FirstToken(AllocationId),
+    /// A request ended, or its placement request was withdrawn.
     Ended(AllocationId),
     /// A target served or failed a request.
     Outcome { target: Tag, served: bool },
-    /// Nothing listens at a target.
+    /// A target refused the connection.
     Down(Tag),
-    /// A target refused to read a part of a prompt for another one.
-    Shut(Tag),
+    /// A target refused to prefill a part of a prompt for another target.
+    PrefillRefused(Tag),
     /// A request was running when a target died.
-    Suspect { fingerprint: u64, deaths: u32 },
-    /// A node has what operators wrote up to this revision.
-    Holder { node: id::Node, operator: Revision },
+    PoisonSuspect { fingerprint: u64, deaths: u32 },
+    /// A node has the operators' data up to this revision.
+    OperatorRevision { node: id::Node, revision: Revision },
 }
 
-/// An event and where it goes; none where only the sender's revisions are told.
+/// An event and its destination; without an event, only the sender's revisions are sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Outgoing {
     pub(crate) to: SocketAddr,
     pub(crate) event: Option<Event>,
 }
 
-/// What goes in one datagram.
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Datagram {
     node: id::Node,
     incarnation: id::Incarnation,
-    /// The newest revision that the node has of what operators wrote.
-    operator: Revision,
-    /// The newest revision that it has of targets' entries.
-    targets: Revision,
+    /// The newest revision of the operators' data that the node has.
+    operator_revision: Revision,
+    /// The newest revision of the targets' entries that the node has.
+    targets_revision: Revision,
     events: Vec<Event>,
 }
 
-/// What a node's datagrams said last.
+/// The state in a node's last datagram.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerState {
     incarnation: id::Incarnation,
-    operator: Revision,
-    targets: Revision,
-    at: Instant,
+    operator_revision: Revision,
+    targets_revision: Revision,
+    received_at: Instant,
 }
 
-/// What was heard of peers directly.
+/// The state that peers reported in their own datagrams.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStates {
-    peers: HashMap<id::Node, Heard>,
-    /// The newest revision of operators' data that others have and this node hasn't.
-    newest: Revision,
-    /// Nodes that are known to have it, the first that were told of.
+    peers: HashMap<id::Node, PeerState>,
+    /// The newest revision of the operators' data that peers have and this node lacks.
+    newest_operator_revision: Revision,
+    /// The first nodes that were announced to have this revision.
     holders: Vec<id::Node>,
 }
 
-/// What is followed of the store's items.
+/// A part of the store's items that is synchronized separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Part {
-    /// What operators write.
+pub(crate) enum Keyspace {
+    /// The operators' data.
     Operator,
-    /// Targets' entries.
+    /// The targets' entries.
     Targets,
 }
 
 impl PeerStates {
-    /// Takes what a datagram says; whether its node started anew.
-    fn take(&mut self, now: Instant, datagram: &Datagram) -> bool {
-        let heard = Heard {
+    /// Records a datagram's state. Returns whether its node has restarted.
+    fn record(&mut self, now: Instant, datagram: &Datagram) -> bool {
+        let state = PeerState {
             incarnation: datagram.incarnation,
-            operator: datagram.operator,
-            targets: datagram.targets,
-            at: now,
+            operator_revision: datagram.operator_revision,
+            targets_revision: datagram.targets_revision,
+            received_at: now,
         };
-        let before = self.peers.insert(datagram.node.clone(), heard);
-        before.is_some_and(|before| before.incarnation != datagram.incarnation)
+        let previous = self.peers.insert(datagram.node.clone(), state);
+        previous.is_some_and(|previous| previous.incarnation != datagram.incarnation)
     }
 
     fn expire(&mut self, now: Instant) {
-        self.peers.retain(|_, heard| now.saturating_duration_since(heard.at) < HEARD_FOR);
+        self.peers
+            .retain(|_, state| now.saturating_duration_since(state.received_at) < PEER_STATE_TTL);
     }
 
-    /// Notes that a node has a revision of operators' data; whether others should
-    /// be told of it by a node that has `own`.
-    fn note_holder(&mut self, node: &id::Node, revision: Revision, own: Revision) -> bool {
-        if revision <= own || revision < self.newest {
+    /// Records that a node has a revision of the operators' data. Returns whether a node
+    /// whose own revision is `own_revision` should announce this to others.
+    fn note_holder(&mut self, node: &id::Node, revision: Revision, own_revision: Revision) -> bool {
+        if revision <= own_revision || revision < self.newest_operator_revision {
             return false;
         }
-        if revision > self.newest {
-            self.newest = revision;
+        if revision > self.newest_operator_revision {
+            self.newest_operator_revision = revision;
             self.holders.clear();
         }
-        let is_news = self.holders.len() < HOLDERS_TOLD && !self.holders.contains(node);
-        if is_news {
+        let is_new = self.holders.len() < MAX_ANNOUNCED_HOLDERS && !self.holders.contains(node);
+        if is_new {
             self.holders.push(node.clone());
         }
-        is_news
+        is_new
     }
 
-    /// Peers that have a revision of a part after this one.
-    pub(crate) fn ahead(&self, part: Part, after: Revision) -> Vec<id::Node> {
-        let revision = |heard: &Heard| match part {
-            Part::Operator => heard.operator,
-            Part::Targets => heard.targets,
+    /// Returns the peers that have a revision of a keyspace after `after`.
+    pub(crate) fn peers_ahead(&self, keyspace: Keyspace, after: Revision) -> Vec<id::Node> {
+        let revision = |state: &PeerState| match keyspace {
+            Keyspace::Operator => state.operator_revision,
+            Keyspace::Targets => state.targets_revision,
         };
-        let heard = self.peers.iter().filter(|(_, heard)| revision(heard) > after);
-        let mut ahead: Vec<id::Node> = heard.map(|(node, _)| node.clone()).collect();
-        if part == Part::Operator && self.newest > after {
-            let told = self.holders.iter().filter(|node| !ahead.contains(*node));
-            let told: Vec<id::Node> = told.cloned().collect();
-            ahead.extend(told);
+        let states = self.peers.iter().filter(|(_, state)| revision(state) > after);
+        let mut ahead: Vec<id::Node> = states.map(|(node, _)| node.clone()).collect();
+        if keyspace == Keyspace::Operator && self.newest_operator_revision > after {
+            let holders = self.holders.iter().filter(|node| !ahead.contains(*node));
+            let holders: Vec<id::Node> = holders.cloned().collect();
+            ahead.extend(holders);
         }
         ahead
     }
 }
 
-/// Starts sending and receiving.
+/// Starts the tasks that send and receive datagrams.
 pub(crate) fn spawn<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     socket: Arc<UdpSocket>,
 ) {
     tokio::spawn(receive(core.clone(), socket.clone()));
     if let Some(outgoing) = core.take_outgoing_receiver() {
-        tokio::spawn(send_all(core.clone(), socket, outgoing));
+        tokio::spawn(run_sender(core.clone(), socket, outgoing));
     }
-    tokio::spawn(keep_members(core.clone()));
-    tokio::spawn(push_news(core.clone()));
-    tokio::spawn(tell_revisions(core.clone()));
-    tokio::spawn(tell_allocations(core.clone()));
+    tokio::spawn(maintain_membership(core.clone()));
+    tokio::spawn(push_member_updates(core.clone()));
+    tokio::spawn(announce_revisions(core.clone()));
+    tokio::spawn(announce_allocations(core.clone()));
     tokio::spawn(owner::run(core.clone()));
 }
 
 async fn receive<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; RECEIVE];
+    let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
     loop {
-        // An error is the echo of a datagram to a peer that is gone.
+        // An error reports that an earlier datagram went to a peer that is gone.
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else { continue };
         match postcard::from_bytes::<Datagram>(&buffer[..length]) {
-            Ok(datagram) => take(&core, datagram, from),
-            Err(error) => log::warn!(from:%; "datagram can't be read: {error}"),
+            Ok(datagram) => handle_datagram(&core, datagram, from),
+            Err(error) => log::warn!(from:%; "can't decode a datagram: {error}"),
         }
     }
 }
 
-fn take<D: Dialect, S: Store, C: Clock>(
+fn handle_datagram<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     datagram: Datagram,
     from: SocketAddr,
@@ -219,20 +220,20 @@
         return;
     }
     let now = core.now();
-    if core.peer_states().take(now, &datagram) {
+    if core.peer_states().record(now, &datagram) {
         log::info!(peer:% = datagram.node; "peer started anew");
         core.ledger().forget_node(&datagram.node);
         core.owner().forget_node(&datagram.node);
     }
-    take_holder(core, &datagram.node, datagram.operator);
-    // What stands before a host's address may send from another one.
-    let from = core.find_peer(&datagram.node).unwrap_or(from);
+    handle_operator_revision(core, &datagram.node, datagram.operator_revision);
+    // With address translation the source differs from the address that the node receives at.
+    let from = core.peer_address(&datagram.node).unwrap_or(from);
     for event in datagram.events {
-        take_event(core, now, &datagram.node, from, event);
+        handle_event(core, now, &datagram.node, from, event);
     }
 }
 
-fn take_event<D: Dialect, S: Store, C: Clock>(
+fn handle_event<D: Dialect, S: Store, C: Clock>(
     core: &Arc<Core<D, S, C>>,
     now: Instant,
     node: &id::Node,
@@ -243,14 +244,14 @@
     match event {
         Event::Member(message) => {
             let out = core.membership().receive(now, node, from, message);
-            core.send_members(out);
+            core.send_membership(out);
         }
-        Event::Ask(id, request) => {
+        Event::Request(id, request) => {
             owner::handle_request(core, Requester { ticket: ticket(id), address: from }, request);
         }
-        Event::Answer(id, answer) => core.deliver(id, answer),
+        Event::Answer(id, answer) => core.deliver_answer(id, answer),
         Event::Placed(id, allocation) => core.ledger().record_peer(now, node, id, allocation),
-        Event::Writing(id) => {
+        Event::FirstToken(id) => {
             core.ledger().begin_peer_decode(now, node, id);
             core.queue_notify.notify_one();
         }
@@ -261,60 +262,62 @@
         }
         Event::Outcome { target, served } => core.ejection().note(now, target, served),
         Event::Down(target) => core.ejection().note_down(now, target),
-        Event::Shut(target) => core.ejection().note_shut(now, target),
-        Event::Suspect { fingerprint, deaths } => {
+        Event::PrefillRefused(target) => core.ejection().note_shut(now, target),
+        Event::PoisonSuspect { fingerprint, deaths } => {
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
         }
-        Event::Holder { node, operator } => take_holder(core, &node, operator),
+        Event::OperatorRevision { node, revision } => {
+            handle_operator_revision(core, &node, revision)
+        }
     }
 }
 
-/// Takes the word that a node has newer operators' data, and passes it on.
-fn take_holder<D: Dialect, S: Store, C: Clock>(
+/// Handles a node's revision of the operators' data, and forwards it if it is new.
+fn handle_operator_revision<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     node: &id::Node,
-    operator: Revision,
+    revision: Revision,
 ) {
-    core.note_operator_revision(operator);
-    let (own, _) = core.revisions();
-    if core.peer_states().note_holder(node, operator, own) {
+    core.note_operator_revision(revision);
+    let (own_revision, _) = core.revisions();
+    if core.peer_states().note_holder(node, revision, own_revision) {
         let peers = core.membership().pick(REVISION_FANOUT);
         for peer in peers {
-            core.send(peer, Event::Holder { node: node.clone(), operator });
+            core.send(peer, Event::OperatorRevision { node: node.clone(), revision });
         }
     }
 }
 
-/// Keeps the table of members, and forgets what is over.
-async fn keep_members<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
-    let mut told = Told::default();
+/// Runs the membership protocol, and expires outdated state.
+async fn maintain_membership<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+    let mut logged = LoggedState::default();
     while core.stage() != Stage::Closed {
         let now = core.now();
         core.note_tick(now);
         core.update_contact();
         let out = core.membership().tick(now);
-        core.send_members(out);
+        core.send_membership(out);
         core.ledger().expire(now);
         core.owner().expire(now);
         core.peer_states().expire(now);
-        told.log(&core, now);
+        logged.log(&core, now);
         tokio::time::sleep(TICK).await;
     }
 }
 
-/// What the log was last told of members and groups.
+/// The members and groups at the time of the last log line.
 #[derive(Debug, Default)]
-struct Told {
+struct LoggedState {
     at: Option<Instant>,
     count: Count,
     owned: Vec<Group>,
 }
 
-impl Told {
-    /// Logs what changed, at most once in a while: many nodes come and go at once.
+impl LoggedState {
+    /// Logs changes, at a limited rate since many nodes may join or leave at the same time.
     fn log<D: Dialect, S: Store, C: Clock>(&mut self, core: &Core<D, S, C>, now: Instant) {
-        if self.at.is_some_and(|at| now.saturating_duration_since(at) < LOGGED_EVERY) {
+        if self.at.is_some_and(|at| now.saturating_duration_since(at) < MEMBER_LOG_INTERVAL) {
             return;
         }
         self.at = Some(now);
@@ -338,107 +341,106 @@
     }
 }
 
-async fn push_news<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+async fn push_member_updates<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.membership_notify.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(MEMBER_BATCH_DELAY).await;
         let out = core.membership().push();
-        core.send_members(out);
+        core.send_membership(out);
     }
 }
 
-/// Tells a few peers at once that this node has newer items; they fetch them and
-/// tell others in turn.
-async fn tell_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+/// Announces newer items to a few peers, which fetch them and announce them in turn.
+async fn announce_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.revision_notify.notified().await;
         let peers = core.membership().pick(REVISION_FANOUT);
         peers.into_iter().for_each(|peer| core.send_revisions(peer));
-        tokio::time::sleep(REVISION_EVERY).await;
+        tokio::time::sleep(REVISION_INTERVAL).await;
     }
 }
 
-/// Tells what this node has placed to those who decide: now and then, and at once
-/// where somebody else decides than before.
-async fn tell_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
-    let mut told: HashMap<id::Node, Instant> = HashMap::new();
+/// Sends this node's allocations to the nodes that place requests in their groups:
+/// periodically, and immediately to a node that has just become responsible.
+async fn announce_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
+    let mut announced: HashMap<id::Node, Instant> = HashMap::new();
     while core.stage() != Stage::Closed {
         tokio::time::sleep(TICK).await;
         let now = core.now();
         let mut by_node: HashMap<id::Node, Vec<Event>> = HashMap::new();
-        for (number, allocation) in core.tell_own(now) {
+        for (number, allocation) in core.own_allocations(now) {
             let group = core.group_of(&allocation);
-            for node in core.told_owners(&group) {
+            for node in core.allocation_recipients(&group) {
                 let event = Event::Placed(number, allocation.clone());
                 by_node.entry(node).or_default().push(event);
             }
         }
-        told.retain(|node, at| by_node.contains_key(node) && *at <= now);
+        announced.retain(|node, at| by_node.contains_key(node) && *at <= now);
         for (node, events) in by_node {
-            let last = told.get(&node).copied();
-            if last.is_some_and(|at| now.saturating_duration_since(at) < ALLOCATIONS_EVERY) {
+            let last = announced.get(&node).copied();
+            if last.is_some_and(|at| now.saturating_duration_since(at) < ALLOCATION_INTERVAL) {
                 continue;
             }
-            let Some(to) = core.find_peer(&node) else { continue };
+            let Some(to) = core.peer_address(&node) else { continue };
             events.into_iter().for_each(|event| core.send(to, event));
-            told.insert(node, now);
+            announced.insert(node, now);
         }
     }
 }
 
-async fn send_all<D: Dialect, S: Store, C: Clock>(
+async fn run_sender<D: Dialect, S: Store, C: Clock>(
     core: Arc<Core<D, S, C>>,
     socket: Arc<UdpSocket>,
     mut outgoing: UnboundedReceiver<Outgoing>,
 ) {
     let mut batch = Vec::new();
-    while outgoing.recv_many(&mut batch, BATCH).await > 0 {
+    while outgoing.recv_many(&mut batch, MAX_BATCHED_EVENTS).await > 0 {
         let mut by_peer: HashMap<SocketAddr, Vec<Event>> = HashMap::new();
         for outgoing in batch.drain(..) {
             by_peer.entry(outgoing.to).or_default().extend(outgoing.event);
         }
         for (to, events) in by_peer {
-            send_to(&core, &socket, to, events).await;
+            send_events(&core, &socket, to, events).await;
         }
     }
 }
 
-/// Sends events to a peer, in as many datagrams as they take.
-async fn send_to<D: Dialect, S: Store, C: Clock>(
+/// Sends events to a peer, in as many datagrams as needed.
+async fn send_events<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     socket: &UdpSocket,
     to: SocketAddr,
     events: Vec<Event>,
 ) {
-    let mut rest = events;
+    let mut remaining = events;
     loop {
-        let (datagram, left) = encode(core, rest);
+        let (datagram, left) = encode(core, remaining);
         core.metrics.datagram(hickory_unit::size::Bytes(datagram.len() as u64));
-        // A datagram that can't be sent is like one that is lost.
+        // A datagram that can't be sent is treated as lost.
         let _ = socket.send_to(&datagram, to).await;
         if left.is_empty() {
             return;
         }
-        rest = left;
+        remaining = left;
     }
 }
 
-/// A datagram with as many of the events as it holds, and the others.
+/// Encodes as many of the events as fit into one datagram, and returns the rest.
 fn encode<D: Dialect, S: Store, C: Clock>(
     core: &Core<D, S, C>,
     mut events: Vec<Event>,
 ) -> (Vec<u8>, Vec<Event>) {
     let mut left = Vec::new();
     loop {
-        let (operator, targets) = core.revisions();
+        let (operator_revision, targets_revision) = core.revisions();
         let (node, incarnation) = (core.settings.node.clone(), core.incarnation);
-        let datagram = Datagram { node, incarnation, operator, targets, events };
+        let datagram = Datagram { node, incarnation, operator_revision, targets_revision, events };
         let bytes = postcard::to_stdvec(&datagram).unwrap_or_else(|error| {
-            log::error!("datagram can't be written: {error}");
+            log::error!("can't encode a datagram: {error}");
             Vec::new()
         });
         events = datagram.events;
-        if bytes.len() <= DATAGRAM_MAX || events.len() <= 1 {
+        if bytes.len() <= MAX_DATAGRAM_BYTES || events.len() <= 1 {
             return (bytes, left);
         }
         let mut rest = events.split_off(events.len().div_ceil(2));
--- a/crates/path/src/items.rs
+++ b/crates/path/src/items.rs
@@ -1,11 +1,11 @@
-//! The store's items as this node knows them, merged by revision.
+//! This node's copy of the store's items, merged by revision.
 //!
-//! Items come from the node's own watches and from its peers, in any order and
-//! more than once. The store counts revisions over all keys, so the greater
-//! revision of a key is the later word, and a removal is a word like any
-//! other. A node that the store turns away stays up to date by its peers.
+//! Updates come from the node's own watches and from its peers, in any order and
+//! repeatedly. The store numbers revisions across all keys, so for each key the update with
+//! the greater revision wins. A removal is an update like a write and leaves a tombstone. A
+//! node that the store rejects stays up to date through its peers.
 
-use crate::piece::{Cut, Outline};
+use crate::chunk::{ChunkedValue, Manifest};
 use compact_str::CompactString;
 use hickory_store::store::{Entry, Revision};
 use hickory_unit::size;
@@ -15,64 +15,63 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a removal is remembered, so that a peer that was cut off can't
-/// bring the item back. Longer than any store outage that peers come out of
-/// with items of before; some hundred bytes each.
-const REMOVAL_KEPT: Duration = Duration::from_secs(600);
+/// How long a tombstone is kept, so that a peer that was partitioned can't restore the
+/// item. It exceeds the longest store outage after which peers may return with old items. A
+/// tombstone takes a few hundred bytes.
+const TOMBSTONE_TTL: Duration = Duration::from_secs(600);
 
-/// Values up to this size go whole from node to node, greater ones in pieces:
-/// an answer must be short enough to end in time over a link that others use
-/// as well.
-const WHOLE_MOST: usize = 8 << 10;
+/// Values up to this size are sent inline, larger ones in chunks: an answer must be short
+/// enough to complete in time on a link with other traffic.
+const MAX_INLINE_VALUE_BYTES: usize = 8 << 10;
 
-/// What the store last said of a key.
+/// The last known state of a key in the store.
 #[derive(Clone, Debug)]
 pub struct Item {
-    /// The revision of that word.
+    /// The revision of this state.
     pub revision: Revision,
-    /// The value; `None` where the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Arc<str>>,
-    /// When this node learned of it.
-    pub seen: Instant,
-    /// The pieces of a large value.
-    pub cut: Option<Arc<Cut>>,
+    /// When this node received the update.
+    pub learned_at: Instant,
+    /// The chunks, if the value is large.
+    pub chunks: Option<Arc<ChunkedValue>>,
 }
 
 impl Item {
-    fn of(word: Word, seen: Instant) -> Self {
-        let value: Option<Arc<str>> = word.value.map(Arc::from);
-        let large = value.as_ref().filter(|value| value.len() > WHOLE_MOST);
-        let cut = large.map(|value| Arc::new(Cut::of(value.clone())));
-        Self { revision: word.revision, value, seen, cut }
+    fn from_update(update: Update, learned_at: Instant) -> Self {
+        let value: Option<Arc<str>> = update.value.map(Arc::from);
+        let large = value.as_ref().filter(|value| value.len() > MAX_INLINE_VALUE_BYTES);
+        let chunks = large.map(|value| Arc::new(ChunkedValue::split(value.clone())));
+        Self { revision: update.revision, value, learned_at, chunks }
     }
 }
 
-/// An item on its way between nodes.
+/// The state of one key, as nodes send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Update {
     /// The key.
     pub key: CompactString,
     /// The revision.
     pub revision: Revision,
-    /// The value; `None` where the key was removed, or where there is an outline.
+    /// The value; `None` if the key was removed, or if the update has a manifest.
     pub value: Option<String>,
-    /// What a large value consists of: its pieces are fetched by themselves.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub outline: Option<Outline>,
+    /// The manifest of a large value, whose chunks are fetched separately.
+    #[serde(rename = "outline", default, skip_serializing_if = "Option::is_none")]
+    pub manifest: Option<Manifest>,
 }
 
-impl Word {
-    /// A word that has all that it says.
-    pub fn whole(key: CompactString, revision: Revision, value: Option<String>) -> Self {
-        Self { key, revision, value, outline: None }
+impl Update {
+    /// Creates an update that carries its value, or a removal, inline.
+    pub fn full(key: CompactString, revision: Revision, value: Option<String>) -> Self {
+        Self { key, revision, value, manifest: None }
     }
 
-    fn of(key: &CompactString, item: &Item) -> Self {
-        let (value, outline) = match &item.cut {
-            Some(cut) => (None, Some(cut.outline().clone())),
+    fn from_item(key: &CompactString, item: &Item) -> Self {
+        let (value, manifest) = match &item.chunks {
+            Some(chunks) => (None, Some(chunks.manifest().clone())),
             None => (item.value.as_deref().map(str::to_owned), None),
         };
-        Self { key: key.clone(), revision: item.revision, value, outline }
+        Self { key: key.clone(), revision: item.revision, value, manifest }
     }
 }
 
@@ -83,102 +82,107 @@
 }
 
 impl Items {
-    /// Takes a word; whether it was news.
-    pub fn take(&mut self, now: Instant, word: Word) -> bool {
-        match self.items.entry(word.key.clone()) {
+    /// Applies an update. Returns whether it was newer than the known state.
+    pub fn apply(&mut self, now: Instant, update: Update) -> bool {
+        match self.items.entry(update.key.clone()) {
             btree_map::Entry::Vacant(vacant) => {
-                vacant.insert(Item::of(word, now));
+                vacant.insert(Item::from_update(update, now));
                 true
             }
             btree_map::Entry::Occupied(mut known) => {
-                let newer = word.revision > known.get().revision;
-                if newer {
-                    known.insert(Item::of(word, now));
+                let is_newer = update.revision > known.get().revision;
+                if is_newer {
+                    known.insert(Item::from_update(update, now));
                 }
-                newer
+                is_newer
             }
         }
     }
 
-    /// Takes all keys with a prefix as the store has them at a revision; keys
-    /// that it does not have are removed. Whether anything was news.
-    pub fn take_all<'a>(
+    /// Applies a snapshot of all keys with a prefix, taken at `revision`; keys that are
+    /// missing in it are removed. Returns whether anything changed.
+    pub fn apply_snapshot<'a>(
         &mut self,
         now: Instant,
         prefix: &str,
         entries: impl Iterator<Item = &'a Entry> + Clone,
-        at: Revision,
+        revision: Revision,
     ) -> bool {
         let present: std::collections::HashSet<&str> =
             entries.clone().map(|entry| entry.key.as_str()).collect();
-        let gone: Vec<CompactString> = self
+        let removed: Vec<CompactString> = self
             .with_prefix(prefix)
             .filter(|(key, item)| {
-                item.value.is_some() && item.revision < at && !present.contains(key.as_str())
+                item.value.is_some() && item.revision < revision && !present.contains(key.as_str())
             })
             .map(|(key, _)| key.clone())
             .collect();
-        let mut news = false;
-        for key in gone {
-            news |= self.take(now, Word::whole(key, at, None));
+        let mut changed = false;
+        for key in removed {
+            changed |= self.apply(now, Update::full(key, revision, None));
         }
         for entry in entries {
             let (key, value) = (CompactString::from(&entry.key), Some(entry.value.clone()));
-            news |= self.take(now, Word::whole(key, entry.revision, value));
+            changed |= self.apply(now, Update::full(key, entry.revision, value));
         }
-        news
+        changed
     }
 
-    /// Forgets old removals under a prefix, but for the newest word there: by its
-    /// revision nodes tell how far they are, and one that goes back would look to
-    /// itself as if it missed something that nobody has.
-    pub fn forget(&mut self, now: Instant, prefix: &str) {
-        let newest = self.newest(prefix);
-        let is_kept = |item: &Item| {
+    /// Drops old tombstones under a prefix, except the newest item there. Nodes compare
+    /// their progress by the newest revision; a node whose revision went back would try to
+    /// fetch an update that no peer has.
+    pub fn expire_tombstones(&mut self, now: Instant, prefix: &str) {
+        let newest = self.newest_revision(prefix);
+        let is_retained = |item: &Item| {
             item.value.is_some()
                 || item.revision == newest
-                || now.saturating_duration_since(item.seen) < REMOVAL_KEPT
+                || now.saturating_duration_since(item.learned_at) < TOMBSTONE_TTL
         };
-        self.items.retain(|key, item| !key.starts_with(prefix) || is_kept(item));
+        self.items.retain(|key, item| !key.starts_with(prefix) || is_retained(item));
     }
 
-    /// The items with a prefix, removals included.
+    /// Returns the items with a prefix, including tombstones.
     pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = (&CompactString, &Item)> {
         self.items
             .range(CompactString::from(prefix)..)
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// An item.
+    /// Returns the item with a key.
     pub fn get(&self, key: &str) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// The greatest revision that is known under a prefix.
-    pub fn newest(&self, prefix: &str) -> Revision {
+    /// Returns the newest known revision under a prefix.
+    pub fn newest_revision(&self, prefix: &str) -> Revision {
         self.with_prefix(prefix).map(|(_, item)| item.revision).max().unwrap_or_default()
     }
 
-    /// Words under a prefix after a revision, the oldest first, and no further
-    /// ones once their values have this many bytes. Whoever takes them in this
-    /// order has all words up to the last one that it took, and asks for the
-    /// next ones from there.
-    pub fn words_after(&self, prefix: &str, after: Revision, most: size::Bytes) -> Vec<Word> {
+    /// Returns the updates under a prefix after a revision, in order of revision, until
+    /// their size exceeds `max_bytes`. A receiver that applies them in this order has all
+    /// updates up to the last one applied, and requests the next ones from there.
+    pub fn updates_after(
+        &self,
+        prefix: &str,
+        after: Revision,
+        max_bytes: size::Bytes,
+    ) -> Vec<Update> {
         let newer = self.with_prefix(prefix).filter(|(_, item)| item.revision > after);
         let mut newer: Vec<_> = newer.collect();
         newer.sort_by_key(|(_, item)| item.revision);
-        let (mut words, mut bytes) = (Vec::new(), 0);
+        let (mut updates, mut bytes) = (Vec::new(), 0);
         for (key, item) in newer {
-            // Words of one revision stay together: what lies behind the last
-            // revision that is known is never asked for again.
-            let begins = words.last().is_none_or(|last: &Word| last.revision < item.revision);
-            if begins && bytes > most.0 as usize {
+            // Updates with the same revision stay together, because a receiver only
+            // requests revisions after its newest one.
+            let is_new_revision =
+                updates.last().is_none_or(|last: &Update| last.revision < item.revision);
+            if is_new_revision && bytes > max_bytes.0 as usize {
                 break;
             }
-            let word = Word::of(key, item);
-            bytes += key.len() + word.value.as_deref().map_or(0, str::len);
-            words.push(word);
+            let update = Update::from_item(key, item);
+            bytes += key.len() + update.value.as_deref().map_or(0, str::len);
+            updates.push(update);
         }
-        words
+        updates
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -227,7 +227,7 @@
     answer: Answer,
 ) {
     match requester.ticket.node == core.settings.node {
-        true => core.deliver(requester.ticket.id, answer),
+        true => core.deliver_answer(requester.ticket.id, answer),
         false => core.send(requester.address, Event::Answer(requester.ticket.id, answer)),
     }
 }
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -52,7 +52,7 @@
         decider: Decider,
     ) -> Option<Self> {
         let Grant { allocation, expected_time, survey } = grant;
-        let find = |tag: Tag| view.find(tag).cloned();
+        let find = |tag: Tag| view.find_target(tag).cloned();
         let memory = allocation.memory.iter().map(|&(tag, tokens)| Some((find(tag)?, tokens)));
         Some(Self {
             core: core.clone(),
@@ -84,7 +84,7 @@
     }
 
     fn notify_owners(&self, event: &Event) {
-        self.core.tell_owners(&self.group, event);
+        self.core.send_to_owners(&self.group, event);
     }
 
     /// Returns the engine that prevented the prefill, if it isn't the target of the request.
@@ -104,7 +104,7 @@
     pub(crate) fn begin_decode(&self) {
         self.core.ledger().begin_decode(self.core.now(), self.id);
         self.core.queue_notify.notify_one();
-        self.notify_owners(&Event::Writing(self.id));
+        self.notify_owners(&Event::FirstToken(self.id));
     }
 
     /// Records whether the target served or failed the request.
@@ -124,7 +124,7 @@
     /// Records that a target refused to prefill a part of the prompt.
     pub(crate) fn note_prefill_refused(&self, target: Tag) {
         self.core.ejection().note_shut(self.core.now(), target);
-        self.notify_owners(&Event::Shut(target));
+        self.notify_owners(&Event::PrefillRefused(target));
     }
 }
 
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -157,10 +157,10 @@
         }
         let view = core.view();
         let configuration = view.configuration.clone()?;
-        let cold_rate = configuration.services.get(service)?.cold_rate;
+        let cold_rate = configuration.services.get(service)?.max_cold_rate;
         let targets = eligible_targets(core, &view, service, cold_rate, scope, now);
         let ledger = core.ledger();
-        let mut loads = ledger.loads(now, &targets, configuration.engine_of(service));
+        let mut loads = ledger.loads(now, &targets, configuration.engine_profile(service));
         let typical_time = ledger.typical_time(service);
         drop(ledger);
         apply_preferences(core, now, &targets, &mut loads, scope);
@@ -169,7 +169,7 @@
 
     /// Returns the profile of the service's engines, if the service runs a model.
     pub(crate) fn profile(&self, service: &id::Service) -> Option<&Profile> {
-        self.configuration.engine_of(service)
+        self.configuration.engine_profile(service)
     }
 
     /// Chooses targets for a request, given the requests queued ahead of it.
@@ -326,11 +326,11 @@
         _ => true,
     };
     let scoped = match scope {
-        Scope::Group(index) => view.targets_in(service, index),
+        Scope::Group(index) => view.targets_in_group(service, index),
         Scope::Standalone(_) => view.targets_of(service),
     };
     let is_eligible =
-        |target: &&Arc<Target>| view.may_send(target, now) && has_cold_capacity(target);
+        |target: &&Arc<Target>| view.can_send(target, now) && has_cold_capacity(target);
     scoped.iter().filter(is_eligible).cloned().collect()
 }
 
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -2,8 +2,8 @@
 //! run.
 
 use crate::core::Core;
+use crate::decision::{DecisionContext, log_decision};
 use crate::dialect::Dialect;
-use crate::known::{Known, log_known};
 use crate::placement::RejectReason;
 use crate::reply::{self, Reply};
 use hickory_policy::refuse::{Ran, Reason};
@@ -30,7 +30,7 @@
     /// The size of the prompt, if the head was read.
     pub(crate) prompt: Tokens,
     /// What the placement decision was based on, if the request found no place.
-    pub(crate) known: Option<Box<Known>>,
+    pub(crate) known: Option<Box<DecisionContext>>,
 }
 
 impl Refusal {
@@ -120,11 +120,11 @@
     let status = refusal.status.as_u16();
     let view = core.view();
     let config = view.version();
-    let config_age = view.configured.map(|at| core.now().saturating_duration_since(at));
+    let config_age = view.configured_at.map(|at| core.now().saturating_duration_since(at));
     let config_age_ms = config_age.unwrap_or_default().as_millis() as u64;
     let behind_ms = core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
     if let Some(known) = &refusal.known {
-        log_known!(
+        log_decision!(
             known,
             {
                 request = attempt,
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -1,6 +1,6 @@
 //! Responses to callers and peers.
 
-use crate::piece::{self, Cut};
+use crate::chunk::{self, ChunkedValue};
 use bytes::{Bytes, BytesMut};
 use hickory_unit::size;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -26,22 +26,22 @@
 /// that a large value isn't copied as a whole for each peer that requests it.
 #[derive(Debug)]
 pub struct Pieces {
-    cut: Arc<Cut>,
-    remaining: VecDeque<piece::Id>,
+    value: Arc<ChunkedValue>,
+    remaining: VecDeque<chunk::Id>,
     /// Bytes that the connection hasn't accepted yet.
     unsent: watch::Sender<size::Bytes>,
 }
 
 impl Pieces {
     /// Selects those of the requested pieces that the value has, without duplicates.
-    pub(crate) fn new(cut: Arc<Cut>, pieces: &[piece::Id]) -> Self {
+    pub(crate) fn new(value: Arc<ChunkedValue>, pieces: &[chunk::Id]) -> Self {
         let mut requested = HashSet::new();
-        let is_wanted = |id: &piece::Id| cut.piece(*id).is_some() && requested.insert(*id);
+        let is_wanted = |id: &chunk::Id| value.chunk(*id).is_some() && requested.insert(*id);
         let remaining: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
         let sizes =
-            remaining.iter().filter_map(|id| cut.piece(*id)).map(|piece| piece.len() as u64);
+            remaining.iter().filter_map(|id| value.chunk(*id)).map(|piece| piece.len() as u64);
         let unsent = watch::channel(size::Bytes(sizes.sum())).0;
-        Self { cut, remaining, unsent }
+        Self { value, remaining, unsent }
     }
 
     /// Returns the number of remaining pieces.
@@ -55,7 +55,7 @@
     }
 
     fn next(&mut self) -> Option<Result<Bytes, Interrupted>> {
-        let piece = self.cut.piece(self.remaining.pop_front()?)?;
+        let piece = self.value.chunk(self.remaining.pop_front()?)?;
         let size = size::Bytes(piece.len() as u64);
         self.unsent.send_modify(|unsent| *unsent = unsent.saturating_sub(size));
         let mut frame = BytesMut::new();
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -215,14 +215,17 @@
     /// Returns when the next token is due.
     pub(crate) fn next_token_due(&self) -> Instant {
         match self.first_event_time {
-            Some(_) => resume::due(self.core.now(), self.job.route.gap, self.job.deadline),
+            Some(_) => {
+                resume::due(self.core.now(), self.job.route.event_gap_goal, self.job.deadline)
+            }
             None => self.job.arrived + self.job.route.goal,
         }
     }
 
     /// Returns when the caller gives up on a first event.
     pub(crate) fn first_event_deadline(&self) -> Instant {
-        let caller_timeout = self.job.route.patience().filter(|_| self.first_event_time.is_none());
+        let caller_timeout =
+            self.job.route.abandonment_timeout().filter(|_| self.first_event_time.is_none());
         let deadline = caller_timeout.map(|timeout| self.job.arrived + timeout);
         deadline.map_or(self.job.deadline, |at| at.min(self.job.deadline))
     }
@@ -292,7 +295,7 @@
                 let is_counted = status != StatusCode::MISDIRECTED_REQUEST && refusing.is_none();
                 self.counted_sends -= u32::from(!is_counted);
                 self.not_run_attempts += 1;
-                if self.counted_sends < self.job.route.targets_max
+                if self.counted_sends < self.job.route.max_targets
                     && self.not_run_attempts <= MAX_NOT_RUN_ATTEMPTS
                     && self.spend_retry()
                 {
@@ -342,7 +345,7 @@
 
     /// Returns whether a request that may have run may be sent to a further target.
     pub(crate) fn can_retry(&self) -> bool {
-        self.job.route.kind.is_repeatable() && self.counted_sends < self.job.route.targets_max
+        self.job.route.kind.is_repeatable() && self.counted_sends < self.job.route.max_targets
     }
 
     pub(crate) fn spend_retry(&self) -> bool {
--- a/crates/path/src/serve.rs
+++ b/crates/path/src/serve.rs
@@ -97,7 +97,7 @@
         let refusal = Refusal::new(Reason::Draining, "this node is stopping");
         return Err(refusal.with_retry_after(DRAINING_RETRY_AFTER));
     }
-    let body = read_body(body, configuration.limits.body).await;
+    let body = read_body(body, configuration.limits.max_body).await;
     let body = body.map_err(|refusal| defer_if_behind(core, refusal))?;
     let time = head.time_left.map_or(route.timeout, |time| time.min(route.timeout));
     let message = Message { method: parts.method, uri: parts.uri, headers: parts.headers, body };
@@ -204,7 +204,7 @@
     head: &RequestHead,
 ) -> Result<Option<Arc<Account>>, Refusal> {
     let account = head.key.as_deref().and_then(|key| configuration.find_account(key));
-    if account.is_none() && configuration.accounts.is_some() && !route.public {
+    if account.is_none() && configuration.accounts.is_some() && !route.is_public {
         return Err(Refusal::new(Reason::Unauthenticated, "no such key"));
     }
     Ok(account.cloned())
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -262,7 +262,7 @@
     }
 
     async fn read_next(&self, reader: &mut Reader) -> Result<Next, End> {
-        let max_gap = self.run.job.route.gap.unwrap_or(MIN_STREAM_STALL_TIMEOUT);
+        let max_gap = self.run.job.route.event_gap_goal.unwrap_or(MIN_STREAM_STALL_TIMEOUT);
         let mut stall_timeout = Some((max_gap * STALL_GAP_MULTIPLE).max(MIN_STREAM_STALL_TIMEOUT));
         loop {
             let left = self.run.time_left();
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -1,4 +1,4 @@
-//! What the items say, decoded once for each change.
+//! The node's view of the items, decoded once per change.
 
 use crate::config::Configuration;
 use crate::dialect::{Dialect, Entry};
@@ -10,48 +10,48 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// How long a target is still used whose entry went while the store was away.
+/// How long a target is used after its entry lapsed in a store outage.
 ///
-/// Entries lapse while targets can't renew them; those of living targets are
-/// back within two seconds of the store's return. Dropping them at once would
-/// leave no target at all just when the store comes back.
-pub const LAPSED_KEPT: Duration = Duration::from_millis(2_200);
+/// Entries expire while targets can't renew them; those of live targets return within two
+/// seconds after the store is reachable again. Removing the targets immediately would leave
+/// none just when the store returns.
+pub const LAPSED_TARGET_TTL: Duration = Duration::from_millis(2_200);
 
-/// Names a target in one incarnation, in the few bytes of a datagram.
+/// Identifies one incarnation of a target in the few bytes that a datagram has room for.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 pub struct Tag(pub u64);
 
-/// A target as its entry has it.
+/// A target, decoded from its entry.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its id.
+    /// The id.
     pub id: id::Target,
-    /// Its name among nodes.
+    /// The short id that nodes use among each other.
     pub tag: Tag,
-    /// Its entry.
+    /// The decoded entry.
     pub entry: Entry,
-    /// Until when it is cold.
+    /// When the target stops being cold.
     pub cold_until: Option<Instant>,
-    /// Until when it is used although its entry is gone.
-    pub lapses: Option<Instant>,
+    /// Until when the target is used although its entry has lapsed.
+    pub lapsed_until: Option<Instant>,
     /// The revision of the entry.
     pub revision: Revision,
 }
 
-/// What became of a target.
+/// A change of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Change {
-    /// Its entry is new, or says something new.
+    /// The entry is new or has new content.
     #[display("target known")]
-    Known,
-    /// Its entry is gone.
+    Updated,
+    /// The entry was removed.
     #[display("target gone")]
-    Gone,
+    Removed,
 }
 
-/// Targets as requests look for them.
+/// Targets indexed for lookups by requests.
 #[derive(Clone, Debug, Default)]
 struct Index {
     by_tag: HashMap<Tag, Arc<Target>>,
@@ -59,7 +59,7 @@
 }
 
 impl Index {
-    fn of(targets: &HashMap<id::Service, Vec<Arc<Target>>>) -> Self {
+    fn build(targets: &HashMap<id::Service, Vec<Arc<Target>>>) -> Self {
         let all = targets.values().flatten();
         let by_group = targets.iter().map(|(service, targets)| {
             let groups = group::count_groups(targets.len());
@@ -76,62 +76,62 @@
     }
 }
 
-/// What a node knows.
+/// A node's decoded knowledge of the store's items.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration in force; `None` before the first one.
+    /// The current configuration; `None` before the first one.
     pub configuration: Option<Arc<Configuration>>,
-    /// Zones that are out of service.
+    /// The zones that are out of service.
     pub zones_out: HashSet<id::Zone>,
     /// Targets by service.
     pub targets: HashMap<id::Service, Vec<Arc<Target>>>,
-    /// What changed of them, against the view before.
+    /// The changes of targets since the previous view.
     pub changes: Vec<(Change, Arc<Target>)>,
-    /// The same by their tags and by their groups, made where it is first asked for.
+    /// The targets by tag and by group, built on first use.
     index: OnceLock<Index>,
-    /// When it was taken over.
-    pub configured: Option<Instant>,
-    /// The revision of the configuration's item.
+    /// When the current configuration was applied.
+    pub configured_at: Option<Instant>,
+    /// The revision of the current configuration.
     pub config_revision: Revision,
 }
 
 impl Target {
-    /// Whether new work may be sent to it at `now`.
-    pub fn takes_work(&self, now: Instant) -> bool {
-        !self.entry.is_draining && self.lapses.is_none_or(|at| now < at)
+    /// Returns whether the target itself accepts new requests at `now`.
+    pub fn is_accepting(&self, now: Instant) -> bool {
+        !self.entry.is_draining && self.lapsed_until.is_none_or(|at| now < at)
     }
 
-    /// Whether it is cold at `now`.
+    /// Returns whether the target is cold at `now`.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|at| now < at)
     }
 }
 
 impl View {
-    /// The view of changed items. `may_lapse` says whether entries that are
-    /// gone may have lapsed because the store was out of reach.
-    pub fn read<D: Dialect>(&self, items: &Items, now: Instant, may_lapse: bool) -> Self {
+    /// Returns the view after a change of the items. `may_have_lapsed` states whether
+    /// missing entries may have expired because the store was unreachable.
+    pub fn updated<D: Dialect>(&self, items: &Items, now: Instant, may_have_lapsed: bool) -> Self {
         let mut next = Self {
             configuration: self.configuration.clone(),
-            zones_out: read_zones::<D>(items),
+            zones_out: decode_zones::<D>(items),
             targets: HashMap::new(),
             changes: Vec::new(),
             index: OnceLock::new(),
-            configured: self.configured,
+            configured_at: self.configured_at,
             config_revision: self.config_revision,
         };
-        next.read_configuration::<D>(items, now);
-        let before: HashMap<&str, &Arc<Target>> =
+        next.decode_configuration::<D>(items, now);
+        let previous: HashMap<&str, &Arc<Target>> =
             self.targets.values().flatten().map(|target| (target.id.as_str(), target)).collect();
-        log_zones(&self.zones_out, &next.zones_out);
+        log_zone_changes(&self.zones_out, &next.zones_out);
         for (key, item) in items.with_prefix(D::TARGET_PREFIX) {
             let id = &key[D::TARGET_PREFIX.len()..];
-            let known = before.get(id).copied();
+            let previous_target = previous.get(id).copied();
             let target = match &item.value {
-                Some(text) => read_target::<D>(id, text, item, known),
-                None => keep_lapsed(known, item.seen, now, may_lapse),
+                Some(text) => decode_target::<D>(id, text, item, previous_target),
+                None => keep_lapsed(previous_target, item.learned_at, now, may_have_lapsed),
             };
-            next.changes.extend(find_change(known, target.as_ref()));
+            next.changes.extend(detect_change(previous_target, target.as_ref()));
             if let Some(target) = target {
                 next.targets.entry(target.entry.service.clone()).or_default().push(target);
             }
@@ -139,7 +139,7 @@
         next
     }
 
-    fn read_configuration<D: Dialect>(&mut self, items: &Items, now: Instant) {
+    fn decode_configuration<D: Dialect>(&mut self, items: &Items, now: Instant) {
         let Some(item) = items.get(D::CONFIG_KEY) else { return };
         if item.revision <= self.config_revision {
             return;
@@ -147,48 +147,49 @@
         let Some(text) = &item.value else { return };
         match D::parse_configuration(text) {
             Ok(configuration) => {
-                self.configured = Some(now);
+                self.configured_at = Some(now);
                 self.configuration = Some(Arc::new(configuration));
                 self.config_revision = item.revision;
             }
             Err(finding) => {
-                log::error!(revision:% = item.revision; "configuration can't be read: {finding}");
+                log::error!(revision:% = item.revision;
+                    "can't decode the configuration: {finding}");
             }
         }
     }
 
-    /// The targets of a service.
+    /// Returns the targets of a service.
     pub fn targets_of(&self, service: &id::Service) -> &[Arc<Target>] {
         self.targets.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The targets of a group of a service's targets.
-    pub fn targets_in(&self, service: &id::Service, group: u16) -> &[Arc<Target>] {
+    /// Returns the targets in one group of a service.
+    pub fn targets_in_group(&self, service: &id::Service, group: u16) -> &[Arc<Target>] {
         let groups = self.index().by_group.get(service);
         groups.and_then(|groups| groups.get(usize::from(group))).map_or(&[], Vec::as_slice)
     }
 
-    /// The target with a tag.
-    pub fn find(&self, tag: Tag) -> Option<&Arc<Target>> {
+    /// Returns the target with a tag.
+    pub fn find_target(&self, tag: Tag) -> Option<&Arc<Target>> {
         self.index().by_tag.get(&tag)
     }
 
     fn index(&self) -> &Index {
-        self.index.get_or_init(|| Index::of(&self.targets))
+        self.index.get_or_init(|| Index::build(&self.targets))
     }
 
-    /// Whether new work may be sent to a target at `now`.
-    pub fn may_send(&self, target: &Target, now: Instant) -> bool {
-        target.takes_work(now) && !self.zones_out.contains(&target.entry.zone)
+    /// Returns whether new requests may be sent to a target at `now`, considering its zone.
+    pub fn can_send(&self, target: &Target, now: Instant) -> bool {
+        target.is_accepting(now) && !self.zones_out.contains(&target.entry.zone)
     }
 
-    /// The version of the configuration, 0 before the first one.
+    /// Returns the version of the configuration, 0 before the first one.
     pub fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 }
 
-fn read_zones<D: Dialect>(items: &Items) -> HashSet<id::Zone> {
+fn decode_zones<D: Dialect>(items: &Items) -> HashSet<id::Zone> {
     items
         .with_prefix(D::ZONE_PREFIX)
         .filter(|(_, item)| item.value.is_some())
@@ -196,7 +197,7 @@
         .collect()
 }
 
-fn log_zones(before: &HashSet<id::Zone>, after: &HashSet<id::Zone>) {
+fn log_zone_changes(before: &HashSet<id::Zone>, after: &HashSet<id::Zone>) {
     for zone in after.difference(before) {
         log::info!(zone = zone.as_str(); "zone out of service");
     }
@@ -205,58 +206,60 @@
     }
 }
 
-/// What became of a target, if anything.
-fn find_change(
+/// Returns the change between two states of a target, if there is one.
+fn detect_change(
     before: Option<&Arc<Target>>,
     after: Option<&Arc<Target>>,
 ) -> Option<(Change, Arc<Target>)> {
-    let before = before.filter(|target| target.lapses.is_none());
-    match (before, after.filter(|target| target.lapses.is_none())) {
+    let before = before.filter(|target| target.lapsed_until.is_none());
+    match (before, after.filter(|target| target.lapsed_until.is_none())) {
         (Some(before), Some(after)) if before.entry == after.entry => None,
-        (_, Some(after)) => Some((Change::Known, after.clone())),
-        (Some(before), None) => Some((Change::Gone, before.clone())),
+        (_, Some(after)) => Some((Change::Updated, after.clone())),
+        (Some(before), None) => Some((Change::Removed, before.clone())),
         (None, None) => None,
     }
 }
 
-/// The target of an entry; an entry that has not changed since is not read again.
-fn read_target<D: Dialect>(
+/// Returns the target for an entry. An entry that has not changed is not decoded again.
+fn decode_target<D: Dialect>(
     id: &str,
     text: &str,
     item: &Item,
-    known: Option<&Arc<Target>>,
+    previous: Option<&Arc<Target>>,
 ) -> Option<Arc<Target>> {
-    let known = known.filter(|known| known.lapses.is_none());
-    if let Some(known) = known.filter(|known| known.revision == item.revision) {
-        return Some(known.clone());
+    let previous = previous.filter(|previous| previous.lapsed_until.is_none());
+    if let Some(previous) = previous.filter(|previous| previous.revision == item.revision) {
+        return Some(previous.clone());
     }
     let Some(entry) = D::parse_target(id, text) else {
-        log::warn!(target_id = id; "entry names no target to use");
+        log::warn!(target_id = id; "target entry ignored: it describes no usable target");
         return None;
     };
-    if let Some(known) = known.filter(|known| known.entry == entry) {
-        return Some(Arc::new(Target { revision: item.revision, ..Target::clone(known) }));
+    if let Some(previous) = previous.filter(|previous| previous.entry == entry) {
+        return Some(Arc::new(Target { revision: item.revision, ..Target::clone(previous) }));
     }
-    let cold_until = (!entry.cold_time_left.is_zero()).then(|| item.seen + entry.cold_time_left);
-    let (tag, revision) = (tag_target(id, entry.incarnation), item.revision);
-    Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapses: None, revision }))
+    let cold_until =
+        (!entry.cold_time_left.is_zero()).then(|| item.learned_at + entry.cold_time_left);
+    let (tag, revision) = (compute_tag(id, entry.incarnation), item.revision);
+    Some(Arc::new(Target { id: id.into(), tag, entry, cold_until, lapsed_until: None, revision }))
 }
 
-/// A target whose entry is gone: dropped, unless entries may have lapsed.
+/// Returns the target for a missing entry: `None`, unless the entry may have lapsed.
 fn keep_lapsed(
-    known: Option<&Arc<Target>>,
-    seen: Instant,
+    previous: Option<&Arc<Target>>,
+    learned_at: Instant,
     now: Instant,
-    may_lapse: bool,
+    may_have_lapsed: bool,
 ) -> Option<Arc<Target>> {
-    let known = known?;
-    let lapses =
-        known.lapses.or((may_lapse && !known.entry.is_draining).then(|| seen + LAPSED_KEPT));
-    let lapses = lapses.filter(|at| now < *at)?;
-    Some(Arc::new(Target { lapses: Some(lapses), ..Target::clone(known) }))
+    let previous = previous?;
+    let lapsed_until =
+        previous.lapsed_until.or((may_have_lapsed && !previous.entry.is_draining)
+            .then(|| learned_at + LAPSED_TARGET_TTL));
+    let lapsed_until = lapsed_until.filter(|at| now < *at)?;
+    Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(previous) }))
 }
 
-fn tag_target(id: &str, born: u64) -> Tag {
+fn compute_tag(id: &str, born: u64) -> Tag {
     let mut hasher = blake3::Hasher::new();
     hasher.update(id.as_bytes()).update(&born.to_le_bytes());
     let hash = hasher.finalize();
--- a/crates/path/tests/view.rs
+++ b/crates/path/tests/view.rs
@@ -1,10 +1,10 @@
-//! What a node makes of changed items.
+//! The view that a node derives from changed items.
 
 use compact_str::CompactString;
 use hickory_path::config::Configuration;
 use hickory_path::dialect::{Dialect, EngineRequest, Entry, ResponseHead, TargetRequest};
 use hickory_path::group;
-use hickory_path::items::{Items, Word};
+use hickory_path::items::{Items, Update};
 use hickory_path::request::RequestHead;
 use hickory_path::view::{Change, View};
 use hickory_store::store::Revision;
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant};
 
 thread_local! {
-    static ENTRIES_READ: Cell<usize> = const { Cell::new(0) };
+    static DECODED_ENTRIES: Cell<usize> = const { Cell::new(0) };
 }
 
-/// A platform whose entries are the number of the target's slots.
-struct Plain;
+/// A platform whose entries hold only the target's number of slots.
+struct TestDialect;
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     const OPERATOR_PREFIX: &str = "operators/";
     const TARGET_PREFIX: &str = "targets/";
     const CONFIG_KEY: &str = "operators/config";
     const ZONE_PREFIX: &str = "operators/zones/";
 
     fn parse_target(_: &str, text: &str) -> Option<Entry> {
-        ENTRIES_READ.set(ENTRIES_READ.get() + 1);
+        DECODED_ENTRIES.set(DECODED_ENTRIES.get() + 1);
         let address = "10.1.0.1:80".parse().ok()?;
         let (service, zone, slots) = ("model".into(), "a".into(), text.parse().ok()?);
         let cold_left = Duration::ZERO;
@@ -77,9 +77,9 @@
     }
 }
 
-fn take(items: &mut Items, target: u64, revision: u64, entry: &str) {
+fn write_entry(items: &mut Items, target: u64, revision: u64, entry: &str) {
     let key = format!("targets/{target}").into();
-    items.take(Instant::now(), Word::whole(key, Revision(revision), Some(entry.to_owned())));
+    items.apply(Instant::now(), Update::full(key, Revision(revision), Some(entry.to_owned())));
 }
 
 fn slots(view: &View) -> Vec<u32> {
@@ -90,73 +90,74 @@
     view.changes.iter().map(|(change, _)| *change).collect()
 }
 
-/// Guards against nodes that read thousands of entries for each one that changes: a
-/// zone's targets come back one by one.
+/// Guards against decoding thousands of entries for each one that changes, for example when
+/// a zone's targets return one by one.
 #[test]
-fn an_entry_is_read_once_for_each_change_of_it() {
+fn an_entry_is_decoded_once_per_change() {
     const TARGETS: u64 = 500;
     let (mut items, now) = (Items::default(), Instant::now());
-    (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
-    let mut view = View::default().read::<Plain>(&items, now, false);
+    (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
     for change in 0..10 {
-        take(&mut items, change, TARGETS + change + 1, "6");
-        view = view.read::<Plain>(&items, now, false);
+        write_entry(&mut items, change, TARGETS + change + 1, "6");
+        view = view.updated::<TestDialect>(&items, now, false);
     }
-    assert_eq!(ENTRIES_READ.get() as u64, TARGETS + 10);
+    assert_eq!(DECODED_ENTRIES.get() as u64, TARGETS + 10);
     assert_eq!(slots(&view).iter().filter(|&&slots| slots == 6).count(), 10);
 }
 
-/// Guards against a target that is written anew as it was, and read at each change
-/// from then on.
+/// Guards against a target whose entry is rewritten unchanged and then decoded again at
+/// every later change.
 #[test]
-fn an_entry_that_is_written_anew_as_it_was_is_read_once_more() {
+fn an_unchanged_rewrite_is_decoded_only_once() {
     let (mut items, now) = (Items::default(), Instant::now());
-    take(&mut items, 1, 1, "12");
-    let mut view = View::default().read::<Plain>(&items, now, false);
-    take(&mut items, 1, 2, "12");
+    write_entry(&mut items, 1, 1, "12");
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
+    write_entry(&mut items, 1, 2, "12");
     for _ in 0..5 {
-        view = view.read::<Plain>(&items, now, false);
+        view = view.updated::<TestDialect>(&items, now, false);
     }
-    assert_eq!((ENTRIES_READ.get(), slots(&view)), (2, vec![12]));
+    assert_eq!((DECODED_ENTRIES.get(), slots(&view)), (2, vec![12]));
 }
 
-/// A target whose entry lapsed and came back takes work again.
+/// Checks that a target accepts requests again after its entry lapsed and returned.
 #[test]
-fn an_entry_that_comes_back_is_read_again() {
+fn an_entry_that_returns_is_decoded_again() {
     let (mut items, now) = (Items::default(), Instant::now());
-    take(&mut items, 1, 1, "12");
-    let view = View::default().read::<Plain>(&items, now, true);
-    assert_eq!(changes(&view), [Change::Known]);
-    items.take(now, Word::whole("targets/1".into(), Revision(2), None));
-    let lapsed = view.read::<Plain>(&items, now, true);
-    assert!(lapsed.targets_of(&"model".into())[0].lapses.is_some());
-    assert_eq!(changes(&lapsed), [Change::Gone]);
-    assert_eq!(changes(&lapsed.read::<Plain>(&items, now, true)), []);
-    take(&mut items, 1, 3, "12");
-    let back = lapsed.read::<Plain>(&items, now, true);
-    assert!(back.targets_of(&"model".into())[0].lapses.is_none());
-    assert_eq!(changes(&back), [Change::Known]);
-    take(&mut items, 1, 4, "6");
-    assert_eq!(changes(&back.read::<Plain>(&items, now, true)), [Change::Known]);
+    write_entry(&mut items, 1, 1, "12");
+    let view = View::default().updated::<TestDialect>(&items, now, true);
+    assert_eq!(changes(&view), [Change::Updated]);
+    items.apply(now, Update::full("targets/1".into(), Revision(2), None));
+    let lapsed = view.updated::<TestDialect>(&items, now, true);
+    assert!(lapsed.targets_of(&"model".into())[0].lapsed_until.is_some());
+    assert_eq!(changes(&lapsed), [Change::Removed]);
+    assert_eq!(changes(&lapsed.updated::<TestDialect>(&items, now, true)), []);
+    write_entry(&mut items, 1, 3, "12");
+    let back = lapsed.updated::<TestDialect>(&items, now, true);
+    assert!(back.targets_of(&"model".into())[0].lapsed_until.is_none());
+    assert_eq!(changes(&back), [Change::Updated]);
+    write_entry(&mut items, 1, 4, "6");
+    assert_eq!(changes(&back.updated::<TestDialect>(&items, now, true)), [Change::Updated]);
 }
 
 #[test]
 fn each_target_is_found_by_its_tag_and_in_one_group() {
     const TARGETS: u64 = 500;
     let (mut items, now, service) = (Items::default(), Instant::now(), "model".into());
-    (0..TARGETS).for_each(|target| take(&mut items, target, target + 1, "12"));
-    let mut view = View::default().read::<Plain>(&items, now, false);
-    items.take(now, Word::whole("targets/3".into(), Revision(TARGETS + 1), None));
-    view.targets_in(&service, 0);
-    view = view.read::<Plain>(&items, now, false);
+    (0..TARGETS).for_each(|target| write_entry(&mut items, target, target + 1, "12"));
+    let mut view = View::default().updated::<TestDialect>(&items, now, false);
+    items.apply(now, Update::full("targets/3".into(), Revision(TARGETS + 1), None));
+    view.targets_in_group(&service, 0);
+    view = view.updated::<TestDialect>(&items, now, false);
     let groups = group::count_groups(view.targets_of(&service).len());
-    let in_groups: usize = (0..groups).map(|index| view.targets_in(&service, index).len()).sum();
+    let in_groups: usize =
+        (0..groups).map(|index| view.targets_in_group(&service, index).len()).sum();
     assert_eq!((groups, in_groups), (4, TARGETS as usize - 1));
     for target in view.targets_of(&service) {
         let index = group::find_group(target.tag, groups);
-        assert!(view.targets_in(&service, index).iter().any(|other| other.tag == target.tag));
-        assert_eq!(view.find(target.tag).map(|found| &found.id), Some(&target.id));
+        assert!(view.targets_in_group(&service, index).iter().any(|other| other.tag == target.tag));
+        assert_eq!(view.find_target(target.tag).map(|found| &found.id), Some(&target.id));
     }
-    assert!(view.targets_in(&service, groups).is_empty());
-    assert!(view.targets_in(&"other".into(), 0).is_empty());
+    assert!(view.targets_in_group(&service, groups).is_empty());
+    assert!(view.targets_in_group(&"other".into(), 0).is_empty());
 }
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -1,6 +1,6 @@
-//! Which nodes watch the store.
+//! Selection of the nodes that watch the store.
 
-use hickory_path::watcher::{Candidate, leads, takeover_delay, watches};
+use hickory_path::watcher::{Candidate, is_leader, is_selected, takeover_delay};
 use hickory_unit::id;
 use std::time::Duration;
 
@@ -8,72 +8,75 @@
     (0..count).map(|number| format!("node-{number}").as_str().into()).collect()
 }
 
-fn watching(nodes: &[id::Node], away: &[usize]) -> Vec<usize> {
+fn watching(nodes: &[id::Node], rejected: &[usize]) -> Vec<usize> {
     let candidates: Vec<Candidate<'_>> = nodes
         .iter()
         .enumerate()
-        .map(|(place, node)| Candidate { node, store_away: away.contains(&place) })
+        .map(|(index, node)| Candidate { node, is_store_unreachable: rejected.contains(&index) })
         .collect();
-    (0..nodes.len()).filter(|&place| watches(&nodes[place], &candidates)).collect()
+    (0..nodes.len()).filter(|&index| is_selected(&nodes[index], &candidates)).collect()
 }
 
 #[test]
-fn a_few_of_many_watch() {
+fn three_of_many_nodes_watch() {
     assert_eq!(watching(&nodes(79), &[]).len(), 3);
     assert_eq!(watching(&nodes(2), &[]).len(), 2);
     assert_eq!(watching(&nodes(1), &[]).len(), 1);
 }
 
-/// A configuration is in force nowhere: the store turns away just those nodes
-/// that watch. Others must watch as well, and the first go on trying.
+/// Guards against a configuration that takes effect nowhere because the store rejects
+/// exactly the nodes that watch. Other nodes must watch as well, and the first ones keep
+/// trying.
 #[test]
-fn others_watch_where_the_store_turns_the_first_away() {
+fn other_nodes_watch_when_the_store_rejects_the_first() {
     let nodes = nodes(9);
     let first = watching(&nodes, &[]);
     let all = watching(&nodes, &first);
     assert_eq!(all.len(), 6);
-    assert!(first.iter().all(|place| all.contains(place)));
+    assert!(first.iter().all(|index| all.contains(index)));
 }
 
-/// Guards against a store that is down and is called by all nodes in turn.
+/// Guards against all nodes in turn calling a store that is down.
 #[test]
-fn nodes_take_over_the_later_the_more_were_turned_away() {
+fn takeover_delay_grows_with_the_number_of_rejected_nodes() {
     let nodes = nodes(67);
     let first = watching(&nodes, &[]);
-    let delay = |me: usize, away: &[usize]| {
-        let candidate =
-            |place: usize| Candidate { node: &nodes[place], store_away: away.contains(&place) };
+    let delay = |me: usize, rejected: &[usize]| {
+        let candidate = |index: usize| Candidate {
+            node: &nodes[index],
+            is_store_unreachable: rejected.contains(&index),
+        };
         let candidates: Vec<Candidate<'_>> = (0..nodes.len()).map(candidate).collect();
         takeover_delay(&nodes[me], &candidates)
     };
-    let other = (0..nodes.len()).find(|place| !first.contains(place)).unwrap();
+    let other = (0..nodes.len()).find(|index| !first.contains(index)).unwrap();
     assert_eq!(delay(other, &first[..1]), Duration::ZERO, "one node alone is cut off");
-    assert!(first.iter().all(|&place| delay(place, &first).is_zero()));
-    let rest: Vec<usize> = (0..nodes.len()).filter(|place| *place != other).collect();
-    let delays = [3, 6, 9, 30, 60].map(|away| delay(other, &rest[..away]));
+    assert!(first.iter().all(|&index| delay(index, &first).is_zero()));
+    let rest: Vec<usize> = (0..nodes.len()).filter(|index| *index != other).collect();
+    let delays = [3, 6, 9, 30, 60].map(|rejected| delay(other, &rest[..rejected]));
     assert!(delays.is_sorted() && delays[0] > Duration::ZERO, "{delays:?}");
     assert!(delays[4] <= Duration::from_secs(5), "{delays:?}");
 }
 
-/// A node that is cut off from its peers hears nobody, and must watch itself.
+/// Checks that a node that is cut off from its peers watches itself.
 #[test]
-fn a_node_alone_watches() {
+fn an_isolated_node_watches() {
     let all = nodes(9);
     for node in &all {
-        assert!(watches(node, &[Candidate { node, store_away: true }]));
+        assert!(is_selected(node, &[Candidate { node, is_store_unreachable: true }]));
     }
 }
 
-/// Each change of a target's entry costs a call of every node that watches. Just
-/// one hears of it at once, and where the store turns that one away, another of
-/// those that watch.
+/// Each change of a target's entry costs one call per watching node. Exactly one of them
+/// watches without delay; if the store rejects it, another watching node takes its place.
 #[test]
-fn one_of_those_that_watch_leads() {
+fn exactly_one_watcher_leads() {
     let nodes = nodes(9);
-    let leading = |away: &[usize]| -> Vec<usize> {
-        let candidate = |(place, node)| Candidate { node, store_away: away.contains(&place) };
+    let leading = |rejected: &[usize]| -> Vec<usize> {
+        let candidate =
+            |(index, node)| Candidate { node, is_store_unreachable: rejected.contains(&index) };
         let candidates: Vec<Candidate<'_>> = nodes.iter().enumerate().map(candidate).collect();
-        (0..nodes.len()).filter(|&place| leads(&nodes[place], &candidates)).collect()
+        (0..nodes.len()).filter(|&index| is_leader(&nodes[index], &candidates)).collect()
     };
     let first = leading(&[]);
     assert_eq!(first.len(), 1);
--- a/crates/unit/src/clock.rs
+++ b/crates/unit/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock, passed in wherever time decides something.
+//! The clock interface. Code that makes decisions by time receives its clock as an
+//! argument.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -6,18 +7,19 @@
 
 /// A source of time.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// Monotonic time, for durations and leases.
+    /// Returns monotonic time, for durations and leases.
     fn now(&self) -> Instant;
-    /// Wall-clock time, only for what crosses hosts (deadlines within ids).
+    /// Returns wall-clock time, only for values that are exchanged between hosts (deadlines
+    /// within ids).
     fn wall(&self) -> SystemTime;
 
-    /// Wall-clock time in milliseconds since the Unix epoch.
+    /// Returns wall-clock time in milliseconds since the Unix epoch.
     fn wall_ms(&self) -> u64 {
         self.wall().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
     }
 }
 
-/// The clock of the machine.
+/// The system's monotonic clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct System;
 
@@ -31,27 +33,27 @@
     }
 }
 
-/// The clock of a machine that may be suspended.
+/// A clock that keeps counting while the machine is suspended.
 ///
-/// A suspended machine's monotonic clock stands still, so that a deadline or a
-/// lease measured by it would outlive its time by as long as the machine slept.
-/// This one counts the boot-time clock and shows it on the same scale.
+/// The usual monotonic clock stops during a suspension, so that a deadline or lease
+/// measured by it would be extended by the length of the suspension. This clock reads the
+/// boot-time clock and reports it on the same scale.
 #[derive(Clone, Copy, Debug)]
-pub struct Boot {
+pub struct BootTime {
     origin: Instant,
-    booted: Duration,
+    boot_time_at_origin: Duration,
 }
 
-impl Boot {
-    /// A clock that agrees with [`System`] now.
+impl BootTime {
+    /// Creates a clock that agrees with [`System`] at this moment.
     pub fn start() -> Self {
-        Self { origin: Instant::now(), booted: read_boot_time() }
+        Self { origin: Instant::now(), boot_time_at_origin: read_boot_time() }
     }
 }
 
-impl Clock for Boot {
+impl Clock for BootTime {
     fn now(&self) -> Instant {
-        self.origin + read_boot_time().saturating_sub(self.booted)
+        self.origin + read_boot_time().saturating_sub(self.boot_time_at_origin)
     }
 
     fn wall(&self) -> SystemTime {
@@ -64,26 +66,26 @@
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
 }
 
-/// A clock that stands still until it is moved, for tests and simulations.
+/// A clock that only advances by [`Manual::advance`], for tests and simulations.
 #[derive(Clone, Debug)]
 pub struct Manual {
     start: Instant,
-    passed: Arc<Mutex<Duration>>,
+    elapsed: Arc<Mutex<Duration>>,
 }
 
 impl Manual {
-    /// A clock that starts at wall-clock time zero plus one day.
+    /// Creates a clock whose wall-clock time starts one day after the Unix epoch.
     pub fn start() -> Self {
-        Self { start: Instant::now(), passed: Arc::default() }
+        Self { start: Instant::now(), elapsed: Arc::default() }
     }
 
-    /// Moves the clock on by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
         *self.lock() += step;
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Duration> {
-        self.passed.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.elapsed.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
 
