--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::Parser;
 use eyre::WrapErr;
-use hickory_adapter::name::{SETTINGS_PATH, SETTINGS_VARIABLE};
+use hickory_adapter::name::{DEFAULT_SETTINGS_PATH, SETTINGS_VARIABLE};
 use hickory_adapter::{Platform, settings, store};
 use hickory_path::Node;
 use hickory_path::settings::Settings;
@@ -58,7 +58,7 @@
 }
 
 fn find_settings() -> PathBuf {
-    std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| SETTINGS_PATH.into(), PathBuf::from)
+    std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| DEFAULT_SETTINGS_PATH.into(), PathBuf::from)
 }
 
 fn open_settings(path: &Path) -> eyre::Result<Settings> {
--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -1,7 +1,7 @@
 //! The daemon as a process: what its log says of requests that failed, and of targets.
 
-use hickory_adapter_standin::caller::{self, Answer};
-use hickory_adapter_standin::replica::{Act, Replica};
+use hickory_adapter_standin::caller::{self, Response};
+use hickory_adapter_standin::replica::{Behavior, Replica};
 use hickory_adapter_standin::store::Store;
 use hickory_adapter_standin::{CONFIG, entry_key, fleet, free_address, settings, write_settings};
 use hickory_path::settings::Settings;
@@ -39,7 +39,7 @@
             .spawn()
             .unwrap();
         let daemon = Self { process, log };
-        caller::wait_ready(settings.ready).await;
+        caller::wait_until_ready(settings.ready).await;
         daemon
     }
 
@@ -76,14 +76,14 @@
         Self { daemon, callers: settings.callers, replicas }
     }
 
-    fn all(&self, service: &str, act: &Act) {
+    fn all(&self, service: &str, act: &Behavior) {
         for replica in self.replicas.iter().filter(|replica| replica.service == service) {
-            replica.next(act.clone());
+            replica.enqueue(act.clone());
         }
     }
 
-    async fn ask(&self, attempt: &str, path: &str) -> Answer {
-        let text = caller::request_as(attempt, "POST", path, "body");
+    async fn ask(&self, attempt: &str, path: &str) -> Response {
+        let text = caller::request_with_attempt_id(attempt, "POST", path, "body");
         caller::send(self.callers, &text).await
     }
 
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn a_late_first_event_names_its_target() {
     let scene = Scene::open("late").await;
-    scene.all("model", &Act::Pause(1, 5));
+    scene.all("model", &Behavior::PauseStream(1, 5));
     assert_eq!(scene.ask("late-1", "/once/1").await.status, 200);
     let lines = scene.lines("late-1", 1).await;
     let line = &lines[0];
@@ -129,7 +129,7 @@
 #[tokio::test]
 async fn an_order_without_an_answer_says_that_it_may_have_run() {
     let scene = Scene::open("order").await;
-    scene.all("plain", &Act::Close);
+    scene.all("plain", &Behavior::Close);
     assert_eq!(scene.ask("order-1", "/pay/1").await.status, 502);
     let lines = scene.lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
@@ -144,7 +144,7 @@
 #[tokio::test]
 async fn a_stream_that_two_targets_failed_names_both() {
     let scene = Scene::open("failed").await;
-    scene.all("model", &Act::Status(500));
+    scene.all("model", &Behavior::Status(500));
     assert_eq!(scene.ask("failed-1", "/say/1").await.status, 500);
     let lines = scene.lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
@@ -160,13 +160,13 @@
 #[tokio::test]
 async fn a_stream_that_was_cut_names_both_targets() {
     let scene = Scene::open("cut").await;
-    scene.replicas[2].next(Act::Cut(2, 0));
-    scene.replicas[3].next(Act::Cut(2, 0));
-    scene.replicas[2].next(Act::Stream(5));
-    scene.replicas[3].next(Act::Stream(5));
+    scene.replicas[2].enqueue(Behavior::CutStream(2, 0));
+    scene.replicas[3].enqueue(Behavior::CutStream(2, 0));
+    scene.replicas[2].enqueue(Behavior::Stream(5));
+    scene.replicas[3].enqueue(Behavior::Stream(5));
     // The first stream is cut by both; the second one finds both sound again.
     let cut = scene.ask("cut-1", "/say/1").await;
-    assert_eq!((cut.ids(), cut.complete), (vec![1, 2], false));
+    assert_eq!((cut.event_ids(), cut.is_complete), (vec![1, 2], false));
     let lines = scene.lines("cut-1", 3).await;
     let targets: Vec<&str> =
         lines[..2].iter().map(|line| line["attributes"]["target_id"].as_str().unwrap()).collect();
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn a_refusal_names_what_it_was_decided_by() {
     let scene = Scene::open("refused").await;
-    let text = caller::request_as("refused-1", "POST", "/long/1", "body")
+    let text = caller::request_with_attempt_id("refused-1", "POST", "/long/1", "body")
         .replace("1460,80", "400000,80")
         .replace("3000", "15000");
     assert_eq!(caller::send(scene.callers, &text).await.status, 503);
@@ -205,14 +205,14 @@
     store.put(&entry_key("m-1"), &replica.entry("ready"));
     let peers = free_address();
     let nodes: Vec<Settings> =
-        (1..=3).map(|number| fleet::settings_of(number, peers, &store)).collect();
+        (1..=3).map(|number| fleet::node_settings(number, peers, &store)).collect();
     let mut daemons = Vec::new();
     for node in &nodes {
         daemons.push(Daemon::start(&format!("change-{}", node.node), node).await);
     }
     let owns = |line: &Value| line["message"] == "groups owned by this node";
     let owners = || daemons.iter().filter(|daemon| !daemon.lines(owns).is_empty()).count();
-    caller::wait_for("an owner", || owners() > 0).await;
+    caller::wait_until("an owner", || owners() > 0).await;
     // The owner may change until all have been told what runs.
     tokio::time::sleep(Duration::from_secs(2)).await;
     store.put(&entry_key("m-1"), &replica.entry("draining"));
@@ -223,7 +223,7 @@
         };
         daemons.iter().map(|daemon| daemon.lines(is_change).len()).sum::<usize>()
     };
-    caller::wait_for("the owner's line", || changes() > 0).await;
+    caller::wait_until("the owner's line", || changes() > 0).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(changes(), 1);
 }
--- a/apps/hickory-soak/src/caller.rs
+++ b/apps/hickory-soak/src/caller.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{Asked, Kind, Record};
 use crate::scene::Scene;
-use hickory_adapter_standin::caller::{Answer, read_within, request_as};
+use hickory_adapter_standin::caller::{Response, read_with_timeout, request_with_attempt_id};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
@@ -51,13 +51,13 @@
             Kind::Stream => ("POST", "/say/1".to_owned()),
             Kind::Version(version) => ("GET", format!("/v{version}/1")),
         };
-        let text = request_as(&attempt, method, &path, "body");
+        let text = request_with_attempt_id(&attempt, method, &path, "body");
         let answer = match stream.write_all(text.as_bytes()).await {
-            Ok(()) => read_within(&mut stream, PATIENCE + Duration::from_secs(2)).await,
-            Err(_) => Answer::default(),
+            Ok(()) => read_with_timeout(&mut stream, PATIENCE + Duration::from_secs(2)).await,
+            Err(_) => Response::default(),
         };
         let closes = answer.header("connection") == Some("close");
-        if answer.complete && !closes && random.random_bool(0.8) {
+        if answer.is_complete && !closes && random.random_bool(0.8) {
             kept = Some((host, stream));
         }
         scene.note(Record { asked, answer, took_until: Instant::now() });
--- a/apps/hickory-soak/src/check.rs
+++ b/apps/hickory-soak/src/check.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::PATIENCE;
 use crate::scene::Scene;
-use hickory_adapter_standin::caller::Answer;
+use hickory_adapter_standin::caller::Response;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) asked: Asked,
-    pub(crate) answer: Answer,
+    pub(crate) answer: Response,
     pub(crate) took_until: Instant,
 }
 
@@ -47,8 +47,8 @@
 pub(crate) fn check(scene: &Scene) -> Vec<String> {
     let records = scene.records();
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for seen in scene.replicas.iter().flat_map(|(replica, _)| replica.seen()) {
-        *runs.entry(seen.attempt().to_owned()).or_default() += usize::from(seen.ran);
+    for seen in scene.replicas.iter().flat_map(|(replica, _)| replica.requests()) {
+        *runs.entry(seen.attempt_id().to_owned()).or_default() += usize::from(seen.was_run);
     }
     let mut broken: Vec<String> = Vec::new();
     let mut newest: HashMap<(usize, u32), u64> = HashMap::new();
@@ -73,19 +73,19 @@
     if !is_success {
         return None;
     }
-    if !answer.is_of(&record.asked.attempt) {
+    if !answer.is_signed_response_to(&record.asked.attempt) {
         return Some("the answer is another's, or not signed".into());
     }
-    let ids = answer.ids();
+    let ids = answer.event_ids();
     match record.asked.kind {
         Kind::Stream if !ids.iter().copied().eq(1..=ids.len() as u64) => {
             Some(format!("events out of order: {ids:?}"))
         }
-        Kind::Stream if answer.complete && ids.len() as u64 != events => {
+        Kind::Stream if answer.is_complete && ids.len() as u64 != events => {
             Some(format!("looks complete with {} events of {events}", ids.len()))
         }
         Kind::Stream => None,
-        _ if answer.complete && !answer.body.starts_with("plain-") => {
+        _ if answer.is_complete && !answer.body.starts_with("plain-") => {
             Some(format!("a body that no replica sent: {:?}", answer.body))
         }
         _ => None,
--- a/apps/hickory-soak/src/fault.rs
+++ b/apps/hickory-soak/src/fault.rs
@@ -96,15 +96,15 @@
 }
 
 async fn harm_store(scene: &Scene, random: &mut StdRng, lasts: Duration) {
-    let faults = [Fault::Status(503), Fault::Status(429), Fault::Lost, Fault::Silent];
+    let faults = [Fault::Status(503), Fault::Status(429), Fault::ResponseLost, Fault::Unresponsive];
     let fault = *faults.choose(random).unwrap_or(&Fault::None);
     scene.say(&format!("store {fault:?} for {lasts:?}"));
-    scene.store.fail(fault);
+    scene.store.set_fault(fault);
     if random.random_bool(0.3) {
         scene.store.compact();
     }
     tokio::time::sleep(lasts).await;
-    scene.store.fail(Fault::None);
+    scene.store.set_fault(Fault::None);
 }
 
 async fn drain(scene: &Scene, random: &mut StdRng, lasts: Duration) {
--- a/apps/hickory-soak/src/scene.rs
+++ b/apps/hickory-soak/src/scene.rs
@@ -81,7 +81,7 @@
         host.start().wrap_err("an entry daemon can't be started")?;
     }
     for host in &scene.hosts {
-        standin::wait_ready(host.settings.ready).await;
+        standin::wait_until_ready(host.settings.ready).await;
     }
     let callers: Vec<_> =
         (0..plan.callers).map(|number| tokio::spawn(caller::run(scene.clone(), number))).collect();
@@ -111,8 +111,8 @@
                 let mut replica =
                     Replica::spawn(&format!("{service}-{number}"), service, EVENTS).await;
                 let link = Proxy::spawn(replica.address.ip(), replica.address).await?;
-                replica.named = Some(link.address);
-                replica.fail(REPLICA_FAULTS, plan.seed ^ u64::from(number));
+                replica.advertised_address = Some(link.address);
+                replica.inject_faults(REPLICA_FAULTS, plan.seed ^ u64::from(number));
                 store.put(&entry_key(&replica.name), &replica.entry("ready"));
                 replicas.push((replica, link));
             }
@@ -191,7 +191,7 @@
 
     fn report(&self) -> Report {
         let records = self.records();
-        let is_served = |record: &&Record| record.answer.complete && record.answer.status == 200;
+        let is_served = |record: &&Record| record.answer.is_complete && record.answer.status == 200;
         Report {
             requests: records.len(),
             served: records.iter().filter(is_served).count(),
