--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -1,7 +1,7 @@
 //! The daemon as a process: what its log says of requests that failed, and of targets.
 
 use hickory_adapter_standin::caller::{self, Response};
-use hickory_adapter_standin::replica::{Behavior, Replica};
+use hickory_adapter_standin::replica::{Action, Replica};
 use hickory_adapter_standin::store::Store;
 use hickory_adapter_standin::{CONFIG, entry_key, fleet, free_address, settings, write_settings};
 use hickory_path::settings::Settings;
@@ -76,7 +76,7 @@
         Self { daemon, callers: settings.callers, replicas }
     }
 
-    fn all(&self, service: &str, act: &Behavior) {
+    fn all(&self, service: &str, act: &Action) {
         for replica in self.replicas.iter().filter(|replica| replica.service == service) {
             replica.enqueue(act.clone());
         }
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn a_late_first_event_names_its_target() {
     let scene = Scene::open("late").await;
-    scene.all("model", &Behavior::PauseStream(1, 5));
+    scene.all("model", &Action::PauseStream(1, 5));
     assert_eq!(scene.ask("late-1", "/once/1").await.status, 200);
     let lines = scene.lines("late-1", 1).await;
     let line = &lines[0];
@@ -129,7 +129,7 @@
 #[tokio::test]
 async fn an_order_without_an_answer_says_that_it_may_have_run() {
     let scene = Scene::open("order").await;
-    scene.all("plain", &Behavior::Close);
+    scene.all("plain", &Action::Close);
     assert_eq!(scene.ask("order-1", "/pay/1").await.status, 502);
     let lines = scene.lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
@@ -144,7 +144,7 @@
 #[tokio::test]
 async fn a_stream_that_two_targets_failed_names_both() {
     let scene = Scene::open("failed").await;
-    scene.all("model", &Behavior::Status(500));
+    scene.all("model", &Action::Status(500));
     assert_eq!(scene.ask("failed-1", "/say/1").await.status, 500);
     let lines = scene.lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
@@ -160,10 +160,10 @@
 #[tokio::test]
 async fn a_stream_that_was_cut_names_both_targets() {
     let scene = Scene::open("cut").await;
-    scene.replicas[2].enqueue(Behavior::CutStream(2, 0));
-    scene.replicas[3].enqueue(Behavior::CutStream(2, 0));
-    scene.replicas[2].enqueue(Behavior::Stream(5));
-    scene.replicas[3].enqueue(Behavior::Stream(5));
+    scene.replicas[2].enqueue(Action::CutStream(2, 0));
+    scene.replicas[3].enqueue(Action::CutStream(2, 0));
+    scene.replicas[2].enqueue(Action::Stream(5));
+    scene.replicas[3].enqueue(Action::Stream(5));
     // The first stream is cut by both; the second one finds both sound again.
     let cut = scene.ask("cut-1", "/say/1").await;
     assert_eq!((cut.event_ids(), cut.is_complete), (vec![1, 2], false));
