--- a/apps/hickory-standin/tests/process.rs
+++ b/apps/hickory-standin/tests/process.rs
@@ -1,7 +1,7 @@
 //! The stand-ins as processes: what they print, how faults reach them, how
 //! they end.
 
-use hickory_client::{Answer, Call, Client, Error};
+use hickory_client::{Call, Client, Error, Response};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -42,11 +42,11 @@
         method: http::Method,
         path: &str,
         body: &str,
-    ) -> Result<Answer, Error> {
+    ) -> Result<Response, Error> {
         call(self.ready.addresses[name], method, path, body).await
     }
 
-    async fn get(&self, name: &str, path: &str) -> Result<Answer, Error> {
+    async fn get(&self, name: &str, path: &str) -> Result<Response, Error> {
         self.call(name, http::Method::GET, path, "").await
     }
 
@@ -76,7 +76,7 @@
     method: http::Method,
     path: &str,
     body: &str,
-) -> Result<Answer, Error> {
+) -> Result<Response, Error> {
     let body = body.to_owned().into();
     Client::open(TIMEOUT).exchange(at, Call { method, path, key: None, body }, TIMEOUT).await
 }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -42,12 +42,12 @@
     /// break the connection: one that a partition silenced would otherwise
     /// hold its request until the deadline.
     pub(crate) async fn open(
-        at: SocketAddr,
+        address: SocketAddr,
         timeout: Duration,
-        silence: Duration,
+        user_timeout: Duration,
     ) -> Result<Self, Error> {
         let not_sent = |error: &dyn std::fmt::Display| Error::NotSent(error.to_string());
-        let connect = tokio::time::timeout(timeout, TcpStream::connect(at));
+        let connect = tokio::time::timeout(timeout, TcpStream::connect(address));
         let stream = connect.await.map_err(|e| not_sent(&e))?.map_err(|e| match e.kind() {
             ErrorKind::ConnectionRefused => Error::Refused,
             _ => not_sent(&e),
@@ -55,10 +55,10 @@
         let socket = stream.into_std().map_err(|e| not_sent(&e))?;
         socket.set_nodelay(true).map_err(|e| not_sent(&e))?;
         let options = socket2::SockRef::from(&socket);
-        options.set_tcp_user_timeout(Some(silence)).map_err(|e| not_sent(&e))?;
+        options.set_tcp_user_timeout(Some(user_timeout)).map_err(|e| not_sent(&e))?;
         options.set_tcp_keepalive(&KEEPALIVE).map_err(|e| not_sent(&e))?;
-        let twin = socket.try_clone().map_err(|e| not_sent(&e))?;
-        let stream = TcpStream::from_std(twin).map_err(|e| not_sent(&e))?;
+        let duplicate = socket.try_clone().map_err(|e| not_sent(&e))?;
+        let stream = TcpStream::from_std(duplicate).map_err(|e| not_sent(&e))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|e| not_sent(&e))?;
         tokio::spawn(driver);
@@ -67,7 +67,7 @@
 
     /// Closes both directions at once, so that the other end learns of it now
     /// and not when the last handle is dropped.
-    pub(crate) fn shut(&self) {
+    pub(crate) fn close(&self) {
         // It fails only where the connection is closed already.
         let _ = self.socket.shutdown(std::net::Shutdown::Both);
     }
@@ -76,9 +76,9 @@
     /// close only when its task next runs, and would until then write a call
     /// that can't be told from one that ran; the socket itself knows at once.
     pub(crate) fn is_idle(&self) -> bool {
-        let peeked = self.socket.peek(&mut [0]);
-        let nothing = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        nothing && !self.sender.is_closed()
+        let peek_result = self.socket.peek(&mut [0]);
+        let is_empty = peek_result.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+        is_empty && !self.sender.is_closed()
     }
 
     /// Sends a request and waits for the head of its answer.
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -1,7 +1,7 @@
 //! Requests with heads of their own, whose answers are read in pieces.
 
 use crate::connection::Connection;
-use crate::pool::IDLE_TIME;
+use crate::pool::MAX_IDLE_TIME;
 use crate::{Client, Error};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Exchange {
     client: Client,
-    at: SocketAddr,
+    address: SocketAddr,
     connection: Option<Connection>,
     /// The head of the answer.
     pub head: http::response::Parts,
@@ -36,9 +36,9 @@
 impl Exchange {
     /// Gives the connection back for further requests, at most for `keep`; to
     /// be called only after the body was read whole.
-    pub fn keep(mut self, keep: Option<Duration>) {
+    pub fn release(mut self, max_idle: Option<Duration>) {
         if let Some(connection) = self.connection.take() {
-            self.client.pool.put(self.at, connection, keep.unwrap_or(IDLE_TIME));
+            self.client.pool.put(self.address, connection, max_idle.unwrap_or(MAX_IDLE_TIME));
         }
     }
 }
@@ -46,18 +46,18 @@
 impl Drop for Exchange {
     fn drop(&mut self) {
         if let Some(connection) = &self.connection {
-            connection.shut();
+            connection.close();
         }
     }
 }
 
 /// Closes a connection whose request was given up on before the answer's head.
-struct Open(Option<Connection>);
+struct CloseOnDrop(Option<Connection>);
 
-impl Drop for Open {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
         if let Some(connection) = &self.0 {
-            connection.shut();
+            connection.close();
         }
     }
 }
@@ -69,30 +69,30 @@
     /// connection.
     pub async fn send(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         mut request: http::Request<Full<Bytes>>,
         reuse: Reuse,
     ) -> Result<Exchange, Error> {
-        let fresh = match reuse {
-            Reuse::Any => IDLE_TIME,
+        let max_idle = match reuse {
+            Reuse::Any => MAX_IDLE_TIME,
             Reuse::Within(time) => time,
         };
         loop {
-            let pooled = self.pool.take(at, fresh);
+            let pooled = self.pool.take(address, max_idle);
             let is_pooled = pooled.is_some();
             let connection = match pooled {
                 Some(connection) => connection,
-                None => Connection::open(at, self.connect_timeout, self.silence).await?,
+                None => Connection::open(address, self.connect_timeout, self.user_timeout).await?,
             };
-            let mut open = Open(Some(connection));
-            let Some(connection) = &mut open.0 else {
+            let mut guard = CloseOnDrop(Some(connection));
+            let Some(connection) = &mut guard.0 else {
                 return Err(Error::NotSent("no connection".into()));
             };
             match connection.send(request).await {
                 Ok(response) => {
                     let (head, body) = response.into_parts();
-                    let connection = open.0.take();
-                    return Ok(Exchange { client: self.clone(), at, connection, head, body });
+                    let connection = guard.0.take();
+                    return Ok(Exchange { client: self.clone(), address, connection, head, body });
                 }
                 Err(failure) => match failure.unsent {
                     Some(unsent) if is_pooled => request = unsent,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -16,7 +16,7 @@
 pub use exchange::{Exchange, Reuse};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use pool::{IDLE_TIME, Pool};
+use pool::{MAX_IDLE_TIME, Pool};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -53,7 +53,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: http::StatusCode,
     /// The body.
@@ -65,33 +65,33 @@
 pub struct Client {
     pool: Arc<Pool>,
     connect_timeout: Duration,
-    silence: Duration,
+    user_timeout: Duration,
 }
 
 /// How much longer than a silence a whole answer may take: one that comes a byte
 /// now and then must not hold its caller for good.
-const ANSWER_SILENCES: u32 = 10;
+const MAX_PROGRESS_TIMEOUTS: u32 = 10;
 
 /// How long sent bytes may stay unacknowledged where nothing else is asked
 /// for; longer than any timeout that callers put on their calls.
-const SILENCE: Duration = Duration::from_secs(10);
+const DEFAULT_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
     /// A client without connections.
     pub fn open(connect_timeout: Duration) -> Self {
-        Self { pool: Arc::default(), connect_timeout, silence: SILENCE }
+        Self { pool: Arc::default(), connect_timeout, user_timeout: DEFAULT_USER_TIMEOUT }
     }
 
     /// The same client, whose connections break where sent bytes stay
-    /// unacknowledged for `silence`.
+    /// unacknowledged for `user_timeout`.
     #[must_use]
-    pub fn with_silence(self, silence: Duration) -> Self {
-        Self { silence, ..self }
+    pub fn with_user_timeout(self, user_timeout: Duration) -> Self {
+        Self { user_timeout, ..self }
     }
 
     /// Closes the idle connections to `at`.
-    pub fn clear(&self, at: SocketAddr) {
-        self.pool.clear(at);
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.pool.close_idle(address);
     }
 
     /// Makes a call and reads the answer whole, within `timeout`.
@@ -103,11 +103,11 @@
     /// cost a further call its timeout.
     pub async fn exchange(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
-        self.exchange_within(at, call, timeout, timeout).await
+    ) -> Result<Response, Error> {
+        self.exchange_with_timeouts(address, call, timeout, timeout).await
     }
 
     /// Makes a call whose answer may be large.
@@ -116,13 +116,13 @@
     /// the answer, and then from one part of it to the next. A bound on the
     /// whole would give up on what a slow link carries steadily, and what came
     /// of it would be lost. In all it may take ten times as long.
-    pub async fn exchange_steady(
+    pub async fn exchange_with_progress_timeout(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
-        self.exchange_within(at, call, timeout, timeout * ANSWER_SILENCES).await
+    ) -> Result<Response, Error> {
+        self.exchange_with_timeouts(address, call, timeout, timeout * MAX_PROGRESS_TIMEOUTS).await
     }
 
     /// Makes a call over a connection of its own and gives the answer as soon
@@ -130,11 +130,12 @@
     /// caller bounds the time.
     pub async fn open_stream(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
     ) -> Result<http::Response<Incoming>, Error> {
-        let mut connection = Connection::open(at, self.connect_timeout, self.silence).await?;
-        let request = make_request(at, call)?;
+        let mut connection =
+            Connection::open(address, self.connect_timeout, self.user_timeout).await?;
+        let request = make_request(address, call)?;
         connection.send(request).await.map_err(|failure| match failure.unsent {
             Some(_) => Error::NotSent(failure.text),
             None => Error::Unknown(failure.text),
@@ -143,64 +144,65 @@
 
     /// A call whose answer is never silent for longer than `silence`, and comes
     /// whole within `most`.
-    async fn exchange_within(
+    async fn exchange_with_timeouts(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        silence: Duration,
-        most: Duration,
-    ) -> Result<Answer, Error> {
-        let written = AtomicBool::new(false);
-        let exchange = self.exchange_on_any(at, call, silence, &written);
-        let result = match tokio::time::timeout(most, exchange).await {
+        progress_timeout: Duration,
+        total_timeout: Duration,
+    ) -> Result<Response, Error> {
+        let is_written = AtomicBool::new(false);
+        let exchange = self.exchange_pooled(address, call, progress_timeout, &is_written);
+        let result = match tokio::time::timeout(total_timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(Self::late(&written)),
+            Err(_) => Err(Self::timeout_error(&is_written)),
         };
         if result.is_err() {
-            self.pool.clear(at);
+            self.pool.close_idle(address);
         }
         result
     }
 
-    async fn exchange_on_any(
+    async fn exchange_pooled(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        silence: Duration,
-        written: &AtomicBool,
-    ) -> Result<Answer, Error> {
-        let head = self.send_on_any(at, call, written);
-        let head = tokio::time::timeout(silence, head).await;
-        let (connection, response) = head.unwrap_or_else(|_| Err(Self::late(written)))?;
+        progress_timeout: Duration,
+        is_written: &AtomicBool,
+    ) -> Result<Response, Error> {
+        let head = self.send_pooled(address, call, is_written);
+        let head = tokio::time::timeout(progress_timeout, head).await;
+        let (connection, response) =
+            head.unwrap_or_else(|_| Err(Self::timeout_error(is_written)))?;
         let status = response.status();
-        let body = read_whole(response.into_body(), silence).await?;
-        self.pool.put(at, connection, IDLE_TIME);
-        Ok(Answer { status, body })
+        let body = read_body(response.into_body(), progress_timeout).await?;
+        self.pool.put(address, connection, MAX_IDLE_TIME);
+        Ok(Response { status, body })
     }
 
     /// What a call is that was given up on.
-    fn late(written: &AtomicBool) -> Error {
-        match written.load(Ordering::Relaxed) {
+    fn timeout_error(is_written: &AtomicBool) -> Error {
+        match is_written.load(Ordering::Relaxed) {
             true => Error::Unknown("timeout".into()),
             false => Error::NotSent("timeout".into()),
         }
     }
 
-    async fn send_on_any(
+    async fn send_pooled(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        written: &AtomicBool,
+        is_written: &AtomicBool,
     ) -> Result<(Connection, http::Response<Incoming>), Error> {
-        let mut request = make_request(at, call)?;
+        let mut request = make_request(address, call)?;
         loop {
-            let pooled = self.pool.take(at, IDLE_TIME);
+            let pooled = self.pool.take(address, MAX_IDLE_TIME);
             let is_pooled = pooled.is_some();
             let mut connection = match pooled {
                 Some(connection) => connection,
-                None => Connection::open(at, self.connect_timeout, self.silence).await?,
+                None => Connection::open(address, self.connect_timeout, self.user_timeout).await?,
             };
-            written.store(true, Ordering::Relaxed);
+            is_written.store(true, Ordering::Relaxed);
             let failure = match connection.send(request).await {
                 Ok(response) => return Ok((connection, response)),
                 Err(failure) => failure,
@@ -210,7 +212,7 @@
             let Some(unsent) = failure.unsent else {
                 return Err(Error::Unknown(failure.text));
             };
-            written.store(false, Ordering::Relaxed);
+            is_written.store(false, Ordering::Relaxed);
             if !is_pooled {
                 return Err(Error::NotSent(failure.text));
             }
@@ -220,27 +222,27 @@
 }
 
 /// Reads a body whose parts come within `silence` of each other.
-async fn read_whole(mut body: Incoming, silence: Duration) -> Result<Bytes, Error> {
-    let mut whole = BytesMut::new();
+async fn read_body(mut body: Incoming, progress_timeout: Duration) -> Result<Bytes, Error> {
+    let mut bytes = BytesMut::new();
     loop {
-        match tokio::time::timeout(silence, body.frame()).await {
+        match tokio::time::timeout(progress_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
-                    whole.extend_from_slice(&data);
+                    bytes.extend_from_slice(&data);
                 }
             }
             Ok(Some(Err(error))) => return Err(Error::Unknown(error.to_string())),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(bytes.freeze()),
             Err(_) => return Err(Error::Unknown("timeout".into())),
         }
     }
 }
 
-fn make_request(at: SocketAddr, call: Call<'_>) -> Result<http::Request<Full<Bytes>>, Error> {
+fn make_request(address: SocketAddr, call: Call<'_>) -> Result<http::Request<Full<Bytes>>, Error> {
     let mut request = http::Request::builder()
         .method(call.method)
         .uri(call.path)
-        .header(http::header::HOST, at.to_string())
+        .header(http::header::HOST, address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json");
     if let Some(key) = call.key {
         request = request.header("idempotency-key", key);
--- a/crates/client/tests/exchange.rs
+++ b/crates/client/tests/exchange.rs
@@ -11,79 +11,81 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-const LONG: Duration = Duration::from_secs(10);
-const SHORT: Duration = Duration::from_millis(150);
+const LONG_TIMEOUT: Duration = Duration::from_secs(10);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// What a server does with the n-th request on its c-th connection.
 #[derive(Clone, Copy, PartialEq)]
-enum Act {
+enum Action {
     /// Answers with the request's key.
-    Answer,
+    Respond,
     /// Answers, then closes at once without having said so.
-    AnswerAndClose,
+    RespondAndClose,
     /// Reads the request and closes.
     Close,
     /// Sends a part of the answer and closes.
-    Part,
+    Truncated,
     /// Sends no HTTP.
     Garbage,
     /// Says nothing more on this connection.
-    Silence,
+    NoResponse,
     /// Answers after the client gave up.
-    Late,
+    LateResponse,
 }
 
 #[derive(Clone)]
 struct Server {
     address: SocketAddr,
-    received: Arc<Mutex<BTreeMap<String, u32>>>,
+    request_counts: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl Server {
-    async fn open(plan: impl Fn(usize, usize) -> Act + Clone + Send + Sync + 'static) -> Self {
+    async fn open(
+        action_for: impl Fn(usize, usize) -> Action + Clone + Send + Sync + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let received = Arc::<Mutex<BTreeMap<_, _>>>::default();
-        let server = Self { address: listener.local_addr().unwrap(), received };
-        let shared = server.clone();
+        let request_counts = Arc::<Mutex<BTreeMap<_, _>>>::default();
+        let server = Self { address: listener.local_addr().unwrap(), request_counts };
+        let handler = server.clone();
         tokio::spawn(async move {
             for connection in 0.. {
                 let Ok((stream, _)) = listener.accept().await else { return };
-                let (plan, shared) = (plan.clone(), shared.clone());
+                let (action_for, handler) = (action_for.clone(), handler.clone());
                 tokio::spawn(async move {
-                    shared.serve(stream, |request| plan(connection, request)).await;
+                    handler.serve(stream, |request| action_for(connection, request)).await;
                 });
             }
         });
         server
     }
 
-    async fn serve(&self, stream: TcpStream, plan: impl Fn(usize) -> Act + Send) {
+    async fn serve(&self, stream: TcpStream, action_for: impl Fn(usize) -> Action + Send) {
         let mut stream = BufReader::new(stream);
         for number in 0.. {
             let Some(key) = read_request(&mut stream).await else { return };
-            *self.received.lock().unwrap().entry(key.clone()).or_default() += 1;
-            let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{key}", key.len());
-            let act = plan(number);
-            let bytes = match act {
-                Act::Answer | Act::AnswerAndClose => answer.as_str(),
-                Act::Close => return,
-                Act::Part => &answer[..answer.len() - 1],
-                Act::Garbage => "no protocol at all\r\n\r\n",
-                Act::Silence => std::future::pending().await,
-                Act::Late => {
-                    tokio::time::sleep(2 * SHORT).await;
-                    answer.as_str()
+            *self.request_counts.lock().unwrap().entry(key.clone()).or_default() += 1;
+            let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{key}", key.len());
+            let action = action_for(number);
+            let bytes = match action {
+                Action::Respond | Action::RespondAndClose => response.as_str(),
+                Action::Close => return,
+                Action::Truncated => &response[..response.len() - 1],
+                Action::Garbage => "no protocol at all\r\n\r\n",
+                Action::NoResponse => std::future::pending().await,
+                Action::LateResponse => {
+                    tokio::time::sleep(2 * SHORT_TIMEOUT).await;
+                    response.as_str()
                 }
             };
             let _ = stream.write_all(bytes.as_bytes()).await;
-            if !matches!(act, Act::Answer | Act::Late) {
+            if !matches!(action, Action::Respond | Action::LateResponse) {
                 return;
             }
         }
     }
 
     fn count(&self, key: &str) -> u32 {
-        self.received.lock().unwrap().get(key).copied().unwrap_or(0)
+        self.request_counts.lock().unwrap().get(key).copied().unwrap_or(0)
     }
 }
 
@@ -107,9 +109,14 @@
     Some(key)
 }
 
-async fn call(client: &Client, at: SocketAddr, key: &str, time: Duration) -> Result<Bytes, Error> {
+async fn call(
+    client: &Client,
+    address: SocketAddr,
+    key: &str,
+    timeout: Duration,
+) -> Result<Bytes, Error> {
     let call = Call { method: Method::POST, path: "/", key: Some(key), body: "body".into() };
-    client.exchange(at, call, time).await.map(|answer| answer.body)
+    client.exchange(address, call, timeout).await.map(|response| response.body)
 }
 
 fn is_unknown(result: &Result<Bytes, Error>) -> bool {
@@ -119,18 +126,25 @@
 /// A call whose bytes went out and that got no whole answer may have run: it
 /// must not look like one that was not sent, and must not be sent again.
 #[tokio::test]
-async fn failed_after_sending_is_unknown_and_sent_once() {
-    let acts = [Act::Close, Act::Part, Act::Garbage, Act::Silence, Act::Late];
-    for (number, act) in acts.into_iter().enumerate() {
+async fn a_failure_after_sending_is_unknown_and_not_resent() {
+    let actions = [
+        Action::Close,
+        Action::Truncated,
+        Action::Garbage,
+        Action::NoResponse,
+        Action::LateResponse,
+    ];
+    for (number, action) in actions.into_iter().enumerate() {
         for pooled in [false, true] {
             let fails_at = usize::from(pooled);
-            let plan = move |_, request| if request == fails_at { act } else { Act::Answer };
-            let server = Server::open(plan).await;
-            let client = Client::open(LONG);
+            let action_for =
+                move |_, request| if request == fails_at { action } else { Action::Respond };
+            let server = Server::open(action_for).await;
+            let client = Client::open(LONG_TIMEOUT);
             if pooled {
-                call(&client, server.address, "before", LONG).await.unwrap();
+                call(&client, server.address, "before", LONG_TIMEOUT).await.unwrap();
             }
-            let result = call(&client, server.address, "key", SHORT).await;
+            let result = call(&client, server.address, "key", SHORT_TIMEOUT).await;
             assert!(is_unknown(&result), "{number} {pooled}: {result:?}");
             assert_eq!(server.count("key"), 1, "{number} {pooled}");
         }
@@ -138,11 +152,11 @@
 }
 
 #[tokio::test]
-async fn a_refused_connect_is_told_from_other_failures() {
+async fn a_refused_connection_is_a_distinct_error() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let result = call(&Client::open(LONG), address, "key", LONG).await;
+    let result = call(&Client::open(LONG_TIMEOUT), address, "key", LONG_TIMEOUT).await;
     assert_eq!(result, Err(Error::Refused));
 }
 
@@ -152,12 +166,12 @@
 /// twice. Only a call of which nothing was written may go to a new
 /// connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn connection_closed_while_idle_never_sends_twice() {
-    let server = Server::open(|_, _| Act::AnswerAndClose).await;
-    let client = Client::open(LONG);
+async fn a_connection_closed_while_idle_never_causes_a_second_send() {
+    let server = Server::open(|_, _| Action::RespondAndClose).await;
+    let client = Client::open(LONG_TIMEOUT);
     for number in 0..2_000 {
         let key = format!("key-{number}");
-        let result = call(&client, server.address, &key, LONG).await;
+        let result = call(&client, server.address, &key, LONG_TIMEOUT).await;
         let count = server.count(&key);
         match result {
             Ok(body) => assert_eq!((body.as_ref(), count), (key.as_bytes(), 1)),
@@ -171,15 +185,17 @@
 /// comes late on the same connection, and the next call takes it for its own;
 /// a connection with a timed-out exchange is therefore closed.
 #[tokio::test]
-async fn late_answer_is_never_taken_for_another() {
-    let server =
-        Server::open(|_, request| if request == 0 { Act::Late } else { Act::Answer }).await;
-    let client = Client::open(LONG);
-    let first = call(&client, server.address, "first", SHORT).await;
+async fn a_late_response_is_never_matched_to_another_call() {
+    let server = Server::open(
+        |_, request| if request == 0 { Action::LateResponse } else { Action::Respond },
+    )
+    .await;
+    let client = Client::open(LONG_TIMEOUT);
+    let first = call(&client, server.address, "first", SHORT_TIMEOUT).await;
     assert!(is_unknown(&first));
-    tokio::time::sleep(2 * SHORT).await;
+    tokio::time::sleep(2 * SHORT_TIMEOUT).await;
     // Each new connection answers its first call late.
-    let second = call(&client, server.address, "second", LONG).await.unwrap();
+    let second = call(&client, server.address, "second", LONG_TIMEOUT).await.unwrap();
     assert_eq!(second, "second");
 }
 
@@ -188,20 +204,20 @@
 /// the first timeout all idle connections to that address are closed, so one
 /// call fails at most.
 #[tokio::test]
-async fn silent_connections_cost_one_timeout() {
-    let plan = |connection, request| match (connection, request) {
-        (0..8, 0) | (8.., _) => Act::Answer,
-        _ => Act::Silence,
+async fn unresponsive_connections_cost_one_timeout() {
+    let action_for = |connection, request| match (connection, request) {
+        (0..8, 0) | (8.., _) => Action::Respond,
+        _ => Action::NoResponse,
     };
-    let server = Server::open(plan).await;
-    let client = Client::open(LONG);
-    let calls = (0..8).map(|_| call(&client, server.address, "warm", LONG));
+    let server = Server::open(action_for).await;
+    let client = Client::open(LONG_TIMEOUT);
+    let calls = (0..8).map(|_| call(&client, server.address, "warm", LONG_TIMEOUT));
     let warm = futures::future::join_all(calls).await;
     assert!(warm.iter().all(Result::is_ok));
-    assert!(is_unknown(&call(&client, server.address, "lost", SHORT).await));
+    assert!(is_unknown(&call(&client, server.address, "lost", SHORT_TIMEOUT).await));
     for number in 0..8 {
         let key = format!("after-{number}");
-        assert_eq!(call(&client, server.address, &key, LONG).await.unwrap(), key);
+        assert_eq!(call(&client, server.address, &key, LONG_TIMEOUT).await.unwrap(), key);
     }
 }
 
@@ -209,51 +225,52 @@
 /// own call, a call arrives at most once, and one that is not sent never
 /// arrives. Timing may turn an answer into a timeout, never break these.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_at_once_are_never_crossed_or_doubled() {
+async fn concurrent_calls_are_never_mixed_up_or_duplicated() {
     for seed in 0..4 {
-        let server = Server::open(move |connection, request| draw(seed, connection, request)).await;
-        let client = Client::open(LONG);
-        let callers = (0..16).map(|caller| call_in_turn(&client, &server, caller));
-        let answered: usize = futures::future::join_all(callers).await.into_iter().sum();
-        assert!(answered > 0, "{seed}");
-        let received = server.received.lock().unwrap();
-        assert!(received.values().all(|count| *count == 1), "{seed}");
+        let server =
+            Server::open(move |connection, request| draw_action(seed, connection, request)).await;
+        let client = Client::open(LONG_TIMEOUT);
+        let callers = (0..16).map(|caller| call_sequentially(&client, &server, caller));
+        let responses: usize = futures::future::join_all(callers).await.into_iter().sum();
+        assert!(responses > 0, "{seed}");
+        let request_counts = server.request_counts.lock().unwrap();
+        assert!(request_counts.values().all(|count| *count == 1), "{seed}");
     }
 }
 
 /// What a server does, drawn from a hash; mostly it answers.
-fn draw(seed: usize, connection: usize, request: usize) -> Act {
+fn draw_action(seed: usize, connection: usize, request: usize) -> Action {
     let mut hash = (seed * 1_000_003 + connection * 1_009 + request + 1) as u64;
     for _ in 0..3 {
         hash = (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     }
     match hash >> 32 & 31 {
-        0 => Act::AnswerAndClose,
-        1 => Act::Close,
-        2 => Act::Part,
-        3 => Act::Garbage,
-        4 => Act::Silence,
-        5 => Act::Late,
-        _ => Act::Answer,
+        0 => Action::RespondAndClose,
+        1 => Action::Close,
+        2 => Action::Truncated,
+        3 => Action::Garbage,
+        4 => Action::NoResponse,
+        5 => Action::LateResponse,
+        _ => Action::Respond,
     }
 }
 
 /// Makes calls one after another; gives how many were answered.
-async fn call_in_turn(client: &Client, server: &Server, caller: usize) -> usize {
-    let mut answered = 0;
+async fn call_sequentially(client: &Client, server: &Server, caller: usize) -> usize {
+    let mut responses = 0;
     for number in 0..100 {
         let key = format!("key-{caller}-{number}");
-        let result = call(client, server.address, &key, SHORT / 5).await;
+        let result = call(client, server.address, &key, SHORT_TIMEOUT / 5).await;
         let count = server.count(&key);
         match result {
             Ok(body) => {
                 assert_eq!((body.as_ref(), count), (key.as_bytes(), 1));
-                answered += 1;
+                responses += 1;
             }
             Err(Error::Refused) => assert_eq!(count, 0),
             Err(Error::NotSent(text)) => assert_eq!(count, 0, "{text}"),
             Err(Error::Unknown(text)) => assert!(count <= 1, "{count} {text}"),
         }
     }
-    answered
+    responses
 }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -112,7 +112,7 @@
             metrics,
             incarnation,
             clock,
-            client: Client::open(CONNECT_TIMEOUT).with_silence(SILENCE),
+            client: Client::open(CONNECT_TIMEOUT).with_user_timeout(SILENCE),
             member: OnceLock::new(),
             items: Mutex::default(),
             news: Mutex::default(),
--- a/crates/path/src/death.rs
+++ b/crates/path/src/death.rs
@@ -34,7 +34,7 @@
     fingerprint: u64,
 ) -> bool {
     let address = target.entry.address;
-    core.client.clear(address);
+    core.client.close_idle(address);
     let looked = tokio::time::timeout(LOOK_TIMEOUT, TcpStream::connect(address)).await;
     let is_dead = matches!(&looked, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
     if is_dead {
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -358,7 +358,7 @@
 async fn read_refusal(mut exchange: Exchange) -> Answer<usize> {
     match timeout(SILENCE, (&mut exchange.body).collect()).await {
         Ok(Ok(body)) => {
-            exchange.keep(None);
+            exchange.release(None);
             read_busy(&body.to_bytes())
         }
         Ok(Err(error)) => Answer::Failed(error.to_string()),
@@ -380,7 +380,7 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Answer::Failed(error.to_string()),
             Ok(None) => {
-                exchange.keep(None);
+                exchange.release(None);
                 core.metrics.fetch(Fetch::Taken);
                 return Answer::Whole(taken);
             }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -127,7 +127,7 @@
                     self.note_answer(&place, status);
                     if status.is_server_error() && self.may_repeat() && self.spend() {
                         self.log_repeat(&place, &format!("status {status}"));
-                        exchange.keep(keep);
+                        exchange.release(keep);
                         continue;
                     }
                     return self.deliver(exchange, keep, body, &place);
@@ -405,7 +405,7 @@
         }
         self.log_end(place, status);
         let mut head = take_head(&mut exchange);
-        exchange.keep(keep);
+        exchange.release(keep);
         D::strip_answer(&mut head.headers);
         Ok(reply::whole(head, body))
     }
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -185,7 +185,7 @@
                 End::Whole => {
                     self.run.note_answer(&place, StatusCode::OK);
                     self.run.log_end(&place, StatusCode::OK);
-                    reader.exchange.keep(reader.keep);
+                    reader.exchange.release(reader.keep);
                     break;
                 }
                 End::Gone => {
--- a/crates/release/tests/size.rs
+++ b/crates/release/tests/size.rs
@@ -56,5 +56,5 @@
 
 #[test]
 fn the_bound_is_that_of_the_platform() {
-    assert_eq!(BYTES_MAX, hickory_store::store::VALUE_MAX);
+    assert_eq!(BYTES_MAX, hickory_store::store::MAX_VALUE_SIZE);
 }
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,7 +1,9 @@
 //! The state of the key-value service, without input or output: entries with
 //! revisions, leases, and the changes that watches see.
 
-use hickory_store::store::{Batch, Entry, Error, Event, Expect, Lease, Revision, VALUE_MAX, Write};
+use hickory_store::store::{
+    Batch, Entry, Error, Event, Expect, Lease, MAX_VALUE_SIZE, Revision, Write,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
@@ -47,7 +49,7 @@
     /// Writes or removes a key.
     pub fn write(&mut self, now: Instant, write: Write) -> Result<Revision, Error> {
         self.expire(now);
-        if write.value.as_ref().is_some_and(|value| value.len() as u64 > VALUE_MAX.0) {
+        if write.value.as_ref().is_some_and(|value| value.len() as u64 > MAX_VALUE_SIZE.0) {
             return Err(Error::NotDone("value too large".into()));
         }
         if write.lease.is_some_and(|lease| !self.leases.contains_key(&lease.0)) {
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -2,7 +2,7 @@
 //! prompts, weights, crashes.
 
 use futures::StreamExt;
-use hickory_client::{Answer, Call, Client, Error};
+use hickory_client::{Call, Client, Error, Response};
 use hickory_model::answer::Answer as Text;
 use hickory_standin::engine::Options as Engine;
 use hickory_standin::fleet::{Fleet, Options};
@@ -52,7 +52,7 @@
     Err("no end".into())
 }
 
-async fn post(at: SocketAddr, path: &str, body: &str) -> Result<Answer, Error> {
+async fn post(at: SocketAddr, path: &str, body: &str) -> Result<Response, Error> {
     let call = Call { method: http::Method::POST, path, key: None, body: body.to_owned().into() };
     Client::open(TIMEOUT).exchange(at, call, TIMEOUT).await
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -6,7 +6,7 @@
 use crate::host;
 use crate::store::{Batch, Entry, Error, Lease, Revision, Store, Write};
 use crate::weight;
-use hickory_client::{Answer, Call, Client, escape};
+use hickory_client::{Call, Client, Response, escape};
 use http::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -71,8 +71,8 @@
     ) -> Result<T, Error> {
         let body = body.map(serde_json::to_vec).transpose().map_err(not_done)?.unwrap_or_default();
         let call = Call { method, path, key: None, body: body.into() };
-        let answer = self.client.exchange(address, call, timeout).await?;
-        read_answer(&answer)
+        let response = self.client.exchange(address, call, timeout).await?;
+        read_response(&response)
     }
 }
 
@@ -89,15 +89,15 @@
 /// Reads an answer by its status. Only a status that blames the call means
 /// that nothing was done: behind one that blames the service, a write may
 /// have taken effect.
-fn read_answer<T: DeserializeOwned>(answer: &Answer) -> Result<T, Error> {
-    match answer.status {
+fn read_response<T: DeserializeOwned>(response: &Response) -> Result<T, Error> {
+    match response.status {
         StatusCode::OK => {
-            serde_json::from_slice(&answer.body).map_err(|e| Error::Unknown(e.to_string()))
+            serde_json::from_slice(&response.body).map_err(|e| Error::Unknown(e.to_string()))
         }
         StatusCode::NOT_FOUND => Err(Error::LeaseLapsed),
         // Without a present entry that can be read, a conflict must not look
         // like one with an absent key.
-        StatusCode::CONFLICT => match serde_json::from_slice(&answer.body) {
+        StatusCode::CONFLICT => match serde_json::from_slice(&response.body) {
             Ok(present) => Err(Error::Conflict(present)),
             Err(error) => Err(not_done(error)),
         },
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The greatest value that the service holds.
-pub const VALUE_MAX: size::Bytes = size::Bytes(1 << 20);
+pub const MAX_VALUE_SIZE: size::Bytes = size::Bytes(1 << 20);
 
 /// The revision of a key: the service counts each write to any key.
 #[derive(
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -17,10 +17,10 @@
 
 /// Ends the calls that no answer comes to; calls that are answered get
 /// [`LONG`], so that a busy machine changes no verdict.
-const SHORT: Duration = Duration::from_millis(250);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A wait that no test sees the end of.
-const LONG: Duration = Duration::from_secs(60);
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
@@ -38,19 +38,21 @@
     /// The call is lost on a connection that breaks.
     CallLost,
     /// The answer is lost on a connection that breaks.
-    AnswerLost,
+    ResponseLost,
     /// No answer comes, and the connection stays open.
-    AnswerSilent,
+    NoResponse,
     /// The connections that were open are silent for good.
-    Silenced,
+    ConnectionsSilenced,
 }
 
 impl Fault {
     /// How long to wait for what comes under it.
-    fn patience(self) -> Duration {
+    fn timeout(self) -> Duration {
         match self {
-            Self::Frozen | Self::Slow | Self::AnswerSilent | Self::Silenced => SHORT,
-            _ => LONG,
+            Self::Frozen | Self::Slow | Self::NoResponse | Self::ConnectionsSilenced => {
+                SHORT_TIMEOUT
+            }
+            _ => LONG_TIMEOUT,
         }
     }
 
@@ -64,18 +66,18 @@
                 faults.freeze();
                 faults.thaw();
             }
-            Self::Slow => faults.slow(LONG),
+            Self::Slow => faults.slow(LONG_TIMEOUT),
             Self::CallLost => faults.lose(Loss::Call, "/", 1),
-            Self::AnswerLost => faults.lose(Loss::Answer, "/", 1),
-            Self::AnswerSilent => faults.lose(Loss::Silence, "/", 1),
-            Self::Silenced => faults.silence(),
+            Self::ResponseLost => faults.lose(Loss::Answer, "/", 1),
+            Self::NoResponse => faults.lose(Loss::Silence, "/", 1),
+            Self::ConnectionsSilenced => faults.silence(),
         }
     }
 }
 
 /// What a caller is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Outcome {
     Done,
     Absent,
     Conflict,
@@ -84,7 +86,7 @@
     Unknown,
 }
 
-impl<T> From<Result<T, Error>> for Told {
+impl<T> From<Result<T, Error>> for Outcome {
     fn from(result: Result<T, Error>) -> Self {
         match result {
             Ok(_) => Self::Done,
@@ -97,7 +99,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Operation {
     Get,
     GetAbsent,
     List,
@@ -110,27 +112,27 @@
     /// Writes a value above the greatest.
     WriteLarge,
     /// Creates the key `new` under a lease that has lapsed.
-    WriteLapsed,
-    WatchNothing,
-    WatchPast,
+    WriteUnknownLease,
+    WatchUnchanged,
+    WatchOldRevision,
     Grant,
     Renew,
-    RenewLapsed,
+    RenewUnknownLease,
     Revoke,
-    RevokeLapsed,
+    RevokeUnknownLease,
 }
 
-struct Scene {
+struct Setup {
     store: store::Handle,
     platform: Platform,
     lease: Lease,
 }
 
-const LAPSED: Lease = Lease(u64::MAX);
+const UNKNOWN_LEASE: Lease = Lease(u64::MAX);
 
-impl Scene {
+impl Setup {
     async fn open() -> Self {
-        Self::open_with(LONG).await
+        Self::open_with(LONG_TIMEOUT).await
     }
 
     /// A service with the key `old` at revision 1, a lease, and a connection
@@ -140,38 +142,44 @@
         let platform = open_platform(store.address(), timeout);
         let shared = store.service();
         shared.write(write("old", Expect::Absent)).unwrap();
-        let lease = shared.grant(LONG);
+        let lease = shared.grant(LONG_TIMEOUT);
         while platform.get("old").await.is_err() {}
         Self { store, platform, lease }
     }
 
-    async fn act(&self, act: Act) -> Told {
+    async fn run(&self, operation: Operation) -> Outcome {
         let platform = &self.platform;
-        match act {
-            Act::Get => platform.get("old").await.into(),
-            Act::GetAbsent => match platform.get("new").await {
-                Ok(None) => Told::Absent,
+        match operation {
+            Operation::Get => platform.get("old").await.into(),
+            Operation::GetAbsent => match platform.get("new").await {
+                Ok(None) => Outcome::Absent,
                 other => other.into(),
             },
-            Act::List => platform.list("o").await.into(),
-            Act::Write => platform.write(write("new", Expect::Absent)).await.into(),
-            Act::WriteOver => platform.write(write("old", Expect::Absent)).await.into(),
-            Act::WriteStale => platform.write(write("old", Expect::At(Revision(7)))).await.into(),
-            Act::WriteLarge => {
-                let value = Some("x".repeat(size_of_value() + 1));
+            Operation::List => platform.list("o").await.into(),
+            Operation::Write => platform.write(write("new", Expect::Absent)).await.into(),
+            Operation::WriteOver => platform.write(write("old", Expect::Absent)).await.into(),
+            Operation::WriteStale => {
+                platform.write(write("old", Expect::At(Revision(7)))).await.into()
+            }
+            Operation::WriteLarge => {
+                let value = Some("x".repeat(max_value_bytes() + 1));
                 platform.write(Write { value, ..write("new", Expect::Any) }).await.into()
             }
-            Act::WriteLapsed => {
-                let lease = Some(LAPSED);
+            Operation::WriteUnknownLease => {
+                let lease = Some(UNKNOWN_LEASE);
                 platform.write(Write { lease, ..write("new", Expect::Any) }).await.into()
             }
-            Act::WatchNothing => platform.watch("o", Revision(1), Duration::ZERO).await.into(),
-            Act::WatchPast => platform.watch("o", Revision(0), LONG).await.into(),
-            Act::Grant => platform.grant(LONG).await.into(),
-            Act::Renew => platform.renew(self.lease).await.into(),
-            Act::RenewLapsed => platform.renew(LAPSED).await.into(),
-            Act::Revoke => platform.revoke(self.lease).await.into(),
-            Act::RevokeLapsed => platform.revoke(LAPSED).await.into(),
+            Operation::WatchUnchanged => {
+                platform.watch("o", Revision(1), Duration::ZERO).await.into()
+            }
+            Operation::WatchOldRevision => {
+                platform.watch("o", Revision(0), LONG_TIMEOUT).await.into()
+            }
+            Operation::Grant => platform.grant(LONG_TIMEOUT).await.into(),
+            Operation::Renew => platform.renew(self.lease).await.into(),
+            Operation::RenewUnknownLease => platform.renew(UNKNOWN_LEASE).await.into(),
+            Operation::Revoke => platform.revoke(self.lease).await.into(),
+            Operation::RevokeUnknownLease => platform.revoke(UNKNOWN_LEASE).await.into(),
         }
     }
 
@@ -181,8 +189,8 @@
     }
 }
 
-fn size_of_value() -> usize {
-    hickory_store::store::VALUE_MAX.0 as usize
+fn max_value_bytes() -> usize {
+    hickory_store::store::MAX_VALUE_SIZE.0 as usize
 }
 
 fn open_platform(at: SocketAddr, timeout: Duration) -> Platform {
@@ -194,110 +202,111 @@
 }
 
 /// Fault, call, what the caller is told, whether `new` is there afterwards.
-const STORE: &[(Fault, Act, Told, bool)] = &[
-    (Fault::None, Act::Get, Told::Done, false),
-    (Fault::None, Act::GetAbsent, Told::Absent, false),
-    (Fault::None, Act::List, Told::Done, false),
-    (Fault::None, Act::Write, Told::Done, true),
-    (Fault::None, Act::WriteOver, Told::Conflict, false),
-    (Fault::None, Act::WriteStale, Told::Conflict, false),
-    (Fault::None, Act::WriteLarge, Told::NotDone, false),
-    (Fault::None, Act::WriteLapsed, Told::LeaseLapsed, false),
-    (Fault::None, Act::WatchNothing, Told::Done, false),
-    (Fault::None, Act::WatchPast, Told::Done, false),
-    (Fault::None, Act::Grant, Told::Done, false),
-    (Fault::None, Act::Renew, Told::Done, false),
-    (Fault::None, Act::RenewLapsed, Told::LeaseLapsed, false),
-    (Fault::None, Act::Revoke, Told::Done, false),
-    (Fault::None, Act::RevokeLapsed, Told::LeaseLapsed, false),
-    (Fault::Killed, Act::Get, Told::NotDone, false),
-    (Fault::Killed, Act::List, Told::NotDone, false),
-    (Fault::Killed, Act::Write, Told::NotDone, false),
-    (Fault::Killed, Act::WatchPast, Told::NotDone, false),
-    (Fault::Killed, Act::Renew, Told::NotDone, false),
-    (Fault::Restarted, Act::Get, Told::Done, false),
-    (Fault::Restarted, Act::Write, Told::Done, true),
-    (Fault::Restarted, Act::Renew, Told::Done, false),
-    (Fault::Frozen, Act::Get, Told::Unknown, false),
-    (Fault::Frozen, Act::Write, Told::Unknown, false),
-    (Fault::Frozen, Act::Grant, Told::Unknown, false),
-    (Fault::Thawed, Act::Write, Told::Done, true),
-    (Fault::Slow, Act::Get, Told::Unknown, false),
-    (Fault::Slow, Act::Write, Told::Unknown, false),
-    (Fault::CallLost, Act::Get, Told::Unknown, false),
-    (Fault::CallLost, Act::Write, Told::Unknown, false),
-    (Fault::CallLost, Act::Renew, Told::Unknown, false),
-    (Fault::AnswerLost, Act::Write, Told::Unknown, true),
-    (Fault::AnswerLost, Act::WriteOver, Told::Unknown, false),
-    (Fault::AnswerLost, Act::Grant, Told::Unknown, false),
-    (Fault::AnswerSilent, Act::Write, Told::Unknown, true),
-    (Fault::AnswerSilent, Act::Get, Told::Unknown, false),
-    (Fault::Silenced, Act::Get, Told::Unknown, false),
-    (Fault::Silenced, Act::Write, Told::Unknown, false),
+const STORE_CASES: &[(Fault, Operation, Outcome, bool)] = &[
+    (Fault::None, Operation::Get, Outcome::Done, false),
+    (Fault::None, Operation::GetAbsent, Outcome::Absent, false),
+    (Fault::None, Operation::List, Outcome::Done, false),
+    (Fault::None, Operation::Write, Outcome::Done, true),
+    (Fault::None, Operation::WriteOver, Outcome::Conflict, false),
+    (Fault::None, Operation::WriteStale, Outcome::Conflict, false),
+    (Fault::None, Operation::WriteLarge, Outcome::NotDone, false),
+    (Fault::None, Operation::WriteUnknownLease, Outcome::LeaseLapsed, false),
+    (Fault::None, Operation::WatchUnchanged, Outcome::Done, false),
+    (Fault::None, Operation::WatchOldRevision, Outcome::Done, false),
+    (Fault::None, Operation::Grant, Outcome::Done, false),
+    (Fault::None, Operation::Renew, Outcome::Done, false),
+    (Fault::None, Operation::RenewUnknownLease, Outcome::LeaseLapsed, false),
+    (Fault::None, Operation::Revoke, Outcome::Done, false),
+    (Fault::None, Operation::RevokeUnknownLease, Outcome::LeaseLapsed, false),
+    (Fault::Killed, Operation::Get, Outcome::NotDone, false),
+    (Fault::Killed, Operation::List, Outcome::NotDone, false),
+    (Fault::Killed, Operation::Write, Outcome::NotDone, false),
+    (Fault::Killed, Operation::WatchOldRevision, Outcome::NotDone, false),
+    (Fault::Killed, Operation::Renew, Outcome::NotDone, false),
+    (Fault::Restarted, Operation::Get, Outcome::Done, false),
+    (Fault::Restarted, Operation::Write, Outcome::Done, true),
+    (Fault::Restarted, Operation::Renew, Outcome::Done, false),
+    (Fault::Frozen, Operation::Get, Outcome::Unknown, false),
+    (Fault::Frozen, Operation::Write, Outcome::Unknown, false),
+    (Fault::Frozen, Operation::Grant, Outcome::Unknown, false),
+    (Fault::Thawed, Operation::Write, Outcome::Done, true),
+    (Fault::Slow, Operation::Get, Outcome::Unknown, false),
+    (Fault::Slow, Operation::Write, Outcome::Unknown, false),
+    (Fault::CallLost, Operation::Get, Outcome::Unknown, false),
+    (Fault::CallLost, Operation::Write, Outcome::Unknown, false),
+    (Fault::CallLost, Operation::Renew, Outcome::Unknown, false),
+    (Fault::ResponseLost, Operation::Write, Outcome::Unknown, true),
+    (Fault::ResponseLost, Operation::WriteOver, Outcome::Unknown, false),
+    (Fault::ResponseLost, Operation::Grant, Outcome::Unknown, false),
+    (Fault::NoResponse, Operation::Write, Outcome::Unknown, true),
+    (Fault::NoResponse, Operation::Get, Outcome::Unknown, false),
+    (Fault::ConnectionsSilenced, Operation::Get, Outcome::Unknown, false),
+    (Fault::ConnectionsSilenced, Operation::Write, Outcome::Unknown, false),
 ];
 
 #[tokio::test]
-async fn store_tells_what_happened() {
-    for row in STORE {
-        let (fault, act, told, written) = *row;
-        let scene = Scene::open_with(fault.patience()).await;
-        fault.apply(scene.store.faults());
-        assert_eq!(scene.act(act).await, told, "{row:?}");
-        assert_eq!(scene.is_written(), written, "{row:?}");
+async fn store_errors_match_the_effect_of_each_call() {
+    for case in STORE_CASES {
+        let (fault, operation, outcome, written) = *case;
+        let setup = Setup::open_with(fault.timeout()).await;
+        fault.apply(setup.store.faults());
+        assert_eq!(setup.run(operation).await, outcome, "{case:?}");
+        assert_eq!(setup.is_written(), written, "{case:?}");
     }
 }
 
 /// After the call that met the fault, the next one is served: the adapter
 /// kept nothing that the fault spoilt.
 #[tokio::test]
-async fn store_serves_again_after_a_passing_fault() {
-    let passing = [Fault::CallLost, Fault::AnswerLost, Fault::AnswerSilent, Fault::Silenced];
+async fn store_calls_succeed_after_a_transient_fault() {
+    let passing =
+        [Fault::CallLost, Fault::ResponseLost, Fault::NoResponse, Fault::ConnectionsSilenced];
     for fault in passing {
-        let scene = Scene::open_with(Duration::from_secs(1)).await;
-        fault.apply(scene.store.faults());
-        assert_eq!(scene.act(Act::Get).await, Told::Unknown, "{fault:?}");
-        assert_eq!(scene.act(Act::Get).await, Told::Done, "{fault:?}");
+        let setup = Setup::open_with(Duration::from_secs(1)).await;
+        fault.apply(setup.store.faults());
+        assert_eq!(setup.run(Operation::Get).await, Outcome::Unknown, "{fault:?}");
+        assert_eq!(setup.run(Operation::Get).await, Outcome::Done, "{fault:?}");
     }
 }
 
 /// A caller whose write got no answer reads the key and finds its value: this
 /// is how a lost answer is told from a lost write.
 #[tokio::test]
-async fn write_with_a_lost_answer_can_be_read_back() {
-    let scene = Scene::open().await;
-    scene.store.faults().lose_write_answers(1);
-    assert_eq!(scene.act(Act::Write).await, Told::Unknown);
-    let entry = scene.platform.get("new").await.unwrap().unwrap();
+async fn a_write_with_a_lost_response_can_be_read_back() {
+    let setup = Setup::open().await;
+    setup.store.faults().lose_write_answers(1);
+    assert_eq!(setup.run(Operation::Write).await, Outcome::Unknown);
+    let entry = setup.platform.get("new").await.unwrap().unwrap();
     assert_eq!(entry.value, "v");
-    let conflict = scene.platform.write(write("new", Expect::Absent)).await;
+    let conflict = setup.platform.write(write("new", Expect::Absent)).await;
     assert_eq!(conflict, Err(Error::Conflict(Some(entry))), "the present entry is given");
 }
 
 #[tokio::test]
-async fn conflict_on_an_absent_key_gives_none() {
-    let scene = Scene::open().await;
-    let conflict = scene.platform.write(write("new", Expect::At(Revision(1)))).await;
+async fn a_conflict_on_an_absent_key_has_no_entry() {
+    let setup = Setup::open().await;
+    let conflict = setup.platform.write(write("new", Expect::At(Revision(1)))).await;
     assert_eq!(conflict, Err(Error::Conflict(None)));
 }
 
 #[tokio::test]
-async fn keys_with_any_text_are_read_back() {
-    let scene = Scene::open().await;
+async fn keys_with_special_characters_are_escaped() {
+    let setup = Setup::open().await;
     for key in ["ledger/7/12", "a b", "a+b&c=d", "ä/ö%20", "x?y#z"] {
-        scene.platform.write(write(key, Expect::Absent)).await.unwrap();
-        assert_eq!(scene.platform.get(key).await.unwrap().unwrap().key, key);
-        assert_eq!(scene.platform.list(key).await.unwrap().0.len(), 1);
+        setup.platform.write(write(key, Expect::Absent)).await.unwrap();
+        assert_eq!(setup.platform.get(key).await.unwrap().unwrap().key, key);
+        assert_eq!(setup.platform.list(key).await.unwrap().0.len(), 1);
     }
 }
 
 /// A watcher sees each change once and in order, from where it left off, also
 /// those made while it did not wait.
 #[tokio::test]
-async fn watch_gives_each_change_once() {
-    let scene = Scene::open().await;
-    let (mut after, mut seen) = (Revision(1), Vec::new());
+async fn a_watch_returns_each_change_once() {
+    let setup = Setup::open().await;
+    let (mut after, mut watched_keys) = (Revision(1), Vec::new());
     let writer = {
-        let platform = scene.platform.clone();
+        let platform = setup.platform.clone();
         tokio::spawn(async move {
             for n in 0..20 {
                 platform.write(write(&format!("w/{n:02}"), Expect::Absent)).await.unwrap();
@@ -305,75 +314,75 @@
             }
         })
     };
-    while seen.len() < 20 {
-        let batch = scene.platform.watch("w/", after, LONG).await.unwrap();
+    while watched_keys.len() < 20 {
+        let batch = setup.platform.watch("w/", after, LONG_TIMEOUT).await.unwrap();
         assert!(!batch.compacted);
-        seen.extend(batch.events.into_iter().map(|event| event.key));
+        watched_keys.extend(batch.events.into_iter().map(|event| event.key));
         after = batch.revision;
     }
     writer.await.unwrap();
     let expected: Vec<String> = (0..20).map(|n| format!("w/{n:02}")).collect();
-    assert_eq!(seen, expected);
+    assert_eq!(watched_keys, expected);
 }
 
 #[tokio::test]
-async fn watch_from_before_the_history_says_so() {
-    let scene = Scene::open().await;
-    scene.store.service().with(|core, _| core.compact());
-    let batch = scene.platform.watch("o", Revision(0), LONG).await.unwrap();
+async fn a_watch_from_before_the_history_reports_compaction() {
+    let setup = Setup::open().await;
+    setup.store.service().with(|core, _| core.compact());
+    let batch = setup.platform.watch("o", Revision(0), LONG_TIMEOUT).await.unwrap();
     assert!(batch.compacted);
-    let (entries, revision) = scene.platform.list("o").await.unwrap();
+    let (entries, revision) = setup.platform.list("o").await.unwrap();
     assert_eq!((entries.len(), revision), (1, batch.revision));
 }
 
 /// A lapsed lease takes its keys with it, and the watchers see them go.
 #[tokio::test]
-async fn keys_go_with_their_lease() {
-    let scene = Scene::open().await;
-    let lease = scene.platform.grant(Duration::from_millis(100)).await.unwrap();
-    let bound = Write { lease: Some(lease), ..write("bound", Expect::Absent) };
-    let revision = scene.platform.write(bound).await.unwrap();
-    let batch = scene.platform.watch("bound", revision, LONG).await.unwrap();
+async fn keys_are_removed_when_their_lease_expires() {
+    let setup = Setup::open().await;
+    let lease = setup.platform.grant(Duration::from_millis(100)).await.unwrap();
+    let leased_write = Write { lease: Some(lease), ..write("bound", Expect::Absent) };
+    let revision = setup.platform.write(leased_write).await.unwrap();
+    let batch = setup.platform.watch("bound", revision, LONG_TIMEOUT).await.unwrap();
     assert_eq!(batch.events[0].value, None);
-    assert_eq!(scene.platform.get("bound").await, Ok(None));
-    assert_eq!(scene.platform.renew(lease).await, Err(Error::LeaseLapsed));
+    assert_eq!(setup.platform.get("bound").await, Ok(None));
+    assert_eq!(setup.platform.renew(lease).await, Err(Error::LeaseLapsed));
 }
 
 #[tokio::test]
-async fn revoked_lease_takes_its_keys() {
-    let scene = Scene::open().await;
-    let bound = Write { lease: Some(scene.lease), ..write("bound", Expect::Absent) };
-    scene.platform.write(bound).await.unwrap();
-    scene.platform.revoke(scene.lease).await.unwrap();
-    assert_eq!(scene.platform.get("bound").await, Ok(None));
+async fn keys_are_removed_when_their_lease_is_revoked() {
+    let setup = Setup::open().await;
+    let leased_write = Write { lease: Some(setup.lease), ..write("bound", Expect::Absent) };
+    setup.platform.write(leased_write).await.unwrap();
+    setup.platform.revoke(setup.lease).await.unwrap();
+    assert_eq!(setup.platform.get("bound").await, Ok(None));
 }
 
 #[tokio::test]
-async fn stale_reads_show_the_past_and_writes_the_present() {
-    let scene = Scene::open().await;
-    scene.store.service().set_stale(true);
-    let revision = scene.platform.write(write("new", Expect::Absent)).await.unwrap();
-    assert_eq!(scene.platform.get("new").await, Ok(None));
-    let conflict = scene.platform.write(write("new", Expect::Absent)).await;
+async fn stale_reads_return_old_values_but_writes_check_current_ones() {
+    let setup = Setup::open().await;
+    setup.store.service().set_stale(true);
+    let revision = setup.platform.write(write("new", Expect::Absent)).await.unwrap();
+    assert_eq!(setup.platform.get("new").await, Ok(None));
+    let conflict = setup.platform.write(write("new", Expect::Absent)).await;
     assert!(
         matches!(conflict, Err(Error::Conflict(Some(Entry { revision: at, .. }))) if at == revision)
     );
-    scene.store.service().set_stale(false);
-    assert!(scene.platform.get("new").await.unwrap().is_some());
+    setup.store.service().set_stale(false);
+    assert!(setup.platform.get("new").await.unwrap().is_some());
 }
 
 /// Fault and what a caller of the host list and of the weight store is told.
-const READS: &[(Fault, Told)] = &[
-    (Fault::None, Told::Done),
-    (Fault::Killed, Told::NotDone),
-    (Fault::Restarted, Told::Done),
-    (Fault::Frozen, Told::Unknown),
-    (Fault::Thawed, Told::Done),
-    (Fault::Slow, Told::Unknown),
-    (Fault::CallLost, Told::Unknown),
-    (Fault::AnswerLost, Told::Unknown),
-    (Fault::AnswerSilent, Told::Unknown),
-    (Fault::Silenced, Told::Unknown),
+const READ_CASES: &[(Fault, Outcome)] = &[
+    (Fault::None, Outcome::Done),
+    (Fault::Killed, Outcome::NotDone),
+    (Fault::Restarted, Outcome::Done),
+    (Fault::Frozen, Outcome::Unknown),
+    (Fault::Thawed, Outcome::Done),
+    (Fault::Slow, Outcome::Unknown),
+    (Fault::CallLost, Outcome::Unknown),
+    (Fault::ResponseLost, Outcome::Unknown),
+    (Fault::NoResponse, Outcome::Unknown),
+    (Fault::ConnectionsSilenced, Outcome::Unknown),
 ];
 
 fn host() -> Host {
@@ -387,37 +396,37 @@
 }
 
 #[tokio::test]
-async fn host_list_tells_what_happened() {
-    for row in READS {
-        let list = hosts::spawn("127.0.0.1:0".parse().unwrap(), vec![host()]).unwrap();
-        let platform = open_platform(list.address(), row.0.patience());
+async fn host_list_errors_match_the_fault() {
+    for case in READ_CASES {
+        let host_list = hosts::spawn("127.0.0.1:0".parse().unwrap(), vec![host()]).unwrap();
+        let platform = open_platform(host_list.address(), case.0.timeout());
         while platform.hosts().await.is_err() {}
-        row.0.apply(list.faults());
-        assert_eq!(Told::from(platform.hosts().await), row.1, "{row:?}");
+        case.0.apply(host_list.faults());
+        assert_eq!(Outcome::from(platform.hosts().await), case.1, "{case:?}");
     }
 }
 
 #[tokio::test]
 async fn host_list_lags_behind() {
-    let list = hosts::spawn("127.0.0.1:0".parse().unwrap(), vec![host()]).unwrap();
-    let platform = open_platform(list.address(), LONG);
-    list.service().set_lag(LONG);
-    list.service().stand(&host().target, Standing::Leaving);
+    let host_list = hosts::spawn("127.0.0.1:0".parse().unwrap(), vec![host()]).unwrap();
+    let platform = open_platform(host_list.address(), LONG_TIMEOUT);
+    host_list.service().set_lag(LONG_TIMEOUT);
+    host_list.service().stand(&host().target, Standing::Leaving);
     assert_eq!(platform.hosts().await.unwrap()[0].standing, Standing::Live);
-    list.service().set_lag(Duration::ZERO);
+    host_list.service().set_lag(Duration::ZERO);
     assert_eq!(platform.hosts().await.unwrap()[0].standing, Standing::Leaving);
-    list.service().remove(&host().target);
+    host_list.service().remove(&host().target);
     assert_eq!(platform.hosts().await, Ok(Vec::new()));
 }
 
 #[tokio::test]
-async fn weight_store_tells_what_happened() {
+async fn weight_store_errors_match_the_fault() {
     let limit = Limit { loads: 2, bytes_per_second: size::Bytes(1_000) };
-    for row in READS {
+    for case in READ_CASES {
         let weights = weights::spawn("127.0.0.1:0".parse().unwrap(), limit).unwrap();
-        let platform = open_platform(weights.address(), row.0.patience());
+        let platform = open_platform(weights.address(), case.0.timeout());
         while platform.limit().await != Ok(limit) {}
-        row.0.apply(weights.faults());
-        assert_eq!(Told::from(platform.limit().await), row.1, "{row:?}");
+        case.0.apply(weights.faults());
+        assert_eq!(Outcome::from(platform.limit().await), case.1, "{case:?}");
     }
 }
--- a/crates/store/tests/status.rs
+++ b/crates/store/tests/status.rs
@@ -7,9 +7,9 @@
 
 /// Answers every call alike.
 #[derive(Clone)]
-struct Fixed(u16, &'static str);
+struct FixedReply(u16, &'static str);
 
-impl Service for Fixed {
+impl Service for FixedReply {
     async fn call(&self, _call: Call) -> Reply {
         Reply::status(self.0, self.1)
     }
@@ -20,7 +20,7 @@
 /// A status that blames the service leaves open whether the write took
 /// effect. A conflict without an entry that can be read must not look like
 /// one with an absent key, or the caller would create it anew.
-const ROWS: &[(u16, &str, &str)] = &[
+const CASES: &[(u16, &str, &str)] = &[
     (200, "7", "done"),
     (200, "", "unknown"),
     (200, "no revision", "unknown"),
@@ -39,15 +39,16 @@
 ];
 
 #[tokio::test]
-async fn writer_is_told_by_status() {
-    for (status, body, told) in ROWS {
-        let server = server::spawn("127.0.0.1:0".parse().unwrap(), Fixed(*status, body)).unwrap();
-        let at = server.address();
-        let address = Address { store: at, hosts: at, weights: at };
+async fn the_status_determines_the_error() {
+    for (status, body, expected) in CASES {
+        let server =
+            server::spawn("127.0.0.1:0".parse().unwrap(), FixedReply(*status, body)).unwrap();
+        let address = server.address();
+        let address = Address { store: address, hosts: address, weights: address };
         let platform = Platform::open(address, Duration::from_secs(10));
         let (key, value) = ("k".into(), Some("v".into()));
         let write = Write { key, value, expect: Expect::Absent, lease: None };
-        let seen = match platform.write(write).await {
+        let outcome = match platform.write(write).await {
             Ok(_) => "done",
             Err(Error::Conflict(None)) => "conflict with nothing",
             Err(Error::Conflict(Some(_))) => "conflict with an entry",
@@ -55,6 +56,6 @@
             Err(Error::Unknown(_)) => "unknown",
             Err(Error::LeaseLapsed) => "lapsed",
         };
-        assert_eq!(seen, *told, "{status} {body}");
+        assert_eq!(outcome, *expected, "{status} {body}");
     }
 }
