--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that carries one call at a time.
+//! An HTTP/1 connection that carries one call at a time.
 
 use crate::Error;
 use bytes::Bytes;
@@ -12,9 +12,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Probes of connections on which nothing is sent. A call that waits, as a
-/// watch does, sends nothing: on a connection that went silent it would wait
-/// for an answer that can't come any more.
+/// TCP keepalive probes. A pending call such as a watch sends no data, so without probes it would
+/// wait forever on a connection whose other end has become unreachable.
 const KEEPALIVE: TcpKeepalive = TcpKeepalive::new()
     .with_time(Duration::from_secs(1))
     .with_interval(Duration::from_secs(1))
@@ -26,21 +25,21 @@
 #[derive(Debug)]
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// The same socket, to look at it without waiting.
+    /// A duplicate of the socket, to check its state without waiting.
     socket: std::net::TcpStream,
 }
 
-/// A request that got no answer.
+/// A request that got no response.
 pub(crate) struct Failure {
     pub(crate) text: String,
-    /// The request, where none of it has been written.
+    /// The request if no byte of it has been written.
     pub(crate) unsent: Option<Request>,
 }
 
 impl Connection {
-    /// Connects within `timeout`. Bytes that stay unacknowledged for `silence`
-    /// break the connection: one that a partition silenced would otherwise
-    /// hold its request until the deadline.
+    /// Connects within `timeout`. The connection breaks if sent bytes stay unacknowledged for
+    /// `user_timeout`: after a network partition it would otherwise hold its request until the
+    /// deadline.
     pub(crate) async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -65,23 +64,23 @@
         Ok(Self { sender, socket })
     }
 
-    /// Closes both directions at once, so that the other end learns of it now
-    /// and not when the last handle is dropped.
+    /// Shuts down both directions, so that the other end is notified now and not when the last
+    /// handle is dropped.
     pub(crate) fn close(&self) {
-        // It fails only where the connection is closed already.
+        // This fails only if the connection is already closed.
         let _ = self.socket.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Whether it is open and has nothing to read. The driver learns of a
-    /// close only when its task next runs, and would until then write a call
-    /// that can't be told from one that ran; the socket itself knows at once.
+    /// Returns whether the connection is open and has no data to read. It checks the socket, since
+    /// the driver notices a close only when its task next runs. A call written until then could not
+    /// be distinguished from one that ran.
     pub(crate) fn is_idle(&self) -> bool {
         let peek_result = self.socket.peek(&mut [0]);
         let is_empty = peek_result.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
         is_empty && !self.sender.is_closed()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the response headers.
     pub(crate) async fn send(
         &mut self,
         request: Request,
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests with heads of their own, whose answers are read in pieces.
+//! Requests with custom headers and streamed responses.
 
 use crate::connection::Connection;
 use crate::pool::MAX_IDLE_TIME;
@@ -9,33 +9,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which idle connections a request may go out on.
+/// The idle connections that a request may be sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any that is open.
+    /// Any open connection.
     Any,
-    /// Only one that was used within this time: the longer a connection has
-    /// been idle, the likelier the other end closes it just when the request
-    /// is written, and then nobody knows whether it ran.
+    /// Only a connection that was used within this time. The longer it has been idle, the more
+    /// likely the other end closes it while the request is written, and then it is unknown whether
+    /// the request ran.
     Within(Duration),
 }
 
-/// A request under way, from the head of its answer on. Dropping it closes
-/// its connection, by which the other end learns that nobody waits any more.
+/// A request whose response headers have arrived. Dropping it closes its connection, which tells
+/// the other end to cancel the request.
 #[derive(Debug)]
 pub struct Exchange {
     client: Client,
     address: SocketAddr,
     connection: Option<Connection>,
-    /// The head of the answer.
+    /// The head of the response.
     pub head: http::response::Parts,
-    /// Its body.
+    /// The body of the response.
     pub body: Incoming,
 }
 
 impl Exchange {
-    /// Gives the connection back for further requests, at most for `keep`; to
-    /// be called only after the body was read whole.
+    /// Returns the connection to the pool, where it stays idle for at most `max_idle`. Call this
+    /// only after the whole body was read.
     pub fn release(mut self, max_idle: Option<Duration>) {
         if let Some(connection) = self.connection.take() {
             self.client.pool.put(self.address, connection, max_idle.unwrap_or(MAX_IDLE_TIME));
@@ -51,7 +51,7 @@
     }
 }
 
-/// Closes a connection whose request was given up on before the answer's head.
+/// Closes the connection of a request that is cancelled before the response headers arrive.
 struct CloseOnDrop(Option<Connection>);
 
 impl Drop for CloseOnDrop {
@@ -63,10 +63,9 @@
 }
 
 impl Client {
-    /// Sends a request and waits for the head of its answer. The request is
-    /// written to a second connection only where none of it was written to the
-    /// first. The caller bounds the time, and dropping the future closes the
-    /// connection.
+    /// Sends a request and waits for the response headers. The request is written to a second
+    /// connection only if no byte of it was written to the first. There is no timeout; dropping the
+    /// future closes the connection.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,10 +1,8 @@
-//! HTTP calls with pooled connections, and what a failed call means.
+//! HTTP client with pooled connections and errors that state whether a call may have run.
 //!
-//! What a caller may do after a failure (send again, call it not run) hangs
-//! on whether a byte of the call can have reached the other end, so that is
-//! what [`Error`] tells apart. A call is never sent twice: only one that was
-//! not begun to be written, because a pooled connection turned out closed, is
-//! written to another connection.
+//! After a failure a caller may retry, or report a call as not run, only if no byte of it can have
+//! reached the other end. [`Error`] makes this distinction. A call is never sent twice: it is
+//! written to another connection only if a pooled connection was closed before the first byte.
 
 mod connection;
 mod exchange;
@@ -22,17 +20,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Why a call failed, by what the other end can have seen of it.
+/// The cause of a failed call, by whether the other end may have received it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// Nothing listens at the address.
+    /// No process listens at the address.
     #[display("not sent: connection refused")]
     Refused,
     /// No byte of the call was written.
     #[display("not sent: {_0}")]
     #[error(ignore)]
     NotSent(String),
-    /// Bytes may have arrived, and no whole answer came.
+    /// Bytes of the call may have arrived, and no complete response was received.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     Unknown(String),
@@ -51,7 +49,7 @@
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The status.
@@ -60,7 +58,7 @@
     pub body: Bytes,
 }
 
-/// A client; clones share its connections.
+/// A client. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Arc<Pool>,
@@ -68,39 +66,37 @@
     user_timeout: Duration,
 }
 
-/// How much longer than a silence a whole answer may take: one that comes a byte
-/// now and then must not hold its caller for good.
+/// The limit of a whole response as a multiple of the progress timeout: a response that trickles
+/// must not block its caller forever.
 const MAX_PROGRESS_TIMEOUTS: u32 = 10;
 
-/// How long sent bytes may stay unacknowledged where nothing else is asked
-/// for; longer than any timeout that callers put on their calls.
+/// The default time for which sent bytes may stay unacknowledged. It exceeds the timeouts of all
+/// calls.
 const DEFAULT_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn open(connect_timeout: Duration) -> Self {
         Self { pool: Arc::default(), connect_timeout, user_timeout: DEFAULT_USER_TIMEOUT }
     }
 
-    /// The same client, whose connections break where sent bytes stay
-    /// unacknowledged for `user_timeout`.
+    /// Sets the TCP user timeout, after which unacknowledged bytes break a connection.
     #[must_use]
     pub fn with_user_timeout(self, user_timeout: Duration) -> Self {
         Self { user_timeout, ..self }
     }
 
-    /// Closes the idle connections to `at`.
+    /// Closes the idle connections to `address`.
     pub fn close_idle(&self, address: SocketAddr) {
         self.pool.close_idle(address);
     }
 
-    /// Makes a call and reads the answer whole, within `timeout`.
+    /// Makes a call and reads the whole response within `timeout`.
     ///
-    /// The connection is used again only after an answer that came whole and
-    /// in time, so that a late answer is never taken for that of a later
-    /// call. A failure also closes the idle connections to `at`: whatever
-    /// made one of them silent has likely silenced the others, and each would
-    /// cost a further call its timeout.
+    /// The connection is reused only after a complete and timely response, so that a late response
+    /// is never matched to a later call. A failure also closes the idle connections to `address`:
+    /// what made one of them unresponsive has likely affected the others, and each of them would
+    /// cost another call its timeout.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -110,12 +106,11 @@
         self.exchange_with_timeouts(address, call, timeout, timeout).await
     }
 
-    /// Makes a call whose answer may be large.
+    /// Makes a call whose response may be large.
     ///
-    /// As [`Client::exchange`], but `timeout` bounds the time until the head of
-    /// the answer, and then from one part of it to the next. A bound on the
-    /// whole would give up on what a slow link carries steadily, and what came
-    /// of it would be lost. In all it may take ten times as long.
+    /// Like [`Client::exchange`], but `timeout` bounds the time until the response headers and then
+    /// between two parts of the body. A limit on the whole would discard a response that arrives
+    /// steadily over a slow link. In total the call may take ten times `timeout`.
     pub async fn exchange_with_progress_timeout(
         &self,
         address: SocketAddr,
@@ -125,9 +120,8 @@
         self.exchange_with_timeouts(address, call, timeout, timeout * MAX_PROGRESS_TIMEOUTS).await
     }
 
-    /// Makes a call over a connection of its own and gives the answer as soon
-    /// as its head is there; dropping the answer closes the connection. The
-    /// caller bounds the time.
+    /// Makes a call over a new connection and returns the response when its headers have arrived.
+    /// Dropping the response closes the connection. There is no timeout.
     pub async fn open_stream(
         &self,
         address: SocketAddr,
@@ -142,8 +136,7 @@
         })
     }
 
-    /// A call whose answer is never silent for longer than `silence`, and comes
-    /// whole within `most`.
+    /// Makes a call with a timeout between the parts of its response and one for the whole.
     async fn exchange_with_timeouts(
         &self,
         address: SocketAddr,
@@ -180,7 +173,7 @@
         Ok(Response { status, body })
     }
 
-    /// What a call is that was given up on.
+    /// Returns the error for a call that timed out.
     fn timeout_error(is_written: &AtomicBool) -> Error {
         match is_written.load(Ordering::Relaxed) {
             true => Error::Unknown("timeout".into()),
@@ -207,8 +200,8 @@
                 Ok(response) => return Ok((connection, response)),
                 Err(failure) => failure,
             };
-            // The request comes back only where none of it has been written,
-            // so what follows is no second sending.
+            // The request is returned only if no byte of it was written, so the next attempt can't
+            // send it twice.
             let Some(unsent) = failure.unsent else {
                 return Err(Error::Unknown(failure.text));
             };
@@ -221,7 +214,7 @@
     }
 }
 
-/// Reads a body whose parts come within `silence` of each other.
+/// Reads a body with a timeout between its parts.
 async fn read_body(mut body: Incoming, progress_timeout: Duration) -> Result<Bytes, Error> {
     let mut bytes = BytesMut::new();
     loop {
@@ -250,7 +243,7 @@
     request.body(Full::new(call.body)).map_err(|e| Error::NotSent(e.to_string()))
 }
 
-/// Escapes what a query value may not hold.
+/// Percent-encodes the characters that are not allowed in a query value.
 pub fn escape(text: &str) -> String {
     text.bytes()
         .map(|b| match b {
--- a/crates/client/src/pool.rs
+++ b/crates/client/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections by address, in shards.
+//! Sharded pool of idle connections by address.
 
 use crate::connection::Connection;
 use std::collections::HashMap;
@@ -6,22 +6,22 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Shards, so that threads seldom wait for each other.
+/// The number of shards, which reduce lock contention between threads.
 const SHARD_COUNT: usize = 16;
 
-/// Idle connections kept to one address: a node sends tens of calls a second
-/// to one target, each of them some milliseconds long.
+/// The maximum number of idle connections to one address. A node sends tens of calls per second to
+/// a target, each of which takes some milliseconds.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
-/// How long an idle connection is kept: less than servers commonly keep
-/// theirs, so that few calls meet one that is about to close.
+/// The maximum idle time of a connection. It is shorter than the usual idle timeout of servers, so
+/// that few calls are sent on a connection that the server is about to close.
 pub(crate) const MAX_IDLE_TIME: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
     idle_since: Instant,
-    /// How long it may stay idle.
+    /// The maximum idle time of this connection.
     max_idle: Duration,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl Pool {
-    /// Takes the connection to `at` that was used last, if that was within
-    /// `fresh`.
+    /// Removes and returns the most recently used connection to `address`, if it has been idle for
+    /// at most `max_idle`.
     pub(crate) fn take(&self, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         let mut shard = self.lock(address);
         let connections = shard.get_mut(&address)?;
@@ -61,7 +61,7 @@
         found.map(|idle| idle.connection)
     }
 
-    /// Keeps a connection for a later call, at most `keep`.
+    /// Keeps a connection for later calls, for at most `max_idle`.
     pub(crate) fn put(&self, address: SocketAddr, connection: Connection, max_idle: Duration) {
         let mut shard = self.lock(address);
         let idle = shard.entry(address).or_default();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Closes the idle connections to `at`.
+    /// Closes the idle connections to `address`.
     pub(crate) fn close_idle(&self, address: SocketAddr) {
         self.lock(address).remove(&address);
     }
--- a/crates/client/tests/exchange.rs
+++ b/crates/client/tests/exchange.rs
@@ -1,5 +1,4 @@
-//! What calls do and what their failures mean, against servers that
-//! misbehave byte by byte.
+//! Calls and their errors, against servers that misbehave at the byte level.
 
 use bytes::Bytes;
 use hickory_client::{Call, Client, Error};
@@ -14,22 +13,22 @@
 const LONG_TIMEOUT: Duration = Duration::from_secs(10);
 const SHORT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a server does with the n-th request on its c-th connection.
+/// The action of a server on a request.
 #[derive(Clone, Copy, PartialEq)]
 enum Action {
-    /// Answers with the request's key.
+    /// Responds with the request's key.
     Respond,
-    /// Answers, then closes at once without having said so.
+    /// Responds, then closes the connection without announcing it.
     RespondAndClose,
-    /// Reads the request and closes.
+    /// Reads the request and closes the connection.
     Close,
-    /// Sends a part of the answer and closes.
+    /// Sends a part of the response and closes the connection.
     Truncated,
-    /// Sends no HTTP.
+    /// Sends bytes that are not HTTP.
     Garbage,
-    /// Says nothing more on this connection.
+    /// Sends nothing more on this connection.
     NoResponse,
-    /// Answers after the client gave up.
+    /// Responds after the client's timeout.
     LateResponse,
 }
 
@@ -89,7 +88,7 @@
     }
 }
 
-/// Reads a request with its body; gives its idempotency key.
+/// Reads a request with its body. Returns its idempotency key.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let (mut key, mut length) = (String::new(), 0);
     loop {
@@ -123,8 +122,8 @@
     matches!(result, Err(Error::Unknown(_)))
 }
 
-/// A call whose bytes went out and that got no whole answer may have run: it
-/// must not look like one that was not sent, and must not be sent again.
+/// A call that was written and got no complete response may have run. It must not be reported as
+/// not sent, and must not be resent.
 #[tokio::test]
 async fn a_failure_after_sending_is_unknown_and_not_resent() {
     let actions = [
@@ -160,11 +159,9 @@
     assert_eq!(result, Err(Error::Refused));
 }
 
-/// The caller sees an order taken twice, or "not run" for one that ran. The
-/// server closes idle connections at any moment, also while a call is being
-/// written to one; a client that sends such a call again on suspicion runs it
-/// twice. Only a call of which nothing was written may go to a new
-/// connection.
+/// Guards against a call that runs twice, or is reported as not run although it ran. A server may
+/// close an idle connection while a call is being written to it. Only a call of which no byte was
+/// written may be sent on a new connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_connection_closed_while_idle_never_causes_a_second_send() {
     let server = Server::open(|_, _| Action::RespondAndClose).await;
@@ -181,9 +178,8 @@
     }
 }
 
-/// The caller sees the answer to another call. A call times out, its answer
-/// comes late on the same connection, and the next call takes it for its own;
-/// a connection with a timed-out exchange is therefore closed.
+/// Guards against returning the response to another call. After a timeout the late response arrives
+/// on the same connection and would be read by the next call, so the connection must be closed.
 #[tokio::test]
 async fn a_late_response_is_never_matched_to_another_call() {
     let server = Server::open(
@@ -194,15 +190,14 @@
     let first = call(&client, server.address, "first", SHORT_TIMEOUT).await;
     assert!(is_unknown(&first));
     tokio::time::sleep(2 * SHORT_TIMEOUT).await;
-    // Each new connection answers its first call late.
+    // The server responds late to the first call on each new connection.
     let second = call(&client, server.address, "second", LONG_TIMEOUT).await.unwrap();
     assert_eq!(second, "second");
 }
 
-/// The caller sees one timeout for each idle connection. Something between
-/// the two ends has lost track of the open connections; new ones work. After
-/// the first timeout all idle connections to that address are closed, so one
-/// call fails at most.
+/// Guards against one timeout for each idle connection, when a middlebox has dropped the state of
+/// open connections and new ones work. The first timeout must close all idle connections to the
+/// address, so that at most one call fails.
 #[tokio::test]
 async fn unresponsive_connections_cost_one_timeout() {
     let action_for = |connection, request| match (connection, request) {
@@ -221,9 +216,9 @@
     }
 }
 
-/// Whatever goes wrong, in any order and at once, an answer is that to its
-/// own call, a call arrives at most once, and one that is not sent never
-/// arrives. Timing may turn an answer into a timeout, never break these.
+/// Under random concurrent faults, each response belongs to its own call, a call arrives at most
+/// once, and a call reported as not sent never arrives. Timing may turn a response into a timeout
+/// but must not break these rules.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn concurrent_calls_are_never_mixed_up_or_duplicated() {
     for seed in 0..4 {
@@ -238,7 +233,7 @@
     }
 }
 
-/// What a server does, drawn from a hash; mostly it answers.
+/// Draws the action of a server from a hash; in most cases it responds.
 fn draw_action(seed: usize, connection: usize, request: usize) -> Action {
     let mut hash = (seed * 1_000_003 + connection * 1_009 + request + 1) as u64;
     for _ in 0..3 {
@@ -255,7 +250,7 @@
     }
 }
 
-/// Makes calls one after another; gives how many were answered.
+/// Makes calls sequentially. Returns the number of responses.
 async fn call_sequentially(client: &Client, server: &Server, caller: usize) -> usize {
     let mut responses = 0;
     for number in 0..100 {
--- a/crates/client/tests/progress.rs
+++ b/crates/client/tests/progress.rs
@@ -1,4 +1,4 @@
-//! Answers that take long because they are large, and such that never end.
+//! Timeouts of large, slow and endless responses.
 
 use bytes::Bytes;
 use hickory_client::{Call, Client, Error, Response};
@@ -8,13 +8,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// How long a call may be without a byte.
+/// The time that a call may take without progress.
 const PROGRESS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Between two parts of an answer that goes on.
+/// The interval between two parts of a response.
 const CHUNK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A server that promises so many parts, and sends some of them.
+/// Spawns a server that announces a body length and sends some of its bytes.
 async fn spawn_server(announced_bytes: usize, sent_bytes: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -41,9 +41,9 @@
         .await
 }
 
-/// A node stays without its configuration although the store sends it. The
-/// answer is large and the link slow: it comes steadily, for longer than the
-/// time that a small one may take. Given up on and begun anew it never ends.
+/// Guards against a node that never gets its configuration from the store. A large response over a
+/// slow link arrives steadily but takes longer than the timeout; with a limit on the whole, every
+/// retry would fail as well.
 #[tokio::test]
 async fn a_slow_but_steady_response_is_read_completely() {
     let response = call(spawn_server(10, 10).await).await.unwrap();
@@ -58,7 +58,7 @@
     assert!(start.elapsed() < CHUNK_INTERVAL * 3 + PROGRESS_TIMEOUT * 2, "{:?}", start.elapsed());
 }
 
-/// A server that sends a byte now and then holds a caller for good.
+/// Guards against a server that blocks a caller forever by sending a byte now and then.
 #[tokio::test]
 async fn a_response_that_never_ends_times_out() {
     let start = Instant::now();
@@ -67,8 +67,8 @@
     assert!(start.elapsed() < PROGRESS_TIMEOUT * 20, "{:?}", start.elapsed());
 }
 
-/// A caller that has no time left waits on for an answer which trickles. A call
-/// that is bounded as a whole ends by its time, whatever comes of the answer.
+/// Guards against a caller that waits past its deadline for a response that trickles. A call with a
+/// total timeout must end in time even while data arrives.
 #[tokio::test]
 async fn a_call_with_a_total_timeout_ends_in_time() {
     let start = Instant::now();
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP adapters of the platform's ports.
+//! HTTP adapters for the platform's services.
 //!
-//! One pooled client a process; what its failures mean for a write is told
-//! apart in [`hickory_client`].
+//! A process uses one pooled client. The errors of [`hickory_client`] state whether a failed write
+//! may have taken effect.
 
 use crate::host;
 use crate::store::{Batch, Entry, Error, Lease, Revision, Store, Write};
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a connect may take: the platform answers in milliseconds.
+/// The timeout for connecting. The platform responds within milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The platform over HTTP.
@@ -26,7 +26,7 @@
     timeout: Duration,
 }
 
-/// Where the platform's services listen.
+/// The addresses of the platform's services.
 #[derive(Clone, Copy, Debug)]
 pub struct Address {
     /// The key-value service.
@@ -37,7 +37,7 @@
     pub weights: SocketAddr,
 }
 
-/// The answer to a list: the entries and the service's revision.
+/// The response to a list: the entries and the service's revision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listing {
     /// The entries, sorted by key.
@@ -54,7 +54,7 @@
 }
 
 impl Platform {
-    /// Opens the adapters; each call ends within `timeout`.
+    /// Opens the adapters. Each call ends within `timeout`.
     pub fn open(address: Address, timeout: Duration) -> Self {
         let client = Client::open(CONNECT_TIMEOUT.min(timeout));
         let Address { store, hosts, weights } = address;
@@ -86,17 +86,15 @@
     }
 }
 
-/// Reads an answer by its status. Only a status that blames the call means
-/// that nothing was done: behind one that blames the service, a write may
-/// have taken effect.
+/// Interprets a response by its status. Only after a client error the call certainly had no effect;
+/// after a server error a write may have taken effect.
 fn read_response<T: DeserializeOwned>(response: &Response) -> Result<T, Error> {
     match response.status {
         StatusCode::OK => {
             serde_json::from_slice(&response.body).map_err(|e| Error::Unknown(e.to_string()))
         }
         StatusCode::NOT_FOUND => Err(Error::LeaseLapsed),
-        // Without a present entry that can be read, a conflict must not look
-        // like one with an absent key.
+        // A conflict whose entry can't be parsed must not look like one with an absent key.
         StatusCode::CONFLICT => match serde_json::from_slice(&response.body) {
             Ok(present) => Err(Error::Conflict(present)),
             Err(error) => Err(not_done(error)),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,7 @@
-//! Ports to the platform: the key-value service, the host list and the weight
-//! store.
+//! Interfaces to the platform: the key-value service, the host list and the weight store.
 //!
-//! Everything that must last, or that nodes must agree on, goes through
-//! [`store::Store`]. The HTTP adapters are thin; no decision is made in them.
+//! All persistent state, and all state that nodes must agree on, is kept in [`store::Store`]. The
+//! HTTP adapters make no decisions.
 
 pub mod host;
 pub mod http;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -6,10 +6,10 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// The greatest value that the service holds.
+/// The maximum size of a value.
 pub const MAX_VALUE_SIZE: size::Bytes = size::Bytes(1 << 20);
 
-/// The revision of a key: the service counts each write to any key.
+/// The revision of a key. The service increments it with each write to any key.
 #[derive(
     Clone,
     Copy,
@@ -27,7 +27,7 @@
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// A lease of the key-value service; keys bound to it go when it lapses.
+/// A lease of the key-value service. When it lapses, the keys bound to it are removed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Lease(pub u64);
@@ -37,13 +37,13 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value; the service holds text of up to [`VALUE_MAX`].
+    /// The value, a text of at most [`MAX_VALUE_SIZE`].
     pub value: String,
     /// The revision of the last write to this key.
     pub revision: Revision,
 }
 
-/// What must hold for a write to take effect.
+/// The condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Expect {
@@ -51,7 +51,7 @@
     Any,
     /// The key must not exist.
     Absent,
-    /// The key's last write must have this revision.
+    /// The last write to the key must have this revision.
     At(Revision),
 }
 
@@ -68,45 +68,44 @@
     pub lease: Option<Lease>,
 }
 
-/// A change seen by a watch; `value` is `None` where the key was removed.
+/// A change returned by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
     /// The key.
     pub key: String,
-    /// The value after the change.
+    /// The value after the change; `None` if the key was removed.
     pub value: Option<String>,
     /// The revision of the change.
     pub revision: Revision,
 }
 
-/// What a watch returns.
+/// The result of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// The changes, oldest first.
     pub events: Vec<Event>,
-    /// The revision to watch from next.
+    /// The revision from which to continue watching.
     pub revision: Revision,
-    /// Set where changes before `revision` are no longer held: list anew.
+    /// Whether changes before `revision` are no longer stored, so that a new list is needed.
     pub compacted: bool,
 }
 
-/// Why a call failed.
+/// The cause of a failed call.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// The condition did not hold; the present entry is given.
+    /// The condition was not met. Contains the current entry, if there is one.
     #[display("the condition does not hold")]
     #[error(ignore)]
     Conflict(Option<Entry>),
-    /// The call certainly had no effect: it did not reach the service, or the
-    /// service refused it.
+    /// The call certainly had no effect: it did not reach the service, or the service rejected it.
     #[display("not done: {_0}")]
     #[error(ignore)]
     NotDone(String),
-    /// No answer came; a write may have taken effect.
+    /// No usable response was received. A write may have taken effect.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     Unknown(String),
-    /// The lease is not known any more.
+    /// The service no longer knows the lease.
     #[display("the lease has lapsed")]
     LeaseLapsed,
 }
@@ -119,8 +118,7 @@
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>, Error>> + Send;
 
-    /// Reads all keys that begin with `prefix`, sorted, with the revision of
-    /// the service at that moment.
+    /// Reads all keys that begin with `prefix`, sorted, and the current revision of the service.
     fn list(
         &self,
         prefix: &str,
@@ -129,8 +127,8 @@
     /// Writes or removes a key.
     fn write(&self, write: Write) -> impl Future<Output = Result<Revision, Error>> + Send;
 
-    /// Waits until a key that begins with `prefix` changes after `after`, at
-    /// most `wait`; an empty batch where nothing changed.
+    /// Waits for at most `wait` until a key that begins with `prefix` changes after `after`.
+    /// Returns an empty batch if none changed.
     fn watch(
         &self,
         prefix: &str,
@@ -141,7 +139,7 @@
     /// Opens a lease.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<Lease, Error>> + Send;
 
-    /// Renews a lease for its full time.
+    /// Renews a lease for its full time to live.
     fn renew(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 
     /// Ends a lease and removes its keys.
--- a/crates/store/src/weight.rs
+++ b/crates/store/src/weight.rs
@@ -1,21 +1,21 @@
-//! The rate-limited weight store. Engines read from it when ordered to load;
-//! nodes only ask what it bears, to bound how many loads run at once.
+//! The rate-limited weight store. Engines read from it when they load weights. Nodes read only its
+//! limits, to bound the number of concurrent loads.
 
 use hickory_unit::size;
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 
-/// What the weight store bears.
+/// The limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Loads that may run at once.
+    /// The maximum number of concurrent loads.
     pub loads: u32,
-    /// Bytes a second over all loads.
+    /// The total rate of all loads in bytes per second.
     pub bytes_per_second: size::Bytes,
 }
 
 /// The weight store.
 pub trait Weights: Clone + Send + Sync + 'static {
-    /// The present limit.
+    /// Returns the current limits.
     fn limit(&self) -> impl Future<Output = Result<Limit, super::store::Error>> + Send;
 }
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -1,9 +1,8 @@
-//! The contract of the platform's ports over HTTP: what each call gives under
-//! each fault, and whether a write took effect.
+//! The contract of the platform's interfaces over HTTP: the result of each call under each fault,
+//! and whether a write took effect.
 //!
-//! A row tells what a caller may conclude. `NotDone` where the write took
-//! effect would let a caller send an order twice or call it not run;
-//! `Unknown` where it is known to be not done only costs time.
+//! `NotDone` for a write that took effect would let a caller send an order twice or report it as
+//! not run. `Unknown` for a write without effect only costs time.
 
 use hickory_standin::fault::{Faults, Loss};
 use hickory_standin::{hosts, store, weights};
@@ -15,38 +14,38 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ends the calls that no answer comes to; calls that are answered get
-/// [`LONG`], so that a busy machine changes no verdict.
+/// The timeout for calls without a response. Other calls have [`LONG_TIMEOUT`], so that a busy
+/// machine doesn't change the result.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A wait that no test sees the end of.
+/// A timeout that never expires during a test.
 const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     None,
-    /// The process is dead.
+    /// The process is killed.
     Killed,
-    /// It was dead, and runs again.
+    /// The process was killed and is running again.
     Restarted,
-    /// It accepts connections and says nothing.
+    /// The process accepts connections and sends nothing.
     Frozen,
-    /// It was frozen, and goes on.
+    /// The process was frozen and is running again.
     Thawed,
-    /// It takes longer than the caller waits.
+    /// Responses take longer than the caller's timeout.
     Slow,
-    /// The call is lost on a connection that breaks.
+    /// The call is lost when its connection breaks.
     CallLost,
-    /// The answer is lost on a connection that breaks.
+    /// The response is lost when its connection breaks.
     ResponseLost,
-    /// No answer comes, and the connection stays open.
+    /// No response is sent, and the connection stays open.
     NoResponse,
-    /// The connections that were open are silent for good.
+    /// No data arrives any more on the connections that were open.
     ConnectionsSilenced,
 }
 
 impl Fault {
-    /// How long to wait for what comes under it.
+    /// Returns the timeout of a call under this fault.
     fn timeout(self) -> Duration {
         match self {
             Self::Frozen | Self::Slow | Self::NoResponse | Self::ConnectionsSilenced => {
@@ -75,7 +74,7 @@
     }
 }
 
-/// What a caller is told.
+/// The outcome of a call for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Done,
@@ -107,11 +106,11 @@
     Write,
     /// Creates a key that exists.
     WriteOver,
-    /// Writes at a revision that has passed.
+    /// Writes at a revision that is not current.
     WriteStale,
-    /// Writes a value above the greatest.
+    /// Writes a value above the maximum size.
     WriteLarge,
-    /// Creates the key `new` under a lease that has lapsed.
+    /// Creates the key `new` under an unknown lease.
     WriteUnknownLease,
     WatchUnchanged,
     WatchOldRevision,
@@ -135,8 +134,7 @@
         Self::open_with(LONG_TIMEOUT).await
     }
 
-    /// A service with the key `old` at revision 1, a lease, and a connection
-    /// that has been used.
+    /// Opens a service with the key `old` at revision 1, a lease, and a used connection.
     async fn open_with(timeout: Duration) -> Self {
         let store = store::spawn("127.0.0.1:0".parse().unwrap()).unwrap();
         let platform = open_platform(store.address(), timeout);
@@ -183,7 +181,7 @@
         }
     }
 
-    /// Whether the key `new` was written.
+    /// Returns whether the key `new` was written.
     fn is_written(&self) -> bool {
         self.store.service().with(|core, now| core.get(now, "new")).is_some()
     }
@@ -201,7 +199,7 @@
     Write { key: key.into(), value: Some("v".into()), expect, lease: None }
 }
 
-/// Fault, call, what the caller is told, whether `new` is there afterwards.
+/// Fault, operation, outcome for the caller, and whether the key `new` exists afterwards.
 const STORE_CASES: &[(Fault, Operation, Outcome, bool)] = &[
     (Fault::None, Operation::Get, Outcome::Done, false),
     (Fault::None, Operation::GetAbsent, Outcome::Absent, false),
@@ -255,8 +253,7 @@
     }
 }
 
-/// After the call that met the fault, the next one is served: the adapter
-/// kept nothing that the fault spoilt.
+/// After a call that failed, the next one succeeds: the adapter keeps no broken connection.
 #[tokio::test]
 async fn store_calls_succeed_after_a_transient_fault() {
     let passing =
@@ -269,8 +266,8 @@
     }
 }
 
-/// A caller whose write got no answer reads the key and finds its value: this
-/// is how a lost answer is told from a lost write.
+/// A caller whose write got no response can read the key to distinguish a lost response from a lost
+/// write.
 #[tokio::test]
 async fn a_write_with_a_lost_response_can_be_read_back() {
     let setup = Setup::open().await;
@@ -279,7 +276,7 @@
     let entry = setup.platform.get("new").await.unwrap().unwrap();
     assert_eq!(entry.value, "v");
     let conflict = setup.platform.write(write("new", Expect::Absent)).await;
-    assert_eq!(conflict, Err(Error::Conflict(Some(entry))), "the present entry is given");
+    assert_eq!(conflict, Err(Error::Conflict(Some(entry))), "the current entry is returned");
 }
 
 #[tokio::test]
@@ -299,8 +296,7 @@
     }
 }
 
-/// A watcher sees each change once and in order, from where it left off, also
-/// those made while it did not wait.
+/// Consecutive watches return each change once and in order, including changes between two watches.
 #[tokio::test]
 async fn a_watch_returns_each_change_once() {
     let setup = Setup::open().await;
@@ -335,7 +331,7 @@
     assert_eq!((entries.len(), revision), (1, batch.revision));
 }
 
-/// A lapsed lease takes its keys with it, and the watchers see them go.
+/// A lapsed lease removes its keys, and watches return the removals.
 #[tokio::test]
 async fn keys_are_removed_when_their_lease_expires() {
     let setup = Setup::open().await;
@@ -371,7 +367,7 @@
     assert!(setup.platform.get("new").await.unwrap().is_some());
 }
 
-/// Fault and what a caller of the host list and of the weight store is told.
+/// Fault and outcome for a caller of the host list and of the weight store.
 const READ_CASES: &[(Fault, Outcome)] = &[
     (Fault::None, Outcome::Done),
     (Fault::Killed, Outcome::NotDone),
--- a/crates/store/tests/status.rs
+++ b/crates/store/tests/status.rs
@@ -1,11 +1,11 @@
-//! What a caller concludes from a status, and from a body that can't be read.
+//! The errors for response statuses and for bodies that can't be parsed.
 
 use hickory_standin::server::{self, Call, Reply, Service};
 use hickory_store::http::{Address, Platform};
 use hickory_store::store::{Error, Expect, Store, Write};
 use std::time::Duration;
 
-/// Answers every call alike.
+/// A service that sends the same reply to every call.
 #[derive(Clone)]
 struct FixedReply(u16, &'static str);
 
@@ -15,11 +15,10 @@
     }
 }
 
-/// Status and body, and what a writer is told.
+/// Status, body and the expected outcome of a write.
 ///
-/// A status that blames the service leaves open whether the write took
-/// effect. A conflict without an entry that can be read must not look like
-/// one with an absent key, or the caller would create it anew.
+/// After a server error it is unknown whether the write took effect. A conflict whose entry can't
+/// be parsed must not look like one with an absent key, or the caller would create the key again.
 const CASES: &[(u16, &str, &str)] = &[
     (200, "7", "done"),
     (200, "", "unknown"),
