--- a/crates/store/tests/status.rs
+++ b/crates/store/tests/status.rs
@@ -27,7 +27,7 @@
     (302, "", "unknown"),
     (400, "", "not done"),
     (404, "", "lapsed"),
-    (409, "null", "conflict with nothing"),
+    (409, "null", "conflict with an absent key"),
     (409, r#"{"key":"k","value":"v","revision":3}"#, "conflict with an entry"),
     (409, "no entry", "not done"),
     (429, "", "not done"),
@@ -49,7 +49,7 @@
         let write = Write { key, value, expect: Expect::Absent, lease: None };
         let outcome = match platform.write(write).await {
             Ok(_) => "done",
-            Err(Error::Conflict(None)) => "conflict with nothing",
+            Err(Error::Conflict(None)) => "conflict with an absent key",
             Err(Error::Conflict(Some(_))) => "conflict with an entry",
             Err(Error::NotDone(_)) => "not done",
             Err(Error::Unknown(_)) => "unknown",
