--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -64,8 +64,8 @@
 
 impl Client {
     /// Sends a request and waits for the response headers. The request is written to a second
-    /// connection only if no byte of it was written to the first. There is no timeout; dropping the
-    /// future closes the connection.
+    /// connection only if no byte of it was written to the first. Only connecting has a timeout;
+    /// the caller limits the rest. Dropping the future closes the connection.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -121,7 +121,8 @@
     }
 
     /// Makes a call over a new connection and returns the response when its headers have arrived.
-    /// Dropping the response closes the connection. There is no timeout.
+    /// Dropping the response closes the connection. Only connecting has a timeout; the caller
+    /// limits the rest.
     pub async fn open_stream(
         &self,
         address: SocketAddr,
