--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -1,7 +1,7 @@
 //! The log of a running daemon: what it reports about failed requests and about targets.
 
-use hickory_adapter_standin::caller::{self, Answer};
-use hickory_adapter_standin::replica::{Act, Replica};
+use hickory_adapter_standin::caller::{self, Response};
+use hickory_adapter_standin::replica::{Action, Replica};
 use hickory_adapter_standin::store::Store;
 use hickory_adapter_standin::{CONFIG, entry_key, fleet, free_address, settings, write_settings};
 use hickory_path::settings::Settings;
@@ -39,7 +39,7 @@
             .spawn()
             .unwrap();
         let daemon = Self { process, log };
-        caller::wait_ready(settings.ready).await;
+        caller::wait_until_ready(settings.ready).await;
         daemon
     }
 
@@ -77,14 +77,14 @@
         Self { daemon, callers: settings.callers, replicas }
     }
 
-    fn queue_for_service(&self, service: &str, act: &Act) {
+    fn queue_for_service(&self, service: &str, act: &Action) {
         for replica in self.replicas.iter().filter(|replica| replica.service == service) {
-            replica.next(act.clone());
+            replica.enqueue(act.clone());
         }
     }
 
-    async fn request(&self, attempt: &str, path: &str) -> Answer {
-        let text = caller::request_as(attempt, "POST", path, "body");
+    async fn request(&self, attempt: &str, path: &str) -> Response {
+        let text = caller::request_with_attempt_id(attempt, "POST", path, "body");
         caller::send(self.callers, &text).await
     }
 
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn a_late_first_event_is_logged_with_its_target() {
     let harness = Harness::open("late").await;
-    harness.queue_for_service("model", &Act::Pause(1, 5));
+    harness.queue_for_service("model", &Action::PauseStream(1, 5));
     assert_eq!(harness.request("late-1", "/once/1").await.status, 200);
     let lines = harness.wait_for_lines("late-1", 1).await;
     let line = &lines[0];
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn a_request_without_an_answer_is_logged_as_possibly_executed() {
     let harness = Harness::open("order").await;
-    harness.queue_for_service("plain", &Act::Close);
+    harness.queue_for_service("plain", &Action::Close);
     assert_eq!(harness.request("order-1", "/pay/1").await.status, 502);
     let lines = harness.wait_for_lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
@@ -145,7 +145,7 @@
 #[tokio::test]
 async fn the_log_names_both_targets_that_failed_a_stream() {
     let harness = Harness::open("failed").await;
-    harness.queue_for_service("model", &Act::Status(500));
+    harness.queue_for_service("model", &Action::Status(500));
     assert_eq!(harness.request("failed-1", "/say/1").await.status, 500);
     let lines = harness.wait_for_lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
@@ -160,13 +160,13 @@
 #[tokio::test]
 async fn the_log_names_both_targets_of_an_interrupted_stream() {
     let harness = Harness::open("cut").await;
-    harness.replicas[2].next(Act::Cut(2, 0));
-    harness.replicas[3].next(Act::Cut(2, 0));
-    harness.replicas[2].next(Act::Stream(5));
-    harness.replicas[3].next(Act::Stream(5));
+    harness.replicas[2].enqueue(Action::CutStream(2, 0));
+    harness.replicas[3].enqueue(Action::CutStream(2, 0));
+    harness.replicas[2].enqueue(Action::Stream(5));
+    harness.replicas[3].enqueue(Action::Stream(5));
     // Both targets cut off the first stream; later streams succeed.
     let cut = harness.request("cut-1", "/say/1").await;
-    assert_eq!((cut.ids(), cut.complete), (vec![1, 2], false));
+    assert_eq!((cut.event_ids(), cut.is_complete), (vec![1, 2], false));
     let lines = harness.wait_for_lines("cut-1", 3).await;
     let targets: Vec<&str> =
         lines[..2].iter().map(|line| line["attributes"]["target_id"].as_str().unwrap()).collect();
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn a_refusal_is_logged_with_the_inputs_of_its_decision() {
     let harness = Harness::open("refused").await;
-    let text = caller::request_as("refused-1", "POST", "/long/1", "body")
+    let text = caller::request_with_attempt_id("refused-1", "POST", "/long/1", "body")
         .replace("1460,80", "400000,80")
         .replace("3000", "15000");
     assert_eq!(caller::send(harness.callers, &text).await.status, 503);
@@ -206,7 +206,7 @@
     store.put(&entry_key("m-1"), &replica.entry("ready"));
     let peers = free_address();
     let nodes: Vec<Settings> =
-        (1..=3).map(|number| fleet::settings_of(number, peers, &store)).collect();
+        (1..=3).map(|number| fleet::node_settings(number, peers, &store)).collect();
     let mut daemons = Vec::new();
     for node in &nodes {
         daemons.push(Daemon::start(&format!("change-{}", node.node), node).await);
@@ -214,7 +214,7 @@
     let is_ownership_line = |line: &Value| line["message"] == "groups owned by this node";
     let owners =
         || daemons.iter().filter(|daemon| !daemon.log_lines(is_ownership_line).is_empty()).count();
-    caller::wait_for("an owner", || owners() > 0).await;
+    caller::wait_until("an owner", || owners() > 0).await;
     // The owner may change until all nodes have received the running allocations.
     tokio::time::sleep(Duration::from_secs(2)).await;
     store.put(&entry_key("m-1"), &replica.entry("draining"));
@@ -225,7 +225,7 @@
         };
         daemons.iter().map(|daemon| daemon.log_lines(is_change).len()).sum::<usize>()
     };
-    caller::wait_for("the owner's line", || changes() > 0).await;
+    caller::wait_until("the owner's line", || changes() > 0).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(changes(), 1);
 }
--- a/crates/client/src/exchange.rs
+++ b/crates/client/src/exchange.rs
@@ -1,7 +1,7 @@
-//! Requests with heads of their own, whose answers are read in pieces.
+//! Requests with custom headers and streamed responses.
 
 use crate::connection::Connection;
-use crate::pool::IDLE_TIME;
+use crate::pool::MAX_IDLE_TIME;
 use crate::{Client, Error};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,36 +9,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Which idle connections a request may go out on.
+/// The idle connections that a request may be sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any that is open.
+    /// Any open connection.
     Any,
-    /// Only one that was used within this time: the longer a connection has
-    /// been idle, the likelier the other end closes it just when the request
-    /// is written, and then nobody knows whether it ran.
+    /// Only a connection that was used within this time. The longer it has been idle, the more
+    /// likely the other end closes it while the request is written, and then it is unknown whether
+    /// the request ran.
     Within(Duration),
 }
 
-/// A request under way, from the head of its answer on. Dropping it closes
-/// its connection, by which the other end learns that nobody waits any more.
+/// A request whose response headers have arrived. Dropping it closes its connection, which tells
+/// the other end to cancel the request.
 #[derive(Debug)]
 pub struct Exchange {
     client: Client,
-    at: SocketAddr,
+    address: SocketAddr,
     connection: Option<Connection>,
-    /// The head of the answer.
+    /// The head of the response.
     pub head: http::response::Parts,
-    /// Its body.
+    /// The body of the response.
     pub body: Incoming,
 }
 
 impl Exchange {
-    /// Gives the connection back for further requests, at most for `keep`; to
-    /// be called only after the body was read whole.
-    pub fn keep(mut self, keep: Option<Duration>) {
+    /// Returns the connection to the pool, where it stays idle for at most `max_idle`. Call this
+    /// only after the whole body was read.
+    pub fn release(mut self, max_idle: Option<Duration>) {
         if let Some(connection) = self.connection.take() {
-            self.client.pool.put(self.at, connection, keep.unwrap_or(IDLE_TIME));
+            self.client.pool.put(self.address, connection, max_idle.unwrap_or(MAX_IDLE_TIME));
         }
     }
 }
@@ -46,53 +46,52 @@
 impl Drop for Exchange {
     fn drop(&mut self) {
         if let Some(connection) = &self.connection {
-            connection.shut();
+            connection.close();
         }
     }
 }
 
-/// Closes a connection whose request was given up on before the answer's head.
-struct Open(Option<Connection>);
+/// Closes the connection of a request that is cancelled before the response headers arrive.
+struct CloseOnDrop(Option<Connection>);
 
-impl Drop for Open {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
         if let Some(connection) = &self.0 {
-            connection.shut();
+            connection.close();
         }
     }
 }
 
 impl Client {
-    /// Sends a request and waits for the head of its answer. The request is
-    /// written to a second connection only where none of it was written to the
-    /// first. The caller bounds the time, and dropping the future closes the
-    /// connection.
+    /// Sends a request and waits for the response headers. The request is written to a second
+    /// connection only if no byte of it was written to the first. Only connecting has a timeout;
+    /// the caller limits the rest. Dropping the future closes the connection.
     pub async fn send(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         mut request: http::Request<Full<Bytes>>,
         reuse: Reuse,
     ) -> Result<Exchange, Error> {
-        let fresh = match reuse {
-            Reuse::Any => IDLE_TIME,
+        let max_idle = match reuse {
+            Reuse::Any => MAX_IDLE_TIME,
             Reuse::Within(time) => time,
         };
         loop {
-            let pooled = self.pool.take(at, fresh);
+            let pooled = self.pool.take(address, max_idle);
             let is_pooled = pooled.is_some();
             let connection = match pooled {
                 Some(connection) => connection,
-                None => Connection::open(at, self.connect_timeout, self.silence).await?,
+                None => Connection::open(address, self.connect_timeout, self.user_timeout).await?,
             };
-            let mut open = Open(Some(connection));
-            let Some(connection) = &mut open.0 else {
+            let mut guard = CloseOnDrop(Some(connection));
+            let Some(connection) = &mut guard.0 else {
                 return Err(Error::NotSent("no connection".into()));
             };
             match connection.send(request).await {
                 Ok(response) => {
                     let (head, body) = response.into_parts();
-                    let connection = open.0.take();
-                    return Ok(Exchange { client: self.clone(), at, connection, head, body });
+                    let connection = guard.0.take();
+                    return Ok(Exchange { client: self.clone(), address, connection, head, body });
                 }
                 Err(failure) => match failure.unsent {
                     Some(unsent) if is_pooled => request = unsent,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,10 +1,8 @@
-//! HTTP calls with pooled connections, and what a failed call means.
+//! HTTP client with pooled connections and errors that state whether a call may have run.
 //!
-//! What a caller may do after a failure (send again, call it not run) hangs
-//! on whether a byte of the call can have reached the other end, so that is
-//! what [`Error`] tells apart. A call is never sent twice: only one that was
-//! not begun to be written, because a pooled connection turned out closed, is
-//! written to another connection.
+//! After a failure a caller may retry, or report a call as not run, only if no byte of it can have
+//! reached the other end. [`Error`] makes this distinction. A call is never sent twice: it is
+//! written to another connection only if a pooled connection was closed before the first byte.
 
 mod connection;
 mod exchange;
@@ -16,23 +14,23 @@
 pub use exchange::{Exchange, Reuse};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
-use pool::{IDLE_TIME, Pool};
+use pool::{MAX_IDLE_TIME, Pool};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Why a call failed, by what the other end can have seen of it.
+/// The cause of a failed call, by whether the other end may have received it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// Nothing listens at the address.
+    /// No process listens at the address.
     #[display("not sent: connection refused")]
     Refused,
     /// No byte of the call was written.
     #[display("not sent: {_0}")]
     #[error(ignore)]
     NotSent(String),
-    /// Bytes may have arrived, and no whole answer came.
+    /// Bytes of the call may have arrived, and no complete response was received.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     Unknown(String),
@@ -51,166 +49,164 @@
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: http::StatusCode,
     /// The body.
     pub body: Bytes,
 }
 
-/// A client; clones share its connections.
+/// A client. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Arc<Pool>,
     connect_timeout: Duration,
-    silence: Duration,
+    user_timeout: Duration,
 }
 
-/// How much longer than a silence a whole answer may take: one that comes a byte
-/// now and then must not hold its caller for good.
-const ANSWER_SILENCES: u32 = 10;
+/// The limit of a whole response as a multiple of the progress timeout: a response that trickles
+/// must not block its caller forever.
+const MAX_PROGRESS_TIMEOUTS: u32 = 10;
 
-/// How long sent bytes may stay unacknowledged where nothing else is asked
-/// for; longer than any timeout that callers put on their calls.
-const SILENCE: Duration = Duration::from_secs(10);
+/// The default time for which sent bytes may stay unacknowledged. It exceeds the timeouts of all
+/// calls.
+const DEFAULT_USER_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn open(connect_timeout: Duration) -> Self {
-        Self { pool: Arc::default(), connect_timeout, silence: SILENCE }
+        Self { pool: Arc::default(), connect_timeout, user_timeout: DEFAULT_USER_TIMEOUT }
     }
 
-    /// The same client, whose connections break where sent bytes stay
-    /// unacknowledged for `silence`.
+    /// Sets the TCP user timeout, after which unacknowledged bytes break a connection.
     #[must_use]
-    pub fn with_silence(self, silence: Duration) -> Self {
-        Self { silence, ..self }
+    pub fn with_user_timeout(self, user_timeout: Duration) -> Self {
+        Self { user_timeout, ..self }
     }
 
-    /// Closes the idle connections to `at`.
-    pub fn clear(&self, at: SocketAddr) {
-        self.pool.clear(at);
+    /// Closes the idle connections to `address`.
+    pub fn close_idle(&self, address: SocketAddr) {
+        self.pool.close_idle(address);
     }
 
-    /// Makes a call and reads the answer whole, within `timeout`.
+    /// Makes a call and reads the whole response within `timeout`.
     ///
-    /// The connection is used again only after an answer that came whole and
-    /// in time, so that a late answer is never taken for that of a later
-    /// call. A failure also closes the idle connections to `at`: whatever
-    /// made one of them silent has likely silenced the others, and each would
-    /// cost a further call its timeout.
+    /// The connection is reused only after a complete and timely response, so that a late response
+    /// is never matched to a later call. A failure also closes the idle connections to `address`:
+    /// what made one of them unresponsive has likely affected the others, and each of them would
+    /// cost another call its timeout.
     pub async fn exchange(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
-        self.exchange_within(at, call, timeout, timeout).await
+    ) -> Result<Response, Error> {
+        self.exchange_with_timeouts(address, call, timeout, timeout).await
     }
 
-    /// Makes a call whose answer may be large.
+    /// Makes a call whose response may be large.
     ///
-    /// As [`Client::exchange`], but `timeout` bounds the time until the head of
-    /// the answer, and then from one part of it to the next. A bound on the
-    /// whole would give up on what a slow link carries steadily, and what came
-    /// of it would be lost. In all it may take ten times as long.
-    pub async fn exchange_steady(
+    /// Like [`Client::exchange`], but `timeout` bounds the time until the response headers and then
+    /// between two parts of the body. A limit on the whole would discard a response that arrives
+    /// steadily over a slow link. In total the call may take ten times `timeout`.
+    pub async fn exchange_with_progress_timeout(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
         timeout: Duration,
-    ) -> Result<Answer, Error> {
-        self.exchange_within(at, call, timeout, timeout * ANSWER_SILENCES).await
+    ) -> Result<Response, Error> {
+        self.exchange_with_timeouts(address, call, timeout, timeout * MAX_PROGRESS_TIMEOUTS).await
     }
 
-    /// Makes a call over a connection of its own and gives the answer as soon
-    /// as its head is there; dropping the answer closes the connection. The
-    /// caller bounds the time.
+    /// Makes a call over a new connection and returns the response when its headers have arrived.
+    /// Dropping the response closes the connection. Only connecting has a timeout; the caller
+    /// limits the rest.
     pub async fn open_stream(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
     ) -> Result<http::Response<Incoming>, Error> {
-        let mut connection = Connection::open(at, self.connect_timeout, self.silence).await?;
-        let request = make_request(at, call)?;
+        let mut connection =
+            Connection::open(address, self.connect_timeout, self.user_timeout).await?;
+        let request = make_request(address, call)?;
         connection.send(request).await.map_err(|failure| match failure.unsent {
             Some(_) => Error::NotSent(failure.text),
             None => Error::Unknown(failure.text),
         })
     }
 
-    /// A call whose answer is never silent for longer than `silence`, and comes
-    /// whole within `most`.
-    async fn exchange_within(
+    /// Makes a call with a timeout between the parts of its response and one for the whole.
+    async fn exchange_with_timeouts(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        silence: Duration,
-        most: Duration,
-    ) -> Result<Answer, Error> {
-        let written = AtomicBool::new(false);
-        let exchange = self.exchange_on_any(at, call, silence, &written);
-        let result = match tokio::time::timeout(most, exchange).await {
+        progress_timeout: Duration,
+        total_timeout: Duration,
+    ) -> Result<Response, Error> {
+        let is_written = AtomicBool::new(false);
+        let exchange = self.exchange_pooled(address, call, progress_timeout, &is_written);
+        let result = match tokio::time::timeout(total_timeout, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(Self::late(&written)),
+            Err(_) => Err(Self::timeout_error(&is_written)),
         };
         if result.is_err() {
-            self.pool.clear(at);
+            self.pool.close_idle(address);
         }
         result
     }
 
-    async fn exchange_on_any(
+    async fn exchange_pooled(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        silence: Duration,
-        written: &AtomicBool,
-    ) -> Result<Answer, Error> {
-        let head = self.send_on_any(at, call, written);
-        let head = tokio::time::timeout(silence, head).await;
-        let (connection, response) = head.unwrap_or_else(|_| Err(Self::late(written)))?;
+        progress_timeout: Duration,
+        is_written: &AtomicBool,
+    ) -> Result<Response, Error> {
+        let head = self.send_pooled(address, call, is_written);
+        let head = tokio::time::timeout(progress_timeout, head).await;
+        let (connection, response) =
+            head.unwrap_or_else(|_| Err(Self::timeout_error(is_written)))?;
         let status = response.status();
-        let body = read_whole(response.into_body(), silence).await?;
-        self.pool.put(at, connection, IDLE_TIME);
-        Ok(Answer { status, body })
+        let body = read_body(response.into_body(), progress_timeout).await?;
+        self.pool.put(address, connection, MAX_IDLE_TIME);
+        Ok(Response { status, body })
     }
 
-    /// What a call is that was given up on.
-    fn late(written: &AtomicBool) -> Error {
-        match written.load(Ordering::Relaxed) {
+    /// Returns the error for a call that timed out.
+    fn timeout_error(is_written: &AtomicBool) -> Error {
+        match is_written.load(Ordering::Relaxed) {
             true => Error::Unknown("timeout".into()),
             false => Error::NotSent("timeout".into()),
         }
     }
 
-    async fn send_on_any(
+    async fn send_pooled(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         call: Call<'_>,
-        written: &AtomicBool,
+        is_written: &AtomicBool,
     ) -> Result<(Connection, http::Response<Incoming>), Error> {
-        let mut request = make_request(at, call)?;
+        let mut request = make_request(address, call)?;
         loop {
-            let pooled = self.pool.take(at, IDLE_TIME);
+            let pooled = self.pool.take(address, MAX_IDLE_TIME);
             let is_pooled = pooled.is_some();
             let mut connection = match pooled {
                 Some(connection) => connection,
-                None => Connection::open(at, self.connect_timeout, self.silence).await?,
+                None => Connection::open(address, self.connect_timeout, self.user_timeout).await?,
             };
-            written.store(true, Ordering::Relaxed);
+            is_written.store(true, Ordering::Relaxed);
             let failure = match connection.send(request).await {
                 Ok(response) => return Ok((connection, response)),
                 Err(failure) => failure,
             };
-            // The request comes back only where none of it has been written,
-            // so what follows is no second sending.
+            // The request is returned only if no byte of it was written, so the next attempt can't
+            // send it twice.
             let Some(unsent) = failure.unsent else {
                 return Err(Error::Unknown(failure.text));
             };
-            written.store(false, Ordering::Relaxed);
+            is_written.store(false, Ordering::Relaxed);
             if !is_pooled {
                 return Err(Error::NotSent(failure.text));
             }
@@ -219,28 +215,28 @@
     }
 }
 
-/// Reads a body whose parts come within `silence` of each other.
-async fn read_whole(mut body: Incoming, silence: Duration) -> Result<Bytes, Error> {
-    let mut whole = BytesMut::new();
+/// Reads a body with a timeout between its parts.
+async fn read_body(mut body: Incoming, progress_timeout: Duration) -> Result<Bytes, Error> {
+    let mut bytes = BytesMut::new();
     loop {
-        match tokio::time::timeout(silence, body.frame()).await {
+        match tokio::time::timeout(progress_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
-                    whole.extend_from_slice(&data);
+                    bytes.extend_from_slice(&data);
                 }
             }
             Ok(Some(Err(error))) => return Err(Error::Unknown(error.to_string())),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(bytes.freeze()),
             Err(_) => return Err(Error::Unknown("timeout".into())),
         }
     }
 }
 
-fn make_request(at: SocketAddr, call: Call<'_>) -> Result<http::Request<Full<Bytes>>, Error> {
+fn make_request(address: SocketAddr, call: Call<'_>) -> Result<http::Request<Full<Bytes>>, Error> {
     let mut request = http::Request::builder()
         .method(call.method)
         .uri(call.path)
-        .header(http::header::HOST, at.to_string())
+        .header(http::header::HOST, address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json");
     if let Some(key) = call.key {
         request = request.header("idempotency-key", key);
@@ -248,7 +244,7 @@
     request.body(Full::new(call.body)).map_err(|e| Error::NotSent(e.to_string()))
 }
 
-/// Escapes what a query value may not hold.
+/// Percent-encodes the characters that are not allowed in a query value.
 pub fn escape(text: &str) -> String {
     text.bytes()
         .map(|b| match b {
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -111,7 +111,7 @@
             metrics,
             incarnation,
             clock,
-            client: Client::open(CONNECT_TIMEOUT).with_silence(UNACKNOWLEDGED_TIMEOUT),
+            client: Client::open(CONNECT_TIMEOUT).with_user_timeout(UNACKNOWLEDGED_TIMEOUT),
             member: OnceLock::new(),
             items: Mutex::default(),
             news: Mutex::default(),
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -367,7 +367,7 @@
 async fn read_busy_reply(mut exchange: Exchange) -> Fetched<usize> {
     match timeout(SILENCE, (&mut exchange.body).collect()).await {
         Ok(Ok(body)) => {
-            exchange.keep(None);
+            exchange.release(None);
             parse_busy_reply(&body.to_bytes())
         }
         Ok(Err(error)) => Fetched::Failed(error.to_string()),
@@ -389,7 +389,7 @@
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Fetched::Failed(error.to_string()),
             Ok(None) => {
-                exchange.keep(None);
+                exchange.release(None);
                 core.metrics.fetch(Fetch::Taken);
                 return Fetched::Complete(added);
             }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -127,7 +127,7 @@
                     self.note_response(&place, status);
                     if status.is_server_error() && self.can_retry() && self.spend_retry() {
                         self.log_failed_attempt(&place, &format!("status {status}"));
-                        exchange.keep(keep_alive);
+                        exchange.release(keep_alive);
                         continue;
                     }
                     return self.build_response(exchange, keep_alive, body, &place);
@@ -410,7 +410,7 @@
         }
         self.log_answered(place, status);
         let mut head = take_head(&mut exchange);
-        exchange.keep(keep_alive);
+        exchange.release(keep_alive);
         D::strip_connection_headers(&mut head.headers);
         Ok(reply::with_head(head, body))
     }
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -185,7 +185,7 @@
                 End::Complete => {
                     self.run.note_response(&place, StatusCode::OK);
                     self.run.log_answered(&place, StatusCode::OK);
-                    reader.exchange.keep(reader.keep_alive);
+                    reader.exchange.release(reader.keep_alive);
                     break;
                 }
                 End::CallerGone => {
