--- a/crates/path/src/known.rs
+++ b/crates/path/src/known.rs
@@ -32,11 +32,11 @@
             engines_known = known.survey.engines,
             full = known.survey.full,
             idle = known.survey.idle,
-            clear = known.survey.clear,
+            clear = known.survey.without_short,
             penalized = known.survey.penalized,
-            unread_ms = known.survey.unread.as_millis() as u64,
-            ahead_ms = known.survey.ahead.as_millis() as u64,
-            ahead_short = known.survey.ahead_short;
+            unread_ms = known.survey.prefill_backlog.as_millis() as u64,
+            ahead_ms = known.survey.ahead_prefill_time.as_millis() as u64,
+            ahead_short = known.survey.ahead_short_prompts;
             $($message)*
         );
     };
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::view::{Tag, Target};
 use hickory_policy::engine::Profile;
-use hickory_policy::pass::{Engine, Read};
+use hickory_policy::pass::{Engine, PendingPrefill};
 use hickory_policy::plan::Load;
 use hickory_unit::id;
 use hickory_unit::size::Tokens;
@@ -80,8 +80,13 @@
         prompt.0 == 0 || (*short && *stage == Stage::Writing)
     }
 
-    fn read(&self, writes: bool) -> Read {
-        Read { placed: self.placed, part: self.allocation.part, writes, word: WORD }
+    fn read(&self, writes: bool) -> PendingPrefill {
+        PendingPrefill {
+            placed_at: self.placed,
+            chunk_time: self.allocation.part,
+            is_primary: writes,
+            notification_delay: WORD,
+        }
     }
 }
 
@@ -234,14 +239,14 @@
         }
         if let Some(profile) = profile {
             for ((load, engine), target) in loads.iter_mut().zip(&mut engines).zip(targets) {
-                engine.writers = load.writers;
-                engine.context = load.context;
-                engine.ended = self.passes.get(&target.tag).copied();
+                engine.decoding_streams = load.decoding_streams;
+                engine.decode_context = load.decode_context;
+                engine.last_iteration_end = self.passes.get(&target.tag).copied();
                 let backlog = engine.backlog(now, profile);
-                load.backlog = backlog.unread;
-                load.begins = backlog.begins;
-                load.next = backlog.next;
-                load.writers = backlog.writers;
+                load.prefill_backlog = backlog.prefill_left;
+                load.prefill_start_delay = backlog.prefill_start_delay;
+                load.next_iteration_prefill = backlog.next_iteration_prefill;
+                load.decoding_streams = backlog.decoding_streams;
             }
         }
         loads
@@ -262,29 +267,29 @@
     if let Some(&first) = places.get(&allocation.first) {
         let load = &mut loads[first];
         load.requests += 1;
-        load.short += u32::from(allocation.short);
-        load.gap = load.gap.into_iter().chain(allocation.gap).min();
+        load.short_requests += u32::from(allocation.short);
+        load.inter_token_target = load.inter_token_target.into_iter().chain(allocation.gap).min();
         match allocation.stage {
             Stage::Writing => {
-                load.writers += 1;
-                load.context += allocation.prompt + allocation.answer;
+                load.decoding_streams += 1;
+                load.decode_context += allocation.prompt + allocation.answer;
             }
-            Stage::Reading => engines[first].reads.push(entry.read(true)),
+            Stage::Reading => engines[first].pending_prefills.push(entry.read(true)),
         }
         if allocation.memory.is_empty() {
-            loads[first].memory += allocation.prompt + allocation.answer;
+            loads[first].kv_used += allocation.prompt + allocation.answer;
         }
     }
     for &(tag, tokens) in &allocation.memory {
         if let Some(&place) = places.get(&tag) {
-            loads[place].memory += tokens;
+            loads[place].kv_used += tokens;
         }
     }
     if allocation.stage == Stage::Writing {
         return;
     }
     for place in allocation.helpers.iter().filter_map(|tag| places.get(tag)) {
-        loads[*place].helping += 1;
-        engines[*place].reads.push(entry.read(false));
+        loads[*place].helper_chunks += 1;
+        engines[*place].pending_prefills.push(entry.read(false));
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -7,7 +7,7 @@
 use crate::ledger::Number;
 use crate::placement::{Answer, Request, Scope, Snapshot, Verdict};
 use hickory_policy::plan;
-use hickory_policy::queue::{Ahead, Queue, Turn};
+use hickory_policy::queue::{Ahead, Priority, Queue};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -44,7 +44,7 @@
 struct Waiting {
     asker: Asker,
     request: Request,
-    turn: Turn,
+    turn: Priority,
     asked: Instant,
 }
 
@@ -84,8 +84,8 @@
         self.queues.iter().map(|(group, queue)| (group.clone(), queue.in_order())).collect()
     }
 
-    fn ahead(&self, group: &Group, ticket: &Ticket, turn: Turn) -> Ahead {
-        self.queues.get(group).map(|queue| queue.ahead(ticket, turn)).unwrap_or_default()
+    fn ahead(&self, group: &Group, ticket: &Ticket, turn: Priority) -> Ahead {
+        self.queues.get(group).map(|queue| queue.ahead_of(ticket, turn)).unwrap_or_default()
     }
 
     fn has_short_waiting(&self, group: &Group) -> bool {
@@ -94,11 +94,11 @@
 }
 
 /// The turn of a request at the owner of its group; none where it doesn't wait.
-fn read_turn(snapshot: &Snapshot, request: &Request, asked: Instant) -> Option<Turn> {
+fn read_turn(snapshot: &Snapshot, request: &Request, asked: Instant) -> Option<Priority> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
-        true => Turn::Short(asked + request.goal_left),
-        false => Turn::Long(profile.read_time(prompt.tokens)),
+        true => Priority::Short(asked + request.goal_left),
+        false => Priority::Long(profile.prefill_time(prompt.tokens)),
     })
 }
 
@@ -119,7 +119,7 @@
     let Some(snapshot) = Snapshot::open(core, now, &request.service, scope) else { return };
     let group = request.group();
     let turn = read_turn(&snapshot, &request, now);
-    let is_long = matches!(turn, Some(Turn::Long(_)));
+    let is_long = matches!(turn, Some(Priority::Long(_)));
     let is_next = !is_long && !core.owner().has_short_waiting(&group);
     if is_next && let Verdict::Answered(answer) = snapshot.decide(&request, Ahead::default()) {
         settle(core, now, &asker, answer);
@@ -128,7 +128,12 @@
     let Some(turn) = turn else { return };
     let waiting = Waiting { asker: asker.clone(), request, turn, asked: now };
     let mut owner = core.owner();
-    owner.queues.entry(group).or_default().put(now, asker.ticket.clone(), turn, waiting);
+    owner.queues.entry(group).or_default().insert_or_refresh(
+        now,
+        asker.ticket.clone(),
+        turn,
+        waiting,
+    );
     drop(owner);
     serve_queues(core, Some(&asker.ticket));
     core.queue_due.notify_one();
@@ -165,7 +170,7 @@
         let mut is_full = false;
         for (ticket, waiting) in entries {
             let Some(seen) = &snapshot else { break };
-            let is_short = matches!(waiting.turn, Turn::Short(_));
+            let is_short = matches!(waiting.turn, Priority::Short(_));
             let is_newest = newest == Some(&ticket);
             if is_short && is_full && !is_newest {
                 continue;
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -176,7 +176,7 @@
         let places = self.find_places(request);
         let load = |&place: &usize| {
             let near = self.targets[place].entry.zone == request.zone;
-            Load { near, ..self.loads[place].clone() }
+            Load { is_same_zone: near, ..self.loads[place].clone() }
         };
         let loads: Vec<Load> = places.iter().map(load).collect();
         match (self.profile(&request.service), request.prompt) {
@@ -184,7 +184,7 @@
                 self.place_prompt(request, profile, prompt, &places, &loads, ahead)
             }
             (profile, _) => {
-                let survey = Survey::read(profile, &loads, Ahead::default());
+                let survey = Survey::new(profile, &loads, Ahead::default());
                 self.place_plain(request, &places, &loads, survey)
             }
         }
@@ -207,18 +207,18 @@
         loads: &[Load],
         ahead: Ahead,
     ) -> Verdict {
-        let survey = Survey::read(Some(profile), loads, ahead);
+        let survey = Survey::new(Some(profile), loads, ahead);
         let query = Query {
-            prompt: prompt.tokens,
-            answer: guess_answer(profile, prompt),
-            short: plan::is_short(profile, prompt.tokens, request.goal),
-            goal: request.goal_left,
-            limit: request.limit_left,
+            prompt_tokens: prompt.tokens,
+            answer_tokens: guess_answer(profile, prompt),
+            is_short: plan::is_short(profile, prompt.tokens, request.goal),
+            goal_left: request.goal_left,
+            limit_left: request.limit_left,
             ahead,
-            usual: self.usual.unwrap_or_else(|| profile.stream_time(profile.slots)),
+            typical_stream_time: self.usual.unwrap_or_else(|| profile.stream_time(profile.slots)),
         };
         match plan::choose_engines(&query, profile, loads) {
-            Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, places, survey),
+            Ok(Choice::Place(plan)) => self.grant(request, &query, &plan, places, survey),
             Ok(Choice::Wait(time)) => Verdict::Wait(time, survey),
             Err(refused) => Verdict::refused(read_refused(refused), survey),
         }
@@ -235,18 +235,22 @@
         let tag = |place: usize| self.targets[places[place]].tag;
         let allocation = Allocation {
             service: request.service.clone(),
-            first: tag(plan.first),
+            first: tag(plan.primary),
             helpers: plan.helpers.iter().map(|&place| tag(place)).collect(),
-            part: plan.part,
-            prompt: query.prompt,
-            answer: query.answer,
-            memory: plan.memory.iter().map(|&(place, tokens)| (tag(place), tokens)).collect(),
+            part: plan.chunk_time,
+            prompt: query.prompt_tokens,
+            answer: query.answer_tokens,
+            memory: plan
+                .kv_reservations
+                .iter()
+                .map(|&(place, tokens)| (tag(place), tokens))
+                .collect(),
             gap: request.gap,
-            short: query.short,
+            short: query.is_short,
             stage: Stage::Reading,
             age: Duration::ZERO,
         };
-        let grant = Grant { allocation, expected: plan.first_token, survey };
+        let grant = Grant { allocation, expected: plan.time_to_first_token, survey };
         Verdict::Answered(Answer::Placed(Box::new(grant)))
     }
 
@@ -264,25 +268,25 @@
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
         let candidates: Vec<Candidate<'_>> = candidates.collect();
         let usual = self.usual.unwrap_or(request.goal / USUAL_OF_GOAL);
-        let first = match replica::choose(&candidates, usual) {
+        let first = match replica::choose_replica(&candidates, usual) {
             Ok(first) => first,
             Err(time) => return Verdict::refused(NoPlace::Busy(time), survey),
         };
         let query = Query {
-            prompt: Tokens(0),
-            answer: Tokens(0),
-            short: false,
-            goal: request.goal_left,
-            limit: request.limit_left,
+            prompt_tokens: Tokens(0),
+            answer_tokens: Tokens(0),
+            is_short: false,
+            goal_left: request.goal_left,
+            limit_left: request.limit_left,
             ahead: Ahead::default(),
-            usual,
+            typical_stream_time: usual,
         };
         let plan = Plan {
-            first,
+            primary: first,
             helpers: Vec::new(),
-            memory: Vec::new(),
-            part: Duration::ZERO,
-            first_token: request.goal,
+            kv_reservations: Vec::new(),
+            chunk_time: Duration::ZERO,
+            time_to_first_token: request.goal,
         };
         self.grant(request, &query, &plan, places, survey)
     }
@@ -298,7 +302,7 @@
 
 fn guess_answer(profile: &Profile, prompt: Prompt) -> Tokens {
     let guess = prompt.answer_guess.unwrap_or(Tokens(prompt.answer_max.0 / USUAL_PART));
-    guess.max(profile.usual_answer).min(prompt.answer_max)
+    guess.max(profile.mean_answer).min(prompt.answer_max)
 }
 
 fn find_targets<D: Dialect, S: Store, C: Clock>(
@@ -347,6 +351,6 @@
             false => group::own_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
-        load.shut = ejection.is_shut(now, target.tag);
+        load.is_refusing_chunks = ejection.is_shut(now, target.tag);
     }
 }
--- a/crates/path/tests/ledger.rs
+++ b/crates/path/tests/ledger.rs
@@ -17,15 +17,15 @@
 fn profile() -> Profile {
     Profile {
         slots: 16,
-        memory: Tokens(315_000),
-        step: ms(1),
-        step_per_stream: Duration::ZERO,
-        step_per_kilotoken: Duration::ZERO,
-        read_rate: 177_000.0,
-        read_per_megapair: Duration::ZERO,
-        stride: 51,
-        hop: Duration::ZERO,
-        usual_answer: Tokens(100),
+        kv_capacity: Tokens(315_000),
+        base_step_time: ms(1),
+        step_time_per_stream: Duration::ZERO,
+        step_time_per_kilotoken: Duration::ZERO,
+        prefill_rate: 177_000.0,
+        attention_time_per_megapair: Duration::ZERO,
+        steps_per_iteration: 51,
+        remote_kv_step_time: Duration::ZERO,
+        mean_answer: Tokens(100),
     }
 }
 
@@ -78,10 +78,13 @@
     place(&mut ledger, now, allocation(1, &[2], 100));
     ledger.take(now, &node, Number(1), allocation(1, &[], 50));
     let loads = ledger.loads(now, &targets(), Some(&profile()));
-    assert_eq!([loads[0].backlog, loads[1].backlog, loads[2].backlog], [ms(150), ms(100), ms(0)]);
-    assert_eq!((loads[0].requests, loads[0].short, loads[1].helping), (2, 2, 1));
+    assert_eq!(
+        [loads[0].prefill_backlog, loads[1].prefill_backlog, loads[2].prefill_backlog],
+        [ms(150), ms(100), ms(0)]
+    );
+    assert_eq!((loads[0].requests, loads[0].short_requests, loads[1].helper_chunks), (2, 2, 1));
     let later = ledger.loads(now + ms(60), &targets(), Some(&profile()));
-    assert_eq!([later[0].backlog, later[1].backlog], [ms(90), ms(40)]);
+    assert_eq!([later[0].prefill_backlog, later[1].prefill_backlog], [ms(90), ms(40)]);
 }
 
 #[test]
@@ -90,8 +93,11 @@
     let number = place(&mut ledger, now, allocation(1, &[2], 100));
     ledger.begin_writing(now, number);
     let loads = ledger.loads(now, &targets(), Some(&profile()));
-    assert_eq!((loads[0].backlog, loads[0].writers, loads[1].helping), (ms(0), 1, 0));
-    assert_eq!((loads[0].context, loads[0].memory), (Tokens(1_100), Tokens(1_100)));
+    assert_eq!(
+        (loads[0].prefill_backlog, loads[0].decoding_streams, loads[1].helper_chunks),
+        (ms(0), 1, 0)
+    );
+    assert_eq!((loads[0].decode_context, loads[0].kv_used), (Tokens(1_100), Tokens(1_100)));
     ledger.end(now, number);
     assert_eq!(ledger.loads(now, &targets(), Some(&profile()))[0].requests, 0);
 }
--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -53,9 +53,9 @@
 
 impl Task {
     fn read(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
-        let events = (request.answer.0 / u64::from(profile.stride)).max(1) as u32;
-        let read = profile.read_time(request.prompt);
-        let stride = |writers| profile.pass_time(writers, Tokens(0));
+        let events = (request.answer.0 / u64::from(profile.steps_per_iteration)).max(1) as u32;
+        let read = profile.prefill_time(request.prompt);
+        let stride = |writers| profile.iteration_time(writers, Tokens(0));
         let goal = request.arrival + request.goal;
         // It is written within the pauses that its caller bears.
         let last = goal + request.gap * events;
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -14,52 +14,54 @@
     /// Requests that run at once.
     pub slots: u32,
     /// KV memory.
-    pub memory: Tokens,
+    pub kv_capacity: Tokens,
     /// Time of a token step without any stream.
-    pub step: Duration,
+    pub base_step_time: Duration,
     /// What each writing stream adds to a step.
-    pub step_per_stream: Duration,
+    pub step_time_per_stream: Duration,
     /// What each thousand tokens of context of writing streams add to a step.
-    pub step_per_kilotoken: Duration,
+    pub step_time_per_kilotoken: Duration,
     /// Prompt tokens read a second.
-    pub read_rate: f64,
+    pub prefill_rate: f64,
     /// What a million pairs of a token with an earlier one add to reading.
-    pub read_per_megapair: Duration,
+    pub attention_time_per_megapair: Duration,
     /// Steps in a pass that has writers.
-    pub stride: u32,
+    pub steps_per_iteration: u32,
     /// What a prompt held by several engines adds to each step of the first.
-    pub hop: Duration,
+    pub remote_kv_step_time: Duration,
     /// Tokens of an answer at the mean; what answers are guessed to be.
-    pub usual_answer: Tokens,
+    pub mean_answer: Tokens,
 }
 
 impl Profile {
     /// The time to read a prompt on one engine that does nothing else.
-    pub fn read_time(&self, prompt: Tokens) -> Duration {
+    pub fn prefill_time(&self, prompt: Tokens) -> Duration {
         let tokens = prompt.0 as f64;
-        let linear = tokens / self.read_rate.max(1.0);
+        let linear = tokens / self.prefill_rate.max(1.0);
         let megapairs = tokens * tokens / 2.0 / 1e6;
-        Duration::from_secs_f64(linear + megapairs * self.read_per_megapair.as_secs_f64())
+        Duration::from_secs_f64(linear + megapairs * self.attention_time_per_megapair.as_secs_f64())
     }
 
     /// The time of a pass with this many writers and this much context.
-    pub fn pass_time(&self, writers: u32, context: Tokens) -> Duration {
+    pub fn iteration_time(&self, writers: u32, context: Tokens) -> Duration {
         if writers == 0 {
-            return self.step;
+            return self.base_step_time;
         }
-        let context = self.step_per_kilotoken.as_secs_f64() * context.0 as f64 / 1e3;
-        let step = self.step + self.step_per_stream * writers + Duration::from_secs_f64(context);
-        step * self.stride.max(1)
+        let context = self.step_time_per_kilotoken.as_secs_f64() * context.0 as f64 / 1e3;
+        let step = self.base_step_time
+            + self.step_time_per_stream * writers
+            + Duration::from_secs_f64(context);
+        step * self.steps_per_iteration.max(1)
     }
 
     /// The time that a stream of the usual length takes beside so many others.
     pub fn stream_time(&self, others: u32) -> Duration {
-        let step = self.pass_time(others + 1, Tokens(0)) / self.stride.max(1);
-        step * self.usual_answer.0 as u32
+        let step = self.iteration_time(others + 1, Tokens(0)) / self.steps_per_iteration.max(1);
+        step * self.mean_answer.0 as u32
     }
 
     /// The memory that a request takes at its end.
-    pub fn memory_of(&self, prompt: Tokens, answer: Tokens) -> Tokens {
+    pub fn kv_needed(&self, prompt: Tokens, answer: Tokens) -> Tokens {
         prompt + answer
     }
 }
--- a/crates/policy/src/pass.rs
+++ b/crates/policy/src/pass.rs
@@ -20,100 +20,109 @@
 
 /// A part that an engine was sent and whose first token is not known to have come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Read {
+pub struct PendingPrefill {
     /// When it was sent.
-    pub placed: Instant,
+    pub placed_at: Instant,
     /// The time to read it.
-    pub part: Duration,
+    pub chunk_time: Duration,
     /// Whether the engine writes the answer, too.
-    pub writes: bool,
+    pub is_primary: bool,
     /// How long after the reading the word of the first token may take to come.
-    pub word: Duration,
+    pub notification_delay: Duration,
 }
 
 /// What is known of an engine's passes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Engine {
     /// What it has to read.
-    pub reads: Vec<Read>,
+    pub pending_prefills: Vec<PendingPrefill>,
     /// Streams that it is known to write.
-    pub writers: u32,
+    pub decoding_streams: u32,
     /// Their context.
-    pub context: Tokens,
+    pub decode_context: Tokens,
     /// When a pass of it was last known to end.
-    pub ended: Option<Instant>,
+    pub last_iteration_end: Option<Instant>,
 }
 
 /// What an engine has to do before a further prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backlog {
     /// Time to read what was placed and is not read.
-    pub unread: Duration,
+    pub prefill_left: Duration,
     /// Time until a further prompt is read: the pass that runs, and what is
     /// read before the prompt in the next one.
-    pub begins: Duration,
+    pub prefill_start_delay: Duration,
     /// What it reads in its next pass, of what was placed.
-    pub next: Duration,
+    pub next_iteration_prefill: Duration,
     /// Streams that it writes then, by this reckoning.
-    pub writers: u32,
+    pub decoding_streams: u32,
 }
 
 impl Engine {
     /// What it has to do at this moment, by following its passes from the last
     /// one that is known to have ended.
     pub fn backlog(&mut self, now: Instant, profile: &Profile) -> Backlog {
-        self.reads.sort_unstable();
+        self.pending_prefills.sort_unstable();
         let Some(mut end) = self.begin(now, profile) else {
-            let begins = self.stride(self.writers, profile) / 2;
-            return Backlog { begins, writers: self.writers, ..Backlog::default() };
+            let begins = self.stride(self.decoding_streams, profile) / 2;
+            return Backlog {
+                prefill_start_delay: begins,
+                decoding_streams: self.decoding_streams,
+                ..Backlog::default()
+            };
         };
-        let mut rest = self.reads.as_slice();
-        let mut writers = self.writers;
+        let mut rest = self.pending_prefills.as_slice();
+        let mut writers = self.decoding_streams;
         let mut last_read = end;
         while end <= now {
             if writers == 0 {
                 let Some(next) = rest.first() else { break };
-                end = end.max(next.placed);
+                end = end.max(next.placed_at);
             }
-            let (read, later) = rest.split_at(rest.partition_point(|read| read.placed <= end));
-            let reading: Duration = read.iter().map(|read| read.part).sum();
+            let (read, later) = rest.split_at(rest.partition_point(|read| read.placed_at <= end));
+            let reading: Duration = read.iter().map(|read| read.chunk_time).sum();
             end += reading + self.stride(writers, profile);
-            writers += read.iter().filter(|read| read.writes).count() as u32;
+            writers += read.iter().filter(|read| read.is_primary).count() as u32;
             rest = later;
             if !read.is_empty() {
                 last_read = end;
             }
         }
-        let pending: Duration = rest.iter().map(|read| read.part).sum();
+        let pending: Duration = rest.iter().map(|read| read.chunk_time).sum();
         // What is read with a further prompt is written with it.
-        writers += rest.iter().filter(|read| read.writes).count() as u32;
+        writers += rest.iter().filter(|read| read.is_primary).count() as u32;
         let begins = end.saturating_duration_since(now) + pending;
         let unread = match rest.is_empty() {
             true => last_read.saturating_duration_since(now).max(self.overdue(now, last_read)),
             false => begins,
         };
-        Backlog { unread, begins: begins.max(unread), next: pending, writers }
+        Backlog {
+            prefill_left: unread,
+            prefill_start_delay: begins.max(unread),
+            next_iteration_prefill: pending,
+            decoding_streams: writers,
+        }
     }
 
     /// Where to follow the passes from; nothing where nothing is known.
     fn begin(&self, now: Instant, profile: &Profile) -> Option<Instant> {
-        let known = self.stride(self.writers, profile) * KNOWN_STRIDES;
-        let ended = self.ended.filter(|&at| now.saturating_duration_since(at) < known);
-        ended.or(self.reads.first().map(|read| read.placed))
+        let known = self.stride(self.decoding_streams, profile) * KNOWN_STRIDES;
+        let ended = self.last_iteration_end.filter(|&at| now.saturating_duration_since(at) < known);
+        ended.or(self.pending_prefills.first().map(|read| read.placed_at))
     }
 
     /// The time that a pass takes to write.
     fn stride(&self, writers: u32, profile: &Profile) -> Duration {
         match writers {
             0 => Duration::ZERO,
-            _ => profile.pass_time(writers, self.context),
+            _ => profile.iteration_time(writers, self.decode_context),
         }
     }
 
     /// What is left to read where an engine is slower than it should be: the
     /// word that it has read is long due.
     fn overdue(&self, now: Instant, done: Instant) -> Duration {
-        let late = self.reads.iter().filter(|read| now > done + read.word);
-        late.map(|read| read.part / OVERDUE_PART).sum()
+        let late = self.pending_prefills.iter().filter(|read| now > done + read.notification_delay);
+        late.map(|read| read.chunk_time / OVERDUE_PART).sum()
     }
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -88,74 +88,74 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
     /// Time until it has read all that is placed there.
-    pub backlog: Duration,
+    pub prefill_backlog: Duration,
     /// Time until it begins to read a further prompt.
-    pub begins: Duration,
+    pub prefill_start_delay: Duration,
     /// What it reads in its next pass, of what is placed there.
-    pub next: Duration,
+    pub next_iteration_prefill: Duration,
     /// Requests that run or wait there.
     pub requests: u32,
     /// Requests for which it reads a part.
-    pub helping: u32,
+    pub helper_chunks: u32,
     /// Short requests among those that run or wait.
-    pub short: u32,
+    pub short_requests: u32,
     /// Streams that write.
-    pub writers: u32,
+    pub decoding_streams: u32,
     /// The shortest pause that its requests are to keep.
-    pub gap: Option<Duration>,
+    pub inter_token_target: Option<Duration>,
     /// Context of the streams that write.
-    pub context: Tokens,
+    pub decode_context: Tokens,
     /// Memory taken or promised.
-    pub memory: Tokens,
+    pub kv_used: Tokens,
     /// Whether it is in the choosing node's zone.
-    pub near: bool,
+    pub is_same_zone: bool,
     /// The order of the engines for short prompts, the least first.
     pub preference: u64,
     /// What it is expected to cost to try it, since it failed lately.
     pub penalty: Duration,
     /// Whether it refused lately to read a part for another engine.
-    pub shut: bool,
+    pub is_refusing_chunks: bool,
 }
 
 /// A prompt to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Query {
     /// Its tokens.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens of its answer, at a guess.
-    pub answer: Tokens,
+    pub answer_tokens: Tokens,
     /// Whether it is placed as a short one, by [`is_short`].
-    pub short: bool,
+    pub is_short: bool,
     /// What is left of the time within which its first token is wanted.
-    pub goal: Duration,
+    pub goal_left: Duration,
     /// The time after which it is of no use.
-    pub limit: Duration,
+    pub limit_left: Duration,
     /// What waits and comes before it.
     pub ahead: Ahead,
     /// How long a short stream usually takes from its placement to its end.
-    pub usual: Duration,
+    pub typical_stream_time: Duration,
 }
 
 /// Where a prompt is read; engines by their place in the list of loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The engine that is sent the request.
-    pub first: usize,
+    pub primary: usize,
     /// Engines that read parts of it.
     pub helpers: Vec<usize>,
     /// Memory to reserve, by engine; empty where the first holds all.
-    pub memory: Vec<(usize, Tokens)>,
+    pub kv_reservations: Vec<(usize, Tokens)>,
     /// What each engine reads.
-    pub part: Duration,
+    pub chunk_time: Duration,
     /// When the first token is expected.
-    pub first_token: Duration,
+    pub time_to_first_token: Duration,
 }
 
 /// What to do with a prompt now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// Send it.
-    Go(Plan),
+    Place(Plan),
     /// Look again after this time.
     Wait(Duration),
 }
@@ -173,7 +173,7 @@
 
 /// Whether a prompt is read at once on one engine.
 pub fn is_short(profile: &Profile, prompt: Tokens, goal: Duration) -> bool {
-    goal < URGENT_GOAL || profile.read_time(prompt) < SHORT_READ
+    goal < URGENT_GOAL || profile.prefill_time(prompt) < SHORT_READ
 }
 
 /// Chooses the engines for a prompt.
@@ -189,7 +189,7 @@
     if scene.needed.0 > scene.whole.0.saturating_mul(loads.len() as u64) {
         return Err(Refused::TooLong);
     }
-    match query.short {
+    match query.is_short {
         true => scene.place_short(),
         false => scene.place_long(),
     }
@@ -214,30 +214,30 @@
             query,
             profile,
             loads,
-            read: profile.read_time(query.prompt),
-            needed: profile.memory_of(query.prompt, query.answer),
-            whole: Tokens((profile.memory.0 as f64 * MEMORY_USED) as u64),
+            read: profile.prefill_time(query.prompt_tokens),
+            needed: profile.kv_needed(query.prompt_tokens, query.answer_tokens),
+            whole: Tokens((profile.kv_capacity.0 as f64 * MEMORY_USED) as u64),
         }
     }
 
     fn has_place(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        load.requests < self.profile.slots && load.helping < self.profile.slots
+        load.requests < self.profile.slots && load.helper_chunks < self.profile.slots
     }
 
     fn free(&self, engine: usize) -> Tokens {
-        self.whole.saturating_sub(self.loads[engine].memory)
+        self.whole.saturating_sub(self.loads[engine].kv_used)
     }
 
     fn pass(&self, engine: usize) -> Duration {
         let load = &self.loads[engine];
-        self.profile.pass_time(load.writers, load.context)
+        self.profile.iteration_time(load.decoding_streams, load.decode_context)
     }
 
     /// When the first token of a part read here comes: with the end of the
     /// pass in which the reading ends.
     fn first_token(&self, engine: usize, part: Duration) -> Duration {
-        self.loads[engine].begins + part + self.pass(engine) + REACH
+        self.loads[engine].prefill_start_delay + part + self.pass(engine) + REACH
     }
 
     /// Packs a short prompt on the most preferred of the engines that have short
@@ -245,12 +245,12 @@
     /// it is first.
     fn place_short(&self) -> Result<Choice, Refused> {
         let fits = |&engine: &usize| self.has_place(engine) && self.free(engine) >= self.needed;
-        let aim = self.query.goal.mul_f64(PACK_AIM);
+        let aim = self.query.goal_left.mul_f64(PACK_AIM);
         let most = (f64::from(self.profile.slots) * PACK_SLOTS) as u32;
         let first = |engine: usize| self.first_token(engine, self.read);
         let packs = |&engine: &usize| {
             let load = &self.loads[engine];
-            load.short > 0
+            load.short_requests > 0
                 && load.requests < most
                 && load.penalty.is_zero()
                 && first(engine) <= aim
@@ -266,15 +266,15 @@
         let chosen = packed.or_else(|| fitting().min_by_key(rank));
         let Some(first) = chosen else { return self.wait_for_slot() };
         let first_token = self.first_token(first, self.read);
-        if first_token >= self.query.limit {
-            return Err(Refused::Busy(first_token.saturating_sub(self.query.limit)));
+        if first_token >= self.query.limit_left {
+            return Err(Refused::Busy(first_token.saturating_sub(self.query.limit_left)));
         }
-        Ok(Choice::Go(Plan {
-            first,
+        Ok(Choice::Place(Plan {
+            primary: first,
             helpers: Vec::new(),
-            memory: Vec::new(),
-            part: self.read,
-            first_token,
+            kv_reservations: Vec::new(),
+            chunk_time: self.read,
+            time_to_first_token: first_token,
         }))
     }
 
@@ -287,7 +287,7 @@
         // is there.
         let pass = passes / self.loads.len() as u32;
         let first_token = wait + pass + self.read + pass + REACH;
-        match first_token <= self.query.goal.mul_f64(PACK_AIM) {
+        match first_token <= self.query.goal_left.mul_f64(PACK_AIM) {
             true => Ok(Choice::Wait(LOOK)),
             false => Err(Refused::Busy(wait)),
         }
@@ -297,7 +297,7 @@
     /// it. Streams that began one by one end one by one.
     fn estimate_slot_wait(&self) -> Duration {
         let running: u32 = self.loads.iter().map(|load| load.requests).sum();
-        self.query.usual * (self.query.ahead.short + 1) / running.max(1)
+        self.query.typical_stream_time * (self.query.ahead.short_prompts + 1) / running.max(1)
     }
 
     /// Splits a long prompt over idle engines, once there are enough of them.
@@ -305,33 +305,38 @@
     /// nothing else to do, and refused otherwise: waiting would not help it,
     /// and its caller can come back.
     fn place_long(&self) -> Result<Choice, Refused> {
-        let takes = |&engine: &usize| self.has_place(engine) && !self.loads[engine].shut;
+        let takes =
+            |&engine: &usize| self.has_place(engine) && !self.loads[engine].is_refusing_chunks;
         let mut engines: Vec<usize> = (0..self.loads.len()).filter(takes).collect();
         engines.sort_by_key(|&engine| {
             let load = &self.loads[engine];
-            (load.penalty, load.short, !load.near)
+            (load.penalty, load.short_requests, !load.is_same_zone)
         });
-        let clear = engines.iter().filter(|&&engine| self.loads[engine].short == 0).count();
-        let idle: Vec<usize> =
-            engines.iter().copied().filter(|&engine| self.loads[engine].backlog <= IDLE).collect();
+        let clear =
+            engines.iter().filter(|&&engine| self.loads[engine].short_requests == 0).count();
+        let idle: Vec<usize> = engines
+            .iter()
+            .copied()
+            .filter(|&engine| self.loads[engine].prefill_backlog <= IDLE)
+            .collect();
         let wait = self.estimate_wait(&engines[..clear]);
         let least = self.read / clear.clamp(1, HELPERS_MAX + 1) as u32;
-        if wait + least <= self.query.goal {
+        if wait + least <= self.query.goal_left {
             let plan = self.split_in_time(&idle, clear);
-            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Go));
+            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Place));
         }
         let shared = self.split_in_time(&idle, engines.len());
-        if shared.is_none() && self.estimate_cleared(&engines) <= self.query.goal {
+        if shared.is_none() && self.estimate_cleared(&engines) <= self.query.goal_left {
             return Ok(Choice::Wait(self.until_idle(&engines)));
         }
         let plan = shared.or_else(|| self.split_late(&idle, clear));
-        plan.map(Choice::Go).ok_or(Refused::Busy((wait + least).max(LATE_RETRY)))
+        plan.map(Choice::Place).ok_or(Refused::Busy((wait + least).max(LATE_RETRY)))
     }
 
     /// When the prompt would be read on engines whose short streams have ended: all
     /// but those that short prompts need if they are packed.
     fn estimate_cleared(&self, engines: &[usize]) -> Duration {
-        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short).sum();
+        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
         let packed = (f64::from(self.profile.slots) * PACK_SLOTS).max(1.0);
         let needed = (f64::from(short) / packed).ceil() as usize;
         let Some(cleared) = engines.len().checked_sub(needed).filter(|&count| count > 0) else {
@@ -345,8 +350,9 @@
     /// Time until the engines have read what is placed and what waits before
     /// this prompt, evenly spread.
     fn estimate_wait(&self, engines: &[usize]) -> Duration {
-        let placed: Duration = engines.iter().map(|&engine| self.loads[engine].backlog).sum();
-        (placed + self.query.ahead.read) / engines.len().max(1) as u32
+        let placed: Duration =
+            engines.iter().map(|&engine| self.loads[engine].prefill_backlog).sum();
+        (placed + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
     /// Splits over as few idle engines as make the parts small; over most of
@@ -361,7 +367,7 @@
                 return Some(plan);
             }
             let is_enough = part <= PART_MOST || count >= crowd;
-            if is_enough && plan.first_token <= self.query.goal {
+            if is_enough && plan.time_to_first_token <= self.query.goal_left {
                 best = Some(plan);
             }
         }
@@ -374,13 +380,13 @@
         if idle.len() < spare.max(1) {
             return None;
         }
-        let aim = self.query.limit.mul_f64(LATE_PART);
+        let aim = self.query.limit_left.mul_f64(LATE_PART);
         let counts = 1..=idle.len().min(HELPERS_MAX + 1);
         let plans = counts.filter_map(|count| {
             let part = self.read / count as u32;
             self.plan_on(idle, count, part)
         });
-        plans.into_iter().find(|plan| plan.first_token <= aim)
+        plans.into_iter().find(|plan| plan.time_to_first_token <= aim)
     }
 
     /// A plan on the first of the engines whose streams bear the part.
@@ -391,7 +397,7 @@
     }
 
     fn until_idle(&self, engines: &[usize]) -> Duration {
-        let busy = engines.iter().map(|&engine| self.loads[engine].backlog);
+        let busy = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
         let next = busy.filter(|backlog| *backlog > IDLE).min().unwrap_or(LOOK);
         next.saturating_sub(IDLE).clamp(Duration::from_millis(2), LOOK)
     }
@@ -399,8 +405,8 @@
     /// Whether the streams of an engine bear that it reads this in a pass.
     fn bears(&self, engine: usize, part: Duration) -> bool {
         let load = &self.loads[engine];
-        match load.gap {
-            Some(gap) => load.backlog + part + self.pass(engine) <= gap.mul_f64(PAUSE_PART),
+        match load.inter_token_target {
+            Some(gap) => load.prefill_backlog + part + self.pass(engine) <= gap.mul_f64(PAUSE_PART),
             None => true,
         }
     }
@@ -409,8 +415,8 @@
     /// reads in its next pass.
     fn bears_in_pass(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        let pass = load.next + self.read + self.pass(engine);
-        load.gap.is_none_or(|gap| pass <= gap.mul_f64(PAUSE_PART))
+        let pass = load.next_iteration_prefill + self.read + self.pass(engine);
+        load.inter_token_target.is_none_or(|gap| pass <= gap.mul_f64(PAUSE_PART))
     }
 
     fn plan(&self, engines: &[usize], part: Duration) -> Option<Plan> {
@@ -418,11 +424,11 @@
         let first = memory.first().map(|(engine, _)| *engine)?;
         let last = engines.iter().map(|&engine| self.first_token(engine, part)).max()?;
         Some(Plan {
-            first,
+            primary: first,
             helpers: engines.iter().copied().filter(|&engine| engine != first).collect(),
-            memory: if memory.len() > 1 { memory } else { Vec::new() },
-            part,
-            first_token: last,
+            kv_reservations: if memory.len() > 1 { memory } else { Vec::new() },
+            chunk_time: part,
+            time_to_first_token: last,
         })
     }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -16,7 +16,7 @@
 
 /// A prompt's turn among those that wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
+pub enum Priority {
     /// A short prompt, by the time at which its first token is due.
     Short(Instant),
     /// A long prompt, by the time that one engine takes to read it.
@@ -27,16 +27,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ahead {
     /// Long prompts, by the time that one engine takes to read them.
-    pub read: Duration,
+    pub prefill_time: Duration,
     /// Short prompts, each of which needs a slot.
-    pub short: u32,
+    pub short_prompts: u32,
 }
 
 /// A prompt that waits.
 #[derive(Clone, Debug)]
 struct Entry<K, T> {
     key: K,
-    turn: Turn,
+    turn: Priority,
     since: Instant,
     asked: Instant,
     item: T,
@@ -58,7 +58,7 @@
 impl<K: Clone + PartialEq, T: Clone> Queue<K, T> {
     /// Puts a prompt into the queue, or takes anew what is asked for again. Whether
     /// there was room.
-    pub fn put(&mut self, now: Instant, key: K, turn: Turn, item: T) -> bool {
+    pub fn insert_or_refresh(&mut self, now: Instant, key: K, turn: Priority, item: T) -> bool {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.key == key) {
             entry.asked = now;
             entry.item = item;
@@ -85,18 +85,18 @@
     }
 
     /// What chooses before a prompt with this turn.
-    pub fn ahead(&self, key: &K, turn: Turn) -> Ahead {
+    pub fn ahead_of(&self, key: &K, turn: Priority) -> Ahead {
         let before = self.entries.iter().take_while(|entry| entry.turn < turn);
         let others = before.filter(|entry| entry.key != *key);
         others.fold(Ahead::default(), |ahead, entry| match entry.turn {
-            Turn::Short(_) => Ahead { short: ahead.short + 1, ..ahead },
-            Turn::Long(read) => Ahead { read: ahead.read + read, ..ahead },
+            Priority::Short(_) => Ahead { short_prompts: ahead.short_prompts + 1, ..ahead },
+            Priority::Long(read) => Ahead { prefill_time: ahead.prefill_time + read, ..ahead },
         })
     }
 
     /// Whether a short prompt waits.
     pub fn has_short(&self) -> bool {
-        self.entries.first().is_some_and(|entry| matches!(entry.turn, Turn::Short(_)))
+        self.entries.first().is_some_and(|entry| matches!(entry.turn, Priority::Short(_)))
     }
 
     /// The prompts in the order in which they choose.
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -39,12 +39,12 @@
 /// # Errors
 ///
 /// All are full; the time after which there is room.
-pub fn choose(candidates: &[Candidate<'_>], usual: Duration) -> Result<usize, Duration> {
+pub fn choose_replica(candidates: &[Candidate<'_>], usual: Duration) -> Result<usize, Duration> {
     let rank = |&place: &usize| {
         let candidate = &candidates[place];
         let load = candidate.load;
         let busy = load.requests * 1_000 / candidate.slots.max(1);
-        (candidate.wait(usual) + load.penalty, busy, !load.near, load.preference)
+        (candidate.wait(usual) + load.penalty, busy, !load.is_same_zone, load.preference)
     };
     let open = (0..candidates.len()).filter(|&place| !candidates[place].is_full());
     open.min_by_key(rank).ok_or(usual * (WAITING - 1))
--- a/crates/policy/src/survey.rs
+++ b/crates/policy/src/survey.rs
@@ -16,33 +16,33 @@
     /// Those that have nothing to read.
     pub idle: u32,
     /// Those without short streams.
-    pub clear: u32,
+    pub without_short: u32,
     /// Those that failed lately.
     pub penalized: u32,
     /// What all of them have still to read, added up.
-    pub unread: Duration,
+    pub prefill_backlog: Duration,
     /// Long prompts that wait and come first, by the time that one engine takes to
     /// read them.
-    pub ahead: Duration,
+    pub ahead_prefill_time: Duration,
     /// Short prompts that wait and come first.
-    pub ahead_short: u32,
+    pub ahead_short_prompts: u32,
 }
 
 impl Survey {
     /// Counts the engines that a prompt meets behind others that wait.
-    pub fn read(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
+    pub fn new(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
         let slots = profile.map_or(u32::MAX, |profile| profile.slots);
         let count =
             |is: fn(&Load, u32) -> bool| loads.iter().filter(|load| is(load, slots)).count() as u32;
         Self {
             engines: loads.len() as u32,
             full: count(|load, slots| load.requests >= slots),
-            idle: count(|load, _| load.backlog <= IDLE),
-            clear: count(|load, _| load.short == 0),
+            idle: count(|load, _| load.prefill_backlog <= IDLE),
+            without_short: count(|load, _| load.short_requests == 0),
             penalized: count(|load, _| !load.penalty.is_zero()),
-            unread: loads.iter().map(|load| load.backlog).sum(),
-            ahead: ahead.read,
-            ahead_short: ahead.short,
+            prefill_backlog: loads.iter().map(|load| load.prefill_backlog).sum(),
+            ahead_prefill_time: ahead.prefill_time,
+            ahead_short_prompts: ahead.short_prompts,
         }
     }
 }
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -110,7 +110,7 @@
         let context: u64 = state.writers.iter().map(|&w| self.requests[w].prompt.0).sum();
         let writing = match state.writers.is_empty() {
             true => Duration::ZERO,
-            false => self.profile.pass_time(state.writers.len() as u32, Tokens(context)),
+            false => self.profile.iteration_time(state.writers.len() as u32, Tokens(context)),
         };
         // Without writers a pass is one chunk, so that a newer part comes next;
         // the newest part read whole is close enough to that.
@@ -138,7 +138,7 @@
             Some(_) => request.longest_pause = request.longest_pause.max(at - request.last),
         }
         request.last = at;
-        request.written += u64::from(self.profile.stride);
+        request.written += u64::from(self.profile.steps_per_iteration);
         if request.written >= request.answer.0 {
             request.done = true;
             self.engines[engine].writers.retain(|&other| other != writer);
@@ -164,11 +164,12 @@
             let Some((first, helpers, _)) = &request.placed else { continue };
             let load = &mut loads[*first];
             load.requests += 1;
-            load.gap = load.gap.into_iter().chain([request.gap]).min();
-            load.short += u32::from(request.gap <= Duration::from_millis(250));
-            load.memory += request.prompt + request.answer;
+            load.inter_token_target =
+                load.inter_token_target.into_iter().chain([request.gap]).min();
+            load.short_requests += u32::from(request.gap <= Duration::from_millis(250));
+            load.kv_used += request.prompt + request.answer;
             if request.unread > 0 {
-                helpers.iter().for_each(|&helper| loads[helper].helping += 1);
+                helpers.iter().for_each(|&helper| loads[helper].helper_chunks += 1);
             }
         }
         loads
@@ -190,11 +191,11 @@
             false => running.saturating_sub(Duration::from_millis(60)),
         };
         Load {
-            backlog: parts + reading,
-            begins: parts + running,
-            next: parts,
-            writers: writers.len() as u32,
-            context: writers.iter().map(|&w| self.requests[w].prompt).sum(),
+            prefill_backlog: parts + reading,
+            prefill_start_delay: parts + running,
+            next_iteration_prefill: parts,
+            decoding_streams: writers.len() as u32,
+            decode_context: writers.iter().map(|&w| self.requests[w].prompt).sum(),
             ..Load::default()
         }
     }
--- a/crates/policy/tests/pass.rs
+++ b/crates/policy/tests/pass.rs
@@ -2,7 +2,7 @@
 
 mod profile;
 
-use hickory_policy::pass::{Engine, Read};
+use hickory_policy::pass::{Engine, PendingPrefill};
 use hickory_unit::size::Tokens;
 use profile::profile;
 use std::time::{Duration, Instant};
@@ -11,13 +11,18 @@
     Duration::from_millis(ms)
 }
 
-fn read(placed: Instant, part: u64) -> Read {
-    Read { placed, part: ms(part), writes: true, word: ms(100) }
+fn read(placed: Instant, part: u64) -> PendingPrefill {
+    PendingPrefill {
+        placed_at: placed,
+        chunk_time: ms(part),
+        is_primary: true,
+        notification_delay: ms(100),
+    }
 }
 
 /// A stride of an engine with these writers.
 fn stride(writers: u32) -> Duration {
-    profile().pass_time(writers, Tokens(0))
+    profile().iteration_time(writers, Tokens(0))
 }
 
 fn is_near(time: Duration, wanted: Duration) -> bool {
@@ -33,11 +38,16 @@
     let ended = Instant::now();
     let now = ended + ms(35);
     let reads = (1..=6).map(|at| read(ended + ms(at * 5), 30)).collect();
-    let mut engine = Engine { reads, writers: 4, ended: Some(ended), ..Engine::default() };
+    let mut engine = Engine {
+        pending_prefills: reads,
+        decoding_streams: 4,
+        last_iteration_end: Some(ended),
+        ..Engine::default()
+    };
     let backlog = engine.backlog(now, &profile());
     let wanted = stride(4) - ms(35) + ms(180);
-    assert!(is_near(backlog.begins, wanted), "{backlog:?}, wanted {wanted:?}");
-    assert!(backlog.unread >= ms(180), "{backlog:?}");
+    assert!(is_near(backlog.prefill_start_delay, wanted), "{backlog:?}, wanted {wanted:?}");
+    assert!(backlog.prefill_left >= ms(180), "{backlog:?}");
 }
 
 /// In the pass after, all of them are being read, and a further prompt waits
@@ -47,19 +57,27 @@
     let ended = Instant::now();
     let now = ended + stride(4) + ms(100);
     let reads = (1..=6).map(|at| read(ended + ms(at * 5), 30)).collect();
-    let mut engine = Engine { reads, writers: 4, ended: Some(ended), ..Engine::default() };
+    let mut engine = Engine {
+        pending_prefills: reads,
+        decoding_streams: 4,
+        last_iteration_end: Some(ended),
+        ..Engine::default()
+    };
     let backlog = engine.backlog(now, &profile());
     let wanted = stride(4) + ms(80);
-    assert!(is_near(backlog.begins, wanted), "{backlog:?}, wanted {wanted:?}");
+    assert!(is_near(backlog.prefill_start_delay, wanted), "{backlog:?}, wanted {wanted:?}");
 }
 
 /// Without a word of its passes, an engine that only writes is at any point of
 /// one.
 #[test]
 fn an_engine_that_only_writes_is_half_a_stride_away() {
-    let mut engine = Engine { writers: 4, ..Engine::default() };
+    let mut engine = Engine { decoding_streams: 4, ..Engine::default() };
     let backlog = engine.backlog(Instant::now(), &profile());
-    assert_eq!((backlog.unread, backlog.begins), (Duration::ZERO, stride(4) / 2));
+    assert_eq!(
+        (backlog.prefill_left, backlog.prefill_start_delay),
+        (Duration::ZERO, stride(4) / 2)
+    );
 }
 
 /// Long prompts wait while engines idle. Their parts are read, but the word of
@@ -70,9 +88,12 @@
 fn an_engine_that_should_be_done_is_idle_until_the_word_is_overdue() {
     let now = Instant::now() + ms(1_000);
     let unread = |ago: u64, writers: u32| {
-        let mut engine =
-            Engine { reads: vec![read(now - ms(ago), 250)], writers, ..Engine::default() };
-        engine.backlog(now, &profile()).unread
+        let mut engine = Engine {
+            pending_prefills: vec![read(now - ms(ago), 250)],
+            decoding_streams: writers,
+            ..Engine::default()
+        };
+        engine.backlog(now, &profile()).prefill_left
     };
     assert_eq!(unread(200, 0), ms(50));
     assert_eq!(unread(260, 0), Duration::ZERO);
@@ -89,15 +110,19 @@
 #[test]
 fn what_must_have_been_read_is_reckoned_as_written() {
     let now = Instant::now() + ms(1_000);
-    let placed = |ago| Read { word: ms(600), ..read(now - ms(ago), 30) };
-    let mut engine = Engine { reads: vec![placed(200), placed(190)], ..Engine::default() };
+    let placed = |ago| PendingPrefill { notification_delay: ms(600), ..read(now - ms(ago), 30) };
+    let mut engine =
+        Engine { pending_prefills: vec![placed(200), placed(190)], ..Engine::default() };
     let backlog = engine.backlog(now, &profile());
-    assert_eq!((backlog.writers, backlog.unread), (2, Duration::ZERO));
+    assert_eq!((backlog.decoding_streams, backlog.prefill_left), (2, Duration::ZERO));
     // Read until 170 ms ago with the first one's stride between, it strides since.
-    assert!(backlog.begins > Duration::ZERO && backlog.begins <= stride(2), "{backlog:?}");
-    let helps = Read { writes: false, ..placed(200) };
-    let mut engine = Engine { reads: vec![helps], ..Engine::default() };
-    assert_eq!(engine.backlog(now, &profile()).writers, 0, "another engine writes");
+    assert!(
+        backlog.prefill_start_delay > Duration::ZERO && backlog.prefill_start_delay <= stride(2),
+        "{backlog:?}"
+    );
+    let helps = PendingPrefill { is_primary: false, ..placed(200) };
+    let mut engine = Engine { pending_prefills: vec![helps], ..Engine::default() };
+    assert_eq!(engine.backlog(now, &profile()).decoding_streams, 0, "another engine writes");
 }
 
 /// Callers who come to an idle engine one after the other are promised 40 and 67 ms
@@ -107,8 +132,8 @@
 fn prompts_that_are_read_before_are_written_beside_a_further_one() {
     let now = Instant::now();
     let reads = vec![read(now, 10), read(now + ms(1), 30), read(now + ms(2), 30)];
-    let mut engine = Engine { reads, ..Engine::default() };
+    let mut engine = Engine { pending_prefills: reads, ..Engine::default() };
     let backlog = engine.backlog(now + ms(3), &profile());
-    assert_eq!(backlog.writers, 3, "{backlog:?}");
-    assert!(is_near(backlog.next, ms(60)), "{backlog:?}");
+    assert_eq!(backlog.decoding_streams, 3, "{backlog:?}");
+    assert!(is_near(backlog.next_iteration_prefill, ms(60)), "{backlog:?}");
 }
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -70,29 +70,43 @@
 fn load(backlog: u64, short: u32) -> Load {
     let gap = (short > 0).then(|| ms(250));
     let begins = ms(backlog);
-    Load { backlog: begins, begins, requests: short, short, writers: short, gap, ..Load::default() }
+    Load {
+        prefill_backlog: begins,
+        prefill_start_delay: begins,
+        requests: short,
+        short_requests: short,
+        decoding_streams: short,
+        inter_token_target: gap,
+        ..Load::default()
+    }
 }
 
 fn short_query() -> Query {
     Query {
-        prompt: Tokens(5_000),
-        answer: Tokens(1_600),
-        short: true,
-        goal: ms(300),
-        limit: ms(2_000),
+        prompt_tokens: Tokens(5_000),
+        answer_tokens: Tokens(1_600),
+        is_short: true,
+        goal_left: ms(300),
+        limit_left: ms(2_000),
         ahead: Ahead::default(),
-        usual: ms(2_000),
+        typical_stream_time: ms(2_000),
     }
 }
 
 fn long_query(prompt: u64) -> Query {
     let (goal, limit) = (ms(3_000), ms(12_000));
-    Query { prompt: Tokens(prompt), short: false, goal, limit, ..short_query() }
+    Query {
+        prompt_tokens: Tokens(prompt),
+        is_short: false,
+        goal_left: goal,
+        limit_left: limit,
+        ..short_query()
+    }
 }
 
 fn go(choice: Result<Choice, Refused>) -> Plan {
     match choice {
-        Ok(Choice::Go(plan)) => plan,
+        Ok(Choice::Place(plan)) => plan,
         other => panic!("{other:?}"),
     }
 }
@@ -100,7 +114,7 @@
 #[test]
 fn short_prompts_are_packed_while_they_are_in_time() {
     let loads = [load(0, 0), load(0, 5), load(0, 12), load(400, 11)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 1);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
 /// Guards against engines that short streams lie on one by one, though few of them
@@ -113,7 +127,7 @@
                 |place: u64| Load { preference: (place + 4 - preferred) % 4, ..load(0, short) };
             let loads: Vec<Load> = (0..4).map(engine).collect();
             let plan = go(plan::choose_engines(&short_query(), &profile(), &loads));
-            assert_eq!(plan.first as u64, preferred);
+            assert_eq!(plan.primary as u64, preferred);
         }
     }
 }
@@ -124,23 +138,23 @@
 /// where its own first token would be in time.
 #[test]
 fn short_prompts_keep_off_engines_whose_next_pass_grows_too_long() {
-    let reading = Load { next: ms(170), preference: 0, ..load(0, 5) };
+    let reading = Load { next_iteration_prefill: ms(170), preference: 0, ..load(0, 5) };
     let other = Load { preference: 1, ..load(0, 5) };
     let loads = [reading, other];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 1);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     // With no stream to bear, the preferred one is taken.
-    let loads = [Load { gap: None, ..loads[0].clone() }, loads[1].clone()];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 0);
+    let loads = [Load { inter_token_target: None, ..loads[0].clone() }, loads[1].clone()];
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
 
 #[test]
 fn doubtful_engines_come_last_and_are_used_where_all_are() {
     let doubtful = Load { penalty: ms(300), ..load(0, 5) };
     let loads = [doubtful.clone(), load(0, 0)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 1);
-    let busy = Load { backlog: ms(400), begins: ms(400), ..doubtful.clone() };
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    let busy = Load { prefill_backlog: ms(400), prefill_start_delay: ms(400), ..doubtful.clone() };
     let loads = [busy, doubtful];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 1);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
 /// Ten of sixteen engines lose one answer in forty, and each loss puts its engine
@@ -150,21 +164,21 @@
 fn doubt_weighs_no_more_than_what_a_failure_costs() {
     let doubtful = Load { penalty: ms(300), ..load(0, 0) };
     let loads = [load(1_700, 5), doubtful.clone(), load(1_800, 5)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 1);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     let loads = [load(200, 5), doubtful, load(300, 5)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 0);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
     // One that failed again and again is not tried for less than it costs.
     let dead = Load { penalty: ms(2_400), ..load(0, 0) };
     let loads = [load(1_700, 5), dead];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).first, 0);
+    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
 
 #[test]
 fn long_prompts_keep_off_engines_with_short_streams() {
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 4 { 10 } else { 0 })).collect();
     let plan = go(plan::choose_engines(&long_query(154_000), &profile(), &loads));
-    assert!(plan.helpers.iter().chain([&plan.first]).all(|&engine| engine >= 4), "{plan:?}");
-    assert!(plan.part <= ms(300), "{plan:?}");
+    assert!(plan.helpers.iter().chain([&plan.primary]).all(|&engine| engine >= 4), "{plan:?}");
+    assert!(plan.chunk_time <= ms(300), "{plan:?}");
 }
 
 /// A part that is placed behind another overtakes it at the engine, and the
@@ -189,7 +203,7 @@
     assert!(!matches!(choice, Ok(Choice::Wait(_))), "{choice:?}");
     // What is left of the goal is less than the streams last.
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 15 { 3 } else { 0 })).collect();
-    let query = Query { goal: ms(1_000), ..long_query(200_000) };
+    let query = Query { goal_left: ms(1_000), ..long_query(200_000) };
     let choice = plan::choose_engines(&query, &profile(), &loads);
     assert!(!matches!(choice, Ok(Choice::Wait(_))), "{choice:?}");
 }
@@ -197,7 +211,10 @@
 #[test]
 fn what_cannot_be_in_time_is_refused_with_a_time() {
     let loads: Vec<Load> = (0..16).map(|_| load(2_000, 0)).collect();
-    let query = Query { ahead: Ahead { read: ms(40_000), short: 0 }, ..long_query(300_000) };
+    let query = Query {
+        ahead: Ahead { prefill_time: ms(40_000), short_prompts: 0 },
+        ..long_query(300_000)
+    };
     match plan::choose_engines(&query, &profile(), &loads) {
         Err(Refused::Busy(time)) => assert!(time >= ms(4_000), "{time:?}"),
         other => panic!("{other:?}"),
@@ -208,9 +225,9 @@
 fn a_prompt_greater_than_one_engine_names_memory_on_several() {
     let loads: Vec<Load> = (0..16).map(|_| load(0, 0)).collect();
     let plan = go(plan::choose_engines(&long_query(700_000), &profile(), &loads));
-    let memory: u64 = plan.memory.iter().map(|(_, tokens)| tokens.0).sum();
-    assert_eq!(plan.memory.first().map(|(engine, _)| *engine), Some(plan.first));
-    assert!(memory >= 700_000 && plan.memory.len() >= 3, "{plan:?}");
+    let memory: u64 = plan.kv_reservations.iter().map(|(_, tokens)| tokens.0).sum();
+    assert_eq!(plan.kv_reservations.first().map(|(engine, _)| *engine), Some(plan.primary));
+    assert!(memory >= 700_000 && plan.kv_reservations.len() >= 3, "{plan:?}");
 }
 
 #[test]
@@ -245,14 +262,17 @@
 
 #[test]
 fn a_short_prompt_waits_only_for_a_slot_that_comes_in_time() {
-    let full = || Load { begins: ms(30), requests: 16, ..load(0, 16) };
+    let full = || Load { prefill_start_delay: ms(30), requests: 16, ..load(0, 16) };
     let loads: Vec<Load> = (0..4).map(|_| full()).collect();
     let choose = |query: &Query| plan::choose_engines(query, &profile(), &loads);
-    let behind = |short| Query { ahead: Ahead { short, ..Ahead::default() }, ..short_query() };
+    let behind = |short| Query {
+        ahead: Ahead { short_prompts: short, ..Ahead::default() },
+        ..short_query()
+    };
     assert!(matches!(choose(&behind(0)), Ok(Choice::Wait(_))));
     let late = choose(&behind(30));
     assert!(matches!(late, Err(Refused::Busy(_))), "{late:?}");
     // What is left of its goal is less than its own turn takes.
-    let late = choose(&Query { goal: ms(100), ..behind(0) });
+    let late = choose(&Query { goal_left: ms(100), ..behind(0) });
     assert!(matches!(late, Err(Refused::Busy(_))), "{late:?}");
 }
--- a/crates/policy/tests/profile/mod.rs
+++ b/crates/policy/tests/profile/mod.rs
@@ -8,15 +8,15 @@
 pub fn profile() -> Profile {
     Profile {
         slots: 16,
-        memory: Tokens(315_000),
-        step: Duration::from_micros(850),
-        step_per_stream: Duration::from_nanos(4_250),
-        step_per_kilotoken: Duration::from_nanos(2_850),
-        read_rate: 177_000.0,
-        read_per_megapair: Duration::from_micros(184),
-        stride: 51,
-        hop: Duration::from_micros(50),
-        usual_answer: Tokens(1_600),
+        kv_capacity: Tokens(315_000),
+        base_step_time: Duration::from_micros(850),
+        step_time_per_stream: Duration::from_nanos(4_250),
+        step_time_per_kilotoken: Duration::from_nanos(2_850),
+        prefill_rate: 177_000.0,
+        attention_time_per_megapair: Duration::from_micros(184),
+        steps_per_iteration: 51,
+        remote_kv_step_time: Duration::from_micros(50),
+        mean_answer: Tokens(1_600),
     }
 }
 
@@ -24,15 +24,15 @@
 #[allow(dead_code, reason = "each test binary uses a part")]
 pub fn small() -> Profile {
     Profile {
-        memory: Tokens(232_000),
-        step: Duration::from_micros(1_020),
-        step_per_stream: Duration::from_nanos(2_260),
-        step_per_kilotoken: Duration::from_nanos(4_310),
-        read_rate: 206_000.0,
-        read_per_megapair: Duration::from_micros(138),
-        stride: 43,
-        hop: Duration::from_micros(75),
-        usual_answer: Tokens(1_350),
+        kv_capacity: Tokens(232_000),
+        base_step_time: Duration::from_micros(1_020),
+        step_time_per_stream: Duration::from_nanos(2_260),
+        step_time_per_kilotoken: Duration::from_nanos(4_310),
+        prefill_rate: 206_000.0,
+        attention_time_per_megapair: Duration::from_micros(138),
+        steps_per_iteration: 43,
+        remote_kv_step_time: Duration::from_micros(75),
+        mean_answer: Tokens(1_350),
         ..profile()
     }
 }
@@ -40,5 +40,5 @@
 /// The same reader with fewer slots.
 #[allow(dead_code, reason = "each test binary uses a part")]
 pub fn narrow() -> Profile {
-    Profile { slots: 12, stride: 48, ..small() }
+    Profile { slots: 12, steps_per_iteration: 48, ..small() }
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,6 +1,6 @@
 //! Prompts that wait for engines.
 
-use hickory_policy::queue::{Ahead, Queue, Turn};
+use hickory_policy::queue::{Ahead, Priority, Queue};
 use std::time::{Duration, Instant};
 
 fn ms(ms: u64) -> Duration {
@@ -16,11 +16,17 @@
 fn the_smallest_chooses_first() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     for (key, read) in [("large", 900), ("small", 100), ("other", 400), ("later", 400)] {
-        assert!(queue.put(now, key, Turn::Long(ms(read)), 0));
+        assert!(queue.insert_or_refresh(now, key, Priority::Long(ms(read)), 0));
     }
     assert_eq!(names(&queue), ["small", "other", "later", "large"]);
-    assert_eq!(queue.ahead(&"large", Turn::Long(ms(900))), Ahead { read: ms(900), short: 0 });
-    assert_eq!(queue.ahead(&"other", Turn::Long(ms(400))), Ahead { read: ms(100), short: 0 });
+    assert_eq!(
+        queue.ahead_of(&"large", Priority::Long(ms(900))),
+        Ahead { prefill_time: ms(900), short_prompts: 0 }
+    );
+    assert_eq!(
+        queue.ahead_of(&"other", Priority::Long(ms(400))),
+        Ahead { prefill_time: ms(100), short_prompts: 0 }
+    );
     assert_eq!(queue.remove(now + ms(30), &"small"), Some(ms(30)));
     assert_eq!(queue.remove(now, &"small"), None);
 }
@@ -30,15 +36,15 @@
 #[test]
 fn short_prompts_choose_first_by_their_due_time() {
     let (mut queue, now) = (Queue::default(), Instant::now());
-    queue.put(now, "long", Turn::Long(ms(400)), 0);
+    queue.insert_or_refresh(now, "long", Priority::Long(ms(400)), 0);
     for (key, due) in [("third", 290), ("first", 100), ("second", 200)] {
-        assert!(queue.put(now, key, Turn::Short(now + ms(due)), 0));
+        assert!(queue.insert_or_refresh(now, key, Priority::Short(now + ms(due)), 0));
     }
     assert_eq!(names(&queue), ["first", "second", "third", "long"]);
-    let third = queue.ahead(&"third", Turn::Short(now + ms(290)));
-    assert_eq!(third, Ahead { read: Duration::ZERO, short: 2 });
-    let longer = queue.ahead(&"longer", Turn::Long(ms(500)));
-    assert_eq!(longer, Ahead { read: ms(400), short: 3 });
+    let third = queue.ahead_of(&"third", Priority::Short(now + ms(290)));
+    assert_eq!(third, Ahead { prefill_time: Duration::ZERO, short_prompts: 2 });
+    let longer = queue.ahead_of(&"longer", Priority::Long(ms(500)));
+    assert_eq!(longer, Ahead { prefill_time: ms(400), short_prompts: 3 });
     assert!(queue.has_short());
     for key in ["first", "second", "third"] {
         queue.remove(now, &key);
@@ -50,9 +56,9 @@
 #[test]
 fn what_is_not_asked_for_again_is_dropped() {
     let (mut queue, now) = (Queue::default(), Instant::now());
-    queue.put(now, "left", Turn::Long(ms(100)), 1);
-    queue.put(now, "kept", Turn::Long(ms(200)), 1);
-    queue.put(now + ms(800), "kept", Turn::Long(ms(200)), 2);
+    queue.insert_or_refresh(now, "left", Priority::Long(ms(100)), 1);
+    queue.insert_or_refresh(now, "kept", Priority::Long(ms(200)), 1);
+    queue.insert_or_refresh(now + ms(800), "kept", Priority::Long(ms(200)), 2);
     queue.expire(now + ms(1_100));
     assert_eq!(queue.in_order(), [("kept", 2)]);
     assert_eq!(queue.len(), 1);
@@ -62,7 +68,12 @@
 #[test]
 fn a_full_queue_takes_no_more() {
     let (mut queue, now) = (Queue::default(), Instant::now());
-    let taken = (0..5_000).filter(|key| queue.put(now, *key, Turn::Long(ms(100)), ())).count();
+    let taken = (0..5_000)
+        .filter(|key| queue.insert_or_refresh(now, *key, Priority::Long(ms(100)), ()))
+        .count();
     assert!((100..5_000).contains(&taken), "{taken}");
-    assert!(queue.put(now, 0, Turn::Long(ms(100)), ()), "what waits already is asked for again");
+    assert!(
+        queue.insert_or_refresh(now, 0, Priority::Long(ms(100)), ()),
+        "what waits already is asked for again"
+    );
 }
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -74,8 +74,8 @@
         fleet.run(now);
         for request in waiting(&fleet, now) {
             match chooser(&fleet, request, now) {
-                Ok(Choice::Go(plan)) => {
-                    fleet.place(request, plan.first, &plan.helpers, plan.part, now)
+                Ok(Choice::Place(plan)) => {
+                    fleet.place(request, plan.primary, &plan.helpers, plan.chunk_time, now)
                 }
                 Ok(Choice::Wait(_)) => {}
                 Err(_) => fleet.requests[request].refused = true,
@@ -106,26 +106,26 @@
 /// What a request asks of the plan.
 fn query(fleet: &Fleet, request: usize, now: Duration) -> Query {
     let r = &fleet.requests[request];
-    let read = fleet.profile.read_time(r.prompt);
+    let read = fleet.profile.prefill_time(r.prompt);
     let waiting = fleet
         .requests
         .iter()
         .filter(|other| other.arrival <= now && other.placed.is_none() && !other.refused);
     let is_short = |r: &Request| plan::is_short(&fleet.profile, r.prompt, r.goal);
     let (short, long): (Vec<&Request>, Vec<&Request>) = waiting.partition(|other| is_short(other));
-    let reads = long.iter().map(|other| fleet.profile.read_time(other.prompt));
+    let reads = long.iter().map(|other| fleet.profile.prefill_time(other.prompt));
     let before = short.iter().filter(|other| other.arrival < r.arrival);
     Query {
-        prompt: r.prompt,
-        answer: r.answer,
-        short: is_short(r),
-        goal: (r.arrival + r.goal).saturating_sub(now),
-        limit: (r.arrival + r.goal * 4).saturating_sub(now),
+        prompt_tokens: r.prompt,
+        answer_tokens: r.answer,
+        is_short: is_short(r),
+        goal_left: (r.arrival + r.goal).saturating_sub(now),
+        limit_left: (r.arrival + r.goal * 4).saturating_sub(now),
         ahead: Ahead {
-            read: reads.filter(|other| *other < read).sum(),
-            short: before.count() as u32,
+            prefill_time: reads.filter(|other| *other < read).sum(),
+            short_prompts: before.count() as u32,
         },
-        usual: usual_stream(fleet),
+        typical_stream_time: usual_stream(fleet),
     }
 }
 
@@ -151,7 +151,7 @@
 pub fn choose_refusing(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
     let query = query(fleet, request, now);
     match plan::choose_engines(&query, &fleet.profile, &fleet.loads(now)) {
-        Ok(Choice::Wait(time)) if query.short => Err(Refused::Busy(time)),
+        Ok(Choice::Wait(time)) if query.is_short => Err(Refused::Busy(time)),
         choice => choice,
     }
 }
@@ -159,7 +159,7 @@
 /// Each prompt whole to the engine with the least to read.
 pub fn choose_least(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
     let loads = fleet.loads(now);
-    let first = (0..loads.len()).min_by_key(|&i| (loads[i].backlog, loads[i].requests));
+    let first = (0..loads.len()).min_by_key(|&i| (loads[i].prefill_backlog, loads[i].requests));
     Ok(whole(fleet, request, first.unwrap_or_default()))
 }
 
@@ -169,7 +169,13 @@
 }
 
 fn whole(fleet: &Fleet, request: usize, first: usize) -> Choice {
-    let part = fleet.profile.read_time(fleet.requests[request].prompt);
+    let part = fleet.profile.prefill_time(fleet.requests[request].prompt);
     let (helpers, memory) = (Vec::new(), Vec::new());
-    Choice::Go(Plan { first, helpers, memory, part, first_token: part })
+    Choice::Place(Plan {
+        primary: first,
+        helpers,
+        kv_reservations: memory,
+        chunk_time: part,
+        time_to_first_token: part,
+    })
 }
--- a/crates/policy/tests/replica.rs
+++ b/crates/policy/tests/replica.rs
@@ -1,7 +1,7 @@
 //! The replica of a plain service that a request is sent to.
 
 use hickory_policy::plan::Load;
-use hickory_policy::replica::{Candidate, choose};
+use hickory_policy::replica::{Candidate, choose_replica};
 use std::time::Duration;
 
 const SLOTS: u32 = 6;
@@ -13,7 +13,7 @@
 fn pick(loads: &[Load]) -> Result<usize, Duration> {
     let candidates: Vec<Candidate<'_>> =
         loads.iter().map(|load| Candidate { load, slots: SLOTS }).collect();
-    choose(&candidates, ms(60))
+    choose_replica(&candidates, ms(60))
 }
 
 fn load(requests: u32, penalty: u64) -> Load {
@@ -23,7 +23,7 @@
 #[test]
 fn the_replica_with_the_most_free_slots_is_taken() {
     assert_eq!(pick(&[load(3, 0), load(1, 0), load(2, 0)]), Ok(1));
-    let near = Load { near: true, ..load(2, 0) };
+    let near = Load { is_same_zone: true, ..load(2, 0) };
     assert_eq!(pick(&[load(2, 0), near, load(3, 0)]), Ok(1), "the nearer of two alike");
 }
 
--- a/crates/policy/tests/resume.rs
+++ b/crates/policy/tests/resume.rs
@@ -15,13 +15,13 @@
 
 fn query(prompt: u64, goal: Duration) -> Query {
     Query {
-        prompt: Tokens(prompt),
-        answer: Tokens(1_600),
-        short: prompt < 10_000,
-        goal,
-        limit: ms(8_000),
+        prompt_tokens: Tokens(prompt),
+        answer_tokens: Tokens(1_600),
+        is_short: prompt < 10_000,
+        goal_left: goal,
+        limit_left: ms(8_000),
         ahead: Ahead::default(),
-        usual: ms(2_000),
+        typical_stream_time: ms(2_000),
     }
 }
 
@@ -32,8 +32,13 @@
     let profile = profile();
     let now = Instant::now();
     let due = |gap| resume::due(now, Some(gap), now + ms(8_000)) - now;
-    let full = Load { begins: ms(60), requests: profile.slots, ..Load::default() };
-    let reading = Load { backlog: ms(400), begins: ms(400), requests: 1, ..Load::default() };
+    let full = Load { prefill_start_delay: ms(60), requests: profile.slots, ..Load::default() };
+    let reading = Load {
+        prefill_backlog: ms(400),
+        prefill_start_delay: ms(400),
+        requests: 1,
+        ..Load::default()
+    };
     for (prompt, gap, load) in [(5_000, ms(250), full), (154_000, ms(1_000), reading)] {
         let loads = vec![load; 8];
         let choose = |goal| plan::choose_engines(&query(prompt, goal), &profile, &loads);
--- a/crates/policy/tests/survey.rs
+++ b/crates/policy/tests/survey.rs
@@ -17,21 +17,26 @@
 #[test]
 fn engines_are_counted_by_what_keeps_a_prompt_off_them() {
     let idle = Load::default();
-    let reading = Load { backlog: ms(400), ..Load::default() };
-    let short = Load { short: 3, requests: 3, ..Load::default() };
-    let full = Load { short: 16, requests: 16, backlog: ms(40), ..Load::default() };
+    let reading = Load { prefill_backlog: ms(400), ..Load::default() };
+    let short = Load { short_requests: 3, requests: 3, ..Load::default() };
+    let full =
+        Load { short_requests: 16, requests: 16, prefill_backlog: ms(40), ..Load::default() };
     let penalized = Load { penalty: ms(300), ..Load::default() };
     let loads = [idle, reading, short, full, penalized];
-    let survey = Survey::read(Some(&profile::profile()), &loads, Ahead { read: ms(700), short: 2 });
+    let survey = Survey::new(
+        Some(&profile::profile()),
+        &loads,
+        Ahead { prefill_time: ms(700), short_prompts: 2 },
+    );
     let expected = Survey {
         engines: 5,
         full: 1,
         idle: 3,
-        clear: 3,
+        without_short: 3,
         penalized: 1,
-        unread: ms(440),
-        ahead: ms(700),
-        ahead_short: 2,
+        prefill_backlog: ms(440),
+        ahead_prefill_time: ms(700),
+        ahead_short_prompts: 2,
     };
     assert_eq!(survey, expected);
 }
@@ -39,5 +44,5 @@
 #[test]
 fn replicas_of_plain_services_are_never_full_by_an_engine_s_slots() {
     let load = Load { requests: 40, ..Load::default() };
-    assert_eq!(Survey::read(None, &[load], Ahead::default()).full, 0);
+    assert_eq!(Survey::new(None, &[load], Ahead::default()).full, 0);
 }
