--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -16,7 +16,7 @@
 use hickory_policy::cost::Cost;
 use hickory_policy::place::Candidate;
 use hickory_policy::refuse::{Reason, Refusal};
-use hickory_policy::reserve::{Impossible, Part, Reservation, Step, back_off, plan_parts};
+use hickory_policy::reserve::{Impossible, Part, Reservation, Step, backoff, plan_parts};
 use hickory_target::Error;
 use hickory_target::engine::{Engines, Event, Generate, Handle, Priority};
 use hickory_unit::size::BYTES_PER_TOKEN;
@@ -71,7 +71,7 @@
             let candidates = find_candidates(self.core, self.completion)
                 .ok_or_else(|| refuse(Reason::NoTarget, "no engine takes work at present"))?;
             let left = self.completion.deadline.saturating_duration_since(self.core.now());
-            let pause = back_off(round, rand::random());
+            let pause = backoff(round, rand::random());
             match plan_parts(self.completion.cost, left, &candidates) {
                 Ok(parts) => {
                     if let Some(held) = self.reserve(parts, &candidates).await {
@@ -106,7 +106,7 @@
                         return None;
                     }
                 }
-                Step::Held(held) => {
+                Step::Complete(held) => {
                     let parts = held.into_iter().filter_map(|(part, _)| {
                         let leave = leaves.remove(&part.index)?;
                         Some(Held { part, leave })
@@ -176,7 +176,7 @@
 
 /// What a part's engine gets to prefill: the prompt up to the part's end.
 fn cut_prompt<'a>(prompt: &'a str, part: &Part) -> &'a str {
-    let end = (part.from + part.cost.prefill).0.saturating_mul(BYTES_PER_TOKEN);
+    let end = (part.prompt_offset + part.cost.prefill).0.saturating_mul(BYTES_PER_TOKEN);
     let mut end = usize::try_from(end).unwrap_or(usize::MAX).min(prompt.len());
     while !prompt.is_char_boundary(end) {
         end -= 1;
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -6,7 +6,9 @@
 use crate::table;
 use crate::view::{Need, View};
 use hickory_policy::cost::{Class, Cost};
-use hickory_policy::place::{ASKS_AT_ONCE, Prefix, Query, asks_at_once, choose_target, counts};
+use hickory_policy::place::{
+    MAX_IMMEDIATE_ASKS, Prefix, Query, choose_target, counts_as_ask, wants_immediate_answer,
+};
 use hickory_policy::refuse::{Reason, Refusal, Retry};
 use hickory_target::engine;
 use hickory_unit::clock::Clock;
@@ -147,7 +149,7 @@
     let mut asked = 0;
     while asked < ASKS_MAX {
         // Who was asked for an answer at once may queue the ask now.
-        if asked >= ASKS_AT_ONCE {
+        if asked >= MAX_IMMEDIATE_ASKS {
             full.clear();
         }
         let left_out: Vec<id::Target> = tried.iter().chain(&full).cloned().collect();
@@ -162,8 +164,8 @@
         View::refresh_own(&mut candidates, &core.table.states());
         let Some(best) = choose_target(&query_of(want), &candidates) else { break };
         let target = best.target.clone();
-        let at_once = !want.alone && asks_at_once(want.cost, asked, candidates.len());
-        let expected = hickory_policy::place::estimate_first_token(want.cost, best);
+        let at_once = !want.alone && wants_immediate_answer(want.cost, asked, candidates.len());
+        let expected = hickory_policy::place::estimate_time_to_first_token(want.cost, best);
         // Counted from the ask on: what waits at an owner is not told yet, and
         // a whole burst would join the queue of one and the same target.
         core.view.note_sent(now, &target, want.cost);
@@ -185,7 +187,7 @@
             }
             Err(Some(refused)) => {
                 core.metrics.retried(Retry::QueueLong);
-                let is_full = counts(refused.reason);
+                let is_full = counts_as_ask(refused.reason);
                 asked += usize::from(is_full);
                 if at_once && is_full {
                     full.push(target);
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -232,11 +232,11 @@
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
             let Some(candidate) = found else { continue };
-            candidate.own = true;
+            candidate.is_owned = true;
             candidate.queued_long = state.queued_long;
             candidate.queued_prefill = state.queued_prefill;
             candidate.kv_free = state.kv_free;
-            candidate.bound = state.bound;
+            candidate.max_streams = state.bound;
             candidate.running = state.running;
             candidate.waiting = state.waiting;
         }
@@ -263,16 +263,16 @@
         };
         (fits && state.accepting && is_heard(&seen.owner)).then(|| Candidate {
             target: host.target.clone(),
-            key: seen.key,
-            near: host.zone == self.zone,
-            own: false,
-            cached: state.prefixes.contains(&prefix),
+            hash: seen.key,
+            is_same_zone: host.zone == self.zone,
+            is_owned: false,
+            has_cached_prefix: state.prefixes.contains(&prefix),
             queued_long: state.queued_long,
             queued_prefill: state.queued_prefill + seen.sent,
             kv_free: state.kv_free.saturating_sub(seen.sent),
             kv_capacity: state.kv_capacity,
             prefill_rate: state.prefill_rate,
-            bound: state.bound,
+            max_streams: state.bound,
             running: state.running + seen.sent_count,
             waiting: state.waiting,
         })
--- a/crates/policy/benches/common/mod.rs
+++ b/crates/policy/benches/common/mod.rs
@@ -26,17 +26,17 @@
         let target = id::Target::from(format!("engine-{index}").as_str());
         let random = number(index);
         Candidate {
-            key: hash_target(&target),
+            hash: hash_target(&target),
             target,
-            near: random.is_multiple_of(8),
-            own: false,
-            cached: random.is_multiple_of(31),
+            is_same_zone: random.is_multiple_of(8),
+            is_owned: false,
+            has_cached_prefix: random.is_multiple_of(31),
             queued_prefill: size::Tokens(random % 9_000),
             queued_long: size::Tokens(if random.is_multiple_of(5) { random % 3_000 } else { 0 }),
             kv_free: size::Tokens(random % 450_000),
             kv_capacity: size::Tokens(450_000),
             prefill_rate: 40_000,
-            bound: 64,
+            max_streams: 64,
             running: (random % 70) as u32,
             waiting: (random % 3) as u32,
         }
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -15,7 +15,7 @@
     criterion.bench_function("place among 630 replicas", |bencher| {
         bencher.iter(|| {
             index += 1;
-            black_box(choose_target(&query(index), &candidates).map(|c| c.key))
+            black_box(choose_target(&query(index), &candidates).map(|c| c.hash))
         });
     });
 }
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -22,7 +22,7 @@
         let query = query(index);
         let wanted = ask(now, &query);
         let began = Instant::now();
-        black_box(choose_target(&query, &candidates).map(|c| c.key));
+        black_box(choose_target(&query, &candidates).map(|c| c.hash));
         let chosen = began.elapsed();
         let answer = limiter.ask(now, wanted);
         let answered = began.elapsed();
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -221,17 +221,17 @@
     fn candidate(&self, target: &Target<L>) -> (Candidate, bool) {
         let state = target.limit.state();
         let candidate = Candidate {
-            key: hash_target(&target.id),
+            hash: hash_target(&target.id),
             target: target.id.clone(),
-            near: true,
-            own: false,
-            cached: false,
+            is_same_zone: true,
+            is_owned: false,
+            has_cached_prefix: false,
             queued_prefill: state.queued_prefill,
             queued_long: state.queued_long,
             kv_free: self.options.kv_capacity.saturating_sub(state.kv_used),
             kv_capacity: self.options.kv_capacity,
             prefill_rate: state.prefill_rate.unwrap_or(self.options.prefill_rate),
-            bound: state.bound,
+            max_streams: state.bound,
             running: state.running,
             waiting: state.waiting,
         };
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -6,7 +6,9 @@
 use hickory_model::job::Job;
 use hickory_policy::baseline::{Limit, Place};
 use hickory_policy::limit::{Answer, Ask, Ticket};
-use hickory_policy::place::{ASKS_AT_ONCE, Candidate, Query, asks_at_once, counts};
+use hickory_policy::place::{
+    Candidate, MAX_IMMEDIATE_ASKS, Query, counts_as_ask, wants_immediate_answer,
+};
 use hickory_policy::refuse::Reason;
 use hickory_target::engine::Priority;
 use std::time::Duration;
@@ -37,7 +39,7 @@
         let (mut asked, mut full) = (0, Vec::new());
         while asked < ASKS {
             // Who was asked for an answer at once may queue the ask now.
-            if asked >= ASKS_AT_ONCE {
+            if asked >= MAX_IMMEDIATE_ASKS {
                 full.clear();
             }
             let Some((target, at_once)) = self.choose(index, asked, &full) else { break };
@@ -58,8 +60,8 @@
                 }
                 Answer::Refused(why, _) => {
                     reason = why;
-                    asked += usize::from(counts(why));
-                    let list = if at_once && counts(why) {
+                    asked += usize::from(counts_as_ask(why));
+                    let list = if at_once && counts_as_ask(why) {
                         &mut full
                     } else {
                         &mut self.flights[index].tried
@@ -91,7 +93,7 @@
         }
         view.kv_free = view.kv_free.saturating_sub(request.cost.kv());
         view.running += 1;
-        Some((chosen, asks_at_once(request.cost, ask, able.len())))
+        Some((chosen, wants_immediate_answer(request.cost, ask, able.len())))
     }
 
     fn ask_of(&self, index: usize) -> Ask {
--- a/crates/policy/src/ask.rs
+++ b/crates/policy/src/ask.rs
@@ -40,14 +40,14 @@
 impl Ask {
     /// The lane that the ask waits in.
     pub fn lane(&self) -> Lane {
-        Lane { class: self.class, long: self.cost.is_long() }
+        Lane { class: self.class, is_long: self.cost.is_long() }
     }
 }
 
 /// The priority at which an engine is to run the work of a lane: short before
 /// long, interactive before batch.
 pub fn priority_of(lane: Lane) -> u8 {
-    let short = if lane.long { 0 } else { 2 };
+    let short = if lane.is_long { 0 } else { 2 };
     short + u8::from(lane.class == Class::Interactive)
 }
 
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -113,7 +113,7 @@
 impl Place for Estimate {
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize> {
         let chosen = choose_target(query, candidates)?;
-        candidates.iter().position(|c| c.key == chosen.key)
+        candidates.iter().position(|c| c.hash == chosen.hash)
     }
 }
 
@@ -302,7 +302,7 @@
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize> {
         let able = candidates.iter().enumerate();
         let able = able.filter(|(_, c)| c.kv_capacity >= query.cost.kv());
-        let least = able.min_by_key(|(_, c)| (c.running + c.waiting, c.key ^ query.random));
+        let least = able.min_by_key(|(_, c)| (c.running + c.waiting, c.hash ^ query.random));
         least.map(|(index, _)| index)
     }
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -24,7 +24,7 @@
 /// How long a batch ask may be overtaken by interactive asks of its own
 /// account. Long enough that a burst at the counter goes first, short enough
 /// that reports arrive.
-pub const BATCH_AGE: Duration = Duration::from_secs(10);
+pub const MAX_BATCH_OVERTAKING: Duration = Duration::from_secs(10);
 
 /// The weight of a flow that has none set, and the least weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -110,7 +110,7 @@
         let index = lane.index();
         owner.accounts.enter(&mut entry.flow, account, index);
         self.level.enter(&mut owner.flow, entry.partner, index);
-        let size = usize::from(lane.long);
+        let size = usize::from(lane.is_long);
         entry.flow.queued_work[size] += work;
         owner.flow.queued_work[size] += work;
         entry.queues[index].insert(ticket);
@@ -123,13 +123,15 @@
         let lanes = lanes.of_size(long);
         let (account, _) = self.partners[partner as usize].accounts.first(lanes)?;
         let head = |class| {
-            let lane = Lane { class, long };
+            let lane = Lane { class, is_long: long };
             let queue = &self.accounts[account as usize].queues[lane.index()];
             lanes.contains(lane).then(|| queue.first().map(|&ticket| (ticket, lane))).flatten()
         };
         let batch = head(Class::Batch);
         let overdue = |(ticket, _): &(u64, Lane)| {
-            self.items.get(ticket).is_some_and(|i| now.duration_since(i.since) >= BATCH_AGE)
+            self.items
+                .get(ticket)
+                .is_some_and(|i| now.duration_since(i.since) >= MAX_BATCH_OVERTAKING)
         };
         batch.filter(overdue).or_else(|| head(Class::Interactive)).or(batch)
     }
@@ -139,8 +141,8 @@
         let Some(item) = self.items.get(&ticket).copied() else { return false };
         let entry = &mut self.accounts[item.account as usize];
         let owner = &mut self.partners[entry.partner as usize];
-        owner.accounts.charge(&mut entry.flow, item.account, item.work, item.lane.long);
-        self.level.charge(&mut owner.flow, entry.partner, item.work, item.lane.long);
+        owner.accounts.charge(&mut entry.flow, item.account, item.work, item.lane.is_long);
+        self.level.charge(&mut owner.flow, entry.partner, item.work, item.lane.is_long);
         self.remove(ticket)
     }
 
@@ -153,14 +155,14 @@
         entry.queues[lane].remove(&ticket);
         owner.accounts.leave(&mut entry.flow, item.account, lane);
         self.level.leave(&mut owner.flow, entry.partner, lane);
-        let size = usize::from(item.lane.long);
+        let size = usize::from(item.lane.is_long);
         entry.flow.queued_work[size] -= item.work;
         owner.flow.queued_work[size] -= item.work;
         true
     }
 
     /// How long an ask has waited.
-    pub fn age(&self, now: Instant, ticket: u64) -> Option<Duration> {
+    pub fn wait_time(&self, now: Instant, ticket: u64) -> Option<Duration> {
         self.items.get(&ticket).map(|item| now.duration_since(item.since))
     }
 
@@ -175,17 +177,17 @@
     }
 
     /// Asks of a partner that wait.
-    pub fn waiting_of(&self, partner: &id::Partner) -> usize {
+    pub fn waiting_asks_of(&self, partner: &id::Partner) -> usize {
         let flow = self.partner_index.get(partner).map(|&i| &self.partners[i as usize].flow);
         flow.map_or(0, |flow| flow.waiting.iter().sum::<u32>() as usize)
     }
 
     /// The part of the whole that a partner's share is, among the partners
     /// that wait and itself.
-    pub fn part_of(&self, partner: &id::Partner) -> f64 {
+    pub fn share_of(&self, partner: &id::Partner) -> f64 {
         let own = weight_of(&self.shares, partner);
         let others = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
-        let waits = self.waiting_of(partner) > 0;
+        let waits = self.waiting_asks_of(partner) > 0;
         own / (others.sum::<f64>() + if waits { 0.0 } else { own })
     }
 
@@ -204,7 +206,7 @@
         else {
             return 0;
         };
-        let part = self.part_of(partner);
+        let part = self.share_of(partner);
         let by_partner = owner.flow.queued_work[size] as f64 / part;
         let entry = self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
         let own = entry.map_or(0, |flow| flow.queued_work[size]);
@@ -216,7 +218,12 @@
     /// work before each in its account's queue, over the part of `rate` that
     /// the account gets, is compared with `time_left`. What is named does not
     /// count as standing before the others.
-    pub fn hopeless(&self, long: bool, rate: f64, time_left: impl Fn(u64) -> Duration) -> Vec<u64> {
+    pub fn find_late(
+        &self,
+        long: bool,
+        rate: f64,
+        time_left: impl Fn(u64) -> Duration,
+    ) -> Vec<u64> {
         let lanes = if long { 2..4 } else { 0..2 };
         let mut named = Vec::new();
         for entry in self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(long)] > 0) {
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -14,7 +14,7 @@
 const CLAIM_AFTER: Duration = Duration::from_secs(1);
 
 impl Limiter {
-    fn may_grant(&self, now: Instant) -> bool {
+    fn can_grant(&self, now: Instant) -> bool {
         let held = self.hold.is_some_and(|until| now < until);
         self.accepting && !self.may_be_dead && !held
     }
@@ -22,7 +22,7 @@
     /// The ticket that may be granted now, by the fair order over the lanes
     /// that have room.
     pub(crate) fn next_grant(&self, now: Instant) -> Option<Ticket> {
-        if !self.may_grant(now) {
+        if !self.can_grant(now) {
             return None;
         }
         if self.granted.values().next().is_some_and(|grant| grant.ask.alone) {
@@ -39,17 +39,17 @@
                 return None;
             }
         }
-        self.next_beside(now, bound)
+        self.next_shared_grant(now, bound)
     }
 
-    fn next_beside(&self, now: Instant, bound: Bound) -> Option<Ticket> {
+    fn next_shared_grant(&self, now: Instant, bound: Bound) -> Option<Ticket> {
         let mut lanes = Lanes::ALL;
-        let claim = match self.live_claim(now) {
+        let claim = match self.active_claim(now) {
             Some(claim) => {
                 lanes = lanes.only_short();
                 claim
             }
-            None => self.claim(now, bound),
+            None => self.starvation_claim(now, bound),
         };
         while let Some((ticket, lane)) = self.queue.peek(now, lanes) {
             let cost = self.asks.get(&ticket)?.ask.cost;
@@ -63,9 +63,9 @@
 
     /// The room held for the long ask whose turn it is, once it has waited
     /// for slots or memory that short work keeps taking as it comes free.
-    fn claim(&self, now: Instant, bound: Bound) -> Claim {
+    fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
         let waits = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
-            let old = self.queue.age(now, ticket)? >= CLAIM_AFTER;
+            let old = self.queue.wait_time(now, ticket)? >= CLAIM_AFTER;
             old.then_some((self.asks.get(&ticket)?.ask.cost, lane))
         });
         let Some((cost, lane)) = waits else { return Claim::default() };
@@ -76,25 +76,25 @@
     }
 
     /// Holds room for an urgent long ask, unless it is held for another.
-    pub(crate) fn keep_claim(&mut self, now: Instant, ask: &Ask) {
-        if ask.cost.is_long() && self.live_claim(now).is_none() {
+    pub(crate) fn hold_claim(&mut self, now: Instant, ask: &Ask) {
+        if ask.cost.is_long() && self.active_claim(now).is_none() {
             let claim = Claim { slots: 1, kv: ask.cost.kv() };
             self.claimed = Some((claim, now + CLAIM_LIFE));
         }
     }
 
-    fn live_claim(&self, now: Instant) -> Option<Claim> {
+    fn active_claim(&self, now: Instant) -> Option<Claim> {
         self.claimed.filter(|&(_, until)| now < until).map(|(claim, _)| claim)
     }
 
     /// Whether an urgent ask fits into the room that is held.
-    pub(crate) fn fits_claimed(&self, now: Instant, ticket: Ticket) -> bool {
+    pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
         let alone = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
         let Some(Waiting { ask, .. }) = self.asks.get(&ticket).filter(|w| !w.ask.alone) else {
             return false;
         };
         let fits = self.room.fits(self.present_bound(), ask.lane(), ask.cost, Claim::default());
-        self.may_grant(now) && !alone && self.live_claim(now).is_some() && fits.is_ok()
+        self.can_grant(now) && !alone && self.active_claim(now).is_some() && fits.is_ok()
     }
 
     pub(crate) fn grant(&mut self, now: Instant, ticket: Ticket) {
@@ -104,12 +104,13 @@
             self.claimed = None;
         }
         if !self.queue.is_empty() {
-            self.pace.grant(ask.cost.work(), ask.cost.is_long());
+            self.pace.record_grant(ask.cost.work(), ask.cost.is_long());
         }
-        let ahead =
-            size::Tokens(self.room.in_flight(false) as u64 + self.room.in_flight(true) as u64);
-        let expected = self.pace.first_token(ask.cost.prefill + ahead);
-        self.room.add(ticket, ask.lane(), ask.cost);
+        let ahead = size::Tokens(
+            self.room.prefill_in_flight(false) as u64 + self.room.prefill_in_flight(true) as u64,
+        );
+        let expected = self.pace.time_to_first_token(ask.cost.prefill + ahead);
+        self.room.acquire(ticket, ask.lane(), ask.cost);
         self.expiry.insert((ask.deadline + GRACE, ticket));
         self.granted.insert(ticket, Grant { ask, at: now, expected });
     }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -11,20 +11,20 @@
     /// Who waits.
     pub class: Class,
     /// Whether the prompt is long.
-    pub long: bool,
+    pub is_long: bool,
 }
 
 impl Lane {
     /// All lanes, in the order of their index.
     pub const ALL: [Self; LANES] = [
-        Self { class: Class::Interactive, long: false },
-        Self { class: Class::Batch, long: false },
-        Self { class: Class::Interactive, long: true },
-        Self { class: Class::Batch, long: true },
+        Self { class: Class::Interactive, is_long: false },
+        Self { class: Class::Batch, is_long: false },
+        Self { class: Class::Interactive, is_long: true },
+        Self { class: Class::Batch, is_long: true },
     ];
 
     pub(crate) fn index(self) -> usize {
-        usize::from(self.long) * 2 + usize::from(self.class == Class::Batch)
+        usize::from(self.is_long) * 2 + usize::from(self.class == Class::Batch)
     }
 
     /// Whether only the asks for which the headroom is kept are in it.
--- a/crates/policy/src/late.rs
+++ b/crates/policy/src/late.rs
@@ -26,17 +26,18 @@
         let long = ask.cost.is_long();
         let ahead = self.queue.work_ahead(&ask.partner, &ask.account, long);
         let hold = self.hold.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
-        let wait = hold + self.pace.time_for(ahead + self.room.in_flight(long) as u64, long);
-        let time = self.pace.time_of(ask.cost, ask.deadline - now);
+        let wait =
+            hold + self.pace.queue_time(ahead + self.room.prefill_in_flight(long) as u64, long);
+        let time = self.pace.service_time(ask.cost, ask.deadline - now);
         let late = (now + wait.mul_f64(WAIT_MARGIN) + time).checked_duration_since(ask.deadline);
         if let Some(late) = late.filter(|late| !late.is_zero()) {
             return Some(Answer::Refused(Reason::Overloaded, late.max(RETRY_LEAST)));
         }
         // A partner that fills the queue may not shut the others out of it:
         // past the bound only partners below their part of it are let in.
-        let own = self.queue.waiting_of(&ask.partner) as f64;
+        let own = self.queue.waiting_asks_of(&ask.partner) as f64;
         let full = self.asks.len() >= self.queue_bound;
-        let over = own >= self.queue_bound as f64 * self.queue.part_of(&ask.partner);
+        let over = own >= self.queue_bound as f64 * self.queue.share_of(&ask.partner);
         (full && (over || self.asks.len() >= 2 * self.queue_bound))
             .then(|| Answer::Refused(Reason::Overloaded, wait.max(RETRY_LEAST)))
     }
@@ -46,7 +47,7 @@
     /// done, and its share is spent on nothing.
     pub(crate) fn is_late(&self, now: Instant, ticket: Ticket) -> bool {
         self.asks.get(&ticket).is_some_and(|Waiting { ask, came_with, .. }| {
-            now + self.pace.time_of(ask.cost, *came_with) > ask.deadline
+            now + self.pace.service_time(ask.cost, *came_with) > ask.deadline
         })
     }
 
@@ -54,7 +55,7 @@
     /// or their partner's share was cut. Left in the queue they would make
     /// every later ask of their account look late, until nothing but them is
     /// queued and the partner's share goes to others.
-    pub(crate) fn shed(&mut self, now: Instant) -> Vec<Ticket> {
+    pub(crate) fn shed_late(&mut self, now: Instant) -> Vec<Ticket> {
         if self.shed.is_some_and(|at| now < at + SHED_INTERVAL) {
             return Vec::new();
         }
@@ -64,8 +65,9 @@
             latest.saturating_duration_since(now).mul_f64(SHED_FACTOR)
         };
         let sizes = [false, true].into_iter();
-        let named: Vec<Ticket> =
-            sizes.flat_map(|long| self.queue.hopeless(long, self.pace.rate(long), left)).collect();
+        let named: Vec<Ticket> = sizes
+            .flat_map(|long| self.queue.find_late(long, self.pace.grant_rate(long), left))
+            .collect();
         for &ticket in &named {
             self.forget(ticket);
         }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -24,11 +24,11 @@
 
 /// Weights that exist, by the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Offer<W> {
+pub struct Deployment<W> {
     /// The weights.
     pub weights: W,
     /// Replicas at least: two where a zone may go out at any time.
-    pub least: u32,
+    pub min_replicas: u32,
     /// The weights that they take the place of; their demand is expected.
     pub replaces: Option<W>,
 }
@@ -43,16 +43,16 @@
     /// Whether it takes new work.
     pub accepting: bool,
     /// Weights that it can hold.
-    pub places: u32,
+    pub weight_slots: u32,
     /// Weights that it holds, and those that are being loaded.
-    pub loaded: BTreeMap<W, Held>,
+    pub loaded: BTreeMap<W, Residency>,
 }
 
 /// How an engine holds weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Residency {
     /// Whether they serve yet.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Streams that run on them.
     pub streams: u32,
 }
@@ -100,25 +100,26 @@
     /// fleet's places by demand.
     pub fn plan(
         &mut self,
-        offers: &[Offer<W>],
+        offers: &[Deployment<W>],
         shares: &BTreeMap<id::Partner, f64>,
         engines: &[Engine<W>],
     ) {
         let demand = self.weigh(shares);
         let of = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
         let expected =
-            |offer: &Offer<W>| of(&offer.weights) + offer.replaces.as_ref().map_or(0.0, of);
+            |offer: &Deployment<W>| of(&offer.weights) + offer.replaces.as_ref().map_or(0.0, of);
         let total: f64 = offers.iter().map(expected).sum();
         let usable = engines.iter().filter(|e| e.accepting);
-        let places: u32 = usable.clone().map(|e| e.places).sum();
+        let places: u32 = usable.clone().map(|e| e.weight_slots).sum();
         let most = usable.count() as u32;
-        let spare = places.saturating_sub(offers.iter().map(|o| o.least).sum());
+        let spare = places.saturating_sub(offers.iter().map(|o| o.min_replicas).sum());
         self.wanted.retain(|weights, _| offers.iter().any(|o| o.weights == *weights));
         for offer in offers {
             let part = if total > 0.0 { expected(offer) / total } else { 0.0 };
-            let ideal = f64::from(offer.least) + part * f64::from(spare);
+            let ideal = f64::from(offer.min_replicas) + part * f64::from(spare);
             let ideal = ideal.min(f64::from(most));
-            let wanted = self.wanted.entry(offer.weights.clone()).or_insert(offer.least.min(most));
+            let wanted =
+                self.wanted.entry(offer.weights.clone()).or_insert(offer.min_replicas.min(most));
             let change = (ideal - f64::from(*wanted)).abs();
             if change >= 1.0 && change > HYSTERESIS * f64::from(*wanted) || *wanted > most {
                 *wanted = ideal.round() as u32;
@@ -127,15 +128,15 @@
     }
 
     /// Replicas that are wanted of some weights.
-    pub fn wanted(&self, weights: &W) -> u32 {
+    pub fn wanted_replicas(&self, weights: &W) -> u32 {
         self.wanted.get(weights).copied().unwrap_or(0)
     }
 
     /// The next changes, with at most `slots` loads; level-triggered, so the
     /// same state gives the same changes, and a lost one is given again.
-    pub fn changes(
+    pub fn plan_changes(
         &self,
-        offers: &[Offer<W>],
+        offers: &[Deployment<W>],
         engines: &[Engine<W>],
         slots: u32,
     ) -> Vec<Change<W>> {
@@ -143,7 +144,7 @@
         let mut changes = self.unload_unwanted(offers, &mut after);
         for _ in 0..slots {
             let Some((engine, weights)) = self.next_load(offers, &after) else { break };
-            let held = Held { ready: false, streams: 0 };
+            let held = Residency { is_ready: false, streams: 0 };
             if let Some(surplus) = self.make_place(&after[engine], &after) {
                 after[engine].loaded.remove(&surplus);
                 changes.push(Change::Unload(after[engine].target.clone(), surplus));
@@ -175,12 +176,17 @@
 
     /// Unloads what no offer names any more, once nothing runs on it and
     /// whatever replaces it is ready.
-    fn unload_unwanted(&self, offers: &[Offer<W>], engines: &mut [Engine<W>]) -> Vec<Change<W>> {
+    fn unload_unwanted(
+        &self,
+        offers: &[Deployment<W>],
+        engines: &mut [Engine<W>],
+    ) -> Vec<Change<W>> {
         let offered: BTreeSet<&W> = offers.iter().map(|offer| &offer.weights).collect();
         let successor_short = |weights: &W| {
             let successor = offers.iter().find(|o| o.replaces.as_ref() == Some(weights));
             successor.is_some_and(|o| {
-                ready(&o.weights, engines) < self.wanted(&o.weights).max(o.least).max(1)
+                ready(&o.weights, engines)
+                    < self.wanted_replicas(&o.weights).max(o.min_replicas).max(1)
             })
         };
         let mut gone = Vec::new();
@@ -199,12 +205,12 @@
     /// The load that is wanted most: of the weights that have the least part
     /// of their replicas, onto the emptiest engine of the zone that has the
     /// fewest of them.
-    fn next_load(&self, offers: &[Offer<W>], engines: &[Engine<W>]) -> Option<(usize, W)> {
+    fn next_load(&self, offers: &[Deployment<W>], engines: &[Engine<W>]) -> Option<(usize, W)> {
         let mut short: Vec<(f64, &W)> = offers
             .iter()
             .map(|offer| &offer.weights)
-            .filter(|&w| replicas(w, engines) < self.wanted(w))
-            .map(|w| (f64::from(replicas(w, engines)) / f64::from(self.wanted(w)), w))
+            .filter(|&w| replicas(w, engines) < self.wanted_replicas(w))
+            .map(|w| (f64::from(replicas(w, engines)) / f64::from(self.wanted_replicas(w)), w))
             .collect();
         short.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
         short.into_iter().find_map(|(_, weights)| {
@@ -213,7 +219,7 @@
                 engines.iter().filter(holds).count()
             };
             let able = engines.iter().enumerate().filter(|(_, engine)| {
-                let place = (engine.loaded.len() as u32) < engine.places;
+                let place = (engine.loaded.len() as u32) < engine.weight_slots;
                 let place = place || self.make_place(engine, engines).is_some();
                 engine.accepting && !engine.loaded.contains_key(weights) && place
             });
@@ -225,11 +231,13 @@
     /// Weights that a full engine can give up: idle there, and with more
     /// ready replicas than are wanted.
     fn make_place(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
-        if (engine.loaded.len() as u32) < engine.places {
+        if (engine.loaded.len() as u32) < engine.weight_slots {
             return None;
         }
         let surplus = engine.loaded.iter().filter(|(weights, held)| {
-            held.ready && held.streams == 0 && ready(*weights, engines) > self.wanted(weights)
+            held.is_ready
+                && held.streams == 0
+                && ready(*weights, engines) > self.wanted_replicas(weights)
         });
         surplus.map(|(weights, _)| weights.clone()).next()
     }
@@ -249,6 +257,6 @@
 
 /// Replicas that serve.
 fn ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
-    let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.ready);
+    let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
     engines.iter().filter(serves).count() as u32
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -7,7 +7,7 @@
 
 pub use crate::ask::{Answer, Ask, Capacity, Observed, Outcome, Ticket, priority_of};
 use crate::fair::Queue;
-use crate::pace::Pace;
+use crate::pace::Throughput;
 use crate::ramp::{Cold, Ramp};
 use crate::refuse::Reason;
 use crate::room::{Bound, Claim, Room};
@@ -63,7 +63,7 @@
     capacity: Capacity,
     ramp: Ramp,
     pub(crate) room: Room,
-    pub(crate) pace: Pace,
+    pub(crate) pace: Throughput,
     pub(crate) queue: Queue,
     pub(crate) asks: HashMap<Ticket, Waiting>,
     pub(crate) alone: VecDeque<(Ticket, Instant)>,
@@ -88,7 +88,7 @@
     pub fn open(capacity: Capacity) -> Self {
         Self {
             ramp: Ramp::open(capacity.streams),
-            pace: Pace::open(capacity.prefill_rate, capacity.streams),
+            pace: Throughput::open(capacity.prefill_rate, capacity.streams),
             capacity,
             room: Room::default(),
             queue: Queue::open(),
@@ -165,7 +165,12 @@
         self.room.set_foreign(observed.foreign, observed.foreign_kv);
         for (ticket, left) in &observed.prefill_left {
             if let Some(grant) = self.granted.get(ticket) {
-                self.room.correct(*ticket, grant.ask.lane(), *left, self.capacity.prefill_rate);
+                self.room.correct_prefill(
+                    *ticket,
+                    grant.ask.lane(),
+                    *left,
+                    self.capacity.prefill_rate,
+                );
             }
         }
         self.pace.set_warmth(observed.sample.warmth);
@@ -195,13 +200,13 @@
         let urgent = ask.urgent;
         self.next += 1;
         self.enqueue(now, ticket, ask);
-        if self.next_grant(now) == Some(ticket) || urgent && self.fits_claimed(now, ticket) {
+        if self.next_grant(now) == Some(ticket) || urgent && self.fits_in_claim(now, ticket) {
             self.grant(now, ticket);
             return Answer::Granted(ticket);
         }
         if urgent {
             if let Some(ask) = self.forget(ticket) {
-                self.keep_claim(now, &ask);
+                self.hold_claim(now, &ask);
             }
             return Answer::Refused(Reason::Overloaded, RETRY_LEAST);
         }
@@ -228,7 +233,7 @@
             self.grant(now, ticket);
             answers.push((ticket, Ok(())));
         }
-        answers.extend(self.shed(now).into_iter().map(|t| (t, Err(Reason::Overloaded))));
+        answers.extend(self.shed_late(now).into_iter().map(|t| (t, Err(Reason::Overloaded))));
         answers
     }
 
@@ -247,7 +252,7 @@
     pub fn start(&mut self, now: Instant, ticket: Ticket) {
         self.advance(now);
         if let Some(grant) = self.granted.get(&ticket) {
-            self.room.start(ticket, grant.ask.lane());
+            self.room.finish_prefill(ticket, grant.ask.lane());
         }
     }
 
@@ -258,7 +263,7 @@
         if let (Some(grant), Some(now)) = (self.release(ticket), self.now)
             && grant.ask.urgent
         {
-            self.keep_claim(now, &grant.ask);
+            self.hold_claim(now, &grant.ask);
         }
     }
 
@@ -282,7 +287,7 @@
             Outcome::Whole(first_token) => {
                 let first = first_token.unwrap_or(grant.expected);
                 let decode = now.saturating_duration_since(grant.at).saturating_sub(first);
-                self.pace.learn_decode(grant.ask.cost.decode, decode);
+                self.pace.record_decode(grant.ask.cost.decode, decode);
                 self.ramp.succeed(now, first_token.map(|took| (took, grant.expected)))
             }
         }
@@ -316,7 +321,7 @@
     /// As [`Self::prefill_queued`], of short or of long work only.
     pub fn prefill_queued_of(&self, long: bool) -> size::Tokens {
         let queued = self.queue.queued_work(long);
-        size::Tokens(self.room.in_flight(long) as u64 + queued)
+        size::Tokens(self.room.prefill_in_flight(long) as u64 + queued)
     }
 
     /// Streams that the target may hold at present.
@@ -326,7 +331,7 @@
 
     /// Prompt tokens a second at the target's present warmth.
     pub fn prefill_rate(&self) -> u64 {
-        self.pace.present_rate()
+        self.pace.current_prefill_rate()
     }
 
     /// The part of the full bound that the ramp has opened, from 0 to 1.
@@ -344,13 +349,13 @@
         Bound {
             slots: self.ramp.bound() / halves,
             kv: size::Tokens(self.capacity.kv.0 / u64::from(halves)),
-            prefill_rate: self.pace.prefill_rate(),
+            prefill_rate: self.pace.shared_prefill_rate(),
         }
     }
 
     fn advance(&mut self, now: Instant) {
         self.now = Some(now);
-        self.room.drain(now, self.pace.prefill_rate());
+        self.room.advance_prefill(now, self.pace.shared_prefill_rate());
         let waits = [false, true].map(|long| self.queue.queued_work(long) > 0);
         self.pace.advance(now, waits);
         while let Some(&(at, ticket)) = self.expiry.first() {
@@ -363,7 +368,7 @@
 
     fn enqueue(&mut self, now: Instant, ticket: Ticket, ask: Ask) {
         let came_with = ask.deadline.saturating_duration_since(now);
-        let time = self.pace.time_of(ask.cost, came_with);
+        let time = self.pace.service_time(ask.cost, came_with);
         let latest = ask.deadline.checked_sub(time).unwrap_or(now).max(now);
         self.latest.insert((latest, ticket));
         if ask.alone {
@@ -389,7 +394,7 @@
     /// Takes a permit back.
     fn release(&mut self, ticket: Ticket) -> Option<Grant> {
         let grant = self.granted.remove(&ticket)?;
-        self.room.remove(ticket, grant.ask.lane(), grant.ask.cost);
+        self.room.release(ticket, grant.ask.lane(), grant.ask.cost);
         self.expiry.remove(&(grant.ask.deadline + GRACE, ticket));
         Some(grant)
     }
--- a/crates/policy/src/pace.rs
+++ b/crates/policy/src/pace.rs
@@ -35,7 +35,7 @@
 
 /// The learned rates of one target.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct Throughput {
     reported: u64,
     /// From 0 to 1, by the warmth that the target reports.
     speed: f64,
@@ -48,7 +48,7 @@
     advanced: Option<Instant>,
 }
 
-impl Pace {
+impl Throughput {
     /// What a target does that reports to prefill `prefill_rate` tokens a
     /// second and to bear `slots` streams; rate zero is a plain service.
     pub fn open(prefill_rate: u64, slots: u32) -> Self {
@@ -72,18 +72,19 @@
     }
 
     /// Prompt tokens a second at present warmth, with nothing beside them.
-    pub fn present_rate(&self) -> u64 {
+    pub fn current_prefill_rate(&self) -> u64 {
         (self.reported as f64 * self.speed) as u64
     }
 
     /// Prompt tokens a second beside the decode of other streams.
-    pub fn prefill_rate(&self) -> u64 {
-        (self.present_rate() as f64 * PREFILL_PART) as u64
+    pub fn shared_prefill_rate(&self) -> u64 {
+        (self.current_prefill_rate() as f64 * PREFILL_PART) as u64
     }
 
     /// The time a first token takes with `tokens` to prefill up to it.
-    pub fn first_token(&self, tokens: size::Tokens) -> Duration {
-        rate::TokensPerSecond(self.prefill_rate().max(1) as f64).time_for(tokens) + self.token_time
+    pub fn time_to_first_token(&self, tokens: size::Tokens) -> Duration {
+        rate::TokensPerSecond(self.shared_prefill_rate().max(1) as f64).time_for(tokens)
+            + self.token_time
     }
 
     /// The time to keep for work of this cost once it is granted, of the time
@@ -91,34 +92,34 @@
     /// so its decode is given half of that time at most: an ask is not refused
     /// because of tokens that may never come. Work without tokens is a call of
     /// a plain service, of which nothing is known.
-    pub fn time_of(&self, cost: Cost, came_with: Duration) -> Duration {
+    pub fn service_time(&self, cost: Cost, came_with: Duration) -> Duration {
         if cost.kv().0 == 0 {
             return Duration::ZERO;
         }
         let steps = u32::try_from(cost.decode.0).unwrap_or(u32::MAX);
         let decode = self.token_time.saturating_mul(steps).min(came_with / 2);
-        self.first_token(cost.prefill).saturating_add(decode)
+        self.time_to_first_token(cost.prefill).saturating_add(decode)
     }
 
     /// The time until `work` has left the queue.
-    pub fn time_for(&self, work: u64, long: bool) -> Duration {
-        rate::TokensPerSecond(self.rate(long)).time_for(size::Tokens(work))
+    pub fn queue_time(&self, work: u64, long: bool) -> Duration {
+        rate::TokensPerSecond(self.grant_rate(long)).time_for(size::Tokens(work))
     }
 
     /// Work a second that leaves the queue.
-    pub fn rate(&self, long: bool) -> f64 {
+    pub fn grant_rate(&self, long: bool) -> f64 {
         let size = usize::from(long);
         let measured = self.granted[size] / WINDOWS[size];
         measured.max(self.first * LEAST_PART)
     }
 
     /// Notes work that left the queue.
-    pub fn grant(&mut self, work: u64, long: bool) {
+    pub fn record_grant(&mut self, work: u64, long: bool) {
         self.granted[usize::from(long)] += work as f64;
     }
 
     /// Learns the time between tokens from a stream that is whole.
-    pub fn learn_decode(&mut self, tokens: size::Tokens, took: Duration) {
+    pub fn record_decode(&mut self, tokens: size::Tokens, took: Duration) {
         if tokens.0 < 2 {
             return;
         }
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -57,7 +57,7 @@
 const PACK_LEAST: u64 = 1;
 
 /// Owners that are asked for an answer at once before an ask may queue.
-pub const ASKS_AT_ONCE: usize = 2;
+pub const MAX_IMMEDIATE_ASKS: usize = 2;
 
 /// What asking another node for leave costs, in seconds: the round trip, and
 /// that its word of the target is old where that of an owned one is exact.
@@ -72,13 +72,13 @@
     /// The target.
     pub target: id::Target,
     /// Its hash, by [`hash_target`].
-    pub key: u64,
+    pub hash: u64,
     /// Whether it is in the choosing node's zone.
-    pub near: bool,
+    pub is_same_zone: bool,
     /// Whether the choosing node owns it.
-    pub own: bool,
+    pub is_owned: bool,
     /// Whether cache events say that it holds the request's prefix.
-    pub cached: bool,
+    pub has_cached_prefix: bool,
     /// Prompt tokens granted or queued there.
     pub queued_prefill: size::Tokens,
     /// Of these, tokens of long prompts.
@@ -90,7 +90,7 @@
     /// Prompt tokens a second.
     pub prefill_rate: u64,
     /// Streams it bears.
-    pub bound: u32,
+    pub max_streams: u32,
     /// Streams granted.
     pub running: u32,
     /// Asks that wait.
@@ -131,17 +131,17 @@
 /// One pass, since it is made for each attempt over all replicas of a model.
 pub fn choose_target<'a>(query: &Query, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let kv = query.cost.kv();
-    let able = candidates.iter().filter(|c| c.kv_capacity >= kv && c.bound > 0);
+    let able = candidates.iter().filter(|c| c.kv_capacity >= kv && c.max_streams > 0);
     if query.cost.is_long() {
         let packed = able.clone().filter(|c| takes_long(query.cost, c));
-        if let Some(first) = packed.min_by_key(|c| mix(c.key, LONG_ORDER)) {
+        if let Some(first) = packed.min_by_key(|c| mix(c.hash, LONG_ORDER)) {
             return Some(first);
         }
     }
     let mut best: Option<(f64, &Candidate)> = None;
     let mut home: Option<(u64, &Candidate)> = None;
     for candidate in able {
-        let least = score(query, candidate, f64::from(u8::from(candidate.cached)));
+        let least = score(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
         if best.is_none_or(|(score, _)| least < score) {
             let score = least + spread(query, candidate);
             if best.is_none_or(|(best, _)| score < best) {
@@ -149,13 +149,13 @@
             }
         }
         if let Some(prefix) = query.prefix {
-            let rank = mix(candidate.key, prefix.hash);
+            let rank = mix(candidate.hash, prefix.hash);
             if home.is_none_or(|(highest, _)| rank > highest) {
                 home = Some((rank, candidate));
             }
         }
     }
-    let home = home.filter(|(_, c)| !c.cached).map(|(_, c)| c);
+    let home = home.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
     let home = home.map(|c| (score(query, c, LIKELY) + spread(query, c), c));
     let chosen = best.into_iter().chain(home).min_by(|(a, _), (b, _)| a.total_cmp(b));
     chosen.map(|(_, candidate)| candidate)
@@ -170,8 +170,8 @@
 /// what the state did not show costs a prefill. The asks after them choose
 /// among all targets again: were those that said no left out, the best ones
 /// would never have a queue, and without one nothing keeps the shares.
-pub fn asks_at_once(cost: Cost, asked: usize, candidates: usize) -> bool {
-    !cost.is_long() && asked < ASKS_AT_ONCE && candidates > 1
+pub fn wants_immediate_answer(cost: Cost, asked: usize, candidates: usize) -> bool {
+    !cost.is_long() && asked < MAX_IMMEDIATE_ASKS && candidates > 1
 }
 
 /// Whether a refused ask counts against the asks of an attempt. That of a
@@ -179,7 +179,7 @@
 /// targets say so for as long as the states are old, and a request that gave
 /// up on them would fail although the other zones have room. Each such target
 /// is left out from then on.
-pub fn counts(refused: Reason) -> bool {
+pub fn counts_as_ask(refused: Reason) -> bool {
     refused != Reason::NoTarget
 }
 
@@ -188,12 +188,12 @@
 pub fn rank_targets(cost: Cost, candidates: &[Candidate]) -> Vec<&Candidate> {
     let mut ranked: Vec<&Candidate> =
         candidates.iter().filter(|c| c.kv_capacity >= cost.kv()).collect();
-    ranked.sort_by_cached_key(|c| (estimate_first_token(cost, c), c.running + c.waiting));
+    ranked.sort_by_cached_key(|c| (estimate_time_to_first_token(cost, c), c.running + c.waiting));
     ranked
 }
 
 /// The time until the first token of `cost` would come from `candidate`.
-pub fn estimate_first_token(cost: Cost, candidate: &Candidate) -> Duration {
+pub fn estimate_time_to_first_token(cost: Cost, candidate: &Candidate) -> Duration {
     Duration::try_from_secs_f64(first_token(cost, candidate, 0.0)).unwrap_or(Duration::MAX)
 }
 
@@ -208,8 +208,8 @@
         ahead = ahead.saturating_sub(candidate.queued_long.0);
         seconds += STEP_COST * f64::from(u8::from(candidate.queued_long.0 > 0));
     }
-    if candidate.running >= candidate.bound || candidate.kv_free < cost.kv() {
-        let turns = f64::from(candidate.waiting + 1) / f64::from(candidate.bound.max(1));
+    if candidate.running >= candidate.max_streams || candidate.kv_free < cost.kv() {
+        let turns = f64::from(candidate.waiting + 1) / f64::from(candidate.max_streams.max(1));
         seconds += FULL_COST * (1.0 + turns);
     }
     let used = candidate.kv_capacity.saturating_sub(candidate.kv_free);
@@ -222,7 +222,7 @@
 fn takes_long(cost: Cost, candidate: &Candidate) -> bool {
     let least = candidate.prefill_rate * PACK_LEAST;
     candidate.kv_free >= cost.kv()
-        && candidate.running < candidate.bound
+        && candidate.running < candidate.max_streams
         && candidate.queued_prefill.0 <= cost.prefill.0.max(least)
 }
 
@@ -230,15 +230,15 @@
 /// the prefix counts as cached.
 fn score(query: &Query, candidate: &Candidate, cached: f64) -> f64 {
     let saved = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached);
-    let zone = ZONE_COST * f64::from(u8::from(!candidate.near));
-    let ask = ASK_COST * f64::from(u8::from(!candidate.own));
+    let zone = ZONE_COST * f64::from(u8::from(!candidate.is_same_zone));
+    let ask = ASK_COST * f64::from(u8::from(!candidate.is_owned));
     first_token(query.cost, candidate, saved) + zone + ask
 }
 
 /// The random part of a score.
 fn spread(query: &Query, candidate: &Candidate) -> f64 {
     let estimate = first_token(query.cost, candidate, STEPS);
-    estimate.mul_add(SPREAD_PART, SPREAD_LEAST) * unit(mix(candidate.key, query.random))
+    estimate.mul_add(SPREAD_PART, SPREAD_LEAST) * unit(mix(candidate.hash, query.random))
 }
 
 /// A number from 0 to 1.
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -185,7 +185,7 @@
     if loads.is_empty() {
         return Err(Refused::NoEngine);
     }
-    let scene = Scene::read(query, profile, loads);
+    let scene = Planner::read(query, profile, loads);
     if scene.needed.0 > scene.whole.0.saturating_mul(loads.len() as u64) {
         return Err(Refused::TooLong);
     }
@@ -196,7 +196,7 @@
 }
 
 /// One choice: a prompt before the engines.
-struct Scene<'a> {
+struct Planner<'a> {
     query: &'a Query,
     profile: &'a Profile,
     loads: &'a [Load],
@@ -208,7 +208,7 @@
     whole: Tokens,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> Planner<'a> {
     fn read(query: &'a Query, profile: &'a Profile, loads: &'a [Load]) -> Self {
         Self {
             query,
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -20,7 +20,7 @@
 
 /// A stream that runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningStream {
     /// Its permit.
     pub ticket: Ticket,
     /// Who waits for it.
@@ -34,12 +34,12 @@
     /// Its deadline.
     pub deadline: Instant,
     /// How often it was preempted.
-    pub preempted: u32,
+    pub preemptions: u32,
 }
 
 /// The ask that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wait {
+pub struct WaitingRequest {
     /// What it weighs.
     pub cost: Cost,
     /// Who waits for it.
@@ -52,7 +52,7 @@
 
 /// How fast the engine works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Speed {
+pub struct EngineSpeed {
     /// Prompt tokens a second.
     pub prefill_rate: u64,
     /// Between two tokens of a stream.
@@ -63,9 +63,9 @@
 /// make room and lose nothing but time, the one with the least to redo.
 pub fn choose_victim(
     now: Instant,
-    wait: Wait,
-    speed: Speed,
-    running: &[Running],
+    wait: WaitingRequest,
+    speed: EngineSpeed,
+    running: &[RunningStream],
 ) -> Option<Ticket> {
     if wait.class != Class::Interactive || wait.cost.is_long() || wait.wait < WAIT_LEAST {
         return None;
@@ -73,7 +73,7 @@
     let able = running.iter().filter(|stream| {
         let bulk = stream.class == Class::Batch || stream.cost.is_long();
         let fits = wait.kv_free + stream.cost.kv() >= wait.cost.kv();
-        bulk && fits && stream.preempted == 0
+        bulk && fits && stream.preemptions == 0
     });
     let paying = able.filter(|stream| {
         let redo = time_to_prefill(redone(stream), speed);
@@ -84,17 +84,17 @@
 
 /// Tokens to prefill again: what was prefilled, and what was generated since,
 /// which a resume prefills as part of the prompt.
-fn redone(stream: &Running) -> size::Tokens {
+fn redone(stream: &RunningStream) -> size::Tokens {
     stream.prefilled + stream.generated
 }
 
 /// The time that a stream needs after its resume.
-fn time_left(stream: &Running, speed: Speed) -> Duration {
+fn time_left(stream: &RunningStream, speed: EngineSpeed) -> Duration {
     let prefill = time_to_prefill(stream.cost.prefill + stream.generated, speed);
     let tokens = stream.cost.decode.saturating_sub(stream.generated);
     prefill + speed.token_time.saturating_mul(u32::try_from(tokens.0).unwrap_or(u32::MAX))
 }
 
-fn time_to_prefill(tokens: size::Tokens, speed: Speed) -> Duration {
+fn time_to_prefill(tokens: size::Tokens, speed: EngineSpeed) -> Duration {
     Duration::from_secs_f64(tokens.0 as f64 / speed.prefill_rate.max(1) as f64)
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -28,7 +28,7 @@
     /// The place among the parts, from 0; the last part generates.
     pub index: u32,
     /// Prompt tokens before it.
-    pub from: size::Tokens,
+    pub prompt_offset: size::Tokens,
     /// What it weighs on its engine.
     pub cost: Cost,
 }
@@ -72,7 +72,7 @@
         parts.push(Part {
             target: candidate.target.clone(),
             index: parts.len() as u32,
-            from: size::Tokens(from),
+            prompt_offset: size::Tokens(from),
             cost: Cost { prefill: size::Tokens(prefill), decode },
         });
         from += prefill;
@@ -87,14 +87,14 @@
 }
 
 fn usable(candidate: &Candidate) -> u64 {
-    let room = candidate.running < candidate.bound;
+    let room = candidate.running < candidate.max_streams;
     let bulk = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM;
     if room { candidate.kv_free.0.min(bulk) } else { 0 }
 }
 
 /// How long to wait before round `round` (from 1) of a reservation that
 /// failed. The random part keeps two prompts from failing each other again.
-pub fn back_off(round: u32, random: u64) -> Duration {
+pub fn backoff(round: u32, random: u64) -> Duration {
     let most = BACK_OFF.saturating_mul(1 << round.min(8)).min(BACK_OFF_MOST);
     most / 2 + most.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
 }
@@ -105,7 +105,7 @@
     /// An urgent ask for this part, answered by [`Reservation::answer`].
     Ask(Part),
     /// Nothing: every part is held. In the order of the prompt.
-    Held(Vec<(Part, Ticket)>),
+    Complete(Vec<(Part, Ticket)>),
 }
 
 /// The reservation of all parts of one prompt, or none.
@@ -131,7 +131,7 @@
         let held = self.parts.iter().cloned().zip(self.held.iter().copied());
         let mut held: Vec<_> = held.collect();
         held.sort_by_key(|(part, _)| part.index);
-        Step::Held(held)
+        Step::Complete(held)
     }
 
     /// Takes in the answer to the last ask. A refusal ends the round: what is
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -111,7 +111,7 @@
             self.fits_claim(bound, kv, claim)?;
         } else {
             self.fits_bulk(bound, lane, kv)?;
-            if !lane.long {
+            if !lane.is_long {
                 self.fits_claim(bound, kv, claim)?;
             }
         }
@@ -126,7 +126,8 @@
             return Ok(());
         }
         let slots = bound.slots - bound.slots / HEADROOM;
-        if self.bulk.slots >= slots || (lane.long && self.long >= (bound.slots / LONG_SLOTS).max(1))
+        if self.bulk.slots >= slots
+            || (lane.is_long && self.long >= (bound.slots / LONG_SLOTS).max(1))
         {
             return Err(Full::Slots);
         }
@@ -153,46 +154,46 @@
     }
 
     fn fits_prefill(&self, bound: Bound, lane: Lane, cost: Cost) -> Result<(), Full> {
-        let in_flight = self.in_flight(lane.long);
+        let in_flight = self.prefill_in_flight(lane.is_long);
         if in_flight == 0.0 {
             return Ok(());
         }
         let window = bound.prefill_rate as f64 * WINDOW.as_secs_f64();
-        if lane.long || in_flight + cost.prefill.0 as f64 > window {
+        if lane.is_long || in_flight + cost.prefill.0 as f64 > window {
             return Err(Full::Prefill);
         }
         Ok(())
     }
 
     /// Takes room.
-    pub fn add(&mut self, ticket: u64, lane: Lane, cost: Cost) {
+    pub fn acquire(&mut self, ticket: u64, lane: Lane, cost: Cost) {
         let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         used.slots += 1;
         used.kv += cost.kv().0;
-        self.long += u32::from(lane.long);
+        self.long += u32::from(lane.is_long);
         if cost.prefill.0 > 0 {
             let prefill = Prefill { ticket, left: cost.prefill.0 as f64 };
-            self.prefills[usize::from(lane.long)].push_back(prefill);
+            self.prefills[usize::from(lane.is_long)].push_back(prefill);
         }
     }
 
     /// Gives room back.
-    pub fn remove(&mut self, ticket: u64, lane: Lane, cost: Cost) {
+    pub fn release(&mut self, ticket: u64, lane: Lane, cost: Cost) {
         let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         used.slots -= 1;
         used.kv -= cost.kv().0;
-        self.long -= u32::from(lane.long);
-        self.start(ticket, lane);
+        self.long -= u32::from(lane.is_long);
+        self.finish_prefill(ticket, lane);
     }
 
     /// The first token came: the prefill is over.
-    pub fn start(&mut self, ticket: u64, lane: Lane) {
-        self.prefills[usize::from(lane.long)].retain(|p| p.ticket != ticket);
+    pub fn finish_prefill(&mut self, ticket: u64, lane: Lane) {
+        self.prefills[usize::from(lane.is_long)].retain(|p| p.ticket != ticket);
     }
 
     /// Works the prefills in flight off by estimate: the short ones first, as
     /// engines that honour priorities do, but for the floor of the long one.
-    pub fn drain(&mut self, now: Instant, prefill_rate: u64) {
+    pub fn advance_prefill(&mut self, now: Instant, prefill_rate: u64) {
         let since = self.drained.replace(now).unwrap_or(now);
         let budget = prefill_rate as f64 * now.saturating_duration_since(since).as_secs_f64();
         let floor = if self.prefills[1].is_empty() { 0.0 } else { LONG_FLOOR };
@@ -204,12 +205,13 @@
 
     /// Corrects the estimate of one prefill by a load report, which lags: by
     /// now the engine may have done as much more as it does in that time.
-    pub fn correct(&mut self, ticket: u64, lane: Lane, reported: size::Tokens, rate: u64) {
+    pub fn correct_prefill(&mut self, ticket: u64, lane: Lane, reported: size::Tokens, rate: u64) {
         if reported.0 == 0 {
-            return self.start(ticket, lane);
+            return self.finish_prefill(ticket, lane);
         }
         let least = reported.0 as f64 - rate as f64 * REPORT_LAG.as_secs_f64();
-        let found = self.prefills[usize::from(lane.long)].iter_mut().find(|p| p.ticket == ticket);
+        let found =
+            self.prefills[usize::from(lane.is_long)].iter_mut().find(|p| p.ticket == ticket);
         if let Some(prefill) = found {
             prefill.left = prefill.left.max(least);
         }
@@ -231,7 +233,7 @@
     }
 
     /// Prompt tokens in flight of one size, by estimate.
-    pub fn in_flight(&self, long: bool) -> f64 {
+    pub fn prefill_in_flight(&self, long: bool) -> f64 {
         self.prefills[usize::from(long)].iter().map(|p| p.left).sum()
     }
 }
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -4,7 +4,7 @@
 
 use common::{ask, batch, cost, granted, ms, observed, ticket, warm};
 use hickory_policy::cost::Class;
-use hickory_policy::fair::BATCH_AGE;
+use hickory_policy::fair::MAX_BATCH_OVERTAKING;
 use hickory_policy::limit::{Answer, Ask, Capacity, GRACE, Limiter, Outcome};
 use hickory_unit::size;
 use proptest::prelude::*;
@@ -103,7 +103,7 @@
         let waits = ticket(limiter.ask(now, batch(now, "mawe", size)));
         loop {
             now += ms(100);
-            prop_assert!(now <= asked + BATCH_AGE + ms(1_000), "the batch ask starved");
+            prop_assert!(now <= asked + MAX_BATCH_OVERTAKING + ms(1_000), "the batch ask starved");
             for _ in 0..load {
                 limiter.ask(now, ask(now, "mawe", size));
             }
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -4,15 +4,15 @@
 
 use common::ms;
 use hickory_policy::cost::Class;
-use hickory_policy::fair::{BATCH_AGE, Lane, Lanes, Queue};
+use hickory_policy::fair::{Lane, Lanes, MAX_BATCH_OVERTAKING, Queue};
 use hickory_unit::id;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-const SHORT: Lane = Lane { class: Class::Interactive, long: false };
-const SHORT_BATCH: Lane = Lane { class: Class::Batch, long: false };
-const LONG: Lane = Lane { class: Class::Interactive, long: true };
+const SHORT: Lane = Lane { class: Class::Interactive, is_long: false };
+const SHORT_BATCH: Lane = Lane { class: Class::Batch, is_long: false };
+const LONG: Lane = Lane { class: Class::Interactive, is_long: true };
 
 /// A queue that counts the work that each partner got.
 struct Bench {
@@ -137,7 +137,7 @@
         turns += 1;
         assert!(turns < 1_000, "the batch ask starved");
     }
-    assert_eq!(turns, BATCH_AGE.as_millis() / 100);
+    assert_eq!(turns, MAX_BATCH_OVERTAKING.as_millis() / 100);
 }
 
 /// A lane without room does not hold up the others: the flow whose turn it is
@@ -164,7 +164,7 @@
     let now = Instant::now();
     queue.push(now, (&"mawe".into(), &account), SHORT, 1, 1);
     queue.push(now, (&"caucao".into(), &account), SHORT, 1, 2);
-    assert_eq!(queue.waiting_of(&"mawe".into()), 1);
+    assert_eq!(queue.waiting_asks_of(&"mawe".into()), 1);
     assert!(queue.grant(1) && queue.grant(2));
     assert!(queue.is_empty());
 }
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::ms;
-use hickory_policy::layout::{Change, Engine, Held, Layout, Offer};
+use hickory_policy::layout::{Change, Deployment, Engine, Layout, Residency};
 use hickory_unit::{id, rate::TokensPerSecond};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,14 +14,14 @@
 /// `finish_loads`.
 struct Bench {
     layout: Layout<Weights>,
-    offers: Vec<Offer<Weights>>,
+    offers: Vec<Deployment<Weights>>,
     engines: Vec<Engine<Weights>>,
     now: Instant,
     loads: usize,
 }
 
-fn offer(weights: Weights) -> Offer<Weights> {
-    Offer { weights, least: 2, replaces: None }
+fn offer(weights: Weights) -> Deployment<Weights> {
+    Deployment { weights, min_replicas: 2, replaces: None }
 }
 
 impl Bench {
@@ -30,7 +30,7 @@
             target: id::Target::from(format!("engine-{index:02}").as_str()),
             zone: id::Zone::from(["a", "b", "c"][index % 3]),
             accepting: true,
-            places: 2,
+            weight_slots: 2,
             loaded: BTreeMap::new(),
         };
         Self {
@@ -51,7 +51,7 @@
     }
 
     fn change(&mut self, slots: u32) -> Vec<Change<Weights>> {
-        let changes = self.layout.changes(&self.offers, &self.engines, slots);
+        let changes = self.layout.plan_changes(&self.offers, &self.engines, slots);
         for change in &changes {
             let (target, load) = match change {
                 Change::Load(target, weights) => (target, Some(*weights)),
@@ -61,7 +61,7 @@
             match (load, change) {
                 (Some(weights), _) => {
                     self.loads += 1;
-                    engine.loaded.insert(weights, Held { ready: false, streams: 0 });
+                    engine.loaded.insert(weights, Residency { is_ready: false, streams: 0 });
                 }
                 (None, Change::Unload(_, weights)) => {
                     let held = engine.loaded.remove(weights).expect("held");
@@ -76,7 +76,7 @@
 
     fn finish_loads(&mut self) {
         let held = self.engines.iter_mut().flat_map(|e| e.loaded.values_mut());
-        held.for_each(|held| held.ready = true);
+        held.for_each(|held| held.is_ready = true);
     }
 
     fn settle(&mut self) {
@@ -87,7 +87,7 @@
 
     fn ready(&self, weights: Weights) -> usize {
         let serves = |e: &&Engine<Weights>| {
-            e.accepting && e.loaded.get(weights).is_some_and(|held| held.ready)
+            e.accepting && e.loaded.get(weights).is_some_and(|held| held.is_ready)
         };
         self.engines.iter().filter(serves).count()
     }
@@ -171,13 +171,13 @@
     bench.settle();
     assert_eq!(bench.ready("v1"), 6);
     bench.engines[0].loaded.get_mut("v1").expect("held").streams = 1;
-    bench.offers = vec![Offer { weights: "v2", least: 2, replaces: Some("v1") }];
+    bench.offers = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
     bench.demand(&[("v1", "mawe", 500.0)]);
     for _ in 0..10 {
         let before = bench.ready("v2") as u32;
         let changes = bench.change(2);
         let unloads = changes.iter().any(|c| matches!(c, Change::Unload(..)));
-        assert!(!unloads || before >= bench.layout.wanted(&"v2"));
+        assert!(!unloads || before >= bench.layout.wanted_replicas(&"v2"));
         assert!(bench.ready("v1") + bench.ready("v2") > 0);
         bench.finish_loads();
     }
@@ -214,7 +214,7 @@
     let replicas = |rates: &[(Weights, &str, f64)]| {
         let mut bench = Bench::open(12, &["theirs", "ours"]);
         bench.demand(rates);
-        bench.layout.wanted(&"ours")
+        bench.layout.wanted_replicas(&"ours")
     };
     let within = replicas(&[("theirs", "mawe", 850.0), ("ours", "mawe", 150.0)]);
     let over = replicas(&[("theirs", "mawe", 850.0), ("ours", "caucao", 150.0)]);
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -5,7 +5,7 @@
 use common::cost;
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{
-    Candidate, Prefix, Query, asks_at_once, choose_target, counts, hash_target,
+    Candidate, Prefix, Query, choose_target, counts_as_ask, hash_target, wants_immediate_answer,
 };
 use hickory_policy::refuse::Reason;
 use hickory_unit::{id, size};
@@ -14,17 +14,17 @@
 fn idle(index: usize) -> Candidate {
     let target = id::Target::from(format!("engine-{index}").as_str());
     Candidate {
-        key: hash_target(&target),
+        hash: hash_target(&target),
         target,
-        near: true,
-        own: false,
-        cached: false,
+        is_same_zone: true,
+        is_owned: false,
+        has_cached_prefix: false,
         queued_prefill: size::Tokens(0),
         queued_long: size::Tokens(0),
         kv_free: size::Tokens(450_000),
         kv_capacity: size::Tokens(450_000),
         prefill_rate: 40_000,
-        bound: 64,
+        max_streams: 64,
         running: 0,
         waiting: 0,
     }
@@ -51,8 +51,8 @@
 ) -> BTreeMap<usize, u32> {
     let mut counts = BTreeMap::new();
     for query in queries {
-        let chosen = choose_target(&query, fleet).expect("some target").key;
-        let index = fleet.iter().position(|c| c.key == chosen).expect("of the fleet");
+        let chosen = choose_target(&query, fleet).expect("some target").hash;
+        let index = fleet.iter().position(|c| c.hash == chosen).expect("of the fleet");
         let candidate = &mut fleet[index];
         candidate.queued_prefill += query.cost.prefill;
         if query.cost.is_long() {
@@ -82,7 +82,7 @@
     let mut counts = BTreeMap::<_, u32>::new();
     for node in 0..380 {
         let chosen = choose_target(&query(cost(1_000, 32), node), &fleet).expect("some target");
-        *counts.entry(chosen.key).or_default() += 1;
+        *counts.entry(chosen.hash).or_default() += 1;
     }
     assert!(counts.values().all(|&n| n < 60), "{counts:?}");
 }
@@ -119,16 +119,16 @@
     let mut home = None;
     for random in 0..100 {
         let fleet = fleet(16);
-        let chosen = choose_target(&with_prefix(random, 8_000), &fleet).expect("some").key;
+        let chosen = choose_target(&with_prefix(random, 8_000), &fleet).expect("some").hash;
         assert_eq!(*home.get_or_insert(chosen), chosen, "no event ever came");
     }
     let counts = place(&mut fleet(16), (0..320).map(|i| with_prefix(i, 8_000)));
     assert!(counts.values().all(|&n| n <= 30), "{counts:?}");
     let mut late = fleet(16);
-    let other = late.iter().position(|c| Some(c.key) != home).expect("another");
-    late[other].cached = true;
+    let other = late.iter().position(|c| Some(c.hash) != home).expect("another");
+    late[other].has_cached_prefix = true;
     let chosen = choose_target(&with_prefix(1, 8_000), &late).expect("some");
-    assert_eq!(chosen.key, late[other].key, "an event is worth more than the hash");
+    assert_eq!(chosen.hash, late[other].hash, "an event is worth more than the hash");
 }
 
 /// One target is slow to free its slots: it is passed over while others have
@@ -142,7 +142,7 @@
     fleet.iter_mut().for_each(|c| c.running = 64);
     fleet[1..].iter_mut().for_each(|c| c.waiting = 200);
     let chosen = choose_target(&query(cost(1_000, 32), 1), &fleet).expect("some");
-    assert_eq!(chosen.key, fleet[0].key);
+    assert_eq!(chosen.hash, fleet[0].hash);
 }
 
 /// Work stays in the zone where that costs nothing, and leaves it where the
@@ -150,10 +150,10 @@
 #[test]
 fn near_targets_are_preferred_until_they_are_busy() {
     let mut fleet = fleet(16);
-    fleet[8..].iter_mut().for_each(|c| c.near = false);
+    fleet[8..].iter_mut().for_each(|c| c.is_same_zone = false);
     let near = |fleet: &[Candidate]| {
         let chosen = (0..200).filter_map(|i| choose_target(&query(cost(200, 32), i), fleet));
-        chosen.filter(|c| c.near).count()
+        chosen.filter(|c| c.is_same_zone).count()
     };
     assert_eq!(near(&fleet), 200);
     fleet[..8].iter_mut().for_each(|c| c.queued_prefill = size::Tokens(2_000));
@@ -167,15 +167,15 @@
 #[test]
 fn first_asks_of_short_work_are_answered_at_once() {
     let (short, long) = (cost(1_000, 32), cost(100_000, 32));
-    let asked: Vec<bool> = (0..4).map(|asked| asks_at_once(short, asked, 9)).collect();
+    let asked: Vec<bool> = (0..4).map(|asked| wants_immediate_answer(short, asked, 9)).collect();
     assert_eq!(asked, [true, true, false, false]);
-    assert!(!asks_at_once(short, 0, 1) && !asks_at_once(long, 0, 9));
+    assert!(!wants_immediate_answer(short, 0, 1) && !wants_immediate_answer(long, 0, 9));
 }
 
 /// A zone goes out while states are old: its targets refuse one after the
 /// other, which uses up none of a request's asks.
 #[test]
 fn refusals_of_stopped_targets_do_not_count() {
-    assert!(!counts(Reason::NoTarget));
-    assert!(counts(Reason::Overloaded) && counts(Reason::Deadline));
+    assert!(!counts_as_ask(Reason::NoTarget));
+    assert!(counts_as_ask(Reason::Overloaded) && counts_as_ask(Reason::Deadline));
 }
--- a/crates/policy/tests/preempt.rs
+++ b/crates/policy/tests/preempt.rs
@@ -4,26 +4,27 @@
 
 use common::{cost, ms};
 use hickory_policy::cost::Class;
-use hickory_policy::preempt::{Running, Speed, Wait, choose_victim};
+use hickory_policy::preempt::{EngineSpeed, RunningStream, WaitingRequest, choose_victim};
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-const SPEED: Speed = Speed { prefill_rate: 40_000, token_time: Duration::from_millis(15) };
+const SPEED: EngineSpeed =
+    EngineSpeed { prefill_rate: 40_000, token_time: Duration::from_millis(15) };
 
-fn report(now: Instant, ticket: u64, prefilled: u64) -> Running {
-    Running {
+fn report(now: Instant, ticket: u64, prefilled: u64) -> RunningStream {
+    RunningStream {
         ticket,
         class: Class::Batch,
         cost: cost(100_000, 1_000),
         prefilled: size::Tokens(prefilled),
         generated: size::Tokens(0),
         deadline: now + Duration::from_secs(600),
-        preempted: 0,
+        preemptions: 0,
     }
 }
 
-fn question(wait: u64) -> Wait {
-    Wait {
+fn question(wait: u64) -> WaitingRequest {
+    WaitingRequest {
         cost: cost(1_000, 32),
         class: Class::Interactive,
         wait: ms(wait),
@@ -53,14 +54,14 @@
     let now = Instant::now();
     let fresh = report(now, 1, 0);
     let spared = [
-        Running { class: Class::Interactive, cost: cost(1_000, 1_000), ..fresh.clone() },
-        Running { deadline: now + Duration::from_secs(15), ..fresh.clone() },
-        Running { preempted: 1, ..fresh.clone() },
-        Running { cost: cost(500, 10), ..fresh.clone() },
+        RunningStream { class: Class::Interactive, cost: cost(1_000, 1_000), ..fresh.clone() },
+        RunningStream { deadline: now + Duration::from_secs(15), ..fresh.clone() },
+        RunningStream { preemptions: 1, ..fresh.clone() },
+        RunningStream { cost: cost(500, 10), ..fresh.clone() },
     ];
     for stream in spared {
         assert_eq!(choose_victim(now, question(2_000), SPEED, std::slice::from_ref(&stream)), None);
     }
-    let waiting = Wait { class: Class::Batch, ..question(2_000) };
+    let waiting = WaitingRequest { class: Class::Batch, ..question(2_000) };
     assert_eq!(choose_victim(now, waiting, SPEED, &[fresh]), None);
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -5,7 +5,7 @@
 use common::{CAPACITY, ask, batch, cost, ms, warm};
 use hickory_policy::limit::{Answer, Ask, Limiter, Outcome, Ticket};
 use hickory_policy::place::{Candidate, hash_target};
-use hickory_policy::reserve::{Impossible, Part, Reservation, Step, back_off, plan_parts};
+use hickory_policy::reserve::{Impossible, Part, Reservation, Step, backoff, plan_parts};
 use hickory_unit::{id, size};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -15,17 +15,17 @@
     let engine = |(index, &free): (usize, &u64)| {
         let target = id::Target::from(format!("engine-{index}").as_str());
         Candidate {
-            key: hash_target(&target),
+            hash: hash_target(&target),
             target,
-            near: true,
-            own: false,
-            cached: false,
+            is_same_zone: true,
+            is_owned: false,
+            has_cached_prefix: false,
             queued_prefill: size::Tokens(0),
             queued_long: size::Tokens(0),
             kv_free: size::Tokens(free),
             kv_capacity: size::Tokens(450_000),
             prefill_rate: 40_000,
-            bound: 64,
+            max_streams: 64,
             running: 0,
             waiting: 0,
         }
@@ -44,7 +44,7 @@
     assert_eq!(parts.len(), 3);
     let mut from = size::Tokens(0);
     for part in &parts {
-        assert_eq!(part.from, from);
+        assert_eq!(part.prompt_offset, from);
         assert!(part.cost.kv() <= size::Tokens(450_000 / 8 * 7 + 1));
         from += part.cost.prefill;
     }
@@ -92,7 +92,7 @@
     reservation: &mut Reservation,
 ) -> Option<Vec<(Part, Ticket)>> {
     let part = match reservation.next_step() {
-        Step::Held(held) => return Some(held),
+        Step::Complete(held) => return Some(held),
         Step::Ask(part) => part,
     };
     let limiter = limiters.get_mut(&part.target).expect("known");
@@ -150,7 +150,7 @@
                 open[who] = None;
             } else if reservation.next_step() == Step::Ask(parts_by_target(&parts)) {
                 rounds[who] += 1;
-                wake[who] = now + back_off(rounds[who], random ^ turns as u64);
+                wake[who] = now + backoff(rounds[who], random ^ turns as u64);
             }
         }
         now += Duration::from_secs(70);
