--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::view::{Tag, Target};
 use hickory_policy::engine::Profile;
-use hickory_policy::pass::{Engine, PendingPrefill};
+use hickory_policy::iteration::{Engine, PendingPrefill};
 use hickory_policy::plan::Load;
 use hickory_unit::id;
 use hickory_unit::size::Tokens;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,7 +2,7 @@
 //! and the time passed in.
 //!
 //! A request meets [`cost`], [`place`], [`limit`] (with [`fair`], [`room`],
-//! [`ramp`] and [`pace`] behind it), then [`retry`] and [`poison`];
+//! [`ramp`] and [`throughput`] behind it), then [`retry`] and [`poison`];
 //! [`reserve`] and [`preempt`] serve the long prompts, [`layout`] the weights
 //! on engines. [`spread`] is how a large document goes from node to node.
 //! [`membership`] is which nodes are alive, [`queue`] the order of prompts that
@@ -19,14 +19,12 @@
 mod flow;
 pub mod gossip;
 mod grant;
+pub mod iteration;
 mod lane;
-mod late;
 pub mod layout;
 pub mod limit;
 pub mod member;
 pub mod membership;
-pub mod pace;
-pub mod pass;
 pub mod place;
 pub mod plan;
 pub mod poison;
@@ -43,5 +41,7 @@
 mod roster;
 mod rumor;
 pub mod share;
+mod shedding;
 pub mod spread;
 pub mod survey;
+pub mod throughput;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -7,10 +7,10 @@
 
 pub use crate::ask::{Answer, Ask, Capacity, Observed, Outcome, Ticket, priority_of};
 use crate::fair::Queue;
-use crate::pace::Throughput;
 use crate::ramp::{Cold, Ramp};
 use crate::refuse::Reason;
 use crate::room::{Bound, Claim, Room};
+use crate::throughput::Throughput;
 use hickory_unit::{id, size};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
--- a/crates/policy/tests/pass.rs
+++ b/crates/policy/tests/iteration.rs
@@ -2,7 +2,7 @@
 
 mod profile;
 
-use hickory_policy::pass::{Engine, PendingPrefill};
+use hickory_policy::iteration::{Engine, PendingPrefill};
 use hickory_unit::size::Tokens;
 use profile::profile;
 use std::time::{Duration, Instant};
