--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -13,12 +13,12 @@
 /// Prefill tokens that one generated token weighs. A decode step of a busy
 /// batch takes about a fifth of a millisecond for each stream, in which an
 /// engine could prefill eight tokens.
-const DECODE_WEIGHT: u64 = 8;
+const DECODE_TOKEN_WEIGHT: u64 = 8;
 
 /// Token-steps of KV memory that weigh as much as one prefilled token. A
 /// stream that holds 64k tokens of KV cache makes each decode step of its
 /// engine longer, and keeps the memory from others, as long as it decodes.
-const KV_STEPS_PER_TOKEN: u64 = 65_536;
+const KV_TOKEN_STEPS_PER_PREFILL_TOKEN: u64 = 65_536;
 
 /// Who waits for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -54,8 +54,8 @@
     /// decode, and KV memory over the steps of the decode. At least one, so
     /// that a call of a plain service weighs something too.
     pub fn work(self) -> u64 {
-        let decode = self.decode.0.saturating_mul(DECODE_WEIGHT);
-        let memory = self.kv().0.saturating_mul(self.decode.0) / KV_STEPS_PER_TOKEN;
+        let decode = self.decode.0.saturating_mul(DECODE_TOKEN_WEIGHT);
+        let memory = self.kv().0.saturating_mul(self.decode.0) / KV_TOKEN_STEPS_PER_PREFILL_TOKEN;
         self.prefill.0.saturating_add(decode).saturating_add(memory).max(1)
     }
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -28,7 +28,7 @@
 
 /// The weight of a flow that has none set, and the least weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
-const LEAST_WEIGHT: f64 = 0.001;
+const MIN_WEIGHT: f64 = 0.001;
 
 #[derive(Clone, Debug)]
 struct PartnerFlow {
@@ -38,7 +38,7 @@
 
 impl PartnerFlow {
     /// Accounts of the partner that wait, at least one.
-    fn rivals(&self) -> f64 {
+    fn waiting_accounts(&self) -> f64 {
         self.accounts.order.iter().map(BTreeSet::len).max().unwrap_or(0).max(1) as f64
     }
 }
@@ -56,13 +56,13 @@
     account: u32,
     lane: Lane,
     work: u64,
-    since: Instant,
+    queued_at: Instant,
 }
 
 /// The asks that wait for one target.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    level: Level,
+    partner_level: Level,
     partners: Vec<PartnerFlow>,
     accounts: Vec<AccountFlow>,
     partner_index: HashMap<id::Partner, u32>,
@@ -109,17 +109,17 @@
         let owner = &mut self.partners[entry.partner as usize];
         let index = lane.index();
         owner.accounts.enter(&mut entry.flow, account, index);
-        self.level.enter(&mut owner.flow, entry.partner, index);
+        self.partner_level.enter(&mut owner.flow, entry.partner, index);
         let size = usize::from(lane.is_long);
         entry.flow.queued_work[size] += work;
         owner.flow.queued_work[size] += work;
         entry.queues[index].insert(ticket);
-        self.items.insert(ticket, Item { account, lane, work, since: now });
+        self.items.insert(ticket, Item { account, lane, work, queued_at: now });
     }
 
     /// The ask whose turn it is among the lanes that are let in.
     pub fn peek(&self, now: Instant, lanes: Lanes) -> Option<(u64, Lane)> {
-        let (partner, long) = self.level.first(lanes)?;
+        let (partner, long) = self.partner_level.first(lanes)?;
         let lanes = lanes.of_size(long);
         let (account, _) = self.partners[partner as usize].accounts.first(lanes)?;
         let head = |class| {
@@ -131,7 +131,7 @@
         let overdue = |(ticket, _): &(u64, Lane)| {
             self.items
                 .get(ticket)
-                .is_some_and(|i| now.duration_since(i.since) >= MAX_BATCH_OVERTAKING)
+                .is_some_and(|i| now.duration_since(i.queued_at) >= MAX_BATCH_OVERTAKING)
         };
         batch.filter(overdue).or_else(|| head(Class::Interactive)).or(batch)
     }
@@ -142,7 +142,7 @@
         let entry = &mut self.accounts[item.account as usize];
         let owner = &mut self.partners[entry.partner as usize];
         owner.accounts.charge(&mut entry.flow, item.account, item.work, item.lane.is_long);
-        self.level.charge(&mut owner.flow, entry.partner, item.work, item.lane.is_long);
+        self.partner_level.charge(&mut owner.flow, entry.partner, item.work, item.lane.is_long);
         self.remove(ticket)
     }
 
@@ -154,7 +154,7 @@
         let lane = item.lane.index();
         entry.queues[lane].remove(&ticket);
         owner.accounts.leave(&mut entry.flow, item.account, lane);
-        self.level.leave(&mut owner.flow, entry.partner, lane);
+        self.partner_level.leave(&mut owner.flow, entry.partner, lane);
         let size = usize::from(item.lane.is_long);
         entry.flow.queued_work[size] -= item.work;
         owner.flow.queued_work[size] -= item.work;
@@ -163,7 +163,7 @@
 
     /// How long an ask has waited.
     pub fn wait_time(&self, now: Instant, ticket: u64) -> Option<Duration> {
-        self.items.get(&ticket).map(|item| now.duration_since(item.since))
+        self.items.get(&ticket).map(|item| now.duration_since(item.queued_at))
     }
 
     /// Asks that wait.
@@ -210,7 +210,7 @@
         let by_partner = owner.flow.queued_work[size] as f64 / part;
         let entry = self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
         let own = entry.map_or(0, |flow| flow.queued_work[size]);
-        let by_account = own as f64 * owner.rivals() / part;
+        let by_account = own as f64 * owner.waiting_accounts() / part;
         self.queued_work(long).min(by_partner.min(by_account) as u64)
     }
 
@@ -228,7 +228,7 @@
         let mut named = Vec::new();
         for entry in self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(long)] > 0) {
             let owner = &self.partners[entry.partner as usize];
-            let part = self.part(&owner.flow) / owner.rivals();
+            let part = self.waiting_share(&owner.flow) / owner.waiting_accounts();
             let own_rate = (rate * part).max(1.0);
             let mut before = 0;
             for ticket in lanes.clone().flat_map(|lane| &entry.queues[lane]) {
@@ -244,7 +244,7 @@
     }
 
     /// The part of the whole of a partner that waits.
-    fn part(&self, flow: &Flow) -> f64 {
+    fn waiting_share(&self, flow: &Flow) -> f64 {
         let all = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
         flow.weight / all.sum::<f64>().max(flow.weight)
     }
@@ -276,5 +276,5 @@
 }
 
 fn weight_of<K: std::hash::Hash + Eq>(weights: &HashMap<K, f64>, key: &K) -> f64 {
-    weights.get(key).copied().unwrap_or(DEFAULT_WEIGHT).max(LEAST_WEIGHT)
+    weights.get(key).copied().unwrap_or(DEFAULT_WEIGHT).max(MIN_WEIGHT)
 }
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -11,7 +11,7 @@
 /// How long a long ask waits before room is held for it, and a suspect
 /// before other grants stop: shorter, and each long ask would idle slots that
 /// short ones could use; longer, and it would starve behind them.
-const CLAIM_AFTER: Duration = Duration::from_secs(1);
+const MIN_WAIT_FOR_CLAIM: Duration = Duration::from_secs(1);
 
 impl Limiter {
     fn can_grant(&self, now: Instant) -> bool {
@@ -35,7 +35,7 @@
             }
             // Grants stop only after a while: a target that drains for each
             // suspect at once would let one caller idle it at will.
-            if now.saturating_duration_since(since) >= CLAIM_AFTER {
+            if now.saturating_duration_since(since) >= MIN_WAIT_FOR_CLAIM {
                 return None;
             }
         }
@@ -65,7 +65,7 @@
     /// for slots or memory that short work keeps taking as it comes free.
     fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
         let waits = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
-            let old = self.queue.wait_time(now, ticket)? >= CLAIM_AFTER;
+            let old = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
             old.then_some((self.asks.get(&ticket)?.ask.cost, lane))
         });
         let Some((cost, lane)) = waits else { return Claim::default() };
--- a/crates/policy/src/iteration.rs
+++ b/crates/policy/src/iteration.rs
@@ -12,11 +12,11 @@
 
 /// The least that an engine still has to read where it should be done and no
 /// first token has come, as a part of what was placed.
-const OVERDUE_PART: u32 = 5;
+const OVERDUE_DIVISOR: u32 = 5;
 
 /// Strides after which a pass that was known to end tells nothing more: each is
 /// estimated to a few per cent.
-const KNOWN_STRIDES: u32 = 8;
+const MAX_SIMULATED_ITERATIONS: u32 = 8;
 
 /// A part that an engine was sent and whose first token is not known to have come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -63,8 +63,8 @@
     /// one that is known to have ended.
     pub fn backlog(&mut self, now: Instant, profile: &Profile) -> Backlog {
         self.pending_prefills.sort_unstable();
-        let Some(mut end) = self.begin(now, profile) else {
-            let begins = self.stride(self.decoding_streams, profile) / 2;
+        let Some(mut end) = self.simulation_start(now, profile) else {
+            let begins = self.decode_time(self.decoding_streams, profile) / 2;
             return Backlog {
                 prefill_start_delay: begins,
                 decoding_streams: self.decoding_streams,
@@ -81,7 +81,7 @@
             }
             let (read, later) = rest.split_at(rest.partition_point(|read| read.placed_at <= end));
             let reading: Duration = read.iter().map(|read| read.chunk_time).sum();
-            end += reading + self.stride(writers, profile);
+            end += reading + self.decode_time(writers, profile);
             writers += read.iter().filter(|read| read.is_primary).count() as u32;
             rest = later;
             if !read.is_empty() {
@@ -93,7 +93,9 @@
         writers += rest.iter().filter(|read| read.is_primary).count() as u32;
         let begins = end.saturating_duration_since(now) + pending;
         let unread = match rest.is_empty() {
-            true => last_read.saturating_duration_since(now).max(self.overdue(now, last_read)),
+            true => {
+                last_read.saturating_duration_since(now).max(self.overdue_prefill(now, last_read))
+            }
             false => begins,
         };
         Backlog {
@@ -105,14 +107,14 @@
     }
 
     /// Where to follow the passes from; nothing where nothing is known.
-    fn begin(&self, now: Instant, profile: &Profile) -> Option<Instant> {
-        let known = self.stride(self.decoding_streams, profile) * KNOWN_STRIDES;
+    fn simulation_start(&self, now: Instant, profile: &Profile) -> Option<Instant> {
+        let known = self.decode_time(self.decoding_streams, profile) * MAX_SIMULATED_ITERATIONS;
         let ended = self.last_iteration_end.filter(|&at| now.saturating_duration_since(at) < known);
         ended.or(self.pending_prefills.first().map(|read| read.placed_at))
     }
 
     /// The time that a pass takes to write.
-    fn stride(&self, writers: u32, profile: &Profile) -> Duration {
+    fn decode_time(&self, writers: u32, profile: &Profile) -> Duration {
         match writers {
             0 => Duration::ZERO,
             _ => profile.iteration_time(writers, self.decode_context),
@@ -121,8 +123,8 @@
 
     /// What is left to read where an engine is slower than it should be: the
     /// word that it has read is long due.
-    fn overdue(&self, now: Instant, done: Instant) -> Duration {
+    fn overdue_prefill(&self, now: Instant, done: Instant) -> Duration {
         let late = self.pending_prefills.iter().filter(|read| now > done + read.notification_delay);
-        late.map(|read| read.chunk_time / OVERDUE_PART).sum()
+        late.map(|read| read.chunk_time / OVERDUE_DIVISOR).sum()
     }
 }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -16,11 +16,11 @@
 
 /// The change of the wanted number of replicas, as a part of it, below which
 /// it stays: loads cost the store more than a small imbalance costs callers.
-const HYSTERESIS: f64 = 0.25;
+const HYSTERESIS_FRACTION: f64 = 0.25;
 
 /// What demand above its partner's share counts: it is lent where others
 /// leave room, and must not push out what they have bought.
-const OVER_SHARE: f64 = 0.5;
+const OVER_SHARE_WEIGHT: f64 = 0.5;
 
 /// Weights that exist, by the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,14 +70,14 @@
 #[derive(Clone, Debug)]
 pub struct Layout<W> {
     demand: BTreeMap<(W, id::Partner), f64>,
-    wanted: BTreeMap<W, u32>,
-    advanced: Option<Instant>,
+    wanted_replicas: BTreeMap<W, u32>,
+    last_observed: Option<Instant>,
 }
 
 impl<W: Clone + Ord> Layout<W> {
     /// Nothing is asked for yet.
     pub fn open() -> Self {
-        Self { demand: BTreeMap::new(), wanted: BTreeMap::new(), advanced: None }
+        Self { demand: BTreeMap::new(), wanted_replicas: BTreeMap::new(), last_observed: None }
     }
 
     /// Notes the rates of work that was asked for since the last call.
@@ -86,7 +86,7 @@
         now: Instant,
         rates: &BTreeMap<(W, id::Partner), rate::TokensPerSecond>,
     ) {
-        let since = self.advanced.replace(now);
+        let since = self.last_observed.replace(now);
         let passed = since.map_or(DEMAND_WINDOW, |since| now.saturating_duration_since(since));
         let old = (-passed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp();
         self.demand.values_mut().for_each(|demand| *demand *= old);
@@ -104,7 +104,7 @@
         shares: &BTreeMap<id::Partner, f64>,
         engines: &[Engine<W>],
     ) {
-        let demand = self.weigh(shares);
+        let demand = self.weighted_demand(shares);
         let of = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
         let expected =
             |offer: &Deployment<W>| of(&offer.weights) + offer.replaces.as_ref().map_or(0.0, of);
@@ -113,15 +113,18 @@
         let places: u32 = usable.clone().map(|e| e.weight_slots).sum();
         let most = usable.count() as u32;
         let spare = places.saturating_sub(offers.iter().map(|o| o.min_replicas).sum());
-        self.wanted.retain(|weights, _| offers.iter().any(|o| o.weights == *weights));
+        self.wanted_replicas.retain(|weights, _| offers.iter().any(|o| o.weights == *weights));
         for offer in offers {
             let part = if total > 0.0 { expected(offer) / total } else { 0.0 };
             let ideal = f64::from(offer.min_replicas) + part * f64::from(spare);
             let ideal = ideal.min(f64::from(most));
-            let wanted =
-                self.wanted.entry(offer.weights.clone()).or_insert(offer.min_replicas.min(most));
+            let wanted = self
+                .wanted_replicas
+                .entry(offer.weights.clone())
+                .or_insert(offer.min_replicas.min(most));
             let change = (ideal - f64::from(*wanted)).abs();
-            if change >= 1.0 && change > HYSTERESIS * f64::from(*wanted) || *wanted > most {
+            if change >= 1.0 && change > HYSTERESIS_FRACTION * f64::from(*wanted) || *wanted > most
+            {
                 *wanted = ideal.round() as u32;
             }
         }
@@ -129,7 +132,7 @@
 
     /// Replicas that are wanted of some weights.
     pub fn wanted_replicas(&self, weights: &W) -> u32 {
-        self.wanted.get(weights).copied().unwrap_or(0)
+        self.wanted_replicas.get(weights).copied().unwrap_or(0)
     }
 
     /// The next changes, with at most `slots` loads; level-triggered, so the
@@ -145,7 +148,7 @@
         for _ in 0..slots {
             let Some((engine, weights)) = self.next_load(offers, &after) else { break };
             let held = Residency { is_ready: false, streams: 0 };
-            if let Some(surplus) = self.make_place(&after[engine], &after) {
+            if let Some(surplus) = self.choose_eviction(&after[engine], &after) {
                 after[engine].loaded.remove(&surplus);
                 changes.push(Change::Unload(after[engine].target.clone(), surplus));
             }
@@ -156,7 +159,7 @@
     }
 
     /// Demand by weights; what is above its partner's share counts less.
-    fn weigh(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
+    fn weighted_demand(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
         let total: f64 = self.demand.values().sum();
         let all: f64 = shares.values().sum();
         let mut of_partner: BTreeMap<&id::Partner, f64> = BTreeMap::new();
@@ -168,7 +171,7 @@
             let bought =
                 total * shares.get(partner).copied().unwrap_or(0.0) / all.max(f64::EPSILON);
             let within = (bought / of_partner[partner]).min(1.0);
-            let counted = demand * OVER_SHARE.mul_add(1.0 - within, within);
+            let counted = demand * OVER_SHARE_WEIGHT.mul_add(1.0 - within, within);
             *weighed.entry(weights.clone()).or_default() += counted;
         }
         weighed
@@ -185,7 +188,7 @@
         let successor_short = |weights: &W| {
             let successor = offers.iter().find(|o| o.replaces.as_ref() == Some(weights));
             successor.is_some_and(|o| {
-                ready(&o.weights, engines)
+                count_ready(&o.weights, engines)
                     < self.wanted_replicas(&o.weights).max(o.min_replicas).max(1)
             })
         };
@@ -209,8 +212,10 @@
         let mut short: Vec<(f64, &W)> = offers
             .iter()
             .map(|offer| &offer.weights)
-            .filter(|&w| replicas(w, engines) < self.wanted_replicas(w))
-            .map(|w| (f64::from(replicas(w, engines)) / f64::from(self.wanted_replicas(w)), w))
+            .filter(|&w| count_replicas(w, engines) < self.wanted_replicas(w))
+            .map(|w| {
+                (f64::from(count_replicas(w, engines)) / f64::from(self.wanted_replicas(w)), w)
+            })
             .collect();
         short.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
         short.into_iter().find_map(|(_, weights)| {
@@ -220,7 +225,7 @@
             };
             let able = engines.iter().enumerate().filter(|(_, engine)| {
                 let place = (engine.loaded.len() as u32) < engine.weight_slots;
-                let place = place || self.make_place(engine, engines).is_some();
+                let place = place || self.choose_eviction(engine, engines).is_some();
                 engine.accepting && !engine.loaded.contains_key(weights) && place
             });
             let best = able.min_by_key(|(_, e)| (in_zone(&e.zone), e.loaded.len(), &e.target));
@@ -230,14 +235,14 @@
 
     /// Weights that a full engine can give up: idle there, and with more
     /// ready replicas than are wanted.
-    fn make_place(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
+    fn choose_eviction(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
         if (engine.loaded.len() as u32) < engine.weight_slots {
             return None;
         }
         let surplus = engine.loaded.iter().filter(|(weights, held)| {
             held.is_ready
                 && held.streams == 0
-                && ready(*weights, engines) > self.wanted_replicas(weights)
+                && count_ready(*weights, engines) > self.wanted_replicas(weights)
         });
         surplus.map(|(weights, _)| weights.clone()).next()
     }
@@ -250,13 +255,13 @@
 }
 
 /// Replicas on engines that take work, those being loaded included.
-fn replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
+fn count_replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
     let holds = |e: &&Engine<W>| e.accepting && e.loaded.contains_key(weights);
     engines.iter().filter(holds).count() as u32
 }
 
 /// Replicas that serve.
-fn ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
+fn count_ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
     let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
     engines.iter().filter(serves).count() as u32
 }
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -20,51 +20,51 @@
 use std::time::Duration;
 
 /// What a target in another zone costs, in seconds: the way there and back.
-const ZONE_COST: f64 = 0.002;
+const CROSS_ZONE_COST_S: f64 = 0.002;
 
 /// What an engine step with a full chunk of long prefill adds to a short
 /// prompt's first token: on average half a step goes by before its turn, and
 /// its own step carries the rest of the chunk.
-const STEP_COST: f64 = 0.09;
+const LONG_CHUNK_COST_S: f64 = 0.09;
 
 /// Prefill tokens that the steps up to a first token weigh beside the prompt
 /// itself: about three steps of 13 ms at 40,000 tokens a second. Counted in
 /// tokens, so that they take longer on a target that is slow or cold.
-const STEPS: f64 = 1_600.0;
+const FIRST_TOKEN_STEP_TOKENS: f64 = 1_600.0;
 
 /// What a token of KV cache in use adds to a first token: each engine step
 /// reads it, at some 20 ms a million, there are about three up to a first
 /// token, and what holds much memory decodes for long or is about to prefill.
-const KV_COST: f64 = 150e-9;
+const KV_COST_S_PER_TOKEN: f64 = 150e-9;
 
 /// What a target without a free slot or free memory costs: a typical answer
 /// has to end first.
-const FULL_COST: f64 = 1.0;
+const FULL_TARGET_COST_S: f64 = 1.0;
 
 /// The spread that is put on estimates, as a part of them and at least: two
 /// targets that differ by less are the same for the caller, and nodes that
 /// choose by equal states must not all choose the same.
-const SPREAD_PART: f64 = 0.1;
-const SPREAD_LEAST: f64 = 0.001;
+const SPREAD_FRACTION: f64 = 0.1;
+const MIN_SPREAD_S: f64 = 0.001;
 
 /// The part of the saving that counts where the hash names the target and no
 /// cache event confirms it. Half: the prefix was sent there if it was sent
 /// before at all.
-const LIKELY: f64 = 0.5;
+const UNCONFIRMED_CACHE_WEIGHT: f64 = 0.5;
 
 /// The least wait that long work accepts on a busy engine before it is put on
 /// a further one, in seconds.
-const PACK_LEAST: u64 = 1;
+const MIN_PACK_WAIT_S: u64 = 1;
 
 /// Owners that are asked for an answer at once before an ask may queue.
 pub const MAX_IMMEDIATE_ASKS: usize = 2;
 
 /// What asking another node for leave costs, in seconds: the round trip, and
 /// that its word of the target is old where that of an owned one is exact.
-const ASK_COST: f64 = 0.010;
+const REMOTE_OWNER_COST_S: f64 = 0.010;
 
 /// Seed of the order in which engines take long work.
-const LONG_ORDER: u64 = 0x6c6f_6e67_5f6f_7264;
+const LONG_ORDER_SEED: u64 = 0x6c6f_6e67_5f6f_7264;
 
 /// What is known of a target that could run the request.
 #[derive(Clone, Debug, PartialEq)]
@@ -133,30 +133,32 @@
     let kv = query.cost.kv();
     let able = candidates.iter().filter(|c| c.kv_capacity >= kv && c.max_streams > 0);
     if query.cost.is_long() {
-        let packed = able.clone().filter(|c| takes_long(query.cost, c));
-        if let Some(first) = packed.min_by_key(|c| mix(c.hash, LONG_ORDER)) {
+        let packed = able.clone().filter(|c| can_pack(query.cost, c));
+        if let Some(first) = packed.min_by_key(|c| mix_hashes(c.hash, LONG_ORDER_SEED)) {
             return Some(first);
         }
     }
     let mut best: Option<(f64, &Candidate)> = None;
     let mut home: Option<(u64, &Candidate)> = None;
     for candidate in able {
-        let least = score(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
+        let least =
+            estimate_cost(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
         if best.is_none_or(|(score, _)| least < score) {
-            let score = least + spread(query, candidate);
+            let score = least + random_spread(query, candidate);
             if best.is_none_or(|(best, _)| score < best) {
                 best = Some((score, candidate));
             }
         }
         if let Some(prefix) = query.prefix {
-            let rank = mix(candidate.hash, prefix.hash);
+            let rank = mix_hashes(candidate.hash, prefix.hash);
             if home.is_none_or(|(highest, _)| rank > highest) {
                 home = Some((rank, candidate));
             }
         }
     }
     let home = home.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
-    let home = home.map(|c| (score(query, c, LIKELY) + spread(query, c), c));
+    let home = home
+        .map(|c| (estimate_cost(query, c, UNCONFIRMED_CACHE_WEIGHT) + random_spread(query, c), c));
     let chosen = best.into_iter().chain(home).min_by(|(a, _), (b, _)| a.total_cmp(b));
     chosen.map(|(_, candidate)| candidate)
 }
@@ -194,33 +196,33 @@
 
 /// The time until the first token of `cost` would come from `candidate`.
 pub fn estimate_time_to_first_token(cost: Cost, candidate: &Candidate) -> Duration {
-    Duration::try_from_secs_f64(first_token(cost, candidate, 0.0)).unwrap_or(Duration::MAX)
+    Duration::try_from_secs_f64(first_token_seconds(cost, candidate, 0.0)).unwrap_or(Duration::MAX)
 }
 
 /// Seconds to the first token where the cache saves `saved` tokens.
 ///
 /// Engines run short work before long by priority: short work waits for what
 /// short work is queued, and for the step of a long prefill that runs.
-fn first_token(cost: Cost, candidate: &Candidate, saved: f64) -> f64 {
+fn first_token_seconds(cost: Cost, candidate: &Candidate, saved: f64) -> f64 {
     let mut ahead = candidate.queued_prefill.0;
     let mut seconds = 0.0;
     if !cost.is_long() {
         ahead = ahead.saturating_sub(candidate.queued_long.0);
-        seconds += STEP_COST * f64::from(u8::from(candidate.queued_long.0 > 0));
+        seconds += LONG_CHUNK_COST_S * f64::from(u8::from(candidate.queued_long.0 > 0));
     }
     if candidate.running >= candidate.max_streams || candidate.kv_free < cost.kv() {
         let turns = f64::from(candidate.waiting + 1) / f64::from(candidate.max_streams.max(1));
-        seconds += FULL_COST * (1.0 + turns);
+        seconds += FULL_TARGET_COST_S * (1.0 + turns);
     }
     let used = candidate.kv_capacity.saturating_sub(candidate.kv_free);
-    let tokens = (ahead + cost.prefill.0) as f64 + STEPS - saved;
-    seconds + used.0 as f64 * KV_COST + tokens / candidate.prefill_rate.max(1) as f64
+    let tokens = (ahead + cost.prefill.0) as f64 + FIRST_TOKEN_STEP_TOKENS - saved;
+    seconds + used.0 as f64 * KV_COST_S_PER_TOKEN + tokens / candidate.prefill_rate.max(1) as f64
 }
 
 /// Whether long work may be packed onto a candidate: it has the memory, and
 /// is not busy for longer than the work itself takes.
-fn takes_long(cost: Cost, candidate: &Candidate) -> bool {
-    let least = candidate.prefill_rate * PACK_LEAST;
+fn can_pack(cost: Cost, candidate: &Candidate) -> bool {
+    let least = candidate.prefill_rate * MIN_PACK_WAIT_S;
     candidate.kv_free >= cost.kv()
         && candidate.running < candidate.max_streams
         && candidate.queued_prefill.0 <= cost.prefill.0.max(least)
@@ -228,26 +230,27 @@
 
 /// Seconds to the first token, with what the zone costs, where this part of
 /// the prefix counts as cached.
-fn score(query: &Query, candidate: &Candidate, cached: f64) -> f64 {
+fn estimate_cost(query: &Query, candidate: &Candidate, cached: f64) -> f64 {
     let saved = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached);
-    let zone = ZONE_COST * f64::from(u8::from(!candidate.is_same_zone));
-    let ask = ASK_COST * f64::from(u8::from(!candidate.is_owned));
-    first_token(query.cost, candidate, saved) + zone + ask
+    let zone = CROSS_ZONE_COST_S * f64::from(u8::from(!candidate.is_same_zone));
+    let ask = REMOTE_OWNER_COST_S * f64::from(u8::from(!candidate.is_owned));
+    first_token_seconds(query.cost, candidate, saved) + zone + ask
 }
 
 /// The random part of a score.
-fn spread(query: &Query, candidate: &Candidate) -> f64 {
-    let estimate = first_token(query.cost, candidate, STEPS);
-    estimate.mul_add(SPREAD_PART, SPREAD_LEAST) * unit(mix(candidate.hash, query.random))
+fn random_spread(query: &Query, candidate: &Candidate) -> f64 {
+    let estimate = first_token_seconds(query.cost, candidate, FIRST_TOKEN_STEP_TOKENS);
+    estimate.mul_add(SPREAD_FRACTION, MIN_SPREAD_S)
+        * to_unit_interval(mix_hashes(candidate.hash, query.random))
 }
 
 /// A number from 0 to 1.
-fn unit(hash: u64) -> f64 {
+fn to_unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
 /// The finalizer of SplitMix64 over two hashes.
-fn mix(a: u64, b: u64) -> u64 {
+fn mix_hashes(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -18,71 +18,71 @@
 use std::time::Duration;
 
 /// Engines that may help the first one.
-pub const HELPERS_MAX: usize = 15;
+pub const MAX_HELPERS: usize = 15;
 
 /// Prompts that are read in less than this on one engine are short: they are
 /// read whole, at once. It is what a short stream beside them bears.
-const SHORT_READ: Duration = Duration::from_millis(100);
+const MAX_SHORT_PREFILL: Duration = Duration::from_millis(100);
 
 /// Goals below this leave no time to wait for idle engines, whatever the
 /// prompt's length.
-const URGENT_GOAL: Duration = Duration::from_millis(600);
+const MAX_URGENT_GOAL: Duration = Duration::from_millis(600);
 
 /// The part of the goal within which a short prompt's first token must be
 /// predicted for it to be packed on an engine, or to wait for a slot. The rest is
 /// for what predictions are off.
-const PACK_AIM: f64 = 0.7;
+const PACK_GOAL_FRACTION: f64 = 0.7;
 
 /// The part of an engine's slots that short streams are packed into. With fewer,
 /// more engines have short streams than are left to long prompts; with more,
 /// several prompts that arrive at once find no slot.
-const PACK_SLOTS: f64 = 0.9;
+const PACK_SLOT_FRACTION: f64 = 0.9;
 
 /// What a first token takes beside the engine's work: the way there and back,
 /// and the turns of the hosts.
-const REACH: Duration = Duration::from_millis(10);
+const NETWORK_OVERHEAD: Duration = Duration::from_millis(10);
 
 /// First tokens that differ by less come at the same time for the caller.
-const ALIKE: Duration = Duration::from_millis(20);
+const FIRST_TOKEN_RESOLUTION: Duration = Duration::from_millis(20);
 
 /// What each engine reads of a long prompt, at most where there are engines
 /// enough: half of the shortest pause that long streams are to keep.
-const PART_AIM: Duration = Duration::from_millis(250);
+const TARGET_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(250);
 
 /// What each engine reads at most where a long prompt does not wait for more
 /// engines to become idle.
-const PART_MOST: Duration = Duration::from_millis(500);
+const MAX_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(500);
 
 /// The part of the engines without short streams that is enough to begin with,
 /// whatever the parts: waiting for the last ones leaves the others idle.
-const CROWD: f64 = 0.6;
+const MIN_CLEAR_FRACTION: f64 = 0.6;
 
 /// The part of its streams' wanted pause that an engine may read in one pass.
 /// The rest is for what a pass differs from its prediction.
-const PAUSE_PART: f64 = 0.9;
+const MAX_PAUSE_FRACTION: f64 = 0.9;
 
 /// An engine that has less than this to read counts as idle: it is done by the
 /// time that a request reaches it.
-pub(crate) const IDLE: Duration = Duration::from_millis(15);
+pub(crate) const MAX_IDLE_BACKLOG: Duration = Duration::from_millis(15);
 
 /// The part of the engines without short streams that must be idle before a
 /// prompt which is late in any case is read: what it takes is otherwise taken
 /// from prompts that could be in time.
-const LATE_IDLE: f64 = 0.5;
+const MIN_IDLE_FRACTION_FOR_LATE: f64 = 0.5;
 
 /// The part of the time left that reading a late prompt may take.
-const LATE_PART: f64 = 0.6;
+const LATE_PREFILL_FRACTION: f64 = 0.6;
 
 /// The least time after which a prompt that can't be in time should come back:
 /// a phase of long prompts doesn't end sooner.
-const LATE_RETRY: Duration = Duration::from_millis(4_000);
+const MIN_LATE_RETRY: Duration = Duration::from_millis(4_000);
 
 /// Between two looks whether engines are idle, at the longest.
-const LOOK: Duration = Duration::from_millis(20);
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The part of an engine's memory that prompts may fill. The rest is for the
 /// answers of the streams that are there already.
-const MEMORY_USED: f64 = 0.95;
+const MAX_KV_FRACTION: f64 = 0.95;
 
 /// What is known of an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -173,7 +173,7 @@
 
 /// Whether a prompt is read at once on one engine.
 pub fn is_short(profile: &Profile, prompt: Tokens, goal: Duration) -> bool {
-    goal < URGENT_GOAL || profile.prefill_time(prompt) < SHORT_READ
+    goal < MAX_URGENT_GOAL || profile.prefill_time(prompt) < MAX_SHORT_PREFILL
 }
 
 /// Chooses the engines for a prompt.
@@ -185,13 +185,13 @@
     if loads.is_empty() {
         return Err(Refused::NoEngine);
     }
-    let scene = Planner::read(query, profile, loads);
-    if scene.needed.0 > scene.whole.0.saturating_mul(loads.len() as u64) {
+    let planner = Planner::new(query, profile, loads);
+    if planner.kv_needed.0 > planner.kv_usable.0.saturating_mul(loads.len() as u64) {
         return Err(Refused::TooLong);
     }
     match query.is_short {
-        true => scene.place_short(),
-        false => scene.place_long(),
+        true => planner.place_short(),
+        false => planner.place_long(),
     }
 }
 
@@ -201,71 +201,76 @@
     profile: &'a Profile,
     loads: &'a [Load],
     /// The time to read the prompt on one engine.
-    read: Duration,
+    prefill_time: Duration,
     /// The memory that it takes.
-    needed: Tokens,
+    kv_needed: Tokens,
     /// The memory of an engine that prompts may fill.
-    whole: Tokens,
+    kv_usable: Tokens,
 }
 
 impl<'a> Planner<'a> {
-    fn read(query: &'a Query, profile: &'a Profile, loads: &'a [Load]) -> Self {
+    fn new(query: &'a Query, profile: &'a Profile, loads: &'a [Load]) -> Self {
         Self {
             query,
             profile,
             loads,
-            read: profile.prefill_time(query.prompt_tokens),
-            needed: profile.kv_needed(query.prompt_tokens, query.answer_tokens),
-            whole: Tokens((profile.kv_capacity.0 as f64 * MEMORY_USED) as u64),
+            prefill_time: profile.prefill_time(query.prompt_tokens),
+            kv_needed: profile.kv_needed(query.prompt_tokens, query.answer_tokens),
+            kv_usable: Tokens((profile.kv_capacity.0 as f64 * MAX_KV_FRACTION) as u64),
         }
     }
 
-    fn has_place(&self, engine: usize) -> bool {
+    fn has_slot(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
         load.requests < self.profile.slots && load.helper_chunks < self.profile.slots
     }
 
-    fn free(&self, engine: usize) -> Tokens {
-        self.whole.saturating_sub(self.loads[engine].kv_used)
+    fn kv_free(&self, engine: usize) -> Tokens {
+        self.kv_usable.saturating_sub(self.loads[engine].kv_used)
     }
 
-    fn pass(&self, engine: usize) -> Duration {
+    fn iteration_time(&self, engine: usize) -> Duration {
         let load = &self.loads[engine];
         self.profile.iteration_time(load.decoding_streams, load.decode_context)
     }
 
     /// When the first token of a part read here comes: with the end of the
     /// pass in which the reading ends.
-    fn first_token(&self, engine: usize, part: Duration) -> Duration {
-        self.loads[engine].prefill_start_delay + part + self.pass(engine) + REACH
+    fn time_to_first_token(&self, engine: usize, part: Duration) -> Duration {
+        self.loads[engine].prefill_start_delay
+            + part
+            + self.iteration_time(engine)
+            + NETWORK_OVERHEAD
     }
 
     /// Packs a short prompt on the most preferred of the engines that have short
     /// streams already and on which it is in time; else takes the engine where
     /// it is first.
     fn place_short(&self) -> Result<Choice, Refused> {
-        let fits = |&engine: &usize| self.has_place(engine) && self.free(engine) >= self.needed;
-        let aim = self.query.goal_left.mul_f64(PACK_AIM);
-        let most = (f64::from(self.profile.slots) * PACK_SLOTS) as u32;
-        let first = |engine: usize| self.first_token(engine, self.read);
+        let fits =
+            |&engine: &usize| self.has_slot(engine) && self.kv_free(engine) >= self.kv_needed;
+        let aim = self.query.goal_left.mul_f64(PACK_GOAL_FRACTION);
+        let most = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION) as u32;
+        let first = |engine: usize| self.time_to_first_token(engine, self.prefill_time);
         let packs = |&engine: &usize| {
             let load = &self.loads[engine];
             load.short_requests > 0
                 && load.requests < most
                 && load.penalty.is_zero()
                 && first(engine) <= aim
-                && self.bears_in_pass(engine)
+                && self.can_add_prompt(engine)
         };
         let rank = |&engine: &usize| {
             let load = &self.loads[engine];
-            let steps = (first(engine) + load.penalty).as_millis() / ALIKE.as_millis();
-            (!self.bears_in_pass(engine), steps, load.preference)
+            let steps =
+                (first(engine) + load.penalty).as_millis() / FIRST_TOKEN_RESOLUTION.as_millis();
+            (!self.can_add_prompt(engine), steps, load.preference)
         };
         let fitting = || (0..self.loads.len()).filter(fits);
         let packed = fitting().filter(packs).min_by_key(|&engine| self.loads[engine].preference);
         let chosen = packed.or_else(|| fitting().min_by_key(rank));
         let Some(first) = chosen else { return self.wait_for_slot() };
-        let first_token = self.first_token(first, self.read);
+        let first_token = self.time_to_first_token(first, self.prefill_time);
         if first_token >= self.query.limit_left {
             return Err(Refused::Busy(first_token.saturating_sub(self.query.limit_left)));
         }
@@ -273,7 +278,7 @@
             primary: first,
             helpers: Vec::new(),
             kv_reservations: Vec::new(),
-            chunk_time: self.read,
+            chunk_time: self.prefill_time,
             time_to_first_token: first_token,
         }))
     }
@@ -282,13 +287,14 @@
     /// be in time would make all behind it late as well.
     fn wait_for_slot(&self) -> Result<Choice, Refused> {
         let wait = self.estimate_slot_wait();
-        let passes: Duration = (0..self.loads.len()).map(|engine| self.pass(engine)).sum();
+        let passes: Duration =
+            (0..self.loads.len()).map(|engine| self.iteration_time(engine)).sum();
         // A slot comes free as a pass ends, and the next one begins before the prompt
         // is there.
         let pass = passes / self.loads.len() as u32;
-        let first_token = wait + pass + self.read + pass + REACH;
-        match first_token <= self.query.goal_left.mul_f64(PACK_AIM) {
-            true => Ok(Choice::Wait(LOOK)),
+        let first_token = wait + pass + self.prefill_time + pass + NETWORK_OVERHEAD;
+        match first_token <= self.query.goal_left.mul_f64(PACK_GOAL_FRACTION) {
+            true => Ok(Choice::Wait(MAX_POLL_INTERVAL)),
             false => Err(Refused::Busy(wait)),
         }
     }
@@ -306,7 +312,7 @@
     /// and its caller can come back.
     fn place_long(&self) -> Result<Choice, Refused> {
         let takes =
-            |&engine: &usize| self.has_place(engine) && !self.loads[engine].is_refusing_chunks;
+            |&engine: &usize| self.has_slot(engine) && !self.loads[engine].is_refusing_chunks;
         let mut engines: Vec<usize> = (0..self.loads.len()).filter(takes).collect();
         engines.sort_by_key(|&engine| {
             let load = &self.loads[engine];
@@ -317,33 +323,35 @@
         let idle: Vec<usize> = engines
             .iter()
             .copied()
-            .filter(|&engine| self.loads[engine].prefill_backlog <= IDLE)
+            .filter(|&engine| self.loads[engine].prefill_backlog <= MAX_IDLE_BACKLOG)
             .collect();
         let wait = self.estimate_wait(&engines[..clear]);
-        let least = self.read / clear.clamp(1, HELPERS_MAX + 1) as u32;
+        let least = self.prefill_time / clear.clamp(1, MAX_HELPERS + 1) as u32;
         if wait + least <= self.query.goal_left {
             let plan = self.split_in_time(&idle, clear);
-            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Place));
+            return Ok(
+                plan.map_or_else(|| Choice::Wait(self.time_until_idle(&engines)), Choice::Place)
+            );
         }
         let shared = self.split_in_time(&idle, engines.len());
-        if shared.is_none() && self.estimate_cleared(&engines) <= self.query.goal_left {
-            return Ok(Choice::Wait(self.until_idle(&engines)));
+        if shared.is_none() && self.estimate_time_on_cleared(&engines) <= self.query.goal_left {
+            return Ok(Choice::Wait(self.time_until_idle(&engines)));
         }
         let plan = shared.or_else(|| self.split_late(&idle, clear));
-        plan.map(Choice::Place).ok_or(Refused::Busy((wait + least).max(LATE_RETRY)))
+        plan.map(Choice::Place).ok_or(Refused::Busy((wait + least).max(MIN_LATE_RETRY)))
     }
 
     /// When the prompt would be read on engines whose short streams have ended: all
     /// but those that short prompts need if they are packed.
-    fn estimate_cleared(&self, engines: &[usize]) -> Duration {
+    fn estimate_time_on_cleared(&self, engines: &[usize]) -> Duration {
         let short: u32 = engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
-        let packed = (f64::from(self.profile.slots) * PACK_SLOTS).max(1.0);
+        let packed = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION).max(1.0);
         let needed = (f64::from(short) / packed).ceil() as usize;
         let Some(cleared) = engines.len().checked_sub(needed).filter(|&count| count > 0) else {
             return Duration::MAX;
         };
         let streams = self.profile.stream_time(short / engines.len().max(1) as u32);
-        let read = self.read / cleared.min(HELPERS_MAX + 1) as u32;
+        let read = self.prefill_time / cleared.min(MAX_HELPERS + 1) as u32;
         streams.max(self.estimate_wait(&engines[..cleared])) + read
     }
 
@@ -358,15 +366,15 @@
     /// Splits over as few idle engines as make the parts small; over most of
     /// the engines where parts can't be small.
     fn split_in_time(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let crowd = ((clear as f64 * CROWD).ceil() as usize).min(HELPERS_MAX + 1);
+        let crowd = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
         let mut best = None;
-        for count in 1..=idle.len().min(HELPERS_MAX + 1) {
-            let part = self.read / count as u32;
+        for count in 1..=idle.len().min(MAX_HELPERS + 1) {
+            let part = self.prefill_time / count as u32;
             let Some(plan) = self.plan_on(idle, count, part) else { continue };
-            if part <= PART_AIM {
+            if part <= TARGET_PREFILL_CHUNK_TIME {
                 return Some(plan);
             }
-            let is_enough = part <= PART_MOST || count >= crowd;
+            let is_enough = part <= MAX_PREFILL_CHUNK_TIME || count >= crowd;
             if is_enough && plan.time_to_first_token <= self.query.goal_left {
                 best = Some(plan);
             }
@@ -376,14 +384,14 @@
 
     /// Splits over few idle engines, where many are idle.
     fn split_late(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let spare = (clear as f64 * LATE_IDLE).ceil() as usize;
+        let spare = (clear as f64 * MIN_IDLE_FRACTION_FOR_LATE).ceil() as usize;
         if idle.len() < spare.max(1) {
             return None;
         }
-        let aim = self.query.limit_left.mul_f64(LATE_PART);
-        let counts = 1..=idle.len().min(HELPERS_MAX + 1);
+        let aim = self.query.limit_left.mul_f64(LATE_PREFILL_FRACTION);
+        let counts = 1..=idle.len().min(MAX_HELPERS + 1);
         let plans = counts.filter_map(|count| {
-            let part = self.read / count as u32;
+            let part = self.prefill_time / count as u32;
             self.plan_on(idle, count, part)
         });
         plans.into_iter().find(|plan| plan.time_to_first_token <= aim)
@@ -391,38 +399,42 @@
 
     /// A plan on the first of the engines whose streams bear the part.
     fn plan_on(&self, engines: &[usize], count: usize, part: Duration) -> Option<Plan> {
-        let bearing = engines.iter().copied().filter(|&engine| self.bears(engine, part));
+        let bearing = engines.iter().copied().filter(|&engine| self.can_add_chunk(engine, part));
         let chosen: Vec<usize> = bearing.take(count).collect();
-        (chosen.len() == count).then(|| self.plan(&chosen, part)).flatten()
+        (chosen.len() == count).then(|| self.build_plan(&chosen, part)).flatten()
     }
 
-    fn until_idle(&self, engines: &[usize]) -> Duration {
+    fn time_until_idle(&self, engines: &[usize]) -> Duration {
         let busy = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
-        let next = busy.filter(|backlog| *backlog > IDLE).min().unwrap_or(LOOK);
-        next.saturating_sub(IDLE).clamp(Duration::from_millis(2), LOOK)
+        let next =
+            busy.filter(|backlog| *backlog > MAX_IDLE_BACKLOG).min().unwrap_or(MAX_POLL_INTERVAL);
+        next.saturating_sub(MAX_IDLE_BACKLOG).clamp(Duration::from_millis(2), MAX_POLL_INTERVAL)
     }
 
     /// Whether the streams of an engine bear that it reads this in a pass.
-    fn bears(&self, engine: usize, part: Duration) -> bool {
+    fn can_add_chunk(&self, engine: usize, part: Duration) -> bool {
         let load = &self.loads[engine];
         match load.inter_token_target {
-            Some(gap) => load.prefill_backlog + part + self.pass(engine) <= gap.mul_f64(PAUSE_PART),
+            Some(gap) => {
+                load.prefill_backlog + part + self.iteration_time(engine)
+                    <= gap.mul_f64(MAX_PAUSE_FRACTION)
+            }
             None => true,
         }
     }
 
     /// Whether the streams of an engine bear that it reads the prompt with what it
     /// reads in its next pass.
-    fn bears_in_pass(&self, engine: usize) -> bool {
+    fn can_add_prompt(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        let pass = load.next_iteration_prefill + self.read + self.pass(engine);
-        load.inter_token_target.is_none_or(|gap| pass <= gap.mul_f64(PAUSE_PART))
+        let pass = load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
+        load.inter_token_target.is_none_or(|gap| pass <= gap.mul_f64(MAX_PAUSE_FRACTION))
     }
 
-    fn plan(&self, engines: &[usize], part: Duration) -> Option<Plan> {
-        let memory = self.spread_memory(engines)?;
+    fn build_plan(&self, engines: &[usize], part: Duration) -> Option<Plan> {
+        let memory = self.reserve_kv(engines)?;
         let first = memory.first().map(|(engine, _)| *engine)?;
-        let last = engines.iter().map(|&engine| self.first_token(engine, part)).max()?;
+        let last = engines.iter().map(|&engine| self.time_to_first_token(engine, part)).max()?;
         Some(Plan {
             primary: first,
             helpers: engines.iter().copied().filter(|&engine| engine != first).collect(),
@@ -434,17 +446,17 @@
 
     /// Which engines hold the prompt: one if one can, else as few as can, each
     /// with what it has free.
-    fn spread_memory(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
-        let roomy = |&&engine: &&usize| self.free(engine) >= self.needed;
+    fn reserve_kv(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
+        let roomy = |&&engine: &&usize| self.kv_free(engine) >= self.kv_needed;
         if let Some(&one) = engines.iter().find(roomy) {
-            return Some(vec![(one, self.needed)]);
+            return Some(vec![(one, self.kv_needed)]);
         }
         let mut order = engines.to_vec();
-        order.sort_by_key(|&engine| std::cmp::Reverse(self.free(engine)));
-        let mut left = self.needed;
+        order.sort_by_key(|&engine| std::cmp::Reverse(self.kv_free(engine)));
+        let mut left = self.kv_needed;
         let mut memory = Vec::new();
         for engine in order {
-            let part = self.free(engine).min(left);
+            let part = self.kv_free(engine).min(left);
             memory.push((engine, part));
             left = left.saturating_sub(part);
             if left.0 == 0 {
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -12,11 +12,11 @@
 
 /// Waits shorter than this are not worth any preemption: the cancel, its
 /// confirmation and the new grant take as long.
-const WAIT_LEAST: Duration = Duration::from_millis(250);
+const MIN_PREEMPTION_WAIT: Duration = Duration::from_millis(250);
 
 /// How many times the time to redo the wait must be. One would trade a second
 /// of one for a second of the other and add the cost of the cancel.
-const GAIN: u32 = 2;
+const MIN_WAIT_TO_REDO_RATIO: u32 = 2;
 
 /// A stream that runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// Who waits for it.
     pub class: Class,
     /// How long it will wait where nothing is preempted.
-    pub wait: Duration,
+    pub expected_wait: Duration,
     /// KV memory that is free on the engine.
     pub kv_free: size::Tokens,
 }
@@ -67,7 +67,10 @@
     speed: EngineSpeed,
     running: &[RunningStream],
 ) -> Option<Ticket> {
-    if wait.class != Class::Interactive || wait.cost.is_long() || wait.wait < WAIT_LEAST {
+    if wait.class != Class::Interactive
+        || wait.cost.is_long()
+        || wait.expected_wait < MIN_PREEMPTION_WAIT
+    {
         return None;
     }
     let able = running.iter().filter(|stream| {
@@ -76,15 +79,16 @@
         bulk && fits && stream.preemptions == 0
     });
     let paying = able.filter(|stream| {
-        let redo = time_to_prefill(redone(stream), speed);
-        redo * GAIN <= wait.wait && now + wait.wait + time_left(stream, speed) < stream.deadline
+        let redo = time_to_prefill(tokens_to_redo(stream), speed);
+        redo * MIN_WAIT_TO_REDO_RATIO <= wait.expected_wait
+            && now + wait.expected_wait + time_left(stream, speed) < stream.deadline
     });
-    paying.min_by_key(|stream| (redone(stream), stream.ticket)).map(|stream| stream.ticket)
+    paying.min_by_key(|stream| (tokens_to_redo(stream), stream.ticket)).map(|stream| stream.ticket)
 }
 
 /// Tokens to prefill again: what was prefilled, and what was generated since,
 /// which a resume prefills as part of the prompt.
-fn redone(stream: &RunningStream) -> size::Tokens {
+fn tokens_to_redo(stream: &RunningStream) -> size::Tokens {
     stream.prefilled + stream.generated
 }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -9,10 +9,10 @@
 
 /// How long a prompt waits without being asked for again: its caller is gone, or
 /// its node died.
-const KEPT: Duration = Duration::from_secs(1);
+const ENTRY_TTL: Duration = Duration::from_secs(1);
 
 /// Prompts that wait at most; the rest is refused.
-const LENGTH_MOST: usize = 1_024;
+const MAX_LENGTH: usize = 1_024;
 
 /// A prompt's turn among those that wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug)]
 struct Entry<K, T> {
     key: K,
-    turn: Priority,
-    since: Instant,
-    asked: Instant,
+    priority: Priority,
+    queued_at: Instant,
+    refreshed_at: Instant,
     item: T,
 }
 
@@ -60,15 +60,16 @@
     /// there was room.
     pub fn insert_or_refresh(&mut self, now: Instant, key: K, turn: Priority, item: T) -> bool {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.key == key) {
-            entry.asked = now;
+            entry.refreshed_at = now;
             entry.item = item;
             return true;
         }
-        if self.entries.len() >= LENGTH_MOST {
+        if self.entries.len() >= MAX_LENGTH {
             return false;
         }
-        let at = self.entries.partition_point(|entry| entry.turn <= turn);
-        self.entries.insert(at, Entry { key, turn, since: now, asked: now, item });
+        let at = self.entries.partition_point(|entry| entry.priority <= turn);
+        self.entries
+            .insert(at, Entry { key, priority: turn, queued_at: now, refreshed_at: now, item });
         true
     }
 
@@ -76,19 +77,19 @@
     pub fn remove(&mut self, now: Instant, key: &K) -> Option<Duration> {
         let at = self.entries.iter().position(|entry| entry.key == *key)?;
         let entry = self.entries.remove(at);
-        Some(now.saturating_duration_since(entry.since))
+        Some(now.saturating_duration_since(entry.queued_at))
     }
 
     /// Drops what is no longer asked for.
     pub fn expire(&mut self, now: Instant) {
-        self.entries.retain(|entry| now.saturating_duration_since(entry.asked) < KEPT);
+        self.entries.retain(|entry| now.saturating_duration_since(entry.refreshed_at) < ENTRY_TTL);
     }
 
     /// What chooses before a prompt with this turn.
     pub fn ahead_of(&self, key: &K, turn: Priority) -> Ahead {
-        let before = self.entries.iter().take_while(|entry| entry.turn < turn);
+        let before = self.entries.iter().take_while(|entry| entry.priority < turn);
         let others = before.filter(|entry| entry.key != *key);
-        others.fold(Ahead::default(), |ahead, entry| match entry.turn {
+        others.fold(Ahead::default(), |ahead, entry| match entry.priority {
             Priority::Short(_) => Ahead { short_prompts: ahead.short_prompts + 1, ..ahead },
             Priority::Long(read) => Ahead { prefill_time: ahead.prefill_time + read, ..ahead },
         })
@@ -96,7 +97,7 @@
 
     /// Whether a short prompt waits.
     pub fn has_short(&self) -> bool {
-        self.entries.first().is_some_and(|entry| matches!(entry.turn, Priority::Short(_)))
+        self.entries.first().is_some_and(|entry| matches!(entry.priority, Priority::Short(_)))
     }
 
     /// The prompts in the order in which they choose.
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -9,7 +9,7 @@
 
 /// Requests that may run or wait at a replica, as a multiple of its slots: beyond
 /// it, a request waits longer than callers do.
-const WAITING: u32 = 3;
+const MAX_REQUESTS_PER_SLOT: u32 = 3;
 
 /// A replica's load and how many requests it runs at once.
 #[derive(Clone, Copy, Debug)]
@@ -22,12 +22,12 @@
 
 impl Candidate<'_> {
     fn is_full(&self) -> bool {
-        self.load.requests >= self.slots.max(1) * WAITING
+        self.load.requests >= self.slots.max(1) * MAX_REQUESTS_PER_SLOT
     }
 
     /// What a request is expected to wait for a slot, where a request takes
     /// `usual`.
-    fn wait(&self, usual: Duration) -> Duration {
+    fn queue_time(&self, usual: Duration) -> Duration {
         let slots = self.slots.max(1);
         let queued = (self.load.requests + 1).saturating_sub(slots);
         usual * queued / slots
@@ -44,8 +44,8 @@
         let candidate = &candidates[place];
         let load = candidate.load;
         let busy = load.requests * 1_000 / candidate.slots.max(1);
-        (candidate.wait(usual) + load.penalty, busy, !load.is_same_zone, load.preference)
+        (candidate.queue_time(usual) + load.penalty, busy, !load.is_same_zone, load.preference)
     };
     let open = (0..candidates.len()).filter(|&place| !candidates[place].is_full());
-    open.min_by_key(rank).ok_or(usual * (WAITING - 1))
+    open.min_by_key(rank).ok_or(usual * (MAX_REQUESTS_PER_SLOT - 1))
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -12,13 +12,13 @@
 
 /// One of this many tokens of an engine's memory is left to short work, as
 /// in [`crate::room`].
-const HEADROOM: u64 = 8;
+const HEADROOM_DIVISOR: u64 = 8;
 
 /// The first pause after a reservation that failed, and the greatest: less
 /// than the time for which an engine holds room after it refused an urgent
 /// ask ([`crate::limit::CLAIM_LIFE`]).
-const BACK_OFF: Duration = Duration::from_millis(100);
-const BACK_OFF_MOST: Duration = Duration::from_secs(1);
+const BASE_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A part of a prompt and the engine that is to hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -51,12 +51,13 @@
     left: Duration,
     candidates: &[Candidate],
 ) -> Result<Vec<Part>, Impossible> {
-    let able: u64 = candidates.iter().map(|c| c.kv_capacity.0 - c.kv_capacity.0 / HEADROOM).sum();
+    let able: u64 =
+        candidates.iter().map(|c| c.kv_capacity.0 - c.kv_capacity.0 / HEADROOM_DIVISOR).sum();
     if able < cost.kv().0 {
         return Err(Impossible::TooLong);
     }
     let mut free: Vec<(u64, &Candidate)> =
-        candidates.iter().map(|c| (usable(c), c)).filter(|&(tokens, _)| tokens > 0).collect();
+        candidates.iter().map(|c| (usable_kv(c), c)).filter(|&(tokens, _)| tokens > 0).collect();
     free.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.target.cmp(&y.target)));
     let mut parts = Vec::new();
     let mut time = Duration::ZERO;
@@ -86,16 +87,16 @@
     Err(Impossible::NoMemory)
 }
 
-fn usable(candidate: &Candidate) -> u64 {
+fn usable_kv(candidate: &Candidate) -> u64 {
     let room = candidate.running < candidate.max_streams;
-    let bulk = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM;
+    let bulk = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM_DIVISOR;
     if room { candidate.kv_free.0.min(bulk) } else { 0 }
 }
 
 /// How long to wait before round `round` (from 1) of a reservation that
 /// failed. The random part keeps two prompts from failing each other again.
 pub fn backoff(round: u32, random: u64) -> Duration {
-    let most = BACK_OFF.saturating_mul(1 << round.min(8)).min(BACK_OFF_MOST);
+    let most = BASE_BACKOFF.saturating_mul(1 << round.min(8)).min(MAX_BACKOFF);
     most / 2 + most.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
 }
 
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -15,31 +15,31 @@
 /// One of this many stream slots and KV tokens is kept for short interactive
 /// asks. An eighth serves a burst of a third of a second at the rates that
 /// engines reach, and costs bulk work little, since it is bound by prefill.
-const HEADROOM: u32 = 8;
+const HEADROOM_DIVISOR: u32 = 8;
 
 /// One of this many stream slots may hold long work: its KV memory is used
 /// up before, and slots that decode for long slow each step for all.
-const LONG_SLOTS: u32 = 4;
+const LONG_SLOTS_DIVISOR: u32 = 4;
 
 /// Prefill work that is handed to the engine ahead of time. It covers one of
 /// the engine's steps and the way there and back; more would queue in the
 /// engine, out of reach of shares and deadlines, where another engine may be
 /// idle.
-const WINDOW: Duration = Duration::from_millis(60);
+const MAX_PREFILL_IN_FLIGHT: Duration = Duration::from_millis(60);
 
 /// The part of the prefill rate that a long prefill keeps while short work
 /// saturates an engine that honours priorities strictly: long work must
 /// arrive.
-const LONG_FLOOR: f64 = 0.25;
+const MIN_LONG_PREFILL_FRACTION: f64 = 0.25;
 
 /// How far a load report may lag behind, with the time between two of them.
-const REPORT_LAG: Duration = Duration::from_millis(500);
+const MAX_REPORT_LAG: Duration = Duration::from_millis(500);
 
 /// What is left of a long prefill at least until a report or its first token
 /// says that it is over: a step of the engine. Long prompts slow down as they
 /// go; by estimate alone they ended seconds early, and short prompts were
 /// sent to engines that were still busy with them.
-const UNCONFIRMED: f64 = 2_048.0;
+const MIN_UNCONFIRMED_TOKENS: f64 = 2_048.0;
 
 /// Why an ask has no room now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
+struct Usage {
     slots: u32,
     kv: u64,
 }
@@ -82,19 +82,19 @@
 #[derive(Clone, Copy, Debug)]
 struct Prefill {
     ticket: u64,
-    left: f64,
+    tokens_left: f64,
 }
 
 /// What is in use on one target.
 #[derive(Clone, Debug, Default)]
 pub struct Room {
-    short: Use,
-    bulk: Use,
-    long: u32,
-    foreign: Use,
+    short: Usage,
+    bulk: Usage,
+    long_slots: u32,
+    foreign: Usage,
     /// Prefills in flight, short and long, in the order of their grants.
     prefills: [VecDeque<Prefill>; 2],
-    drained: Option<Instant>,
+    prefill_advanced_at: Option<Instant>,
 }
 
 impl Room {
@@ -125,13 +125,13 @@
         if self.bulk.slots == 0 {
             return Ok(());
         }
-        let slots = bound.slots - bound.slots / HEADROOM;
+        let slots = bound.slots - bound.slots / HEADROOM_DIVISOR;
         if self.bulk.slots >= slots
-            || (lane.is_long && self.long >= (bound.slots / LONG_SLOTS).max(1))
+            || (lane.is_long && self.long_slots >= (bound.slots / LONG_SLOTS_DIVISOR).max(1))
         {
             return Err(Full::Slots);
         }
-        if self.bulk.kv + kv > bound.kv.0 - bound.kv.0 / u64::from(HEADROOM) {
+        if self.bulk.kv + kv > bound.kv.0 - bound.kv.0 / u64::from(HEADROOM_DIVISOR) {
             return Err(Full::Memory);
         }
         Ok(())
@@ -143,11 +143,11 @@
             return Ok(());
         }
         let slots = bound.slots.saturating_sub(self.bulk.slots + claim.slots);
-        if self.short.slots >= slots.max(bound.slots / HEADROOM) {
+        if self.short.slots >= slots.max(bound.slots / HEADROOM_DIVISOR) {
             return Err(Full::Slots);
         }
         let memory = bound.kv.0.saturating_sub(self.bulk.kv + claim.kv.0);
-        if self.short.kv + kv > memory.max(bound.kv.0 / u64::from(HEADROOM)) {
+        if self.short.kv + kv > memory.max(bound.kv.0 / u64::from(HEADROOM_DIVISOR)) {
             return Err(Full::Memory);
         }
         Ok(())
@@ -158,7 +158,7 @@
         if in_flight == 0.0 {
             return Ok(());
         }
-        let window = bound.prefill_rate as f64 * WINDOW.as_secs_f64();
+        let window = bound.prefill_rate as f64 * MAX_PREFILL_IN_FLIGHT.as_secs_f64();
         if lane.is_long || in_flight + cost.prefill.0 as f64 > window {
             return Err(Full::Prefill);
         }
@@ -170,9 +170,9 @@
         let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         used.slots += 1;
         used.kv += cost.kv().0;
-        self.long += u32::from(lane.is_long);
+        self.long_slots += u32::from(lane.is_long);
         if cost.prefill.0 > 0 {
-            let prefill = Prefill { ticket, left: cost.prefill.0 as f64 };
+            let prefill = Prefill { ticket, tokens_left: cost.prefill.0 as f64 };
             self.prefills[usize::from(lane.is_long)].push_back(prefill);
         }
     }
@@ -182,7 +182,7 @@
         let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         used.slots -= 1;
         used.kv -= cost.kv().0;
-        self.long -= u32::from(lane.is_long);
+        self.long_slots -= u32::from(lane.is_long);
         self.finish_prefill(ticket, lane);
     }
 
@@ -194,12 +194,13 @@
     /// Works the prefills in flight off by estimate: the short ones first, as
     /// engines that honour priorities do, but for the floor of the long one.
     pub fn advance_prefill(&mut self, now: Instant, prefill_rate: u64) {
-        let since = self.drained.replace(now).unwrap_or(now);
+        let since = self.prefill_advanced_at.replace(now).unwrap_or(now);
         let budget = prefill_rate as f64 * now.saturating_duration_since(since).as_secs_f64();
-        let floor = if self.prefills[1].is_empty() { 0.0 } else { LONG_FLOOR };
-        let rest = work_off(&mut self.prefills[0], budget * (1.0 - floor));
+        let floor = if self.prefills[1].is_empty() { 0.0 } else { MIN_LONG_PREFILL_FRACTION };
+        let rest = consume_tokens(&mut self.prefills[0], budget * (1.0 - floor));
         if let Some(long) = self.prefills[1].front_mut() {
-            long.left = (long.left - budget * floor - rest).max(UNCONFIRMED.min(long.left));
+            long.tokens_left = (long.tokens_left - budget * floor - rest)
+                .max(MIN_UNCONFIRMED_TOKENS.min(long.tokens_left));
         }
     }
 
@@ -209,17 +210,17 @@
         if reported.0 == 0 {
             return self.finish_prefill(ticket, lane);
         }
-        let least = reported.0 as f64 - rate as f64 * REPORT_LAG.as_secs_f64();
+        let least = reported.0 as f64 - rate as f64 * MAX_REPORT_LAG.as_secs_f64();
         let found =
             self.prefills[usize::from(lane.is_long)].iter_mut().find(|p| p.ticket == ticket);
         if let Some(prefill) = found {
-            prefill.left = prefill.left.max(least);
+            prefill.tokens_left = prefill.tokens_left.max(least);
         }
     }
 
     /// Sets what runs there that this owner did not grant.
     pub fn set_foreign(&mut self, slots: u32, kv: size::Tokens) {
-        self.foreign = Use { slots, kv: kv.0 };
+        self.foreign = Usage { slots, kv: kv.0 };
     }
 
     /// Slots in use.
@@ -234,18 +235,18 @@
 
     /// Prompt tokens in flight of one size, by estimate.
     pub fn prefill_in_flight(&self, long: bool) -> f64 {
-        self.prefills[usize::from(long)].iter().map(|p| p.left).sum()
+        self.prefills[usize::from(long)].iter().map(|p| p.tokens_left).sum()
     }
 }
 
 /// Takes `budget` tokens off the queue's front; returns what is left of it.
-fn work_off(prefills: &mut VecDeque<Prefill>, mut budget: f64) -> f64 {
+fn consume_tokens(prefills: &mut VecDeque<Prefill>, mut budget: f64) -> f64 {
     while let Some(first) = prefills.front_mut() {
-        if first.left > budget {
-            first.left -= budget;
+        if first.tokens_left > budget {
+            first.tokens_left -= budget;
             return 0.0;
         }
-        budget -= first.left;
+        budget -= first.tokens_left;
         prefills.pop_front();
     }
     budget
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -11,7 +11,7 @@
 /// time left. Under overload the queue fills up to what is let in: without a
 /// margin each ask would start at the last moment, and a small error of the
 /// estimate would cut off answers that are half done.
-const WAIT_MARGIN: f64 = 1.4;
+const WAIT_SAFETY_FACTOR: f64 = 1.4;
 
 /// Between two looks for queued asks that have become hopeless, and by how
 /// much a wait must exceed the time that is left: the rates are measured over
@@ -29,7 +29,8 @@
         let wait =
             hold + self.pace.queue_time(ahead + self.room.prefill_in_flight(long) as u64, long);
         let time = self.pace.service_time(ask.cost, ask.deadline - now);
-        let late = (now + wait.mul_f64(WAIT_MARGIN) + time).checked_duration_since(ask.deadline);
+        let late =
+            (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + time).checked_duration_since(ask.deadline);
         if let Some(late) = late.filter(|late| !late.is_zero()) {
             return Some(Answer::Refused(Reason::Overloaded, late.max(RETRY_LEAST)));
         }
--- a/crates/policy/src/survey.rs
+++ b/crates/policy/src/survey.rs
@@ -1,7 +1,7 @@
 //! What a choice of engines rested on, for those who explain it afterwards.
 
 use crate::engine::Profile;
-use crate::plan::{IDLE, Load};
+use crate::plan::{Load, MAX_IDLE_BACKLOG};
 use crate::queue::Ahead;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -37,7 +37,7 @@
         Self {
             engines: loads.len() as u32,
             full: count(|load, slots| load.requests >= slots),
-            idle: count(|load, _| load.prefill_backlog <= IDLE),
+            idle: count(|load, _| load.prefill_backlog <= MAX_IDLE_BACKLOG),
             without_short: count(|load, _| load.short_requests == 0),
             penalized: count(|load, _| !load.penalty.is_zero()),
             prefill_backlog: loads.iter().map(|load| load.prefill_backlog).sum(),
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -9,43 +9,43 @@
 
 /// The part of the reported prefill rate that is left beside decode steps.
 /// A full batch takes about a quarter of the time of a step.
-const PREFILL_PART: f64 = 0.75;
+const PREFILL_FRACTION: f64 = 0.75;
 
 /// The speed of a cold target as a part of its full speed, at least. Targets
 /// that prefill at a fifth when cold are common; one that is slower still
 /// shows it in the rates that are measured.
-const COLD_SPEED: f64 = 0.2;
+const MIN_COLD_SPEED: f64 = 0.2;
 
 /// The time between two tokens of a stream before any was measured.
-const TOKEN_TIME: Duration = Duration::from_millis(15);
+const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(15);
 
 /// Time constants over which the rate of a queue is measured, short and
 /// long: many times what one ask of that size takes.
-const WINDOWS: [f64; 2] = [2.0, 10.0];
+const RATE_WINDOWS_S: [f64; 2] = [2.0, 10.0];
 
 /// The least rate that is believed, as a part of the first estimate: a target
 /// that stood still for a while must not refuse all that comes after.
-const LEAST_PART: f64 = 0.05;
+const MIN_RATE_FRACTION: f64 = 0.05;
 
 /// Calls a second that one slot of a plain service is first taken to do.
-const CALLS_PER_SLOT: f64 = 20.0;
+const INITIAL_CALLS_PER_SLOT: f64 = 20.0;
 
 /// The weight of a new measurement against the old.
-const NEW: f64 = 0.3;
+const EWMA_WEIGHT: f64 = 0.3;
 
 /// The learned rates of one target.
 #[derive(Clone, Debug)]
 pub struct Throughput {
-    reported: u64,
+    reported_prefill_rate: u64,
     /// From 0 to 1, by the warmth that the target reports.
-    speed: f64,
+    warmth_factor: f64,
     token_time: Duration,
     /// The first estimate of work a second.
-    first: f64,
+    initial_rate: f64,
     /// Work that left the queue while asks waited, decayed over the window;
     /// short and long.
-    granted: [f64; 2],
-    advanced: Option<Instant>,
+    recent_grants: [f64; 2],
+    advanced_at: Option<Instant>,
 }
 
 impl Throughput {
@@ -53,32 +53,32 @@
     /// second and to bear `slots` streams; rate zero is a plain service.
     pub fn open(prefill_rate: u64, slots: u32) -> Self {
         let first = match prefill_rate {
-            0 => f64::from(slots.max(1)) * CALLS_PER_SLOT,
-            rate => rate as f64 * PREFILL_PART,
+            0 => f64::from(slots.max(1)) * INITIAL_CALLS_PER_SLOT,
+            rate => rate as f64 * PREFILL_FRACTION,
         };
         Self {
-            reported: prefill_rate,
-            speed: 1.0,
-            token_time: TOKEN_TIME,
-            first,
-            granted: WINDOWS.map(|window| first * window),
-            advanced: None,
+            reported_prefill_rate: prefill_rate,
+            warmth_factor: 1.0,
+            token_time: INITIAL_TOKEN_TIME,
+            initial_rate: first,
+            recent_grants: RATE_WINDOWS_S.map(|window| first * window),
+            advanced_at: None,
         }
     }
 
     /// Sets how warm the target is, from 0 to 100.
     pub fn set_warmth(&mut self, warmth: u8) {
-        self.speed = (f64::from(warmth.min(100)) / 100.0).max(COLD_SPEED);
+        self.warmth_factor = (f64::from(warmth.min(100)) / 100.0).max(MIN_COLD_SPEED);
     }
 
     /// Prompt tokens a second at present warmth, with nothing beside them.
     pub fn current_prefill_rate(&self) -> u64 {
-        (self.reported as f64 * self.speed) as u64
+        (self.reported_prefill_rate as f64 * self.warmth_factor) as u64
     }
 
     /// Prompt tokens a second beside the decode of other streams.
     pub fn shared_prefill_rate(&self) -> u64 {
-        (self.current_prefill_rate() as f64 * PREFILL_PART) as u64
+        (self.current_prefill_rate() as f64 * PREFILL_FRACTION) as u64
     }
 
     /// The time a first token takes with `tokens` to prefill up to it.
@@ -109,13 +109,13 @@
     /// Work a second that leaves the queue.
     pub fn grant_rate(&self, long: bool) -> f64 {
         let size = usize::from(long);
-        let measured = self.granted[size] / WINDOWS[size];
-        measured.max(self.first * LEAST_PART)
+        let measured = self.recent_grants[size] / RATE_WINDOWS_S[size];
+        measured.max(self.initial_rate * MIN_RATE_FRACTION)
     }
 
     /// Notes work that left the queue.
     pub fn record_grant(&mut self, work: u64, long: bool) {
-        self.granted[usize::from(long)] += work as f64;
+        self.recent_grants[usize::from(long)] += work as f64;
     }
 
     /// Learns the time between tokens from a stream that is whole.
@@ -124,18 +124,19 @@
             return;
         }
         let measured = took.as_secs_f64() / (tokens.0 - 1) as f64;
-        let token_time = self.token_time.as_secs_f64() * (1.0 - NEW) + measured * NEW;
+        let token_time =
+            self.token_time.as_secs_f64() * (1.0 - EWMA_WEIGHT) + measured * EWMA_WEIGHT;
         self.token_time = Duration::from_secs_f64(token_time);
     }
 
     /// Lets time pass. Only time in which asks of a size wait counts for its
     /// rate: what an idle target was given says nothing of what it can do.
     pub fn advance(&mut self, now: Instant, waits: [bool; 2]) {
-        let since = self.advanced.replace(now).unwrap_or(now);
+        let since = self.advanced_at.replace(now).unwrap_or(now);
         let passed = now.saturating_duration_since(since).as_secs_f64();
-        for (size, granted) in self.granted.iter_mut().enumerate() {
-            let decay = (-passed / WINDOWS[size]).exp();
-            let rest = self.first * WINDOWS[size];
+        for (size, granted) in self.recent_grants.iter_mut().enumerate() {
+            let decay = (-passed / RATE_WINDOWS_S[size]).exp();
+            let rest = self.initial_rate * RATE_WINDOWS_S[size];
             *granted = match waits[size] {
                 true => *granted * decay,
                 // Back towards the first estimate, so that one bad spell is
--- a/crates/policy/tests/preempt.rs
+++ b/crates/policy/tests/preempt.rs
@@ -27,7 +27,7 @@
     WaitingRequest {
         cost: cost(1_000, 32),
         class: Class::Interactive,
-        wait: ms(wait),
+        expected_wait: ms(wait),
         kv_free: size::Tokens(0),
     }
 }
