--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -43,20 +43,21 @@
     }
 
     /// The time of a pass with this many writers and this much context.
-    pub fn iteration_time(&self, writers: u32, context: Tokens) -> Duration {
-        if writers == 0 {
+    pub fn iteration_time(&self, streams: u32, context: Tokens) -> Duration {
+        if streams == 0 {
             return self.base_step_time;
         }
-        let context = self.step_time_per_kilotoken.as_secs_f64() * context.0 as f64 / 1e3;
+        let context_time = self.step_time_per_kilotoken.as_secs_f64() * context.0 as f64 / 1e3;
         let step = self.base_step_time
-            + self.step_time_per_stream * writers
-            + Duration::from_secs_f64(context);
+            + self.step_time_per_stream * streams
+            + Duration::from_secs_f64(context_time);
         step * self.steps_per_iteration.max(1)
     }
 
     /// The time that a stream of the usual length takes beside so many others.
-    pub fn stream_time(&self, others: u32) -> Duration {
-        let step = self.iteration_time(others + 1, Tokens(0)) / self.steps_per_iteration.max(1);
+    pub fn stream_time(&self, other_streams: u32) -> Duration {
+        let step =
+            self.iteration_time(other_streams + 1, Tokens(0)) / self.steps_per_iteration.max(1);
         step * self.mean_answer.0 as u32
     }
 
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -122,18 +122,18 @@
         let (partner, long) = self.partner_level.first(lanes)?;
         let lanes = lanes.of_size(long);
         let (account, _) = self.partners[partner as usize].accounts.first(lanes)?;
-        let head = |class| {
+        let first_in_class = |class| {
             let lane = Lane { class, is_long: long };
             let queue = &self.accounts[account as usize].queues[lane.index()];
             lanes.contains(lane).then(|| queue.first().map(|&ticket| (ticket, lane))).flatten()
         };
-        let batch = head(Class::Batch);
-        let overdue = |(ticket, _): &(u64, Lane)| {
+        let batch = first_in_class(Class::Batch);
+        let is_overdue = |(ticket, _): &(u64, Lane)| {
             self.items
                 .get(ticket)
                 .is_some_and(|i| now.duration_since(i.queued_at) >= MAX_BATCH_OVERTAKING)
         };
-        batch.filter(overdue).or_else(|| head(Class::Interactive)).or(batch)
+        batch.filter(is_overdue).or_else(|| first_in_class(Class::Interactive)).or(batch)
     }
 
     /// Takes an ask out because it is granted, and charges its share.
@@ -185,10 +185,10 @@
     /// The part of the whole that a partner's share is, among the partners
     /// that wait and itself.
     pub fn share_of(&self, partner: &id::Partner) -> f64 {
-        let own = weight_of(&self.shares, partner);
-        let others = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
-        let waits = self.waiting_asks_of(partner) > 0;
-        own / (others.sum::<f64>() + if waits { 0.0 } else { own })
+        let own_weight = weight_of(&self.shares, partner);
+        let other_weights = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let is_waiting = self.waiting_asks_of(partner) > 0;
+        own_weight / (other_weights.sum::<f64>() + if is_waiting { 0.0 } else { own_weight })
     }
 
     /// Work of one size that waits.
@@ -206,11 +206,11 @@
         else {
             return 0;
         };
-        let part = self.share_of(partner);
-        let by_partner = owner.flow.queued_work[size] as f64 / part;
+        let share = self.share_of(partner);
+        let by_partner = owner.flow.queued_work[size] as f64 / share;
         let entry = self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
-        let own = entry.map_or(0, |flow| flow.queued_work[size]);
-        let by_account = own as f64 * owner.waiting_accounts() / part;
+        let account_work = entry.map_or(0, |flow| flow.queued_work[size]);
+        let by_account = account_work as f64 * owner.waiting_accounts() / share;
         self.queued_work(long).min(by_partner.min(by_account) as u64)
     }
 
@@ -225,28 +225,28 @@
         time_left: impl Fn(u64) -> Duration,
     ) -> Vec<u64> {
         let lanes = if long { 2..4 } else { 0..2 };
-        let mut named = Vec::new();
+        let mut late = Vec::new();
         for entry in self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(long)] > 0) {
             let owner = &self.partners[entry.partner as usize];
-            let part = self.waiting_share(&owner.flow) / owner.waiting_accounts();
-            let own_rate = (rate * part).max(1.0);
-            let mut before = 0;
+            let share = self.waiting_share(&owner.flow) / owner.waiting_accounts();
+            let account_rate = (rate * share).max(1.0);
+            let mut work_before = 0;
             for ticket in lanes.clone().flat_map(|lane| &entry.queues[lane]) {
-                let wait = Duration::try_from_secs_f64(before as f64 / own_rate);
+                let wait = Duration::try_from_secs_f64(work_before as f64 / account_rate);
                 if wait.unwrap_or(Duration::MAX) > time_left(*ticket) {
-                    named.push(*ticket);
+                    late.push(*ticket);
                 } else {
-                    before += self.items.get(ticket).map_or(0, |item| item.work);
+                    work_before += self.items.get(ticket).map_or(0, |item| item.work);
                 }
             }
         }
-        named
+        late
     }
 
     /// The part of the whole of a partner that waits.
     fn waiting_share(&self, flow: &Flow) -> f64 {
-        let all = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
-        flow.weight / all.sum::<f64>().max(flow.weight)
+        let total_weight = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        flow.weight / total_weight.sum::<f64>().max(flow.weight)
     }
 
     fn intern(&mut self, partner: &id::Partner, account: &id::Account) -> u32 {
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -15,8 +15,8 @@
 
 impl Limiter {
     fn can_grant(&self, now: Instant) -> bool {
-        let held = self.hold.is_some_and(|until| now < until);
-        self.accepting && !self.may_be_dead && !held
+        let is_held = self.hold.is_some_and(|until| now < until);
+        self.accepting && !self.may_be_dead && !is_held
     }
 
     /// The ticket that may be granted now, by the fair order over the lanes
@@ -64,11 +64,11 @@
     /// The room held for the long ask whose turn it is, once it has waited
     /// for slots or memory that short work keeps taking as it comes free.
     fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
-        let waits = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
-            let old = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
-            old.then_some((self.asks.get(&ticket)?.ask.cost, lane))
+        let long_ask = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
+            let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
+            has_waited.then_some((self.asks.get(&ticket)?.ask.cost, lane))
         });
-        let Some((cost, lane)) = waits else { return Claim::default() };
+        let Some((cost, lane)) = long_ask else { return Claim::default() };
         match self.room.fits(bound, lane, cost, Claim::default()) {
             Err(Full::Slots | Full::Memory) => Claim { slots: 1, kv: cost.kv() },
             Ok(()) | Err(Full::Prefill) => Claim::default(),
@@ -89,12 +89,12 @@
 
     /// Whether an urgent ask fits into the room that is held.
     pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
-        let alone = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
+        let is_alone_running = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
         let Some(Waiting { ask, .. }) = self.asks.get(&ticket).filter(|w| !w.ask.alone) else {
             return false;
         };
         let fits = self.room.fits(self.present_bound(), ask.lane(), ask.cost, Claim::default());
-        self.can_grant(now) && !alone && self.active_claim(now).is_some() && fits.is_ok()
+        self.can_grant(now) && !is_alone_running && self.active_claim(now).is_some() && fits.is_ok()
     }
 
     pub(crate) fn grant(&mut self, now: Instant, ticket: Ticket) {
@@ -106,10 +106,10 @@
         if !self.queue.is_empty() {
             self.pace.record_grant(ask.cost.work(), ask.cost.is_long());
         }
-        let ahead = size::Tokens(
+        let prefill_ahead = size::Tokens(
             self.room.prefill_in_flight(false) as u64 + self.room.prefill_in_flight(true) as u64,
         );
-        let expected = self.pace.time_to_first_token(ask.cost.prefill + ahead);
+        let expected = self.pace.time_to_first_token(ask.cost.prefill + prefill_ahead);
         self.room.acquire(ticket, ask.lane(), ask.cost);
         self.expiry.insert((ask.deadline + GRACE, ticket));
         self.granted.insert(ticket, Grant { ask, at: now, expected });
--- a/crates/policy/src/iteration.rs
+++ b/crates/policy/src/iteration.rs
@@ -64,67 +64,72 @@
     pub fn backlog(&mut self, now: Instant, profile: &Profile) -> Backlog {
         self.pending_prefills.sort_unstable();
         let Some(mut end) = self.simulation_start(now, profile) else {
-            let begins = self.decode_time(self.decoding_streams, profile) / 2;
+            let start_delay = self.decode_time(self.decoding_streams, profile) / 2;
             return Backlog {
-                prefill_start_delay: begins,
+                prefill_start_delay: start_delay,
                 decoding_streams: self.decoding_streams,
                 ..Backlog::default()
             };
         };
-        let mut rest = self.pending_prefills.as_slice();
-        let mut writers = self.decoding_streams;
-        let mut last_read = end;
+        let mut pending = self.pending_prefills.as_slice();
+        let mut streams = self.decoding_streams;
+        let mut last_prefill_end = end;
         while end <= now {
-            if writers == 0 {
-                let Some(next) = rest.first() else { break };
+            if streams == 0 {
+                let Some(next) = pending.first() else { break };
                 end = end.max(next.placed_at);
             }
-            let (read, later) = rest.split_at(rest.partition_point(|read| read.placed_at <= end));
-            let reading: Duration = read.iter().map(|read| read.chunk_time).sum();
-            end += reading + self.decode_time(writers, profile);
-            writers += read.iter().filter(|read| read.is_primary).count() as u32;
-            rest = later;
-            if !read.is_empty() {
-                last_read = end;
+            let (started, still_pending) =
+                pending.split_at(pending.partition_point(|prefill| prefill.placed_at <= end));
+            let prefill_time: Duration = started.iter().map(|prefill| prefill.chunk_time).sum();
+            end += prefill_time + self.decode_time(streams, profile);
+            streams += started.iter().filter(|prefill| prefill.is_primary).count() as u32;
+            pending = still_pending;
+            if !started.is_empty() {
+                last_prefill_end = end;
             }
         }
-        let pending: Duration = rest.iter().map(|read| read.chunk_time).sum();
+        let pending_time: Duration = pending.iter().map(|prefill| prefill.chunk_time).sum();
         // What is read with a further prompt is written with it.
-        writers += rest.iter().filter(|read| read.is_primary).count() as u32;
-        let begins = end.saturating_duration_since(now) + pending;
-        let unread = match rest.is_empty() {
-            true => {
-                last_read.saturating_duration_since(now).max(self.overdue_prefill(now, last_read))
-            }
-            false => begins,
+        streams += pending.iter().filter(|prefill| prefill.is_primary).count() as u32;
+        let start_delay = end.saturating_duration_since(now) + pending_time;
+        let prefill_left = match pending.is_empty() {
+            true => last_prefill_end
+                .saturating_duration_since(now)
+                .max(self.overdue_prefill(now, last_prefill_end)),
+            false => start_delay,
         };
         Backlog {
-            prefill_left: unread,
-            prefill_start_delay: begins.max(unread),
-            next_iteration_prefill: pending,
-            decoding_streams: writers,
+            prefill_left,
+            prefill_start_delay: start_delay.max(prefill_left),
+            next_iteration_prefill: pending_time,
+            decoding_streams: streams,
         }
     }
 
     /// Where to follow the passes from; nothing where nothing is known.
     fn simulation_start(&self, now: Instant, profile: &Profile) -> Option<Instant> {
-        let known = self.decode_time(self.decoding_streams, profile) * MAX_SIMULATED_ITERATIONS;
-        let ended = self.last_iteration_end.filter(|&at| now.saturating_duration_since(at) < known);
-        ended.or(self.pending_prefills.first().map(|read| read.placed_at))
+        let horizon = self.decode_time(self.decoding_streams, profile) * MAX_SIMULATED_ITERATIONS;
+        let last_end =
+            self.last_iteration_end.filter(|&at| now.saturating_duration_since(at) < horizon);
+        last_end.or(self.pending_prefills.first().map(|prefill| prefill.placed_at))
     }
 
     /// The time that a pass takes to write.
-    fn decode_time(&self, writers: u32, profile: &Profile) -> Duration {
-        match writers {
+    fn decode_time(&self, streams: u32, profile: &Profile) -> Duration {
+        match streams {
             0 => Duration::ZERO,
-            _ => profile.iteration_time(writers, self.decode_context),
+            _ => profile.iteration_time(streams, self.decode_context),
         }
     }
 
     /// What is left to read where an engine is slower than it should be: the
     /// word that it has read is long due.
-    fn overdue_prefill(&self, now: Instant, done: Instant) -> Duration {
-        let late = self.pending_prefills.iter().filter(|read| now > done + read.notification_delay);
-        late.map(|read| read.chunk_time / OVERDUE_DIVISOR).sum()
+    fn overdue_prefill(&self, now: Instant, expected_end: Instant) -> Duration {
+        let overdue = self
+            .pending_prefills
+            .iter()
+            .filter(|prefill| now > expected_end + prefill.notification_delay);
+        overdue.map(|prefill| prefill.chunk_time / OVERDUE_DIVISOR).sum()
     }
 }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -86,12 +86,13 @@
         now: Instant,
         rates: &BTreeMap<(W, id::Partner), rate::TokensPerSecond>,
     ) {
-        let since = self.last_observed.replace(now);
-        let passed = since.map_or(DEMAND_WINDOW, |since| now.saturating_duration_since(since));
-        let old = (-passed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp();
-        self.demand.values_mut().for_each(|demand| *demand *= old);
+        let previous = self.last_observed.replace(now);
+        let elapsed =
+            previous.map_or(DEMAND_WINDOW, |previous| now.saturating_duration_since(previous));
+        let decay = (-elapsed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp();
+        self.demand.values_mut().for_each(|demand| *demand *= decay);
         for (key, rate) in rates {
-            *self.demand.entry(key.clone()).or_default() += rate.0 * (1.0 - old);
+            *self.demand.entry(key.clone()).or_default() += rate.0 * (1.0 - decay);
         }
         self.demand.retain(|_, demand| *demand > 1e-3);
     }
@@ -100,32 +101,37 @@
     /// fleet's places by demand.
     pub fn plan(
         &mut self,
-        offers: &[Deployment<W>],
+        deployments: &[Deployment<W>],
         shares: &BTreeMap<id::Partner, f64>,
         engines: &[Engine<W>],
     ) {
         let demand = self.weighted_demand(shares);
-        let of = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
-        let expected =
-            |offer: &Deployment<W>| of(&offer.weights) + offer.replaces.as_ref().map_or(0.0, of);
-        let total: f64 = offers.iter().map(expected).sum();
-        let usable = engines.iter().filter(|e| e.accepting);
-        let places: u32 = usable.clone().map(|e| e.weight_slots).sum();
-        let most = usable.count() as u32;
-        let spare = places.saturating_sub(offers.iter().map(|o| o.min_replicas).sum());
-        self.wanted_replicas.retain(|weights, _| offers.iter().any(|o| o.weights == *weights));
-        for offer in offers {
-            let part = if total > 0.0 { expected(offer) / total } else { 0.0 };
-            let ideal = f64::from(offer.min_replicas) + part * f64::from(spare);
-            let ideal = ideal.min(f64::from(most));
-            let wanted = self
+        let demand_for = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
+        let expected = |deployment: &Deployment<W>| {
+            demand_for(&deployment.weights) + deployment.replaces.as_ref().map_or(0.0, demand_for)
+        };
+        let total: f64 = deployments.iter().map(expected).sum();
+        let accepting = engines.iter().filter(|e| e.accepting);
+        let weight_slots: u32 = accepting.clone().map(|e| e.weight_slots).sum();
+        let max_replicas = accepting.count() as u32;
+        let spare_slots = weight_slots
+            .saturating_sub(deployments.iter().map(|deployment| deployment.min_replicas).sum());
+        self.wanted_replicas.retain(|weights, _| {
+            deployments.iter().any(|deployment| deployment.weights == *weights)
+        });
+        for deployment in deployments {
+            let fraction = if total > 0.0 { expected(deployment) / total } else { 0.0 };
+            let ideal = f64::from(deployment.min_replicas) + fraction * f64::from(spare_slots);
+            let ideal = ideal.min(f64::from(max_replicas));
+            let wanted_replicas = self
                 .wanted_replicas
-                .entry(offer.weights.clone())
-                .or_insert(offer.min_replicas.min(most));
-            let change = (ideal - f64::from(*wanted)).abs();
-            if change >= 1.0 && change > HYSTERESIS_FRACTION * f64::from(*wanted) || *wanted > most
+                .entry(deployment.weights.clone())
+                .or_insert(deployment.min_replicas.min(max_replicas));
+            let change = (ideal - f64::from(*wanted_replicas)).abs();
+            if change >= 1.0 && change > HYSTERESIS_FRACTION * f64::from(*wanted_replicas)
+                || *wanted_replicas > max_replicas
             {
-                *wanted = ideal.round() as u32;
+                *wanted_replicas = ideal.round() as u32;
             }
         }
     }
@@ -139,96 +145,105 @@
     /// same state gives the same changes, and a lost one is given again.
     pub fn plan_changes(
         &self,
-        offers: &[Deployment<W>],
+        deployments: &[Deployment<W>],
         engines: &[Engine<W>],
-        slots: u32,
+        max_loads: u32,
     ) -> Vec<Change<W>> {
-        let mut after: Vec<Engine<W>> = engines.to_vec();
-        let mut changes = self.unload_unwanted(offers, &mut after);
-        for _ in 0..slots {
-            let Some((engine, weights)) = self.next_load(offers, &after) else { break };
-            let held = Residency { is_ready: false, streams: 0 };
-            if let Some(surplus) = self.choose_eviction(&after[engine], &after) {
-                after[engine].loaded.remove(&surplus);
-                changes.push(Change::Unload(after[engine].target.clone(), surplus));
+        let mut planned: Vec<Engine<W>> = engines.to_vec();
+        let mut changes = self.unload_unwanted(deployments, &mut planned);
+        for _ in 0..max_loads {
+            let Some((engine, weights)) = self.next_load(deployments, &planned) else { break };
+            let residency = Residency { is_ready: false, streams: 0 };
+            if let Some(evicted) = self.choose_eviction(&planned[engine], &planned) {
+                planned[engine].loaded.remove(&evicted);
+                changes.push(Change::Unload(planned[engine].target.clone(), evicted));
             }
-            after[engine].loaded.insert(weights.clone(), held);
-            changes.push(Change::Load(after[engine].target.clone(), weights));
+            planned[engine].loaded.insert(weights.clone(), residency);
+            changes.push(Change::Load(planned[engine].target.clone(), weights));
         }
         changes
     }
 
     /// Demand by weights; what is above its partner's share counts less.
     fn weighted_demand(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
-        let total: f64 = self.demand.values().sum();
-        let all: f64 = shares.values().sum();
-        let mut of_partner: BTreeMap<&id::Partner, f64> = BTreeMap::new();
+        let total_demand: f64 = self.demand.values().sum();
+        let total_shares: f64 = shares.values().sum();
+        let mut partner_demand: BTreeMap<&id::Partner, f64> = BTreeMap::new();
         for ((_, partner), demand) in &self.demand {
-            *of_partner.entry(partner).or_default() += demand;
+            *partner_demand.entry(partner).or_default() += demand;
         }
-        let mut weighed = BTreeMap::new();
+        let mut weighted = BTreeMap::new();
         for ((weights, partner), demand) in &self.demand {
-            let bought =
-                total * shares.get(partner).copied().unwrap_or(0.0) / all.max(f64::EPSILON);
-            let within = (bought / of_partner[partner]).min(1.0);
-            let counted = demand * OVER_SHARE_WEIGHT.mul_add(1.0 - within, within);
-            *weighed.entry(weights.clone()).or_default() += counted;
+            let bought_demand = total_demand * shares.get(partner).copied().unwrap_or(0.0)
+                / total_shares.max(f64::EPSILON);
+            let within_share = (bought_demand / partner_demand[partner]).min(1.0);
+            let counted = demand * OVER_SHARE_WEIGHT.mul_add(1.0 - within_share, within_share);
+            *weighted.entry(weights.clone()).or_default() += counted;
         }
-        weighed
+        weighted
     }
 
     /// Unloads what no offer names any more, once nothing runs on it and
     /// whatever replaces it is ready.
     fn unload_unwanted(
         &self,
-        offers: &[Deployment<W>],
+        deployments: &[Deployment<W>],
         engines: &mut [Engine<W>],
     ) -> Vec<Change<W>> {
-        let offered: BTreeSet<&W> = offers.iter().map(|offer| &offer.weights).collect();
-        let successor_short = |weights: &W| {
-            let successor = offers.iter().find(|o| o.replaces.as_ref() == Some(weights));
-            successor.is_some_and(|o| {
-                count_ready(&o.weights, engines)
-                    < self.wanted_replicas(&o.weights).max(o.min_replicas).max(1)
+        let deployed: BTreeSet<&W> =
+            deployments.iter().map(|deployment| &deployment.weights).collect();
+        let is_successor_short = |weights: &W| {
+            let successor =
+                deployments.iter().find(|deployment| deployment.replaces.as_ref() == Some(weights));
+            successor.is_some_and(|deployment| {
+                count_ready(&deployment.weights, engines)
+                    < self.wanted_replicas(&deployment.weights).max(deployment.min_replicas).max(1)
             })
         };
-        let mut gone = Vec::new();
+        let mut unloads = Vec::new();
         for engine in engines.iter() {
-            let unwanted = engine.loaded.iter().filter(|(weights, held)| {
-                !offered.contains(weights) && held.streams == 0 && !successor_short(weights)
+            let unwanted = engine.loaded.iter().filter(|(weights, residency)| {
+                !deployed.contains(weights)
+                    && residency.streams == 0
+                    && !is_successor_short(weights)
             });
-            gone.extend(unwanted.map(|(weights, _)| (engine.target.clone(), weights.clone())));
+            unloads.extend(unwanted.map(|(weights, _)| (engine.target.clone(), weights.clone())));
         }
         for engine in engines.iter_mut() {
-            engine.loaded.retain(|w, _| !gone.contains(&(engine.target.clone(), w.clone())));
+            engine.loaded.retain(|w, _| !unloads.contains(&(engine.target.clone(), w.clone())));
         }
-        gone.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
+        unloads.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
     }
 
     /// The load that is wanted most: of the weights that have the least part
     /// of their replicas, onto the emptiest engine of the zone that has the
     /// fewest of them.
-    fn next_load(&self, offers: &[Deployment<W>], engines: &[Engine<W>]) -> Option<(usize, W)> {
-        let mut short: Vec<(f64, &W)> = offers
+    fn next_load(
+        &self,
+        deployments: &[Deployment<W>],
+        engines: &[Engine<W>],
+    ) -> Option<(usize, W)> {
+        let mut missing: Vec<(f64, &W)> = deployments
             .iter()
-            .map(|offer| &offer.weights)
+            .map(|deployment| &deployment.weights)
             .filter(|&w| count_replicas(w, engines) < self.wanted_replicas(w))
             .map(|w| {
                 (f64::from(count_replicas(w, engines)) / f64::from(self.wanted_replicas(w)), w)
             })
             .collect();
-        short.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
-        short.into_iter().find_map(|(_, weights)| {
-            let in_zone = |zone: &id::Zone| {
+        missing.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
+        missing.into_iter().find_map(|(_, weights)| {
+            let replicas_in_zone = |zone: &id::Zone| {
                 let holds = |e: &&Engine<W>| e.zone == *zone && e.loaded.contains_key(weights);
                 engines.iter().filter(holds).count()
             };
-            let able = engines.iter().enumerate().filter(|(_, engine)| {
-                let place = (engine.loaded.len() as u32) < engine.weight_slots;
-                let place = place || self.choose_eviction(engine, engines).is_some();
-                engine.accepting && !engine.loaded.contains_key(weights) && place
+            let eligible = engines.iter().enumerate().filter(|(_, engine)| {
+                let has_slot = (engine.loaded.len() as u32) < engine.weight_slots;
+                let has_slot = has_slot || self.choose_eviction(engine, engines).is_some();
+                engine.accepting && !engine.loaded.contains_key(weights) && has_slot
             });
-            let best = able.min_by_key(|(_, e)| (in_zone(&e.zone), e.loaded.len(), &e.target));
+            let best = eligible
+                .min_by_key(|(_, e)| (replicas_in_zone(&e.zone), e.loaded.len(), &e.target));
             best.map(|(index, _)| (index, weights.clone()))
         })
     }
@@ -239,12 +254,12 @@
         if (engine.loaded.len() as u32) < engine.weight_slots {
             return None;
         }
-        let surplus = engine.loaded.iter().filter(|(weights, held)| {
-            held.is_ready
-                && held.streams == 0
+        let evictable = engine.loaded.iter().filter(|(weights, residency)| {
+            residency.is_ready
+                && residency.streams == 0
                 && count_ready(*weights, engines) > self.wanted_replicas(weights)
         });
-        surplus.map(|(weights, _)| weights.clone()).next()
+        evictable.map(|(weights, _)| weights.clone()).next()
     }
 }
 
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -131,35 +131,35 @@
 /// One pass, since it is made for each attempt over all replicas of a model.
 pub fn choose_target<'a>(query: &Query, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let kv = query.cost.kv();
-    let able = candidates.iter().filter(|c| c.kv_capacity >= kv && c.max_streams > 0);
+    let eligible = candidates.iter().filter(|c| c.kv_capacity >= kv && c.max_streams > 0);
     if query.cost.is_long() {
-        let packed = able.clone().filter(|c| can_pack(query.cost, c));
-        if let Some(first) = packed.min_by_key(|c| mix_hashes(c.hash, LONG_ORDER_SEED)) {
+        let packable = eligible.clone().filter(|c| can_pack(query.cost, c));
+        if let Some(first) = packable.min_by_key(|c| mix_hashes(c.hash, LONG_ORDER_SEED)) {
             return Some(first);
         }
     }
     let mut best: Option<(f64, &Candidate)> = None;
-    let mut home: Option<(u64, &Candidate)> = None;
-    for candidate in able {
-        let least =
+    let mut hash_owner: Option<(u64, &Candidate)> = None;
+    for candidate in eligible {
+        let min_score =
             estimate_cost(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
-        if best.is_none_or(|(score, _)| least < score) {
-            let score = least + random_spread(query, candidate);
+        if best.is_none_or(|(score, _)| min_score < score) {
+            let score = min_score + random_spread(query, candidate);
             if best.is_none_or(|(best, _)| score < best) {
                 best = Some((score, candidate));
             }
         }
         if let Some(prefix) = query.prefix {
             let rank = mix_hashes(candidate.hash, prefix.hash);
-            if home.is_none_or(|(highest, _)| rank > highest) {
-                home = Some((rank, candidate));
+            if hash_owner.is_none_or(|(highest, _)| rank > highest) {
+                hash_owner = Some((rank, candidate));
             }
         }
     }
-    let home = home.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
-    let home = home
+    let hash_owner = hash_owner.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
+    let hash_owner = hash_owner
         .map(|c| (estimate_cost(query, c, UNCONFIRMED_CACHE_WEIGHT) + random_spread(query, c), c));
-    let chosen = best.into_iter().chain(home).min_by(|(a, _), (b, _)| a.total_cmp(b));
+    let chosen = best.into_iter().chain(hash_owner).min_by(|(a, _), (b, _)| a.total_cmp(b));
     chosen.map(|(_, candidate)| candidate)
 }
 
@@ -203,38 +203,41 @@
 ///
 /// Engines run short work before long by priority: short work waits for what
 /// short work is queued, and for the step of a long prefill that runs.
-fn first_token_seconds(cost: Cost, candidate: &Candidate, saved: f64) -> f64 {
-    let mut ahead = candidate.queued_prefill.0;
+fn first_token_seconds(cost: Cost, candidate: &Candidate, saved_tokens: f64) -> f64 {
+    let mut tokens_ahead = candidate.queued_prefill.0;
     let mut seconds = 0.0;
     if !cost.is_long() {
-        ahead = ahead.saturating_sub(candidate.queued_long.0);
+        tokens_ahead = tokens_ahead.saturating_sub(candidate.queued_long.0);
         seconds += LONG_CHUNK_COST_S * f64::from(u8::from(candidate.queued_long.0 > 0));
     }
     if candidate.running >= candidate.max_streams || candidate.kv_free < cost.kv() {
-        let turns = f64::from(candidate.waiting + 1) / f64::from(candidate.max_streams.max(1));
-        seconds += FULL_TARGET_COST_S * (1.0 + turns);
+        let rounds = f64::from(candidate.waiting + 1) / f64::from(candidate.max_streams.max(1));
+        seconds += FULL_TARGET_COST_S * (1.0 + rounds);
     }
-    let used = candidate.kv_capacity.saturating_sub(candidate.kv_free);
-    let tokens = (ahead + cost.prefill.0) as f64 + FIRST_TOKEN_STEP_TOKENS - saved;
-    seconds + used.0 as f64 * KV_COST_S_PER_TOKEN + tokens / candidate.prefill_rate.max(1) as f64
+    let kv_used = candidate.kv_capacity.saturating_sub(candidate.kv_free);
+    let prefill_tokens =
+        (tokens_ahead + cost.prefill.0) as f64 + FIRST_TOKEN_STEP_TOKENS - saved_tokens;
+    seconds
+        + kv_used.0 as f64 * KV_COST_S_PER_TOKEN
+        + prefill_tokens / candidate.prefill_rate.max(1) as f64
 }
 
 /// Whether long work may be packed onto a candidate: it has the memory, and
 /// is not busy for longer than the work itself takes.
 fn can_pack(cost: Cost, candidate: &Candidate) -> bool {
-    let least = candidate.prefill_rate * MIN_PACK_WAIT_S;
+    let min_tokens = candidate.prefill_rate * MIN_PACK_WAIT_S;
     candidate.kv_free >= cost.kv()
         && candidate.running < candidate.max_streams
-        && candidate.queued_prefill.0 <= cost.prefill.0.max(least)
+        && candidate.queued_prefill.0 <= cost.prefill.0.max(min_tokens)
 }
 
 /// Seconds to the first token, with what the zone costs, where this part of
 /// the prefix counts as cached.
-fn estimate_cost(query: &Query, candidate: &Candidate, cached: f64) -> f64 {
-    let saved = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached);
-    let zone = CROSS_ZONE_COST_S * f64::from(u8::from(!candidate.is_same_zone));
-    let ask = REMOTE_OWNER_COST_S * f64::from(u8::from(!candidate.is_owned));
-    first_token_seconds(query.cost, candidate, saved) + zone + ask
+fn estimate_cost(query: &Query, candidate: &Candidate, cached_fraction: f64) -> f64 {
+    let saved_tokens = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached_fraction);
+    let zone_cost = CROSS_ZONE_COST_S * f64::from(u8::from(!candidate.is_same_zone));
+    let owner_cost = REMOTE_OWNER_COST_S * f64::from(u8::from(!candidate.is_owned));
+    first_token_seconds(query.cost, candidate, saved_tokens) + zone_cost + owner_cost
 }
 
 /// The random part of a score.
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -236,9 +236,9 @@
 
     /// When the first token of a part read here comes: with the end of the
     /// pass in which the reading ends.
-    fn time_to_first_token(&self, engine: usize, part: Duration) -> Duration {
+    fn time_to_first_token(&self, engine: usize, chunk_time: Duration) -> Duration {
         self.loads[engine].prefill_start_delay
-            + part
+            + chunk_time
             + self.iteration_time(engine)
             + NETWORK_OVERHEAD
     }
@@ -249,33 +249,33 @@
     fn place_short(&self) -> Result<Choice, Refused> {
         let fits =
             |&engine: &usize| self.has_slot(engine) && self.kv_free(engine) >= self.kv_needed;
-        let aim = self.query.goal_left.mul_f64(PACK_GOAL_FRACTION);
-        let most = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION) as u32;
-        let first = |engine: usize| self.time_to_first_token(engine, self.prefill_time);
-        let packs = |&engine: &usize| {
+        let latest = self.query.goal_left.mul_f64(PACK_GOAL_FRACTION);
+        let max_packed = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION) as u32;
+        let first_token_on = |engine: usize| self.time_to_first_token(engine, self.prefill_time);
+        let can_pack = |&engine: &usize| {
             let load = &self.loads[engine];
             load.short_requests > 0
-                && load.requests < most
+                && load.requests < max_packed
                 && load.penalty.is_zero()
-                && first(engine) <= aim
+                && first_token_on(engine) <= latest
                 && self.can_add_prompt(engine)
         };
         let rank = |&engine: &usize| {
             let load = &self.loads[engine];
-            let steps =
-                (first(engine) + load.penalty).as_millis() / FIRST_TOKEN_RESOLUTION.as_millis();
-            (!self.can_add_prompt(engine), steps, load.preference)
+            let bucket = (first_token_on(engine) + load.penalty).as_millis()
+                / FIRST_TOKEN_RESOLUTION.as_millis();
+            (!self.can_add_prompt(engine), bucket, load.preference)
         };
         let fitting = || (0..self.loads.len()).filter(fits);
-        let packed = fitting().filter(packs).min_by_key(|&engine| self.loads[engine].preference);
+        let packed = fitting().filter(can_pack).min_by_key(|&engine| self.loads[engine].preference);
         let chosen = packed.or_else(|| fitting().min_by_key(rank));
-        let Some(first) = chosen else { return self.wait_for_slot() };
-        let first_token = self.time_to_first_token(first, self.prefill_time);
+        let Some(primary) = chosen else { return self.wait_for_slot() };
+        let first_token = self.time_to_first_token(primary, self.prefill_time);
         if first_token >= self.query.limit_left {
             return Err(Refused::Busy(first_token.saturating_sub(self.query.limit_left)));
         }
         Ok(Choice::Place(Plan {
-            primary: first,
+            primary,
             helpers: Vec::new(),
             kv_reservations: Vec::new(),
             chunk_time: self.prefill_time,
@@ -287,12 +287,11 @@
     /// be in time would make all behind it late as well.
     fn wait_for_slot(&self) -> Result<Choice, Refused> {
         let wait = self.estimate_slot_wait();
-        let passes: Duration =
-            (0..self.loads.len()).map(|engine| self.iteration_time(engine)).sum();
+        let total: Duration = (0..self.loads.len()).map(|engine| self.iteration_time(engine)).sum();
         // A slot comes free as a pass ends, and the next one begins before the prompt
         // is there.
-        let pass = passes / self.loads.len() as u32;
-        let first_token = wait + pass + self.prefill_time + pass + NETWORK_OVERHEAD;
+        let iteration = total / self.loads.len() as u32;
+        let first_token = wait + iteration + self.prefill_time + iteration + NETWORK_OVERHEAD;
         match first_token <= self.query.goal_left.mul_f64(PACK_GOAL_FRACTION) {
             true => Ok(Choice::Wait(MAX_POLL_INTERVAL)),
             false => Err(Refused::Busy(wait)),
@@ -311,9 +310,9 @@
     /// nothing else to do, and refused otherwise: waiting would not help it,
     /// and its caller can come back.
     fn place_long(&self) -> Result<Choice, Refused> {
-        let takes =
+        let is_usable =
             |&engine: &usize| self.has_slot(engine) && !self.loads[engine].is_refusing_chunks;
-        let mut engines: Vec<usize> = (0..self.loads.len()).filter(takes).collect();
+        let mut engines: Vec<usize> = (0..self.loads.len()).filter(is_usable).collect();
         engines.sort_by_key(|&engine| {
             let load = &self.loads[engine];
             (load.penalty, load.short_requests, !load.is_same_zone)
@@ -326,8 +325,8 @@
             .filter(|&engine| self.loads[engine].prefill_backlog <= MAX_IDLE_BACKLOG)
             .collect();
         let wait = self.estimate_wait(&engines[..clear]);
-        let least = self.prefill_time / clear.clamp(1, MAX_HELPERS + 1) as u32;
-        if wait + least <= self.query.goal_left {
+        let own_time = self.prefill_time / clear.clamp(1, MAX_HELPERS + 1) as u32;
+        if wait + own_time <= self.query.goal_left {
             let plan = self.split_in_time(&idle, clear);
             return Ok(
                 plan.map_or_else(|| Choice::Wait(self.time_until_idle(&engines)), Choice::Place)
@@ -338,43 +337,45 @@
             return Ok(Choice::Wait(self.time_until_idle(&engines)));
         }
         let plan = shared.or_else(|| self.split_late(&idle, clear));
-        plan.map(Choice::Place).ok_or(Refused::Busy((wait + least).max(MIN_LATE_RETRY)))
+        plan.map(Choice::Place).ok_or(Refused::Busy((wait + own_time).max(MIN_LATE_RETRY)))
     }
 
     /// When the prompt would be read on engines whose short streams have ended: all
     /// but those that short prompts need if they are packed.
     fn estimate_time_on_cleared(&self, engines: &[usize]) -> Duration {
-        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
-        let packed = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION).max(1.0);
-        let needed = (f64::from(short) / packed).ceil() as usize;
-        let Some(cleared) = engines.len().checked_sub(needed).filter(|&count| count > 0) else {
+        let short_requests: u32 =
+            engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
+        let slots_per_engine = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION).max(1.0);
+        let engines_for_short = (f64::from(short_requests) / slots_per_engine).ceil() as usize;
+        let Some(cleared) = engines.len().checked_sub(engines_for_short).filter(|&count| count > 0)
+        else {
             return Duration::MAX;
         };
-        let streams = self.profile.stream_time(short / engines.len().max(1) as u32);
-        let read = self.prefill_time / cleared.min(MAX_HELPERS + 1) as u32;
-        streams.max(self.estimate_wait(&engines[..cleared])) + read
+        let stream_time = self.profile.stream_time(short_requests / engines.len().max(1) as u32);
+        let prefill_time = self.prefill_time / cleared.min(MAX_HELPERS + 1) as u32;
+        stream_time.max(self.estimate_wait(&engines[..cleared])) + prefill_time
     }
 
     /// Time until the engines have read what is placed and what waits before
     /// this prompt, evenly spread.
     fn estimate_wait(&self, engines: &[usize]) -> Duration {
-        let placed: Duration =
+        let backlog: Duration =
             engines.iter().map(|&engine| self.loads[engine].prefill_backlog).sum();
-        (placed + self.query.ahead.prefill_time) / engines.len().max(1) as u32
+        (backlog + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
     /// Splits over as few idle engines as make the parts small; over most of
     /// the engines where parts can't be small.
     fn split_in_time(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let crowd = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
+        let most_clear = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
         let mut best = None;
         for count in 1..=idle.len().min(MAX_HELPERS + 1) {
-            let part = self.prefill_time / count as u32;
-            let Some(plan) = self.plan_on(idle, count, part) else { continue };
-            if part <= TARGET_PREFILL_CHUNK_TIME {
+            let chunk_time = self.prefill_time / count as u32;
+            let Some(plan) = self.plan_on(idle, count, chunk_time) else { continue };
+            if chunk_time <= TARGET_PREFILL_CHUNK_TIME {
                 return Some(plan);
             }
-            let is_enough = part <= MAX_PREFILL_CHUNK_TIME || count >= crowd;
+            let is_enough = chunk_time <= MAX_PREFILL_CHUNK_TIME || count >= most_clear;
             if is_enough && plan.time_to_first_token <= self.query.goal_left {
                 best = Some(plan);
             }
@@ -384,40 +385,42 @@
 
     /// Splits over few idle engines, where many are idle.
     fn split_late(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let spare = (clear as f64 * MIN_IDLE_FRACTION_FOR_LATE).ceil() as usize;
-        if idle.len() < spare.max(1) {
+        let min_idle = (clear as f64 * MIN_IDLE_FRACTION_FOR_LATE).ceil() as usize;
+        if idle.len() < min_idle.max(1) {
             return None;
         }
-        let aim = self.query.limit_left.mul_f64(LATE_PREFILL_FRACTION);
+        let latest = self.query.limit_left.mul_f64(LATE_PREFILL_FRACTION);
         let counts = 1..=idle.len().min(MAX_HELPERS + 1);
         let plans = counts.filter_map(|count| {
-            let part = self.prefill_time / count as u32;
-            self.plan_on(idle, count, part)
+            let chunk_time = self.prefill_time / count as u32;
+            self.plan_on(idle, count, chunk_time)
         });
-        plans.into_iter().find(|plan| plan.time_to_first_token <= aim)
+        plans.into_iter().find(|plan| plan.time_to_first_token <= latest)
     }
 
     /// A plan on the first of the engines whose streams bear the part.
-    fn plan_on(&self, engines: &[usize], count: usize, part: Duration) -> Option<Plan> {
-        let bearing = engines.iter().copied().filter(|&engine| self.can_add_chunk(engine, part));
-        let chosen: Vec<usize> = bearing.take(count).collect();
-        (chosen.len() == count).then(|| self.build_plan(&chosen, part)).flatten()
+    fn plan_on(&self, engines: &[usize], count: usize, chunk_time: Duration) -> Option<Plan> {
+        let able = engines.iter().copied().filter(|&engine| self.can_add_chunk(engine, chunk_time));
+        let chosen: Vec<usize> = able.take(count).collect();
+        (chosen.len() == count).then(|| self.build_plan(&chosen, chunk_time)).flatten()
     }
 
     fn time_until_idle(&self, engines: &[usize]) -> Duration {
-        let busy = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
-        let next =
-            busy.filter(|backlog| *backlog > MAX_IDLE_BACKLOG).min().unwrap_or(MAX_POLL_INTERVAL);
+        let backlogs = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
+        let next = backlogs
+            .filter(|backlog| *backlog > MAX_IDLE_BACKLOG)
+            .min()
+            .unwrap_or(MAX_POLL_INTERVAL);
         next.saturating_sub(MAX_IDLE_BACKLOG).clamp(Duration::from_millis(2), MAX_POLL_INTERVAL)
     }
 
     /// Whether the streams of an engine bear that it reads this in a pass.
-    fn can_add_chunk(&self, engine: usize, part: Duration) -> bool {
+    fn can_add_chunk(&self, engine: usize, chunk_time: Duration) -> bool {
         let load = &self.loads[engine];
         match load.inter_token_target {
-            Some(gap) => {
-                load.prefill_backlog + part + self.iteration_time(engine)
-                    <= gap.mul_f64(MAX_PAUSE_FRACTION)
+            Some(target) => {
+                load.prefill_backlog + chunk_time + self.iteration_time(engine)
+                    <= target.mul_f64(MAX_PAUSE_FRACTION)
             }
             None => true,
         }
@@ -427,40 +430,42 @@
     /// reads in its next pass.
     fn can_add_prompt(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        let pass = load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
-        load.inter_token_target.is_none_or(|gap| pass <= gap.mul_f64(MAX_PAUSE_FRACTION))
+        let iteration =
+            load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
+        load.inter_token_target.is_none_or(|target| iteration <= target.mul_f64(MAX_PAUSE_FRACTION))
     }
 
-    fn build_plan(&self, engines: &[usize], part: Duration) -> Option<Plan> {
-        let memory = self.reserve_kv(engines)?;
-        let first = memory.first().map(|(engine, _)| *engine)?;
-        let last = engines.iter().map(|&engine| self.time_to_first_token(engine, part)).max()?;
+    fn build_plan(&self, engines: &[usize], chunk_time: Duration) -> Option<Plan> {
+        let reservations = self.reserve_kv(engines)?;
+        let primary = reservations.first().map(|(engine, _)| *engine)?;
+        let first_token =
+            engines.iter().map(|&engine| self.time_to_first_token(engine, chunk_time)).max()?;
         Some(Plan {
-            primary: first,
-            helpers: engines.iter().copied().filter(|&engine| engine != first).collect(),
-            kv_reservations: if memory.len() > 1 { memory } else { Vec::new() },
-            chunk_time: part,
-            time_to_first_token: last,
+            primary,
+            helpers: engines.iter().copied().filter(|&engine| engine != primary).collect(),
+            kv_reservations: if reservations.len() > 1 { reservations } else { Vec::new() },
+            chunk_time,
+            time_to_first_token: first_token,
         })
     }
 
     /// Which engines hold the prompt: one if one can, else as few as can, each
     /// with what it has free.
     fn reserve_kv(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
-        let roomy = |&&engine: &&usize| self.kv_free(engine) >= self.kv_needed;
-        if let Some(&one) = engines.iter().find(roomy) {
-            return Some(vec![(one, self.kv_needed)]);
+        let has_room = |&&engine: &&usize| self.kv_free(engine) >= self.kv_needed;
+        if let Some(&engine) = engines.iter().find(has_room) {
+            return Some(vec![(engine, self.kv_needed)]);
         }
-        let mut order = engines.to_vec();
-        order.sort_by_key(|&engine| std::cmp::Reverse(self.kv_free(engine)));
+        let mut by_free = engines.to_vec();
+        by_free.sort_by_key(|&engine| std::cmp::Reverse(self.kv_free(engine)));
         let mut left = self.kv_needed;
-        let mut memory = Vec::new();
-        for engine in order {
-            let part = self.kv_free(engine).min(left);
-            memory.push((engine, part));
-            left = left.saturating_sub(part);
+        let mut reservations = Vec::new();
+        for engine in by_free {
+            let reserved = self.kv_free(engine).min(left);
+            reservations.push((engine, reserved));
+            left = left.saturating_sub(reserved);
             if left.0 == 0 {
-                return Some(memory);
+                return Some(reservations);
             }
         }
         None
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -63,27 +63,29 @@
 /// make room and lose nothing but time, the one with the least to redo.
 pub fn choose_victim(
     now: Instant,
-    wait: WaitingRequest,
+    waiting: WaitingRequest,
     speed: EngineSpeed,
     running: &[RunningStream],
 ) -> Option<Ticket> {
-    if wait.class != Class::Interactive
-        || wait.cost.is_long()
-        || wait.expected_wait < MIN_PREEMPTION_WAIT
+    if waiting.class != Class::Interactive
+        || waiting.cost.is_long()
+        || waiting.expected_wait < MIN_PREEMPTION_WAIT
     {
         return None;
     }
-    let able = running.iter().filter(|stream| {
-        let bulk = stream.class == Class::Batch || stream.cost.is_long();
-        let fits = wait.kv_free + stream.cost.kv() >= wait.cost.kv();
-        bulk && fits && stream.preemptions == 0
+    let eligible = running.iter().filter(|stream| {
+        let is_bulk = stream.class == Class::Batch || stream.cost.is_long();
+        let frees_enough = waiting.kv_free + stream.cost.kv() >= waiting.cost.kv();
+        is_bulk && frees_enough && stream.preemptions == 0
     });
-    let paying = able.filter(|stream| {
-        let redo = time_to_prefill(tokens_to_redo(stream), speed);
-        redo * MIN_WAIT_TO_REDO_RATIO <= wait.expected_wait
-            && now + wait.expected_wait + time_left(stream, speed) < stream.deadline
+    let worthwhile = eligible.filter(|stream| {
+        let redo_time = time_to_prefill(tokens_to_redo(stream), speed);
+        redo_time * MIN_WAIT_TO_REDO_RATIO <= waiting.expected_wait
+            && now + waiting.expected_wait + time_left(stream, speed) < stream.deadline
     });
-    paying.min_by_key(|stream| (tokens_to_redo(stream), stream.ticket)).map(|stream| stream.ticket)
+    worthwhile
+        .min_by_key(|stream| (tokens_to_redo(stream), stream.ticket))
+        .map(|stream| stream.ticket)
 }
 
 /// Tokens to prefill again: what was prefilled, and what was generated since,
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -58,7 +58,7 @@
 impl<K: Clone + PartialEq, T: Clone> Queue<K, T> {
     /// Puts a prompt into the queue, or takes anew what is asked for again. Whether
     /// there was room.
-    pub fn insert_or_refresh(&mut self, now: Instant, key: K, turn: Priority, item: T) -> bool {
+    pub fn insert_or_refresh(&mut self, now: Instant, key: K, priority: Priority, item: T) -> bool {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.key == key) {
             entry.refreshed_at = now;
             entry.item = item;
@@ -67,16 +67,16 @@
         if self.entries.len() >= MAX_LENGTH {
             return false;
         }
-        let at = self.entries.partition_point(|entry| entry.priority <= turn);
+        let index = self.entries.partition_point(|entry| entry.priority <= priority);
         self.entries
-            .insert(at, Entry { key, priority: turn, queued_at: now, refreshed_at: now, item });
+            .insert(index, Entry { key, priority, queued_at: now, refreshed_at: now, item });
         true
     }
 
     /// Takes a prompt out; how long it waited.
     pub fn remove(&mut self, now: Instant, key: &K) -> Option<Duration> {
-        let at = self.entries.iter().position(|entry| entry.key == *key)?;
-        let entry = self.entries.remove(at);
+        let index = self.entries.iter().position(|entry| entry.key == *key)?;
+        let entry = self.entries.remove(index);
         Some(now.saturating_duration_since(entry.queued_at))
     }
 
@@ -86,12 +86,14 @@
     }
 
     /// What chooses before a prompt with this turn.
-    pub fn ahead_of(&self, key: &K, turn: Priority) -> Ahead {
-        let before = self.entries.iter().take_while(|entry| entry.priority < turn);
-        let others = before.filter(|entry| entry.key != *key);
-        others.fold(Ahead::default(), |ahead, entry| match entry.priority {
+    pub fn ahead_of(&self, key: &K, priority: Priority) -> Ahead {
+        let before = self.entries.iter().take_while(|entry| entry.priority < priority);
+        let other_entries = before.filter(|entry| entry.key != *key);
+        other_entries.fold(Ahead::default(), |ahead, entry| match entry.priority {
             Priority::Short(_) => Ahead { short_prompts: ahead.short_prompts + 1, ..ahead },
-            Priority::Long(read) => Ahead { prefill_time: ahead.prefill_time + read, ..ahead },
+            Priority::Long(prefill_time) => {
+                Ahead { prefill_time: ahead.prefill_time + prefill_time, ..ahead }
+            }
         })
     }
 
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -27,10 +27,10 @@
 
     /// What a request is expected to wait for a slot, where a request takes
     /// `usual`.
-    fn queue_time(&self, usual: Duration) -> Duration {
+    fn queue_time(&self, typical_time: Duration) -> Duration {
         let slots = self.slots.max(1);
         let queued = (self.load.requests + 1).saturating_sub(slots);
-        usual * queued / slots
+        typical_time * queued / slots
     }
 }
 
@@ -39,13 +39,21 @@
 /// # Errors
 ///
 /// All are full; the time after which there is room.
-pub fn choose_replica(candidates: &[Candidate<'_>], usual: Duration) -> Result<usize, Duration> {
-    let rank = |&place: &usize| {
-        let candidate = &candidates[place];
+pub fn choose_replica(
+    candidates: &[Candidate<'_>],
+    typical_time: Duration,
+) -> Result<usize, Duration> {
+    let rank = |&index: &usize| {
+        let candidate = &candidates[index];
         let load = candidate.load;
-        let busy = load.requests * 1_000 / candidate.slots.max(1);
-        (candidate.queue_time(usual) + load.penalty, busy, !load.is_same_zone, load.preference)
+        let utilization = load.requests * 1_000 / candidate.slots.max(1);
+        (
+            candidate.queue_time(typical_time) + load.penalty,
+            utilization,
+            !load.is_same_zone,
+            load.preference,
+        )
     };
-    let open = (0..candidates.len()).filter(|&place| !candidates[place].is_full());
-    open.min_by_key(rank).ok_or(usual * (MAX_REQUESTS_PER_SLOT - 1))
+    let available = (0..candidates.len()).filter(|&index| !candidates[index].is_full());
+    available.min_by_key(rank).ok_or(typical_time * (MAX_REQUESTS_PER_SLOT - 1))
 }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -48,38 +48,39 @@
 /// most free memory first.
 pub fn plan_parts(
     cost: Cost,
-    left: Duration,
+    time_left: Duration,
     candidates: &[Candidate],
 ) -> Result<Vec<Part>, Impossible> {
-    let able: u64 =
+    let total_kv: u64 =
         candidates.iter().map(|c| c.kv_capacity.0 - c.kv_capacity.0 / HEADROOM_DIVISOR).sum();
-    if able < cost.kv().0 {
+    if total_kv < cost.kv().0 {
         return Err(Impossible::TooLong);
     }
-    let mut free: Vec<(u64, &Candidate)> =
+    let mut by_free_kv: Vec<(u64, &Candidate)> =
         candidates.iter().map(|c| (usable_kv(c), c)).filter(|&(tokens, _)| tokens > 0).collect();
-    free.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.target.cmp(&y.target)));
+    by_free_kv.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.target.cmp(&y.target)));
     let mut parts = Vec::new();
-    let mut time = Duration::ZERO;
-    let mut from = 0;
-    for (tokens, candidate) in free {
-        let rest = cost.prefill.0 - from;
-        let last = rest + cost.decode.0 <= tokens;
+    let mut prefill_time = Duration::ZERO;
+    let mut prompt_offset = 0;
+    for (tokens, candidate) in by_free_kv {
+        let prompt_left = cost.prefill.0 - prompt_offset;
+        let is_last = prompt_left + cost.decode.0 <= tokens;
         // The answer is generated where the last part lies, so no part but
         // the last may end the prompt.
-        let prefill = if last { rest } else { tokens.min(rest.saturating_sub(1)) };
-        let decode = if last { cost.decode } else { size::Tokens(0) };
-        time += Duration::from_secs_f64(prefill as f64 / candidate.prefill_rate.max(1) as f64);
+        let prefill = if is_last { prompt_left } else { tokens.min(prompt_left.saturating_sub(1)) };
+        let decode = if is_last { cost.decode } else { size::Tokens(0) };
+        prefill_time +=
+            Duration::from_secs_f64(prefill as f64 / candidate.prefill_rate.max(1) as f64);
         parts.push(Part {
             target: candidate.target.clone(),
             index: parts.len() as u32,
-            prompt_offset: size::Tokens(from),
+            prompt_offset: size::Tokens(prompt_offset),
             cost: Cost { prefill: size::Tokens(prefill), decode },
         });
-        from += prefill;
-        if last {
-            return match time.checked_sub(left).filter(|late| !late.is_zero()) {
-                Some(late) => Err(Impossible::NoTime(late)),
+        prompt_offset += prefill;
+        if is_last {
+            return match prefill_time.checked_sub(time_left).filter(|excess| !excess.is_zero()) {
+                Some(excess) => Err(Impossible::NoTime(excess)),
                 None => Ok(parts),
             };
         }
@@ -88,16 +89,16 @@
 }
 
 fn usable_kv(candidate: &Candidate) -> u64 {
-    let room = candidate.running < candidate.max_streams;
-    let bulk = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM_DIVISOR;
-    if room { candidate.kv_free.0.min(bulk) } else { 0 }
+    let has_slot = candidate.running < candidate.max_streams;
+    let bulk_kv = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM_DIVISOR;
+    if has_slot { candidate.kv_free.0.min(bulk_kv) } else { 0 }
 }
 
 /// How long to wait before round `round` (from 1) of a reservation that
 /// failed. The random part keeps two prompts from failing each other again.
 pub fn backoff(round: u32, random: u64) -> Duration {
-    let most = BASE_BACKOFF.saturating_mul(1 << round.min(8)).min(MAX_BACKOFF);
-    most / 2 + most.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
+    let max_delay = BASE_BACKOFF.saturating_mul(1 << round.min(8)).min(MAX_BACKOFF);
+    max_delay / 2 + max_delay.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
 }
 
 /// What a reservation needs next.
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -125,8 +125,8 @@
         if self.bulk.slots == 0 {
             return Ok(());
         }
-        let slots = bound.slots - bound.slots / HEADROOM_DIVISOR;
-        if self.bulk.slots >= slots
+        let bulk_slots = bound.slots - bound.slots / HEADROOM_DIVISOR;
+        if self.bulk.slots >= bulk_slots
             || (lane.is_long && self.long_slots >= (bound.slots / LONG_SLOTS_DIVISOR).max(1))
         {
             return Err(Full::Slots);
@@ -142,12 +142,12 @@
         if claim == Claim::default() {
             return Ok(());
         }
-        let slots = bound.slots.saturating_sub(self.bulk.slots + claim.slots);
-        if self.short.slots >= slots.max(bound.slots / HEADROOM_DIVISOR) {
+        let short_slots = bound.slots.saturating_sub(self.bulk.slots + claim.slots);
+        if self.short.slots >= short_slots.max(bound.slots / HEADROOM_DIVISOR) {
             return Err(Full::Slots);
         }
-        let memory = bound.kv.0.saturating_sub(self.bulk.kv + claim.kv.0);
-        if self.short.kv + kv > memory.max(bound.kv.0 / u64::from(HEADROOM_DIVISOR)) {
+        let short_kv = bound.kv.0.saturating_sub(self.bulk.kv + claim.kv.0);
+        if self.short.kv + kv > short_kv.max(bound.kv.0 / u64::from(HEADROOM_DIVISOR)) {
             return Err(Full::Memory);
         }
         Ok(())
@@ -158,8 +158,8 @@
         if in_flight == 0.0 {
             return Ok(());
         }
-        let window = bound.prefill_rate as f64 * MAX_PREFILL_IN_FLIGHT.as_secs_f64();
-        if lane.is_long || in_flight + cost.prefill.0 as f64 > window {
+        let max_in_flight = bound.prefill_rate as f64 * MAX_PREFILL_IN_FLIGHT.as_secs_f64();
+        if lane.is_long || in_flight + cost.prefill.0 as f64 > max_in_flight {
             return Err(Full::Prefill);
         }
         Ok(())
@@ -167,9 +167,9 @@
 
     /// Takes room.
     pub fn acquire(&mut self, ticket: u64, lane: Lane, cost: Cost) {
-        let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
-        used.slots += 1;
-        used.kv += cost.kv().0;
+        let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
+        usage.slots += 1;
+        usage.kv += cost.kv().0;
         self.long_slots += u32::from(lane.is_long);
         if cost.prefill.0 > 0 {
             let prefill = Prefill { ticket, tokens_left: cost.prefill.0 as f64 };
@@ -179,9 +179,9 @@
 
     /// Gives room back.
     pub fn release(&mut self, ticket: u64, lane: Lane, cost: Cost) {
-        let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
-        used.slots -= 1;
-        used.kv -= cost.kv().0;
+        let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
+        usage.slots -= 1;
+        usage.kv -= cost.kv().0;
         self.long_slots -= u32::from(lane.is_long);
         self.finish_prefill(ticket, lane);
     }
@@ -194,27 +194,34 @@
     /// Works the prefills in flight off by estimate: the short ones first, as
     /// engines that honour priorities do, but for the floor of the long one.
     pub fn advance_prefill(&mut self, now: Instant, prefill_rate: u64) {
-        let since = self.prefill_advanced_at.replace(now).unwrap_or(now);
-        let budget = prefill_rate as f64 * now.saturating_duration_since(since).as_secs_f64();
-        let floor = if self.prefills[1].is_empty() { 0.0 } else { MIN_LONG_PREFILL_FRACTION };
-        let rest = consume_tokens(&mut self.prefills[0], budget * (1.0 - floor));
+        let previous = self.prefill_advanced_at.replace(now).unwrap_or(now);
+        let budget = prefill_rate as f64 * now.saturating_duration_since(previous).as_secs_f64();
+        let long_fraction =
+            if self.prefills[1].is_empty() { 0.0 } else { MIN_LONG_PREFILL_FRACTION };
+        let short_unused = consume_tokens(&mut self.prefills[0], budget * (1.0 - long_fraction));
         if let Some(long) = self.prefills[1].front_mut() {
-            long.tokens_left = (long.tokens_left - budget * floor - rest)
+            long.tokens_left = (long.tokens_left - budget * long_fraction - short_unused)
                 .max(MIN_UNCONFIRMED_TOKENS.min(long.tokens_left));
         }
     }
 
     /// Corrects the estimate of one prefill by a load report, which lags: by
     /// now the engine may have done as much more as it does in that time.
-    pub fn correct_prefill(&mut self, ticket: u64, lane: Lane, reported: size::Tokens, rate: u64) {
-        if reported.0 == 0 {
+    pub fn correct_prefill(
+        &mut self,
+        ticket: u64,
+        lane: Lane,
+        reported_left: size::Tokens,
+        prefill_rate: u64,
+    ) {
+        if reported_left.0 == 0 {
             return self.finish_prefill(ticket, lane);
         }
-        let least = reported.0 as f64 - rate as f64 * MAX_REPORT_LAG.as_secs_f64();
+        let min_left = reported_left.0 as f64 - prefill_rate as f64 * MAX_REPORT_LAG.as_secs_f64();
         let found =
             self.prefills[usize::from(lane.is_long)].iter_mut().find(|p| p.ticket == ticket);
         if let Some(prefill) = found {
-            prefill.tokens_left = prefill.tokens_left.max(least);
+            prefill.tokens_left = prefill.tokens_left.max(min_left);
         }
     }
 
@@ -240,14 +247,14 @@
 }
 
 /// Takes `budget` tokens off the queue's front; returns what is left of it.
-fn consume_tokens(prefills: &mut VecDeque<Prefill>, mut budget: f64) -> f64 {
+fn consume_tokens(prefills: &mut VecDeque<Prefill>, mut token_budget: f64) -> f64 {
     while let Some(first) = prefills.front_mut() {
-        if first.tokens_left > budget {
-            first.tokens_left -= budget;
+        if first.tokens_left > token_budget {
+            first.tokens_left -= token_budget;
             return 0.0;
         }
-        budget -= first.tokens_left;
+        token_budget -= first.tokens_left;
         prefills.pop_front();
     }
-    budget
+    token_budget
 }
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -24,22 +24,22 @@
     /// stands before it, or that the queue has no place for.
     pub(crate) fn refuse_late(&self, now: Instant, ask: &Ask) -> Option<Answer> {
         let long = ask.cost.is_long();
-        let ahead = self.queue.work_ahead(&ask.partner, &ask.account, long);
+        let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, long);
         let hold = self.hold.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
-        let wait =
-            hold + self.pace.queue_time(ahead + self.room.prefill_in_flight(long) as u64, long);
-        let time = self.pace.service_time(ask.cost, ask.deadline - now);
-        let late =
-            (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + time).checked_duration_since(ask.deadline);
-        if let Some(late) = late.filter(|late| !late.is_zero()) {
-            return Some(Answer::Refused(Reason::Overloaded, late.max(RETRY_LEAST)));
+        let wait = hold
+            + self.pace.queue_time(work_ahead + self.room.prefill_in_flight(long) as u64, long);
+        let service_time = self.pace.service_time(ask.cost, ask.deadline - now);
+        let lateness = (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + service_time)
+            .checked_duration_since(ask.deadline);
+        if let Some(lateness) = lateness.filter(|lateness| !lateness.is_zero()) {
+            return Some(Answer::Refused(Reason::Overloaded, lateness.max(RETRY_LEAST)));
         }
         // A partner that fills the queue may not shut the others out of it:
         // past the bound only partners below their part of it are let in.
-        let own = self.queue.waiting_asks_of(&ask.partner) as f64;
-        let full = self.asks.len() >= self.queue_bound;
-        let over = own >= self.queue_bound as f64 * self.queue.share_of(&ask.partner);
-        (full && (over || self.asks.len() >= 2 * self.queue_bound))
+        let own_asks = self.queue.waiting_asks_of(&ask.partner) as f64;
+        let is_full = self.asks.len() >= self.queue_bound;
+        let is_over_share = own_asks >= self.queue_bound as f64 * self.queue.share_of(&ask.partner);
+        (is_full && (is_over_share || self.asks.len() >= 2 * self.queue_bound))
             .then(|| Answer::Refused(Reason::Overloaded, wait.max(RETRY_LEAST)))
     }
 
@@ -61,17 +61,17 @@
             return Vec::new();
         }
         self.shed = Some(now);
-        let left = |ticket: Ticket| {
+        let time_left = |ticket: Ticket| {
             let latest = self.asks.get(&ticket).map_or(now, |waiting| waiting.latest);
             latest.saturating_duration_since(now).mul_f64(SHED_FACTOR)
         };
         let sizes = [false, true].into_iter();
-        let named: Vec<Ticket> = sizes
-            .flat_map(|long| self.queue.find_late(long, self.pace.grant_rate(long), left))
+        let late: Vec<Ticket> = sizes
+            .flat_map(|long| self.queue.find_late(long, self.pace.grant_rate(long), time_left))
             .collect();
-        for &ticket in &named {
+        for &ticket in &late {
             self.forget(ticket);
         }
-        named
+        late
     }
 }
--- a/crates/policy/src/survey.rs
+++ b/crates/policy/src/survey.rs
@@ -32,8 +32,9 @@
     /// Counts the engines that a prompt meets behind others that wait.
     pub fn new(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
         let slots = profile.map_or(u32::MAX, |profile| profile.slots);
-        let count =
-            |is: fn(&Load, u32) -> bool| loads.iter().filter(|load| is(load, slots)).count() as u32;
+        let count = |matches: fn(&Load, u32) -> bool| {
+            loads.iter().filter(|load| matches(load, slots)).count() as u32
+        };
         Self {
             engines: loads.len() as u32,
             full: count(|load, slots| load.requests >= slots),
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -52,7 +52,7 @@
     /// What a target does that reports to prefill `prefill_rate` tokens a
     /// second and to bear `slots` streams; rate zero is a plain service.
     pub fn open(prefill_rate: u64, slots: u32) -> Self {
-        let first = match prefill_rate {
+        let initial_rate = match prefill_rate {
             0 => f64::from(slots.max(1)) * INITIAL_CALLS_PER_SLOT,
             rate => rate as f64 * PREFILL_FRACTION,
         };
@@ -60,8 +60,8 @@
             reported_prefill_rate: prefill_rate,
             warmth_factor: 1.0,
             token_time: INITIAL_TOKEN_TIME,
-            initial_rate: first,
-            recent_grants: RATE_WINDOWS_S.map(|window| first * window),
+            initial_rate,
+            recent_grants: RATE_WINDOWS_S.map(|window| initial_rate * window),
             advanced_at: None,
         }
     }
@@ -92,12 +92,12 @@
     /// so its decode is given half of that time at most: an ask is not refused
     /// because of tokens that may never come. Work without tokens is a call of
     /// a plain service, of which nothing is known.
-    pub fn service_time(&self, cost: Cost, came_with: Duration) -> Duration {
+    pub fn service_time(&self, cost: Cost, time_at_arrival: Duration) -> Duration {
         if cost.kv().0 == 0 {
             return Duration::ZERO;
         }
         let steps = u32::try_from(cost.decode.0).unwrap_or(u32::MAX);
-        let decode = self.token_time.saturating_mul(steps).min(came_with / 2);
+        let decode = self.token_time.saturating_mul(steps).min(time_at_arrival / 2);
         self.time_to_first_token(cost.prefill).saturating_add(decode)
     }
 
@@ -131,17 +131,17 @@
 
     /// Lets time pass. Only time in which asks of a size wait counts for its
     /// rate: what an idle target was given says nothing of what it can do.
-    pub fn advance(&mut self, now: Instant, waits: [bool; 2]) {
-        let since = self.advanced_at.replace(now).unwrap_or(now);
-        let passed = now.saturating_duration_since(since).as_secs_f64();
+    pub fn advance(&mut self, now: Instant, has_waiting: [bool; 2]) {
+        let previous = self.advanced_at.replace(now).unwrap_or(now);
+        let elapsed = now.saturating_duration_since(previous).as_secs_f64();
         for (size, granted) in self.recent_grants.iter_mut().enumerate() {
-            let decay = (-passed / RATE_WINDOWS_S[size]).exp();
-            let rest = self.initial_rate * RATE_WINDOWS_S[size];
-            *granted = match waits[size] {
+            let decay = (-elapsed / RATE_WINDOWS_S[size]).exp();
+            let baseline = self.initial_rate * RATE_WINDOWS_S[size];
+            *granted = match has_waiting[size] {
                 true => *granted * decay,
                 // Back towards the first estimate, so that one bad spell is
                 // not held against the next one.
-                false => rest + (*granted - rest) * decay,
+                false => baseline + (*granted - baseline) * decay,
             };
         }
     }
