--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,40 +1,40 @@
-//! What a prompt costs on an engine, from the figures that its operators
-//! configure.
+//! Cost model of an engine, from the parameters that operators configure. Placement, splitting and
+//! refusal are all based on it.
 //!
-//! Reading is not linear: each token attends to all before it, so a prompt of
-//! 154,000 tokens costs a hundred times one of 5,000 and not thirty times.
-//! Placement, splitting and refusal all rest on this one function.
+//! Prefill time is not linear: each token attends to all earlier ones, so a prompt of 154,000
+//! tokens costs a hundred times as much as one of 5,000, not thirty times.
 
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// An engine's configured figures.
+/// Configured parameters of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
     /// KV memory.
     pub kv_capacity: Tokens,
-    /// Time of a token step without any stream.
+    /// Time of a decode step without streams.
     pub base_step_time: Duration,
-    /// What each writing stream adds to a step.
+    /// Time that each decoding stream adds to a step.
     pub step_time_per_stream: Duration,
-    /// What each thousand tokens of context of writing streams add to a step.
+    /// Time that each thousand tokens of context of the decoding streams add to a step.
     pub step_time_per_kilotoken: Duration,
-    /// Prompt tokens read a second.
+    /// Prompt tokens prefilled per second, without attention.
     pub prefill_rate: f64,
-    /// What a million pairs of a token with an earlier one add to reading.
+    /// Time that attention adds to a prefill, per million pairs of a token with an earlier one.
     pub attention_time_per_megapair: Duration,
-    /// Steps in a pass that has writers.
+    /// Decode steps of an iteration with decoding streams.
     pub steps_per_iteration: u32,
-    /// What a prompt held by several engines adds to each step of the first.
+    /// Time that a prompt whose KV cache is held by several engines adds to each step of the
+    /// primary one.
     pub remote_kv_step_time: Duration,
-    /// Tokens of an answer at the mean; what answers are guessed to be.
+    /// Mean number of answer tokens, used as the expected answer length.
     pub mean_answer: Tokens,
 }
 
 impl Profile {
-    /// The time to read a prompt on one engine that does nothing else.
+    /// Returns the prefill time of a prompt on one engine without other work.
     pub fn prefill_time(&self, prompt: Tokens) -> Duration {
         let tokens = prompt.0 as f64;
         let linear = tokens / self.prefill_rate.max(1.0);
@@ -42,7 +42,7 @@
         Duration::from_secs_f64(linear + megapairs * self.attention_time_per_megapair.as_secs_f64())
     }
 
-    /// The time of a pass with this many writers and this much context.
+    /// Returns the time of an iteration with this many decoding streams and this much context.
     pub fn iteration_time(&self, streams: u32, context: Tokens) -> Duration {
         if streams == 0 {
             return self.base_step_time;
@@ -54,14 +54,14 @@
         step * self.steps_per_iteration.max(1)
     }
 
-    /// The time that a stream of the usual length takes beside so many others.
+    /// Returns the time of a stream with an answer of mean length beside `other_streams`.
     pub fn stream_time(&self, other_streams: u32) -> Duration {
         let step =
             self.iteration_time(other_streams + 1, Tokens(0)) / self.steps_per_iteration.max(1);
         step * self.mean_answer.0 as u32
     }
 
-    /// The memory that a request takes at its end.
+    /// Returns the KV memory that a request uses at its end.
     pub fn kv_needed(&self, prompt: Tokens, answer: Tokens) -> Tokens {
         prompt + answer
     }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,17 +1,17 @@
-//! Two-level weighted fair queueing: partner by share, then account by weight,
-//! then class.
+//! Two-level weighted fair queueing: partners by share, then accounts by weight, then service
+//! class.
 //!
-//! Start-time fair queueing over work in tokens. Each level keeps a virtual time;
-//! a flow that was idle starts at the virtual time, so it gets no credit for the
-//! past, and a share that its partner does not use is lent at once.
+//! This is start-time fair queueing over work in tokens. Each level keeps a virtual time, and a
+//! flow that was idle starts at the virtual time. It thus gets no credit for the past, and other
+//! partners can use an unused share at once.
 //!
-//! Long work is charged to a debt beside the flow's start tag. Long asks are
-//! ordered by tag and debt together, short ones by the tag alone, and each short
-//! grant pays off at most its own work again: one long prompt does not shut its
-//! partner's short ones out until everybody else has used as much.
+//! Long requests are charged to a debt beside the flow's start tag. Long requests are ordered by
+//! tag plus debt, short ones by the tag alone, and each short grant pays off debt of at most its
+//! own work. One long prompt therefore doesn't block the short prompts of its partner until all
+//! other partners have used as much.
 //!
-//! Load pattern: all partners ask for more than the target bears, or one of them
-//! does and the others come and go.
+//! Load pattern: all partners request more than the target can serve, or one of them does while the
+//! others come and go.
 
 use crate::cost::Class;
 use crate::flow::{Flow, Level};
@@ -21,12 +21,11 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// How long a batch ask may be overtaken by interactive asks of its own
-/// account. Long enough that a burst at the counter goes first, short enough
-/// that reports arrive.
+/// Maximum time for which interactive requests of the same account may overtake a batch request. It
+/// is long enough that interactive bursts go first and short enough that batch work completes.
 pub const MAX_BATCH_OVERTAKING: Duration = Duration::from_secs(10);
 
-/// The weight of a flow that has none set, and the least weight.
+/// Weight of a flow without a configured weight, and the minimum weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 const MIN_WEIGHT: f64 = 0.001;
 
@@ -37,7 +36,7 @@
 }
 
 impl PartnerFlow {
-    /// Accounts of the partner that wait, at least one.
+    /// Number of accounts of the partner with waiting requests, at least one.
     fn waiting_accounts(&self) -> f64 {
         self.accounts.order.iter().map(BTreeSet::len).max().unwrap_or(0).max(1) as f64
     }
@@ -47,7 +46,7 @@
 struct AccountFlow {
     partner: u32,
     flow: Flow,
-    /// Tickets grow, so their order is the order of arrival.
+    /// Tickets increase, so their order is the order of arrival.
     queues: [BTreeSet<u64>; LANES],
 }
 
@@ -59,7 +58,7 @@
     queued_at: Instant,
 }
 
-/// The asks that wait for one target.
+/// The permit requests that wait for one target.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     partner_level: Level,
@@ -73,13 +72,12 @@
 }
 
 impl Queue {
-    /// An empty queue; each partner and account weighs the same.
+    /// Creates an empty queue with equal weights of partners and accounts.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Replaces the partners' shares; what is queued goes on under the new
-    /// ones.
+    /// Replaces the partners' shares. Queued requests continue under the new shares.
     pub fn set_shares(&mut self, shares: impl IntoIterator<Item = (id::Partner, f64)>) {
         self.shares = shares.into_iter().collect();
         for (partner, &index) in &self.partner_index {
@@ -95,7 +93,7 @@
         }
     }
 
-    /// Queues an ask. Tickets must grow from one call to the next.
+    /// Queues a permit request. Tickets must increase from one call to the next.
     pub fn push(
         &mut self,
         now: Instant,
@@ -117,7 +115,7 @@
         self.items.insert(ticket, Item { account, lane, work, queued_at: now });
     }
 
-    /// The ask whose turn it is among the lanes that are let in.
+    /// Returns the next request in fair order among the admitted lanes.
     pub fn peek(&self, now: Instant, lanes: Lanes) -> Option<(u64, Lane)> {
         let (partner, long) = self.partner_level.first(lanes)?;
         let lanes = lanes.of_size(long);
@@ -136,7 +134,7 @@
         batch.filter(is_overdue).or_else(|| first_in_class(Class::Interactive)).or(batch)
     }
 
-    /// Takes an ask out because it is granted, and charges its share.
+    /// Removes a granted request and charges its work to its partner and account.
     pub fn grant(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.get(&ticket).copied() else { return false };
         let entry = &mut self.accounts[item.account as usize];
@@ -146,7 +144,7 @@
         self.remove(ticket)
     }
 
-    /// Takes an ask out without a charge.
+    /// Removes a request without charging it.
     pub fn remove(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.remove(&ticket) else { return false };
         let entry = &mut self.accounts[item.account as usize];
@@ -161,29 +159,29 @@
         true
     }
 
-    /// How long an ask has waited.
+    /// Returns the time that a request has waited.
     pub fn wait_time(&self, now: Instant, ticket: u64) -> Option<Duration> {
         self.items.get(&ticket).map(|item| now.duration_since(item.queued_at))
     }
 
-    /// Asks that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Asks of a partner that wait.
+    /// Returns the number of waiting requests of a partner.
     pub fn waiting_asks_of(&self, partner: &id::Partner) -> usize {
         let flow = self.partner_index.get(partner).map(|&i| &self.partners[i as usize].flow);
         flow.map_or(0, |flow| flow.waiting.iter().sum::<u32>() as usize)
     }
 
-    /// The part of the whole that a partner's share is, among the partners
-    /// that wait and itself.
+    /// Returns the partner's part of the target's capacity, by its share among the waiting partners
+    /// and itself.
     pub fn share_of(&self, partner: &id::Partner) -> f64 {
         let own_weight = weight_of(&self.shares, partner);
         let other_weights = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
@@ -191,15 +189,14 @@
         own_weight / (other_weights.sum::<f64>() + if is_waiting { 0.0 } else { own_weight })
     }
 
-    /// Work of one size that waits.
+    /// Returns the waiting work of short or long requests.
     pub fn queued_work(&self, long: bool) -> u64 {
         let size = usize::from(long);
         self.partners.iter().map(|p| p.flow.queued_work[size]).sum()
     }
 
-    /// Work that stands before a new ask of `account`, of the same size: what
-    /// the partner or the account has queued over its part of the whole, at
-    /// most all that is queued.
+    /// Returns the work that would be granted before a new request of `account` with the same size:
+    /// the queued work of the partner or the account divided by its share, at most all queued work.
     pub fn work_ahead(&self, partner: &id::Partner, account: &id::Account, long: bool) -> u64 {
         let size = usize::from(long);
         let Some(owner) = self.partner_index.get(partner).map(|&i| &self.partners[i as usize])
@@ -214,10 +211,9 @@
         self.queued_work(long).min(by_partner.min(by_account) as u64)
     }
 
-    /// The asks of one size that could not start in time, by their place: the
-    /// work before each in its account's queue, over the part of `rate` that
-    /// the account gets, is compared with `time_left`. What is named does not
-    /// count as standing before the others.
+    /// Returns the short or long requests that can't start in time. The work before each one in the
+    /// queue of its account, divided by the account's part of `rate`, is compared with `time_left`.
+    /// Returned requests don't count as work before the others.
     pub fn find_late(
         &self,
         long: bool,
@@ -243,7 +239,7 @@
         late
     }
 
-    /// The part of the whole of a partner that waits.
+    /// Returns the part of the capacity of a partner with waiting requests.
     fn waiting_share(&self, flow: &Flow) -> f64 {
         let total_weight = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
         flow.weight / total_weight.sum::<f64>().max(flow.weight)
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -1,5 +1,5 @@
-//! Which of the asks that wait at a target is granted next, and the room that
-//! is held for those that short work would starve.
+//! Selection of the next permit request to grant at a target, and the capacity that is held for
+//! requests that short ones would starve.
 
 use crate::ask::{Ask, Ticket};
 use crate::fair::Lanes;
@@ -8,9 +8,9 @@
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-/// How long a long ask waits before room is held for it, and a suspect
-/// before other grants stop: shorter, and each long ask would idle slots that
-/// short ones could use; longer, and it would starve behind them.
+/// Minimum wait before capacity is held for a long request, and before a request that must run
+/// alone stops other grants. If shorter, each long request would idle slots that short ones could
+/// use; if longer, it would starve behind them.
 const MIN_WAIT_FOR_CLAIM: Duration = Duration::from_secs(1);
 
 impl Limiter {
@@ -19,8 +19,7 @@
         self.accepting && !self.may_be_dead && !is_held
     }
 
-    /// The ticket that may be granted now, by the fair order over the lanes
-    /// that have room.
+    /// Returns the ticket that can be granted now, in fair order over the lanes with free capacity.
     pub(crate) fn next_grant(&self, now: Instant) -> Option<Ticket> {
         if !self.can_grant(now) {
             return None;
@@ -33,8 +32,8 @@
             if self.room.slots() == 0 && bound.slots > 0 {
                 return Some(ticket);
             }
-            // Grants stop only after a while: a target that drains for each
-            // suspect at once would let one caller idle it at will.
+            // Other grants stop only after a while. If the target drained for each such request
+            // immediately, one caller could idle it at will.
             if now.saturating_duration_since(since) >= MIN_WAIT_FOR_CLAIM {
                 return None;
             }
@@ -61,8 +60,8 @@
         None
     }
 
-    /// The room held for the long ask whose turn it is, once it has waited
-    /// for slots or memory that short work keeps taking as it comes free.
+    /// Returns the capacity to hold for the next long request, once it has waited for slots or
+    /// memory that short requests keep taking.
     fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
         let long_ask = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
             let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Holds room for an urgent long ask, unless it is held for another.
+    /// Holds capacity for an urgent long request, unless it is held for another one.
     pub(crate) fn hold_claim(&mut self, now: Instant, ask: &Ask) {
         if ask.cost.is_long() && self.active_claim(now).is_none() {
             let claim = Claim { slots: 1, kv: ask.cost.kv() };
@@ -87,7 +86,7 @@
         self.claimed.filter(|&(_, until)| now < until).map(|(claim, _)| claim)
     }
 
-    /// Whether an urgent ask fits into the room that is held.
+    /// Whether an urgent request fits into the capacity that is held.
     pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
         let is_alone_running = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
         let Some(Waiting { ask, .. }) = self.asks.get(&ticket).filter(|w| !w.ask.alone) else {
--- a/crates/policy/src/iteration.rs
+++ b/crates/policy/src/iteration.rs
@@ -1,66 +1,67 @@
-//! When an engine begins to read a further prompt.
+//! Simulation of an engine's batching iterations, to predict when it starts to prefill another
+//! prompt.
 //!
-//! An engine that writes reads all that is there at the beginning of a pass, and
-//! then writes a stride; what comes meanwhile is read in the next pass. A backlog
-//! that drains evenly would send further prompts into a pass that is already full.
+//! An engine with decoding streams prefills all pending prompts at the start of an iteration and
+//! then decodes several steps. Prompts that arrive meanwhile are prefilled in the next iteration. A
+//! model in which the backlog drains evenly would send more prompts into an iteration that is
+//! already full.
 //!
-//! Load pattern: several short prompts within one pass.
+//! Load pattern: several short prompts within one iteration.
 
 use crate::engine::Profile;
 use hickory_unit::size::Tokens;
 use std::time::{Duration, Instant};
 
-/// The least that an engine still has to read where it should be done and no
-/// first token has come, as a part of what was placed.
+/// An engine that should have finished a prefill, but whose first token is overdue, is assumed to
+/// need at least the chunk time divided by this.
 const OVERDUE_DIVISOR: u32 = 5;
 
-/// Strides after which a pass that was known to end tells nothing more: each is
-/// estimated to a few per cent.
+/// Number of iterations after which a known iteration end is too old to simulate from: each
+/// iteration is estimated with an error of a few per cent.
 const MAX_SIMULATED_ITERATIONS: u32 = 8;
 
-/// A part that an engine was sent and whose first token is not known to have come.
+/// A chunk that was sent to an engine and whose first token hasn't been reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PendingPrefill {
     /// When it was sent.
     pub placed_at: Instant,
-    /// The time to read it.
+    /// Prefill time of the chunk.
     pub chunk_time: Duration,
-    /// Whether the engine writes the answer, too.
+    /// Whether the engine also decodes the answer.
     pub is_primary: bool,
-    /// How long after the reading the word of the first token may take to come.
+    /// Maximum time from the end of the prefill until the first token is reported.
     pub notification_delay: Duration,
 }
 
-/// What is known of an engine's passes.
+/// Known state of an engine's iterations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Engine {
-    /// What it has to read.
+    /// Chunks to prefill.
     pub pending_prefills: Vec<PendingPrefill>,
-    /// Streams that it is known to write.
+    /// Streams that are known to be decoding.
     pub decoding_streams: u32,
-    /// Their context.
+    /// Context of these streams.
     pub decode_context: Tokens,
-    /// When a pass of it was last known to end.
+    /// Last known end of an iteration.
     pub last_iteration_end: Option<Instant>,
 }
 
-/// What an engine has to do before a further prompt.
+/// Work that an engine does before another prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// Time to read what was placed and is not read.
+    /// Time until all placed chunks are prefilled.
     pub prefill_left: Duration,
-    /// Time until a further prompt is read: the pass that runs, and what is
-    /// read before the prompt in the next one.
+    /// Time until another prompt is prefilled: the rest of the running iteration, and the prefills
+    /// that come before the prompt in the next one.
     pub prefill_start_delay: Duration,
-    /// What it reads in its next pass, of what was placed.
+    /// Prefill time of the placed chunks in the next iteration.
     pub next_iteration_prefill: Duration,
-    /// Streams that it writes then, by this reckoning.
+    /// Estimated number of decoding streams in the next iteration.
     pub decoding_streams: u32,
 }
 
 impl Engine {
-    /// What it has to do at this moment, by following its passes from the last
-    /// one that is known to have ended.
+    /// Estimates the present backlog by simulating the iterations since the last known end of one.
     pub fn backlog(&mut self, now: Instant, profile: &Profile) -> Backlog {
         self.pending_prefills.sort_unstable();
         let Some(mut end) = self.simulation_start(now, profile) else {
@@ -90,7 +91,7 @@
             }
         }
         let pending_time: Duration = pending.iter().map(|prefill| prefill.chunk_time).sum();
-        // What is read with a further prompt is written with it.
+        // Prompts that are prefilled together with another one are also decoded with it.
         streams += pending.iter().filter(|prefill| prefill.is_primary).count() as u32;
         let start_delay = end.saturating_duration_since(now) + pending_time;
         let prefill_left = match pending.is_empty() {
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Where to follow the passes from; nothing where nothing is known.
+    /// Returns the time from which to simulate iterations, or `None` if no end of an iteration and
+    /// no pending prefill is known.
     fn simulation_start(&self, now: Instant, profile: &Profile) -> Option<Instant> {
         let horizon = self.decode_time(self.decoding_streams, profile) * MAX_SIMULATED_ITERATIONS;
         let last_end =
@@ -115,7 +117,7 @@
         last_end.or(self.pending_prefills.first().map(|prefill| prefill.placed_at))
     }
 
-    /// The time that a pass takes to write.
+    /// Returns the decode time of an iteration.
     fn decode_time(&self, streams: u32, profile: &Profile) -> Duration {
         match streams {
             0 => Duration::ZERO,
@@ -123,8 +125,8 @@
         }
     }
 
-    /// What is left to read where an engine is slower than it should be: the
-    /// word that it has read is long due.
+    /// Returns the estimated remaining prefill if the engine is slower than predicted, which shows
+    /// when first tokens are overdue.
     fn overdue_prefill(&self, now: Instant, expected_end: Instant) -> Duration {
         let overdue = self
             .pending_prefills
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -1,14 +1,14 @@
-//! The kinds of asks that are let in or held back separately.
+//! The lanes: kinds of permit requests that are admitted or held back separately.
 
 use crate::cost::Class;
 
-/// Kinds of asks that are let in or held back separately.
+/// Number of lanes.
 pub(crate) const LANES: usize = 4;
 
-/// The kind of an ask: its class, and whether it is long.
+/// The lane of a request: its service class, and whether its prompt is long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lane {
-    /// Who waits.
+    /// Service class.
     pub class: Class,
     /// Whether the prompt is long.
     pub is_long: bool,
@@ -27,7 +27,7 @@
         usize::from(self.is_long) * 2 + usize::from(self.class == Class::Batch)
     }
 
-    /// Whether only the asks for which the headroom is kept are in it.
+    /// Whether this is the lane of short interactive requests, which may use the headroom.
     pub fn is_short_interactive(self) -> bool {
         self.index() == 0
     }
@@ -38,20 +38,20 @@
 pub struct Lanes(u8);
 
 impl Lanes {
-    /// Every lane.
+    /// All lanes.
     pub const ALL: Self = Self((1 << LANES) - 1);
 
-    /// The set without `lane`.
+    /// Returns the set without `lane`.
     pub fn without(self, lane: Lane) -> Self {
         Self(self.0 & !(1 << lane.index()))
     }
 
-    /// Only the lanes of long asks.
+    /// Returns only the lanes of long requests.
     pub fn only_long(self) -> Self {
         Self(self.0 & 0b1100)
     }
 
-    /// Only the lanes of short asks.
+    /// Returns only the lanes of short requests.
     pub fn only_short(self) -> Self {
         Self(self.0 & 0b0011)
     }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,72 +1,73 @@
-//! Which engine is to hold which weights (a model with version and adapter). The
-//! number of replicas follows demand with hysteresis, loads are bounded by what the
-//! weight store bears and go to the weights furthest from what is wanted, and
-//! weights leave an engine only when nothing runs on them and others are ready.
+//! Assignment of model weights (a model with version and adapter) to engines.
 //!
-//! Load pattern: demand shifts between models, a zone returns with all its engines
-//! empty, a new version goes out, a model is withdrawn.
+//! The number of replicas follows demand with hysteresis. Concurrent loads are bounded by what the
+//! weight store can serve and go first to the weights that have the smallest part of their wanted
+//! replicas. Weights are unloaded from an engine only if no stream runs on them and enough other
+//! replicas are ready.
+//!
+//! Load pattern: demand shifts between models, a zone returns with all its engines empty, a new
+//! version is rolled out, a model is withdrawn.
 
 use hickory_unit::{id, rate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Time constant of the demand. Longer than a burst, and long against the
-/// time that a load takes.
+/// Time constant of the demand average: longer than a burst, and much longer than a load takes.
 const DEMAND_WINDOW: Duration = Duration::from_secs(60);
 
-/// The change of the wanted number of replicas, as a part of it, below which
-/// it stays: loads cost the store more than a small imbalance costs callers.
+/// Relative change of the wanted number of replicas below which it is kept, since loads cost the
+/// store more than a small imbalance costs callers.
 const HYSTERESIS_FRACTION: f64 = 0.25;
 
-/// What demand above its partner's share counts: it is lent where others
-/// leave room, and must not push out what they have bought.
+/// Weight of demand above the share of its partner. Such demand uses capacity that other partners
+/// leave free and must not displace the capacity that they bought.
 const OVER_SHARE_WEIGHT: f64 = 0.5;
 
-/// Weights that exist, by the configuration in force.
+/// Weights that the active configuration requires on the engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Deployment<W> {
     /// The weights.
     pub weights: W,
-    /// Replicas at least: two where a zone may go out at any time.
+    /// Minimum number of replicas: two where a zone may go out of service at any time.
     pub min_replicas: u32,
-    /// The weights that they take the place of; their demand is expected.
+    /// Weights that these replace; their demand is added to the expected demand.
     pub replaces: Option<W>,
 }
 
-/// An engine as its owner sees it.
+/// An engine, as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine<W> {
     /// The engine.
     pub target: id::Target,
     /// Its zone.
     pub zone: id::Zone,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub accepting: bool,
-    /// Weights that it can hold.
+    /// Maximum number of weights that it can hold.
     pub weight_slots: u32,
-    /// Weights that it holds, and those that are being loaded.
+    /// Weights that are loaded or being loaded.
     pub loaded: BTreeMap<W, Residency>,
 }
 
-/// How an engine holds weights.
+/// State of weights on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Residency {
-    /// Whether they serve yet.
+    /// Whether they are loaded and can serve.
     pub is_ready: bool,
     /// Streams that run on them.
     pub streams: u32,
 }
 
-/// A change that is wanted.
+/// A change to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<W> {
-    /// Load weights onto an engine; takes a load slot.
+    /// Load weights onto an engine; uses one of the concurrent loads.
     Load(id::Target, W),
-    /// Unload weights on which nothing runs.
+    /// Unload weights that no stream runs on.
     Unload(id::Target, W),
 }
 
-/// The demand for weights and the replicas that are wanted for it.
+/// The demand for weights and the wanted number of replicas.
 #[derive(Clone, Debug)]
 pub struct Layout<W> {
     demand: BTreeMap<(W, id::Partner), f64>,
@@ -75,12 +76,12 @@
 }
 
 impl<W: Clone + Ord> Layout<W> {
-    /// Nothing is asked for yet.
+    /// Creates a layout without demand.
     pub fn open() -> Self {
         Self { demand: BTreeMap::new(), wanted_replicas: BTreeMap::new(), last_observed: None }
     }
 
-    /// Notes the rates of work that was asked for since the last call.
+    /// Records the requested work rates since the previous call.
     pub fn observe(
         &mut self,
         now: Instant,
@@ -97,8 +98,8 @@
         self.demand.retain(|_, demand| *demand > 1e-3);
     }
 
-    /// Sets the wanted replicas of each offer: the least, and the rest of the
-    /// fleet's places by demand.
+    /// Sets the wanted number of replicas of each deployment: its minimum, plus a part of the
+    /// remaining weight slots by demand.
     pub fn plan(
         &mut self,
         deployments: &[Deployment<W>],
@@ -136,13 +137,13 @@
         }
     }
 
-    /// Replicas that are wanted of some weights.
+    /// Returns the wanted number of replicas of these weights.
     pub fn wanted_replicas(&self, weights: &W) -> u32 {
         self.wanted_replicas.get(weights).copied().unwrap_or(0)
     }
 
-    /// The next changes, with at most `slots` loads; level-triggered, so the
-    /// same state gives the same changes, and a lost one is given again.
+    /// Returns the next changes, with at most `max_loads` loads. This is level-triggered: the same
+    /// state gives the same changes, so a lost change is returned again.
     pub fn plan_changes(
         &self,
         deployments: &[Deployment<W>],
@@ -164,7 +165,7 @@
         changes
     }
 
-    /// Demand by weights; what is above its partner's share counts less.
+    /// Returns the demand by weights; demand above the share of its partner counts less.
     fn weighted_demand(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
         let total_demand: f64 = self.demand.values().sum();
         let total_shares: f64 = shares.values().sum();
@@ -183,8 +184,8 @@
         weighted
     }
 
-    /// Unloads what no offer names any more, once nothing runs on it and
-    /// whatever replaces it is ready.
+    /// Unloads weights that are no longer deployed, once no stream runs on them and their
+    /// replacement is ready.
     fn unload_unwanted(
         &self,
         deployments: &[Deployment<W>],
@@ -215,9 +216,9 @@
         unloads.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
     }
 
-    /// The load that is wanted most: of the weights that have the least part
-    /// of their replicas, onto the emptiest engine of the zone that has the
-    /// fewest of them.
+    /// Returns the most urgent load: the weights with the smallest part of their wanted replicas,
+    /// on the engine with the fewest loaded weights in the zone that has the fewest of these
+    /// replicas.
     fn next_load(
         &self,
         deployments: &[Deployment<W>],
@@ -248,8 +249,8 @@
         })
     }
 
-    /// Weights that a full engine can give up: idle there, and with more
-    /// ready replicas than are wanted.
+    /// Returns weights that a full engine can unload: no stream runs on them, and there are more
+    /// ready replicas than wanted.
     fn choose_eviction(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
         if (engine.loaded.len() as u32) < engine.weight_slots {
             return None;
@@ -269,13 +270,13 @@
     }
 }
 
-/// Replicas on engines that take work, those being loaded included.
+/// Counts replicas on engines that accept work, including those being loaded.
 fn count_replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
     let holds = |e: &&Engine<W>| e.accepting && e.loaded.contains_key(weights);
     engines.iter().filter(holds).count() as u32
 }
 
-/// Replicas that serve.
+/// Counts ready replicas on engines that accept work.
 fn count_ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
     let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
     engines.iter().filter(serves).count() as u32
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,134 +1,135 @@
-//! Which target a request is sent to.
+//! Target selection for one request.
 //!
-//! Load: prompts from a thousand to a million tokens, seen through states
-//! that are up to a second old, chosen by hundreds of nodes at once. Harm
-//! prevented: a short prompt lands behind a long one, all nodes pick the same
-//! idle target, or a hot prefix pulls everything onto one engine.
+//! Many nodes choose at once from load reports that are up to a second old, for prompts of a
+//! thousand to a million tokens. The selection avoids three failures: a short prompt queued behind
+//! a long one, all nodes picking the same idle target, and a hot prefix pulling all requests onto
+//! one engine.
 //!
-//! Short work goes where its first token comes soonest by estimate; a prefix
-//! cache that is known or likely to hold its leading blocks counts as the
-//! prefill that it saves, and no more: so a hot prefix spills as soon as its
-//! engine's queue costs more than the hit is worth, and cache events that
-//! come late or never cost speed only. Long work is packed: all nodes go
-//! through the engines in the same hashed order and take the first that
-//! isn't busy for longer than the work itself takes, so that long prompts
-//! stay on as few engines as the demand needs, and the rest is free of them.
+//! Short prompts go to the target with the lowest estimated time to first token. A prefix cache
+//! that is known or likely to hold the leading blocks of the prompt counts only as the prefill that
+//! it saves. A hot prefix therefore spills to other engines as soon as the queue of its engine
+//! costs more than the hit saves, and late or missing cache events only cost speed.
+//!
+//! Long prompts are packed: all nodes try the engines in the same hashed order and take the first
+//! one whose backlog is no longer than the prompt itself. Long prompts thus stay on as few engines
+//! as the demand needs, and the other engines stay free of them.
 
 use crate::cost::{Class, Cost};
 use crate::refuse::Reason;
 use hickory_unit::{id, size};
 use std::time::Duration;
 
-/// What a target in another zone costs, in seconds: the way there and back.
+/// Cost of a target in another zone, in seconds: one network round trip.
 const CROSS_ZONE_COST_S: f64 = 0.002;
 
-/// What an engine step with a full chunk of long prefill adds to a short
-/// prompt's first token: on average half a step goes by before its turn, and
-/// its own step carries the rest of the chunk.
+/// Delay that an engine step with a full chunk of a long prefill adds to the first token of a short
+/// prompt, in seconds. On average the prompt waits for half of a running step, and its own step
+/// carries the rest of the chunk.
 const LONG_CHUNK_COST_S: f64 = 0.09;
 
-/// Prefill tokens that the steps up to a first token weigh beside the prompt
-/// itself: about three steps of 13 ms at 40,000 tokens a second. Counted in
-/// tokens, so that they take longer on a target that is slow or cold.
+/// Cost of the engine steps up to a first token, beside the prompt itself: about three steps of 13
+/// ms at 40,000 tokens a second. It is counted in prefill tokens so that it grows on a target that
+/// is slow or cold.
 const FIRST_TOKEN_STEP_TOKENS: f64 = 1_600.0;
 
-/// What a token of KV cache in use adds to a first token: each engine step
-/// reads it, at some 20 ms a million, there are about three up to a first
-/// token, and what holds much memory decodes for long or is about to prefill.
+/// Delay that each KV cache token in use adds to a first token, in seconds. Each engine step reads
+/// the cache at about 20 ms per million tokens, a first token takes about three steps, and streams
+/// that hold much memory decode for long or are about to prefill.
 const KV_COST_S_PER_TOKEN: f64 = 150e-9;
 
-/// What a target without a free slot or free memory costs: a typical answer
-/// has to end first.
+/// Cost of a target without a free slot or free memory, in seconds: the time until a typical answer
+/// ends.
 const FULL_TARGET_COST_S: f64 = 1.0;
 
-/// The spread that is put on estimates, as a part of them and at least: two
-/// targets that differ by less are the same for the caller, and nodes that
-/// choose by equal states must not all choose the same.
+/// Random spread that is added to estimates: a fraction of the estimate plus a minimum in seconds.
+/// Callers don't notice smaller differences between targets, and nodes that choose from equal
+/// states must not all choose the same target.
 const SPREAD_FRACTION: f64 = 0.1;
 const MIN_SPREAD_S: f64 = 0.001;
 
-/// The part of the saving that counts where the hash names the target and no
-/// cache event confirms it. Half: the prefix was sent there if it was sent
-/// before at all.
+/// Fraction of the prefill saving that counts where the prefix hash selects a target but no cache
+/// event confirms the cached blocks. It is half because the target holds the prefix only if the
+/// prefix was sent before.
 const UNCONFIRMED_CACHE_WEIGHT: f64 = 0.5;
 
-/// The least wait that long work accepts on a busy engine before it is put on
-/// a further one, in seconds.
+/// Backlog of a busy engine that a long prompt accepts in any case before it goes to a further
+/// engine, in seconds.
 const MIN_PACK_WAIT_S: u64 = 1;
 
-/// Owners that are asked for an answer at once before an ask may queue.
+/// Number of permit requests of an attempt that ask for an immediate answer; later ones may queue.
 pub const MAX_IMMEDIATE_ASKS: usize = 2;
 
-/// What asking another node for leave costs, in seconds: the round trip, and
-/// that its word of the target is old where that of an owned one is exact.
+/// Cost of requesting the permit from another node, in seconds. It covers the round trip and the
+/// age of that node's load report; the state of an owned target is exact.
 const REMOTE_OWNER_COST_S: f64 = 0.010;
 
-/// Seed of the order in which engines take long work.
+/// Seed of the order in which long prompts try the engines.
 const LONG_ORDER_SEED: u64 = 0x6c6f_6e67_5f6f_7264;
 
-/// What is known of a target that could run the request.
+/// A target that could run the request, and its load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The target.
     pub target: id::Target,
-    /// Its hash, by [`hash_target`].
+    /// Hash of the target, by [`hash_target`].
     pub hash: u64,
     /// Whether it is in the choosing node's zone.
     pub is_same_zone: bool,
     /// Whether the choosing node owns it.
     pub is_owned: bool,
-    /// Whether cache events say that it holds the request's prefix.
+    /// Whether cache events report that it holds the request's prefix.
     pub has_cached_prefix: bool,
     /// Prompt tokens granted or queued there.
     pub queued_prefill: size::Tokens,
-    /// Of these, tokens of long prompts.
+    /// Part of `queued_prefill` that belongs to long prompts.
     pub queued_long: size::Tokens,
-    /// KV cache that is free.
+    /// Free KV cache.
     pub kv_free: size::Tokens,
-    /// KV cache in all.
+    /// KV cache capacity.
     pub kv_capacity: size::Tokens,
-    /// Prompt tokens a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: u64,
-    /// Streams it bears.
+    /// Maximum concurrent streams.
     pub max_streams: u32,
     /// Streams granted.
     pub running: u32,
-    /// Asks that wait.
+    /// Permit requests that wait.
     pub waiting: u32,
 }
 
 /// The leading blocks of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    /// Their hash.
+    /// Hash of the blocks.
     pub hash: u64,
-    /// Their tokens.
+    /// Length of the blocks.
     pub tokens: size::Tokens,
 }
 
 /// A request that needs a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// What it weighs.
+    /// Estimated cost.
     pub cost: Cost,
-    /// Who waits.
+    /// Service class.
     pub class: Class,
-    /// Its leading blocks, where they are long enough to be cached.
+    /// Leading blocks, where they are long enough to be cached.
     pub prefix: Option<Prefix>,
-    /// A random number, the same for the same choice.
+    /// Random number; the same number gives the same choice.
     pub random: u64,
 }
 
-/// The hash of a target that [`Candidate::key`] holds.
+/// Returns the hash of a target, as [`Candidate::hash`] holds it.
 pub fn hash_target(target: &id::Target) -> u64 {
     let hash = blake3::hash(target.as_str().as_bytes());
     u64::from_le_bytes(*hash.as_bytes().first_chunk().unwrap_or(&[0; 8]))
 }
 
-/// Chooses among the candidates; failed and tried targets are left out by the
-/// caller. `None` where none can hold the request.
+/// Chooses a target among the candidates. The caller leaves out targets that failed or were tried
+/// before. Returns `None` if no candidate can hold the request.
 ///
-/// One pass, since it is made for each attempt over all replicas of a model.
+/// This runs for each attempt over all replicas of a model, so it makes a single pass over the
+/// candidates.
 pub fn choose_target<'a>(query: &Query, candidates: &'a [Candidate]) -> Option<&'a Candidate> {
     let kv = query.cost.kv();
     let eligible = candidates.iter().filter(|c| c.kv_capacity >= kv && c.max_streams > 0);
@@ -163,30 +164,28 @@
     chosen.map(|(_, candidate)| candidate)
 }
 
-/// Whether the owner of a chosen target is to answer at once, yes or no: for
-/// the first asks of short work, as long as there is another target to turn
-/// to.
+/// Whether the owner of the chosen target must grant or refuse immediately instead of queueing.
+/// This holds for the first permit requests of short prompts, as long as there is another target to
+/// try.
 ///
-/// States are up to a second old, many times what a short prompt takes. The
-/// owner knows better; asking a second one costs a round trip, waiting behind
-/// what the state did not show costs a prefill. The asks after them choose
-/// among all targets again: were those that said no left out, the best ones
-/// would never have a queue, and without one nothing keeps the shares.
+/// Load reports are up to a second old, many times the duration of a short prompt, but the owner
+/// knows the current load. Asking a second owner costs one round trip; queueing behind load that
+/// the report didn't show costs a whole prefill. Later permit requests choose among all targets
+/// again, including those whose owners refused: otherwise the best targets would never have a
+/// queue, and partner shares are enforced only in the queue.
 pub fn wants_immediate_answer(cost: Cost, asked: usize, candidates: usize) -> bool {
     !cost.is_long() && asked < MAX_IMMEDIATE_ASKS && candidates > 1
 }
 
-/// Whether a refused ask counts against the asks of an attempt. That of a
-/// target which takes no new work does not: when a zone goes out, all of its
-/// targets say so for as long as the states are old, and a request that gave
-/// up on them would fail although the other zones have room. Each such target
-/// is left out from then on.
+/// Whether a refusal counts against the permit requests of an attempt. Refusals of a target that
+/// accepts no new work don't count: when a zone is taken out of service, all of its targets refuse
+/// until the load reports are updated, and a request that used up its attempts on them would fail
+/// although other zones have room. Each such target is excluded from later attempts.
 pub fn counts_as_ask(refused: Reason) -> bool {
     refused != Reason::NoTarget
 }
 
-/// Orders the candidates by the time a first token would take, the best
-/// first.
+/// Orders the candidates that can hold the prompt by estimated time to first token, lowest first.
 pub fn rank_targets(cost: Cost, candidates: &[Candidate]) -> Vec<&Candidate> {
     let mut ranked: Vec<&Candidate> =
         candidates.iter().filter(|c| c.kv_capacity >= cost.kv()).collect();
@@ -194,15 +193,15 @@
     ranked
 }
 
-/// The time until the first token of `cost` would come from `candidate`.
+/// Estimates the time to first token of `cost` on `candidate`.
 pub fn estimate_time_to_first_token(cost: Cost, candidate: &Candidate) -> Duration {
     Duration::try_from_secs_f64(first_token_seconds(cost, candidate, 0.0)).unwrap_or(Duration::MAX)
 }
 
-/// Seconds to the first token where the cache saves `saved` tokens.
+/// Estimates the seconds to first token where the prefix cache saves `saved_tokens`.
 ///
-/// Engines run short work before long by priority: short work waits for what
-/// short work is queued, and for the step of a long prefill that runs.
+/// Engines run short prompts before long ones by priority, so a short prompt waits only for the
+/// queued short prompts and for the running step of a long prefill.
 fn first_token_seconds(cost: Cost, candidate: &Candidate, saved_tokens: f64) -> f64 {
     let mut tokens_ahead = candidate.queued_prefill.0;
     let mut seconds = 0.0;
@@ -222,8 +221,8 @@
         + prefill_tokens / candidate.prefill_rate.max(1) as f64
 }
 
-/// Whether long work may be packed onto a candidate: it has the memory, and
-/// is not busy for longer than the work itself takes.
+/// Whether a long prompt may be packed onto a candidate: it has a free slot and enough memory, and
+/// its backlog is no longer than the prompt itself.
 fn can_pack(cost: Cost, candidate: &Candidate) -> bool {
     let min_tokens = candidate.prefill_rate * MIN_PACK_WAIT_S;
     candidate.kv_free >= cost.kv()
@@ -231,8 +230,8 @@
         && candidate.queued_prefill.0 <= cost.prefill.0.max(min_tokens)
 }
 
-/// Seconds to the first token, with what the zone costs, where this part of
-/// the prefix counts as cached.
+/// Estimates the seconds to first token, including the costs of another zone and of a remote owner.
+/// `cached_fraction` is the part of the prefix that counts as cached.
 fn estimate_cost(query: &Query, candidate: &Candidate, cached_fraction: f64) -> f64 {
     let saved_tokens = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached_fraction);
     let zone_cost = CROSS_ZONE_COST_S * f64::from(u8::from(!candidate.is_same_zone));
@@ -240,19 +239,19 @@
     first_token_seconds(query.cost, candidate, saved_tokens) + zone_cost + owner_cost
 }
 
-/// The random part of a score.
+/// Returns the random part of an estimate.
 fn random_spread(query: &Query, candidate: &Candidate) -> f64 {
     let estimate = first_token_seconds(query.cost, candidate, FIRST_TOKEN_STEP_TOKENS);
     estimate.mul_add(SPREAD_FRACTION, MIN_SPREAD_S)
         * to_unit_interval(mix_hashes(candidate.hash, query.random))
 }
 
-/// A number from 0 to 1.
+/// Maps a hash to a number from 0 to 1.
 fn to_unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// The finalizer of SplitMix64 over two hashes.
+/// Mixes two hashes with the finalizer of SplitMix64.
 fn mix_hashes(a: u64, b: u64) -> u64 {
     let mut z = a ^ b.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,177 +1,172 @@
-//! Which engines a prompt is read on, and when its first token would come.
+//! Placement of prompts on engines, with the expected time to first token.
 //!
-//! Short prompts are packed on few engines while they are predicted to be in time
-//! and no pass grows longer than the streams there bear; a pass with all slots in
-//! use takes little more than one with a single stream. Where all slots are taken,
-//! a short prompt waits for one that comes free in time. Long prompts are split over
-//! the engines that are left, in parts that no stream there feels. Engines read the
-//! parts that others ask them for newest first, so a long prompt waits until enough
-//! engines are idle, and no engine has two parts to choose from.
+//! Short prompts are packed on few engines, as long as they are predicted to meet their goal and no
+//! iteration exceeds the inter-token target of the streams there: an iteration with all slots in
+//! use takes little longer than one with a single stream. If all slots are in use, a short prompt
+//! waits for a slot that is expected to come free in time. Long prompts are split over the
+//! remaining engines in chunks that their streams don't notice. An engine prefills the chunks of
+//! other engines newest first, so a long prompt waits until enough engines are idle and no engine
+//! holds two chunks.
 //!
-//! Load pattern: prompts of a thousand to a million tokens in alternating phases,
-//! some of which take an engine for seconds, in which none of its streams gets an
-//! event.
+//! Load pattern: prompts of a thousand to a million tokens in alternating phases. Some of them
+//! occupy an engine for seconds, during which none of its streams gets an event.
 
 use crate::engine::Profile;
 use crate::queue::Ahead;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// Engines that may help the first one.
+/// Maximum number of engines that prefill chunks beside the primary one.
 pub const MAX_HELPERS: usize = 15;
 
-/// Prompts that are read in less than this on one engine are short: they are
-/// read whole, at once. It is what a short stream beside them bears.
+/// Prompts with a shorter prefill on one engine are short: they are prefilled whole and
+/// immediately. Short streams on the same engine tolerate a pause of this length.
 const MAX_SHORT_PREFILL: Duration = Duration::from_millis(100);
 
-/// Goals below this leave no time to wait for idle engines, whatever the
-/// prompt's length.
+/// Prompts with a goal below this are placed as short ones: they have no time to wait for idle
+/// engines.
 const MAX_URGENT_GOAL: Duration = Duration::from_millis(600);
 
-/// The part of the goal within which a short prompt's first token must be
-/// predicted for it to be packed on an engine, or to wait for a slot. The rest is
-/// for what predictions are off.
+/// Fraction of the goal that the predicted first token of a short prompt may take for it to be
+/// packed on an engine or to wait for a slot. The rest allows for prediction errors.
 const PACK_GOAL_FRACTION: f64 = 0.7;
 
-/// The part of an engine's slots that short streams are packed into. With fewer,
-/// more engines have short streams than are left to long prompts; with more,
-/// several prompts that arrive at once find no slot.
+/// Fraction of an engine's slots that short streams are packed into. With fewer, short streams
+/// occupy more engines and leave fewer to long prompts; with more, prompts that arrive together
+/// find no slot.
 const PACK_SLOT_FRACTION: f64 = 0.9;
 
-/// What a first token takes beside the engine's work: the way there and back,
-/// and the turns of the hosts.
+/// Time to first token beside the engine's work: the network round trip and scheduling on the
+/// hosts.
 const NETWORK_OVERHEAD: Duration = Duration::from_millis(10);
 
-/// First tokens that differ by less come at the same time for the caller.
+/// First tokens that differ by less than this arrive at the same time for the caller.
 const FIRST_TOKEN_RESOLUTION: Duration = Duration::from_millis(20);
 
-/// What each engine reads of a long prompt, at most where there are engines
-/// enough: half of the shortest pause that long streams are to keep.
+/// Maximum prefill time of a chunk if there are enough engines: half of the shortest pause that
+/// long streams tolerate.
 const TARGET_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(250);
 
-/// What each engine reads at most where a long prompt does not wait for more
-/// engines to become idle.
+/// Maximum prefill time of a chunk for which a long prompt doesn't wait for more idle engines.
 const MAX_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(500);
 
-/// The part of the engines without short streams that is enough to begin with,
-/// whatever the parts: waiting for the last ones leaves the others idle.
+/// Fraction of the engines without short streams that is enough for any chunk time. Waiting for the
+/// last engines would leave the others idle.
 const MIN_CLEAR_FRACTION: f64 = 0.6;
 
-/// The part of its streams' wanted pause that an engine may read in one pass.
-/// The rest is for what a pass differs from its prediction.
+/// Fraction of the inter-token target that one iteration may take. The rest allows for prediction
+/// errors.
 const MAX_PAUSE_FRACTION: f64 = 0.9;
 
-/// An engine that has less than this to read counts as idle: it is done by the
-/// time that a request reaches it.
+/// Engines with a smaller prefill backlog count as idle: they finish before a request reaches them.
 pub(crate) const MAX_IDLE_BACKLOG: Duration = Duration::from_millis(15);
 
-/// The part of the engines without short streams that must be idle before a
-/// prompt which is late in any case is read: what it takes is otherwise taken
-/// from prompts that could be in time.
+/// Fraction of the engines without short streams that must be idle before a prompt that will miss
+/// its goal is placed. Otherwise it would take capacity from prompts that can still meet theirs.
 const MIN_IDLE_FRACTION_FOR_LATE: f64 = 0.5;
 
-/// The part of the time left that reading a late prompt may take.
+/// Fraction of the remaining time limit that the prefill of a late prompt may take.
 const LATE_PREFILL_FRACTION: f64 = 0.6;
 
-/// The least time after which a prompt that can't be in time should come back:
-/// a phase of long prompts doesn't end sooner.
+/// Minimum retry delay of a prompt that can't meet its goal: phases of long prompts don't end
+/// sooner.
 const MIN_LATE_RETRY: Duration = Duration::from_millis(4_000);
 
-/// Between two looks whether engines are idle, at the longest.
+/// Maximum interval between two checks for idle engines.
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The part of an engine's memory that prompts may fill. The rest is for the
-/// answers of the streams that are there already.
+/// Fraction of an engine's KV memory for new prompts. The rest is for the answers of running
+/// streams.
 const MAX_KV_FRACTION: f64 = 0.95;
 
-/// What is known of an engine.
+/// Load of an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Time until it has read all that is placed there.
+    /// Time until it has prefilled all prompts that are placed there.
     pub prefill_backlog: Duration,
-    /// Time until it begins to read a further prompt.
+    /// Time until it starts to prefill another prompt.
     pub prefill_start_delay: Duration,
-    /// What it reads in its next pass, of what is placed there.
+    /// Prefill time in its next iteration of what is placed there.
     pub next_iteration_prefill: Duration,
     /// Requests that run or wait there.
     pub requests: u32,
-    /// Requests for which it reads a part.
+    /// Requests for which it prefills a chunk as a helper.
     pub helper_chunks: u32,
     /// Short requests among those that run or wait.
     pub short_requests: u32,
-    /// Streams that write.
+    /// Streams that are decoding.
     pub decoding_streams: u32,
-    /// The shortest pause that its requests are to keep.
+    /// Lowest inter-token latency target among its requests.
     pub inter_token_target: Option<Duration>,
-    /// Context of the streams that write.
+    /// Context of the decoding streams.
     pub decode_context: Tokens,
-    /// Memory taken or promised.
+    /// KV memory in use or reserved.
     pub kv_used: Tokens,
-    /// Whether it is in the choosing node's zone.
+    /// Whether it is in the zone of the choosing node.
     pub is_same_zone: bool,
-    /// The order of the engines for short prompts, the least first.
+    /// Rank of the engine for short prompts; lower ranks come first.
     pub preference: u64,
-    /// What it is expected to cost to try it, since it failed lately.
+    /// Expected cost of a failure, if it failed recently.
     pub penalty: Duration,
-    /// Whether it refused lately to read a part for another engine.
+    /// Whether it recently refused to prefill a chunk for another engine.
     pub is_refusing_chunks: bool,
 }
 
 /// A prompt to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// Its tokens.
+    /// Prompt tokens.
     pub prompt_tokens: Tokens,
-    /// Tokens of its answer, at a guess.
+    /// Expected answer tokens.
     pub answer_tokens: Tokens,
-    /// Whether it is placed as a short one, by [`is_short`].
+    /// Whether it is placed as a short prompt, by [`is_short`].
     pub is_short: bool,
-    /// What is left of the time within which its first token is wanted.
+    /// Time left until the first-token goal.
     pub goal_left: Duration,
-    /// The time after which it is of no use.
+    /// Time left until the caller gives up on a first token.
     pub limit_left: Duration,
-    /// What waits and comes before it.
+    /// Prompts that wait and are placed before it.
     pub ahead: Ahead,
-    /// How long a short stream usually takes from its placement to its end.
+    /// Typical time of a short stream from its placement to its end.
     pub typical_stream_time: Duration,
 }
 
-/// Where a prompt is read; engines by their place in the list of loads.
+/// Placement of a prompt. Engines are indexes into the list of loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The engine that is sent the request.
+    /// Engine that receives the request and decodes the answer.
     pub primary: usize,
-    /// Engines that read parts of it.
+    /// Other engines that prefill chunks of it.
     pub helpers: Vec<usize>,
-    /// Memory to reserve, by engine; empty where the first holds all.
+    /// KV memory to reserve on each engine; empty if the primary holds all of it.
     pub kv_reservations: Vec<(usize, Tokens)>,
-    /// What each engine reads.
+    /// Prefill time of the chunk on each engine.
     pub chunk_time: Duration,
-    /// When the first token is expected.
+    /// Expected time to first token.
     pub time_to_first_token: Duration,
 }
 
-/// What to do with a prompt now.
+/// Decision on a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it.
+    /// Dispatch it now.
     Place(Plan),
-    /// Look again after this time.
+    /// Try again after this time.
     Wait(Duration),
 }
 
-/// Why a prompt has no place.
+/// Why a prompt can't be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// No engine is there.
+    /// There is no engine.
     NoEngine,
-    /// It is greater than the fleet's memory.
+    /// It needs more memory than all engines have.
     TooLong,
-    /// No engine has room; one has, at a guess, after this time.
+    /// No engine has room; one is expected to have room after this time.
     Busy(Duration),
 }
 
-/// Whether a prompt is read at once on one engine.
+/// Whether a prompt is prefilled immediately on one engine.
 pub fn is_short(profile: &Profile, prompt: Tokens, goal: Duration) -> bool {
     goal < MAX_URGENT_GOAL || profile.prefill_time(prompt) < MAX_SHORT_PREFILL
 }
@@ -195,16 +190,16 @@
     }
 }
 
-/// One choice: a prompt before the engines.
+/// Inputs of one placement decision.
 struct Planner<'a> {
     query: &'a Query,
     profile: &'a Profile,
     loads: &'a [Load],
-    /// The time to read the prompt on one engine.
+    /// Prefill time on one engine.
     prefill_time: Duration,
-    /// The memory that it takes.
+    /// KV memory of the prompt and its answer.
     kv_needed: Tokens,
-    /// The memory of an engine that prompts may fill.
+    /// KV memory of an engine that prompts may use.
     kv_usable: Tokens,
 }
 
@@ -234,8 +229,8 @@
         self.profile.iteration_time(load.decoding_streams, load.decode_context)
     }
 
-    /// When the first token of a part read here comes: with the end of the
-    /// pass in which the reading ends.
+    /// Time until the first token of a chunk: it comes at the end of the iteration that ends the
+    /// prefill.
     fn time_to_first_token(&self, engine: usize, chunk_time: Duration) -> Duration {
         self.loads[engine].prefill_start_delay
             + chunk_time
@@ -243,9 +238,8 @@
             + NETWORK_OVERHEAD
     }
 
-    /// Packs a short prompt on the most preferred of the engines that have short
-    /// streams already and on which it is in time; else takes the engine where
-    /// it is first.
+    /// Packs a short prompt on the preferred engine among those that have short streams and can
+    /// meet the goal. Otherwise takes the engine with the earliest first token.
     fn place_short(&self) -> Result<Choice, Refused> {
         let fits =
             |&engine: &usize| self.has_slot(engine) && self.kv_free(engine) >= self.kv_needed;
@@ -283,13 +277,13 @@
         }))
     }
 
-    /// Waits for a slot that is expected to come free in time. A prompt that can't
-    /// be in time would make all behind it late as well.
+    /// Waits for a slot that is expected to come free in time. A prompt that can't meet its goal
+    /// would also make the prompts behind it late.
     fn wait_for_slot(&self) -> Result<Choice, Refused> {
         let wait = self.estimate_slot_wait();
         let total: Duration = (0..self.loads.len()).map(|engine| self.iteration_time(engine)).sum();
-        // A slot comes free as a pass ends, and the next one begins before the prompt
-        // is there.
+        // A slot comes free at the end of an iteration; the next one starts before the prompt
+        // arrives.
         let iteration = total / self.loads.len() as u32;
         let first_token = wait + iteration + self.prefill_time + iteration + NETWORK_OVERHEAD;
         match first_token <= self.query.goal_left.mul_f64(PACK_GOAL_FRACTION) {
@@ -298,17 +292,16 @@
         }
     }
 
-    /// Time until enough slots are free for this prompt and the short ones before
-    /// it. Streams that began one by one end one by one.
+    /// Estimates the time until enough slots are free for this prompt and the short ones before it.
+    /// Streams that started one by one also end one by one.
     fn estimate_slot_wait(&self) -> Duration {
         let running: u32 = self.loads.iter().map(|load| load.requests).sum();
         self.query.typical_stream_time * (self.query.ahead.short_prompts + 1) / running.max(1)
     }
 
-    /// Splits a long prompt over idle engines, once there are enough of them.
-    /// What can't be in time is read only while half of the engines have
-    /// nothing else to do, and refused otherwise: waiting would not help it,
-    /// and its caller can come back.
+    /// Splits a long prompt over idle engines, once there are enough of them. A prompt that can't
+    /// meet its goal is placed only while half of the engines are idle. Otherwise it is refused,
+    /// since waiting would not help it and its caller can retry.
     fn place_long(&self) -> Result<Choice, Refused> {
         let is_usable =
             |&engine: &usize| self.has_slot(engine) && !self.loads[engine].is_refusing_chunks;
@@ -340,8 +333,8 @@
         plan.map(Choice::Place).ok_or(Refused::Busy((wait + own_time).max(MIN_LATE_RETRY)))
     }
 
-    /// When the prompt would be read on engines whose short streams have ended: all
-    /// but those that short prompts need if they are packed.
+    /// Estimates the time to prefill the prompt on the engines whose short streams will have ended:
+    /// all except those that the packed short prompts need.
     fn estimate_time_on_cleared(&self, engines: &[usize]) -> Duration {
         let short_requests: u32 =
             engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
@@ -356,16 +349,16 @@
         stream_time.max(self.estimate_wait(&engines[..cleared])) + prefill_time
     }
 
-    /// Time until the engines have read what is placed and what waits before
-    /// this prompt, evenly spread.
+    /// Estimates the time to prefill the placed and the waiting prompts ahead, spread evenly over
+    /// the engines.
     fn estimate_wait(&self, engines: &[usize]) -> Duration {
         let backlog: Duration =
             engines.iter().map(|&engine| self.loads[engine].prefill_backlog).sum();
         (backlog + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
-    /// Splits over as few idle engines as make the parts small; over most of
-    /// the engines where parts can't be small.
+    /// Splits over the fewest idle engines that keep the chunks small, or over most engines where
+    /// chunks can't be small.
     fn split_in_time(&self, idle: &[usize], clear: usize) -> Option<Plan> {
         let most_clear = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
         let mut best = None;
@@ -383,7 +376,7 @@
         best
     }
 
-    /// Splits over few idle engines, where many are idle.
+    /// Splits a late prompt over few engines if many are idle.
     fn split_late(&self, idle: &[usize], clear: usize) -> Option<Plan> {
         let min_idle = (clear as f64 * MIN_IDLE_FRACTION_FOR_LATE).ceil() as usize;
         if idle.len() < min_idle.max(1) {
@@ -398,7 +391,7 @@
         plans.into_iter().find(|plan| plan.time_to_first_token <= latest)
     }
 
-    /// A plan on the first of the engines whose streams bear the part.
+    /// Plans on the first `count` engines whose streams tolerate the chunk.
     fn plan_on(&self, engines: &[usize], count: usize, chunk_time: Duration) -> Option<Plan> {
         let able = engines.iter().copied().filter(|&engine| self.can_add_chunk(engine, chunk_time));
         let chosen: Vec<usize> = able.take(count).collect();
@@ -414,7 +407,7 @@
         next.saturating_sub(MAX_IDLE_BACKLOG).clamp(Duration::from_millis(2), MAX_POLL_INTERVAL)
     }
 
-    /// Whether the streams of an engine bear that it reads this in a pass.
+    /// Whether the chunk keeps the inter-token target of the engine's streams.
     fn can_add_chunk(&self, engine: usize, chunk_time: Duration) -> bool {
         let load = &self.loads[engine];
         match load.inter_token_target {
@@ -426,8 +419,7 @@
         }
     }
 
-    /// Whether the streams of an engine bear that it reads the prompt with what it
-    /// reads in its next pass.
+    /// Whether prefilling the prompt in the engine's next iteration keeps the inter-token target.
     fn can_add_prompt(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
         let iteration =
@@ -449,8 +441,8 @@
         })
     }
 
-    /// Which engines hold the prompt: one if one can, else as few as can, each
-    /// with what it has free.
+    /// Reserves KV memory for the prompt: on one engine if possible, otherwise on as few as
+    /// possible, each with all of its free memory.
     fn reserve_kv(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
         let has_room = |&&engine: &&usize| self.kv_free(engine) >= self.kv_needed;
         if let Some(&engine) = engines.iter().find(has_room) {
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -1,66 +1,66 @@
-//! Preemption of bulk work by cancel and resume. A stream is preempted only where
-//! the time to redo its work is less than the time that the interactive ask would
-//! wait, where its own deadline can still be met, and once at most.
+//! Preemption of bulk streams by cancel and resume. A stream is preempted only if redoing its work
+//! takes less time than the interactive request would wait, if its own deadline can still be met,
+//! and at most once.
 //!
-//! Load pattern: long or batch streams hold the slots or the memory of every
-//! engine that could run an interactive ask.
+//! Load pattern: long or batch streams hold the slots or the memory of every engine that could run
+//! an interactive request.
 
 use crate::cost::{Class, Cost};
 use crate::limit::Ticket;
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-/// Waits shorter than this are not worth any preemption: the cancel, its
-/// confirmation and the new grant take as long.
+/// Minimum wait for a preemption: the cancel, its confirmation and the new grant take this long.
 const MIN_PREEMPTION_WAIT: Duration = Duration::from_millis(250);
 
-/// How many times the time to redo the wait must be. One would trade a second
-/// of one for a second of the other and add the cost of the cancel.
+/// Minimum ratio of the wait to the time for redoing the work. A ratio of one would exchange equal
+/// times and add the cost of the cancel.
 const MIN_WAIT_TO_REDO_RATIO: u32 = 2;
 
-/// A stream that runs.
+/// A running stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningStream {
     /// Its permit.
     pub ticket: Ticket,
-    /// Who waits for it.
+    /// Service class.
     pub class: Class,
-    /// What it weighs.
+    /// Estimated cost.
     pub cost: Cost,
-    /// Prompt tokens prefilled, of which the engine's cache keeps nothing.
+    /// Prompt tokens prefilled. The engine's cache keeps none of them.
     pub prefilled: size::Tokens,
-    /// Tokens generated; they are not generated again.
+    /// Tokens generated, which are not generated again.
     pub generated: size::Tokens,
     /// Its deadline.
     pub deadline: Instant,
-    /// How often it was preempted.
+    /// Number of times it was preempted.
     pub preemptions: u32,
 }
 
-/// The ask that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitingRequest {
-    /// What it weighs.
+    /// Estimated cost.
     pub cost: Cost,
-    /// Who waits for it.
+    /// Service class.
     pub class: Class,
-    /// How long it will wait where nothing is preempted.
+    /// Expected wait without a preemption.
     pub expected_wait: Duration,
-    /// KV memory that is free on the engine.
+    /// Free KV memory of the engine.
     pub kv_free: size::Tokens,
 }
 
-/// How fast the engine works.
+/// Speed of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineSpeed {
-    /// Prompt tokens a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: u64,
-    /// Between two tokens of a stream.
+    /// Inter-token time of a stream.
     pub token_time: Duration,
 }
 
-/// The stream to preempt for an ask that waits, if it pays: of those that
-/// make room and lose nothing but time, the one with the least to redo.
+/// Chooses the stream to preempt for a waiting request, or `None` if no preemption is worthwhile.
+/// Of the streams that free enough memory and can still meet their deadlines, it is the one with
+/// the least work to redo.
 pub fn choose_victim(
     now: Instant,
     waiting: WaitingRequest,
@@ -88,13 +88,13 @@
         .map(|stream| stream.ticket)
 }
 
-/// Tokens to prefill again: what was prefilled, and what was generated since,
-/// which a resume prefills as part of the prompt.
+/// Returns the tokens to prefill again: the prefilled ones, and the generated ones, which a resume
+/// prefills as part of the prompt.
 fn tokens_to_redo(stream: &RunningStream) -> size::Tokens {
     stream.prefilled + stream.generated
 }
 
-/// The time that a stream needs after its resume.
+/// Returns the time that a stream needs after its resume.
 fn time_left(stream: &RunningStream, speed: EngineSpeed) -> Duration {
     let prefill = time_to_prefill(stream.cost.prefill + stream.generated, speed);
     let tokens = stream.cost.decode.saturating_sub(stream.generated);
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,38 +1,37 @@
-//! Prompts that wait for engines, and the order in which they choose.
+//! Priority queue of prompts that wait for engines.
 //!
-//! Load pattern: prompts come faster than engines have room for them. Short prompts
-//! need a slot each and choose first, the earliest due before the others. Of the long
-//! ones the smallest chooses first, since it needs the fewest engines for the least
-//! time; a larger one takes what is left. One that is no longer asked for is dropped.
+//! Load pattern: prompts arrive faster than engines have room for them. Short prompts are placed
+//! first, by the due time of their first token, since each needs only a slot. Long prompts follow,
+//! the smallest first, since it needs the fewest engines for the shortest time; larger ones take
+//! the remaining engines. An entry whose node stops refreshing it is dropped.
 
 use std::time::{Duration, Instant};
 
-/// How long a prompt waits without being asked for again: its caller is gone, or
-/// its node died.
+/// Time until an entry expires that isn't refreshed: its caller has gone or its node has died.
 const ENTRY_TTL: Duration = Duration::from_secs(1);
 
-/// Prompts that wait at most; the rest is refused.
+/// Maximum number of waiting prompts; further ones are refused.
 const MAX_LENGTH: usize = 1_024;
 
-/// A prompt's turn among those that wait.
+/// Priority of a waiting prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// A short prompt, by the time at which its first token is due.
+    /// A short prompt, by the due time of its first token.
     Short(Instant),
-    /// A long prompt, by the time that one engine takes to read it.
+    /// A long prompt, by its prefill time on one engine.
     Long(Duration),
 }
 
-/// What waits before a prompt.
+/// Prompts that are placed before another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ahead {
-    /// Long prompts, by the time that one engine takes to read them.
+    /// Sum of the long prompts' prefill times, each on one engine.
     pub prefill_time: Duration,
-    /// Short prompts, each of which needs a slot.
+    /// Number of short prompts, each of which needs a slot.
     pub short_prompts: u32,
 }
 
-/// A prompt that waits.
+/// A waiting prompt.
 #[derive(Clone, Debug)]
 struct Entry<K, T> {
     key: K,
@@ -42,10 +41,10 @@
     item: T,
 }
 
-/// Prompts that wait.
+/// Prompts that wait for engines.
 #[derive(Clone, Debug)]
 pub struct Queue<K, T> {
-    /// By their turns; of the same turn the one that came first.
+    /// Ordered by priority; equal priorities in the order of arrival.
     entries: Vec<Entry<K, T>>,
 }
 
@@ -56,8 +55,8 @@
 }
 
 impl<K: Clone + PartialEq, T: Clone> Queue<K, T> {
-    /// Puts a prompt into the queue, or takes anew what is asked for again. Whether
-    /// there was room.
+    /// Inserts a prompt, or refreshes the entry if it is queued already. Returns `false` if the
+    /// queue is full.
     pub fn insert_or_refresh(&mut self, now: Instant, key: K, priority: Priority, item: T) -> bool {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.key == key) {
             entry.refreshed_at = now;
@@ -73,19 +72,19 @@
         true
     }
 
-    /// Takes a prompt out; how long it waited.
+    /// Removes a prompt and returns the time that it waited.
     pub fn remove(&mut self, now: Instant, key: &K) -> Option<Duration> {
         let index = self.entries.iter().position(|entry| entry.key == *key)?;
         let entry = self.entries.remove(index);
         Some(now.saturating_duration_since(entry.queued_at))
     }
 
-    /// Drops what is no longer asked for.
+    /// Drops entries that weren't refreshed in time.
     pub fn expire(&mut self, now: Instant) {
         self.entries.retain(|entry| now.saturating_duration_since(entry.refreshed_at) < ENTRY_TTL);
     }
 
-    /// What chooses before a prompt with this turn.
+    /// Returns the prompts that are placed before a prompt with this key and priority.
     pub fn ahead_of(&self, key: &K, priority: Priority) -> Ahead {
         let before = self.entries.iter().take_while(|entry| entry.priority < priority);
         let other_entries = before.filter(|entry| entry.key != *key);
@@ -102,17 +101,17 @@
         self.entries.first().is_some_and(|entry| matches!(entry.priority, Priority::Short(_)))
     }
 
-    /// The prompts in the order in which they choose.
+    /// Returns the prompts in the order of their priorities.
     pub fn in_order(&self) -> Vec<(K, T)> {
         self.entries.iter().map(|entry| (entry.key.clone(), entry.item.clone())).collect()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting prompts.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -1,20 +1,19 @@
-//! The replica of a plain service that a request is sent to.
+//! Selection of the replica of a plain service.
 //!
-//! Load pattern: short requests on a few slots, of which some replicas answer
-//! late or fail. A replica that fails at times is still better than one behind
-//! whose queue the request would wait for longer than a failure costs.
+//! Load pattern: short requests on few slots, where some replicas answer late or fail. A replica
+//! that fails sometimes is still better than one whose queue costs more time than a failure does.
 
 use crate::plan::Load;
 use std::time::Duration;
 
-/// Requests that may run or wait at a replica, as a multiple of its slots: beyond
-/// it, a request waits longer than callers do.
+/// Maximum number of requests that run or wait at a replica, per slot. With more, a request waits
+/// longer than callers do.
 const MAX_REQUESTS_PER_SLOT: u32 = 3;
 
-/// A replica's load and how many requests it runs at once.
+/// A replica with its load and its number of slots.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What is placed there.
+    /// Requests that are placed there.
     pub load: &'a Load,
     /// Requests that it runs at once.
     pub slots: u32,
@@ -25,8 +24,7 @@
         self.load.requests >= self.slots.max(1) * MAX_REQUESTS_PER_SLOT
     }
 
-    /// What a request is expected to wait for a slot, where a request takes
-    /// `usual`.
+    /// Expected wait for a slot, where a request takes `typical_time`.
     fn queue_time(&self, typical_time: Duration) -> Duration {
         let slots = self.slots.max(1);
         let queued = (self.load.requests + 1).saturating_sub(slots);
@@ -34,11 +32,11 @@
     }
 }
 
-/// The candidate that is expected to answer first, where a request takes `usual`.
+/// Chooses the candidate with the earliest expected answer, where a request takes `typical_time`.
 ///
 /// # Errors
 ///
-/// All are full; the time after which there is room.
+/// All candidates are full; returns the time until there is room.
 pub fn choose_replica(
     candidates: &[Candidate<'_>],
     typical_time: Duration,
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -1,6 +1,8 @@
-//! Reservations for prompts greater than one engine's memory: all of a prompt's
-//! engines are reserved or none, in the order of their ids, and each answers at
-//! once. Two prompts can't hold half of what both need and wait for each other.
+//! Reservations for prompts that exceed one engine's memory.
+//!
+//! All engines of a prompt are reserved or none. They are requested in the order of their ids, and
+//! each answers immediately, so that two prompts can't each hold a part of what both need and
+//! deadlock.
 //!
 //! Load pattern: prompts of up to twice an engine's memory beside all other work.
 
@@ -10,13 +12,11 @@
 use hickory_unit::{id, size};
 use std::time::Duration;
 
-/// One of this many tokens of an engine's memory is left to short work, as
-/// in [`crate::room`].
+/// One of this many tokens of an engine's memory is left to short work, as in [`crate::room`].
 const HEADROOM_DIVISOR: u64 = 8;
 
-/// The first pause after a reservation that failed, and the greatest: less
-/// than the time for which an engine holds room after it refused an urgent
-/// ask ([`crate::limit::CLAIM_LIFE`]).
+/// First and maximum delay after a failed reservation. The maximum is less than the time for which
+/// an engine holds capacity after it refused an urgent request ([`crate::limit::CLAIM_LIFE`]).
 const BASE_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
@@ -25,27 +25,27 @@
 pub struct Part {
     /// The engine.
     pub target: id::Target,
-    /// The place among the parts, from 0; the last part generates.
+    /// Index among the parts, from 0. The engine of the last part decodes the answer.
     pub index: u32,
-    /// Prompt tokens before it.
+    /// Number of prompt tokens before this part.
     pub prompt_offset: size::Tokens,
-    /// What it weighs on its engine.
+    /// Cost of the part on its engine.
     pub cost: Cost,
 }
 
-/// Why a prompt can't be cut into parts.
+/// Why a prompt can't be split into parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Impossible {
-    /// All engines together can't hold it.
+    /// It exceeds the memory of all engines together.
     TooLong,
-    /// The prefill takes longer than the time that is left; by how much.
+    /// The prefill exceeds the remaining time by this.
     NoTime(Duration),
     /// Too little memory is free at present.
     NoMemory,
 }
 
-/// Cuts a prompt into parts, on as few engines as hold it, those with the
-/// most free memory first.
+/// Splits a prompt into parts on as few engines as can hold it, those with the most free memory
+/// first.
 pub fn plan_parts(
     cost: Cost,
     time_left: Duration,
@@ -65,8 +65,7 @@
     for (tokens, candidate) in by_free_kv {
         let prompt_left = cost.prefill.0 - prompt_offset;
         let is_last = prompt_left + cost.decode.0 <= tokens;
-        // The answer is generated where the last part lies, so no part but
-        // the last may end the prompt.
+        // The engine of the last part decodes the answer, so no earlier part may end the prompt.
         let prefill = if is_last { prompt_left } else { tokens.min(prompt_left.saturating_sub(1)) };
         let decode = if is_last { cost.decode } else { size::Tokens(0) };
         prefill_time +=
@@ -94,23 +93,23 @@
     if has_slot { candidate.kv_free.0.min(bulk_kv) } else { 0 }
 }
 
-/// How long to wait before round `round` (from 1) of a reservation that
-/// failed. The random part keeps two prompts from failing each other again.
+/// Returns the delay before retry `round` (from 1) of a failed reservation. The random part keeps
+/// two prompts from blocking each other again.
 pub fn backoff(round: u32, random: u64) -> Duration {
     let max_delay = BASE_BACKOFF.saturating_mul(1 << round.min(8)).min(MAX_BACKOFF);
     max_delay / 2 + max_delay.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
 }
 
-/// What a reservation needs next.
+/// Next step of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// An urgent ask for this part, answered by [`Reservation::answer`].
+    /// Send an urgent permit request for this part and pass the result to [`Reservation::answer`].
     Ask(Part),
-    /// Nothing: every part is held. In the order of the prompt.
+    /// All parts are held, in the order of the prompt.
     Complete(Vec<(Part, Ticket)>),
 }
 
-/// The reservation of all parts of one prompt, or none.
+/// A reservation of all parts of one prompt.
 #[derive(Clone, Debug)]
 pub struct Reservation {
     /// In the order of the engines' ids.
@@ -119,13 +118,13 @@
 }
 
 impl Reservation {
-    /// A reservation that holds nothing yet.
+    /// Creates a reservation that holds no part yet.
     pub fn open(mut parts: Vec<Part>) -> Self {
         parts.sort_by(|a, b| a.target.cmp(&b.target));
         Self { parts, held: Vec::new() }
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn next_step(&self) -> Step {
         if let Some(part) = self.parts.get(self.held.len()) {
             return Step::Ask(part.clone());
@@ -136,8 +135,8 @@
         Step::Complete(held)
     }
 
-    /// Takes in the answer to the last ask. A refusal ends the round: what is
-    /// returned is to be given back at once.
+    /// Records the result of the last permit request. A refusal ends the round; the returned
+    /// permits must be released immediately.
     pub fn answer(&mut self, granted: Option<Ticket>) -> Vec<(id::Target, Ticket)> {
         match granted {
             Some(ticket) => {
@@ -148,7 +147,7 @@
         }
     }
 
-    /// Gives up all that is held.
+    /// Ends the round and returns all permits that are held.
     pub fn release(&mut self) -> Vec<(id::Target, Ticket)> {
         let targets = self.parts.iter().map(|part| part.target.clone());
         targets.zip(std::mem::take(&mut self.held)).collect()
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,10 +1,11 @@
-//! What one target has room for, and the headroom kept for short work. Bulk work
-//! (long or batch) is let into a part of the slots and the memory only, one long
-//! prefill runs at a time, and short prefill is handed over no faster than the
-//! engine works it off: the queue stands at the owner, where shares are kept.
+//! Accounting of the slots, KV memory and prefill work in use on one target, with headroom for
+//! short interactive requests.
 //!
-//! Load pattern: long prompts, batch work and short interactive asks meet on one
-//! engine.
+//! Bulk requests (long or batch) are admitted to only a part of the slots and memory, only one long
+//! prefill runs at a time, and short prefill work is sent to the engine no faster than it processes
+//! it. Requests therefore queue at the owner, where shares are enforced.
+//!
+//! Load pattern: long prompts, batch work and short interactive requests meet on one engine.
 
 use crate::cost::Cost;
 use crate::fair::Lane;
@@ -12,61 +13,59 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// One of this many stream slots and KV tokens is kept for short interactive
-/// asks. An eighth serves a burst of a third of a second at the rates that
-/// engines reach, and costs bulk work little, since it is bound by prefill.
+/// One of this many stream slots and KV tokens is reserved for short interactive requests. An
+/// eighth serves a burst of a third of a second at the rates that engines reach, and costs bulk
+/// work little, since that is limited by prefill.
 const HEADROOM_DIVISOR: u32 = 8;
 
-/// One of this many stream slots may hold long work: its KV memory is used
-/// up before, and slots that decode for long slow each step for all.
+/// One of this many stream slots may hold long prompts: KV memory runs out before, and streams with
+/// a long decode slow down each step for all others.
 const LONG_SLOTS_DIVISOR: u32 = 4;
 
-/// Prefill work that is handed to the engine ahead of time. It covers one of
-/// the engine's steps and the way there and back; more would queue in the
-/// engine, out of reach of shares and deadlines, where another engine may be
-/// idle.
+/// Maximum prefill work that is sent to the engine ahead of time. It covers one engine step and the
+/// network round trip. More would queue in the engine, where shares and deadlines aren't enforced,
+/// while another engine may be idle.
 const MAX_PREFILL_IN_FLIGHT: Duration = Duration::from_millis(60);
 
-/// The part of the prefill rate that a long prefill keeps while short work
-/// saturates an engine that honours priorities strictly: long work must
-/// arrive.
+/// Fraction of the prefill rate that a long prefill gets while short requests saturate an engine
+/// with strict priorities: long prompts must still complete.
 const MIN_LONG_PREFILL_FRACTION: f64 = 0.25;
 
-/// How far a load report may lag behind, with the time between two of them.
+/// Maximum age of a load report, including the interval between two reports.
 const MAX_REPORT_LAG: Duration = Duration::from_millis(500);
 
-/// What is left of a long prefill at least until a report or its first token
-/// says that it is over: a step of the engine. Long prompts slow down as they
-/// go; by estimate alone they ended seconds early, and short prompts were
-/// sent to engines that were still busy with them.
+/// Minimum estimate of the tokens left of a long prefill until a load report or its first token
+/// confirms that it has ended: one engine step. Long prompts slow down as they proceed; without
+/// this, the estimate ended seconds early and short prompts were sent to engines that were still
+/// busy.
 const MIN_UNCONFIRMED_TOKENS: f64 = 2_048.0;
 
-/// Why an ask has no room now.
+/// Why a request doesn't fit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Full {
-    /// No stream slot.
+    /// There is no free stream slot.
     Slots,
-    /// No KV memory.
+    /// There is not enough KV memory.
     Memory,
-    /// Enough prefill is in flight.
+    /// Enough prefill work is in flight.
     Prefill,
 }
 
-/// What the target bears at present.
+/// Current capacity of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Streams.
+    /// Stream slots.
     pub slots: u32,
     /// KV memory.
     pub kv: size::Tokens,
-    /// Prompt tokens a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: u64,
 }
 
-/// Room held for a long ask that has waited too long for it.
+/// Capacity that is kept free for a long request that has waited too long.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Slots.
+    /// Stream slots.
     pub slots: u32,
     /// KV memory.
     pub kv: size::Tokens,
@@ -78,27 +77,27 @@
     kv: u64,
 }
 
-/// A prefill in flight, by estimate.
+/// A prefill in flight, with its estimated remaining tokens.
 #[derive(Clone, Copy, Debug)]
 struct Prefill {
     ticket: u64,
     tokens_left: f64,
 }
 
-/// What is in use on one target.
+/// Capacity in use on one target.
 #[derive(Clone, Debug, Default)]
 pub struct Room {
     short: Usage,
     bulk: Usage,
     long_slots: u32,
     foreign: Usage,
-    /// Prefills in flight, short and long, in the order of their grants.
+    /// Short and long prefills in flight, in the order of their grants.
     prefills: [VecDeque<Prefill>; 2],
     prefill_advanced_at: Option<Instant>,
 }
 
 impl Room {
-    /// Whether an ask fits.
+    /// Checks whether a request fits.
     pub fn fits(&self, bound: Bound, lane: Lane, cost: Cost, claim: Claim) -> Result<(), Full> {
         let kv = cost.kv().0;
         if self.slots() >= bound.slots {
@@ -118,9 +117,9 @@
         self.fits_prefill(bound, lane, cost)
     }
 
-    /// Bulk work leaves the headroom free, but one piece of it is let in
-    /// where no other runs: an ask as large as the memory would else never
-    /// run, and a target of one slot would take none.
+    /// Bulk requests leave the headroom free, but one is admitted if no other runs: otherwise a
+    /// request as large as the memory could never run, and a target with one slot would accept no
+    /// bulk work.
     fn fits_bulk(&self, bound: Bound, lane: Lane, kv: u64) -> Result<(), Full> {
         if self.bulk.slots == 0 {
             return Ok(());
@@ -137,7 +136,7 @@
         Ok(())
     }
 
-    /// Short work leaves what a long ask has claimed, down to the headroom.
+    /// Short requests leave the claimed capacity free, but may always use the headroom.
     fn fits_claim(&self, bound: Bound, kv: u64, claim: Claim) -> Result<(), Full> {
         if claim == Claim::default() {
             return Ok(());
@@ -165,7 +164,7 @@
         Ok(())
     }
 
-    /// Takes room.
+    /// Reserves capacity for a granted request.
     pub fn acquire(&mut self, ticket: u64, lane: Lane, cost: Cost) {
         let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         usage.slots += 1;
@@ -177,7 +176,7 @@
         }
     }
 
-    /// Gives room back.
+    /// Releases the capacity of a request.
     pub fn release(&mut self, ticket: u64, lane: Lane, cost: Cost) {
         let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
         usage.slots -= 1;
@@ -186,13 +185,13 @@
         self.finish_prefill(ticket, lane);
     }
 
-    /// The first token came: the prefill is over.
+    /// Ends the prefill of a request, when its first token came.
     pub fn finish_prefill(&mut self, ticket: u64, lane: Lane) {
         self.prefills[usize::from(lane.is_long)].retain(|p| p.ticket != ticket);
     }
 
-    /// Works the prefills in flight off by estimate: the short ones first, as
-    /// engines that honour priorities do, but for the floor of the long one.
+    /// Advances the estimates of the prefills in flight: the short ones first, as engines with
+    /// priorities do, except for the minimum fraction of the long one.
     pub fn advance_prefill(&mut self, now: Instant, prefill_rate: u64) {
         let previous = self.prefill_advanced_at.replace(now).unwrap_or(now);
         let budget = prefill_rate as f64 * now.saturating_duration_since(previous).as_secs_f64();
@@ -205,8 +204,8 @@
         }
     }
 
-    /// Corrects the estimate of one prefill by a load report, which lags: by
-    /// now the engine may have done as much more as it does in that time.
+    /// Corrects the estimate of one prefill by a load report. The report is out of date by up to
+    /// `MAX_REPORT_LAG`, in which the engine may have prefilled more tokens.
     pub fn correct_prefill(
         &mut self,
         ticket: u64,
@@ -225,28 +224,28 @@
         }
     }
 
-    /// Sets what runs there that this owner did not grant.
+    /// Sets the usage by streams that this owner didn't grant.
     pub fn set_foreign(&mut self, slots: u32, kv: size::Tokens) {
         self.foreign = Usage { slots, kv: kv.0 };
     }
 
-    /// Slots in use.
+    /// Returns the slots in use.
     pub fn slots(&self) -> u32 {
         self.short.slots + self.bulk.slots + self.foreign.slots
     }
 
-    /// KV memory in use.
+    /// Returns the KV memory in use.
     pub fn kv(&self) -> u64 {
         self.short.kv + self.bulk.kv + self.foreign.kv
     }
 
-    /// Prompt tokens in flight of one size, by estimate.
+    /// Returns the estimated prompt tokens in flight of short or long prompts.
     pub fn prefill_in_flight(&self, long: bool) -> f64 {
         self.prefills[usize::from(long)].iter().map(|p| p.tokens_left).sum()
     }
 }
 
-/// Takes `budget` tokens off the queue's front; returns what is left of it.
+/// Removes up to `token_budget` tokens from the front of the queue and returns the unused budget.
 fn consume_tokens(prefills: &mut VecDeque<Prefill>, mut token_budget: f64) -> f64 {
     while let Some(first) = prefills.front_mut() {
         if first.tokens_left > token_budget {
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -1,27 +1,25 @@
-//! Which asks can't be met before their deadlines. They are refused when they are
-//! asked, or as soon as a slower pace or a smaller share shows it.
+//! Load shedding: refuses permit requests that can't meet their deadlines, on arrival or as soon as
+//! a lower throughput or a smaller share makes them late.
 //!
-//! Load pattern: more comes than the target bears, and each ask has a deadline.
+//! Load pattern: more requests arrive than the target can serve, and each has a deadline.
 
 use crate::limit::{Answer, Ask, Limiter, RETRY_LEAST, Ticket, Waiting};
 use crate::refuse::Reason;
 use std::time::{Duration, Instant};
 
-/// By how much the estimate of a wait is raised before it is held against the
-/// time left. Under overload the queue fills up to what is let in: without a
-/// margin each ask would start at the last moment, and a small error of the
-/// estimate would cut off answers that are half done.
+/// Factor on the estimated wait before it is compared with the remaining time. Under overload the
+/// queue fills up to what is admitted. Without a margin each request would start at the last
+/// moment, and a small estimation error would cut off half-finished answers.
 const WAIT_SAFETY_FACTOR: f64 = 1.4;
 
-/// Between two looks for queued asks that have become hopeless, and by how
-/// much a wait must exceed the time that is left: the rates are measured over
-/// seconds and are off by as much.
+/// Interval between two checks for queued requests that will be late, and the factor by which a
+/// wait must exceed the remaining time: rates are measured over seconds and are off by as much.
 const SHED_INTERVAL: Duration = Duration::from_secs(1);
 const SHED_FACTOR: f64 = 1.25;
 
 impl Limiter {
-    /// Refuses at once an ask that could not end before its deadline by what
-    /// stands before it, or that the queue has no place for.
+    /// Refuses a request on arrival that could not end before its deadline behind the work ahead of
+    /// it, or for which the queue has no room.
     pub(crate) fn refuse_late(&self, now: Instant, ask: &Ask) -> Option<Answer> {
         let long = ask.cost.is_long();
         let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, long);
@@ -34,8 +32,8 @@
         if let Some(lateness) = lateness.filter(|lateness| !lateness.is_zero()) {
             return Some(Answer::Refused(Reason::Overloaded, lateness.max(RETRY_LEAST)));
         }
-        // A partner that fills the queue may not shut the others out of it:
-        // past the bound only partners below their part of it are let in.
+        // A partner that fills the queue must not exclude the others. Beyond the bound, only
+        // partners that use less than their part of the queue are admitted.
         let own_asks = self.queue.waiting_asks_of(&ask.partner) as f64;
         let is_full = self.asks.len() >= self.queue_bound;
         let is_over_share = own_asks >= self.queue_bound as f64 * self.queue.share_of(&ask.partner);
@@ -43,19 +41,18 @@
             .then(|| Answer::Refused(Reason::Overloaded, wait.max(RETRY_LEAST)))
     }
 
-    /// Whether an ask could not end in time by the present pace, which may
-    /// have slowed down since it came: what is begun then is cut off half
-    /// done, and its share is spent on nothing.
+    /// Whether a request could not end in time at the current throughput, which may have dropped
+    /// since it arrived. If started, it would be cut off half-finished and its share would be
+    /// wasted.
     pub(crate) fn is_late(&self, now: Instant, ticket: Ticket) -> bool {
         self.asks.get(&ticket).is_some_and(|Waiting { ask, came_with, .. }| {
             now + self.pace.service_time(ask.cost, *came_with) > ask.deadline
         })
     }
 
-    /// Refuses queued asks that have become hopeless: the target slowed down,
-    /// or their partner's share was cut. Left in the queue they would make
-    /// every later ask of their account look late, until nothing but them is
-    /// queued and the partner's share goes to others.
+    /// Refuses queued requests that have become too late because the target slowed down or the
+    /// share of their partner was cut. If they stayed, every later request of their account would
+    /// look late, until only they are queued and the partner's share goes to others.
     pub(crate) fn shed_late(&mut self, now: Instant) -> Vec<Ticket> {
         if self.shed.is_some_and(|at| now < at + SHED_INTERVAL) {
             return Vec::new();
--- a/crates/policy/src/survey.rs
+++ b/crates/policy/src/survey.rs
@@ -1,4 +1,4 @@
-//! What a choice of engines rested on, for those who explain it afterwards.
+//! Summary of the engines' state in a placement decision, for the logs.
 
 use crate::engine::Profile;
 use crate::plan::{Load, MAX_IDLE_BACKLOG};
@@ -6,30 +6,29 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The engines as a choice found them.
+/// The engines at the time of a decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Survey {
-    /// Engines that may be chosen.
+    /// Engines that can be chosen.
     pub engines: u32,
-    /// Those that have no slot left.
+    /// Engines without a free slot.
     pub full: u32,
-    /// Those that have nothing to read.
+    /// Engines without prefill backlog.
     pub idle: u32,
-    /// Those without short streams.
+    /// Engines without short streams.
     pub without_short: u32,
-    /// Those that failed lately.
+    /// Engines that failed recently.
     pub penalized: u32,
-    /// What all of them have still to read, added up.
+    /// Sum of the prefill backlogs of all engines.
     pub prefill_backlog: Duration,
-    /// Long prompts that wait and come first, by the time that one engine takes to
-    /// read them.
+    /// Sum of the prefill times of the long prompts ahead, each on one engine.
     pub ahead_prefill_time: Duration,
-    /// Short prompts that wait and come first.
+    /// Short prompts ahead.
     pub ahead_short_prompts: u32,
 }
 
 impl Survey {
-    /// Counts the engines that a prompt meets behind others that wait.
+    /// Summarizes the engines for a prompt behind the prompts `ahead`.
     pub fn new(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
         let slots = profile.map_or(u32::MAX, |profile| profile.slots);
         let count = |matches: fn(&Load, u32) -> bool| {
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -1,56 +1,54 @@
-//! How fast a target works: estimates that start at what it reports and follow
-//! what passes through it.
+//! Throughput estimates of a target, which start from its reported rates and follow the measured
+//! ones.
 //!
-//! Load pattern: a queue grows, and asks carry deadlines.
+//! Load pattern: a queue grows, and requests have deadlines.
 
 use crate::cost::Cost;
 use hickory_unit::{rate, size};
 use std::time::{Duration, Instant};
 
-/// The part of the reported prefill rate that is left beside decode steps.
-/// A full batch takes about a quarter of the time of a step.
+/// Fraction of the reported prefill rate that is available beside decode steps. Decoding a full
+/// batch takes about a quarter of the time of a step.
 const PREFILL_FRACTION: f64 = 0.75;
 
-/// The speed of a cold target as a part of its full speed, at least. Targets
-/// that prefill at a fifth when cold are common; one that is slower still
-/// shows it in the rates that are measured.
+/// Minimum speed of a cold target as a fraction of its full speed. Targets that prefill at a fifth
+/// of their rate when cold are common; if one is even slower, the measured rates show it.
 const MIN_COLD_SPEED: f64 = 0.2;
 
-/// The time between two tokens of a stream before any was measured.
+/// Assumed inter-token time before any was measured.
 const INITIAL_TOKEN_TIME: Duration = Duration::from_millis(15);
 
-/// Time constants over which the rate of a queue is measured, short and
-/// long: many times what one ask of that size takes.
+/// Time constants of the measured rates for short and long requests, in seconds: many times the
+/// service time of one request of that size.
 const RATE_WINDOWS_S: [f64; 2] = [2.0, 10.0];
 
-/// The least rate that is believed, as a part of the first estimate: a target
-/// that stood still for a while must not refuse all that comes after.
+/// Minimum rate estimate, as a fraction of the initial estimate: a target that stalled for a while
+/// must not refuse all later requests.
 const MIN_RATE_FRACTION: f64 = 0.05;
 
-/// Calls a second that one slot of a plain service is first taken to do.
+/// Initially assumed calls per second and slot of a plain service.
 const INITIAL_CALLS_PER_SLOT: f64 = 20.0;
 
-/// The weight of a new measurement against the old.
+/// Weight of a new measurement in the moving average.
 const EWMA_WEIGHT: f64 = 0.3;
 
-/// The learned rates of one target.
+/// Throughput estimates of one target.
 #[derive(Clone, Debug)]
 pub struct Throughput {
     reported_prefill_rate: u64,
-    /// From 0 to 1, by the warmth that the target reports.
+    /// Fraction of the full speed, from 0 to 1, by the reported warmth.
     warmth_factor: f64,
     token_time: Duration,
-    /// The first estimate of work a second.
+    /// Initial estimate of the work per second.
     initial_rate: f64,
-    /// Work that left the queue while asks waited, decayed over the window;
-    /// short and long.
+    /// Work granted while requests waited, decayed over the window; short and long.
     recent_grants: [f64; 2],
     advanced_at: Option<Instant>,
 }
 
 impl Throughput {
-    /// What a target does that reports to prefill `prefill_rate` tokens a
-    /// second and to bear `slots` streams; rate zero is a plain service.
+    /// Creates the estimates of a target that reports this prefill rate in tokens per second and
+    /// this number of stream slots. A prefill rate of zero means a plain service.
     pub fn open(prefill_rate: u64, slots: u32) -> Self {
         let initial_rate = match prefill_rate {
             0 => f64::from(slots.max(1)) * INITIAL_CALLS_PER_SLOT,
@@ -66,32 +64,31 @@
         }
     }
 
-    /// Sets how warm the target is, from 0 to 100.
+    /// Sets the warmth of the target, from 0 to 100.
     pub fn set_warmth(&mut self, warmth: u8) {
         self.warmth_factor = (f64::from(warmth.min(100)) / 100.0).max(MIN_COLD_SPEED);
     }
 
-    /// Prompt tokens a second at present warmth, with nothing beside them.
+    /// Returns the prompt tokens prefilled per second at the current warmth without other work.
     pub fn current_prefill_rate(&self) -> u64 {
         (self.reported_prefill_rate as f64 * self.warmth_factor) as u64
     }
 
-    /// Prompt tokens a second beside the decode of other streams.
+    /// Returns the prompt tokens prefilled per second beside the decode of other streams.
     pub fn shared_prefill_rate(&self) -> u64 {
         (self.current_prefill_rate() as f64 * PREFILL_FRACTION) as u64
     }
 
-    /// The time a first token takes with `tokens` to prefill up to it.
+    /// Returns the time to first token with `tokens` to prefill before it.
     pub fn time_to_first_token(&self, tokens: size::Tokens) -> Duration {
         rate::TokensPerSecond(self.shared_prefill_rate().max(1) as f64).time_for(tokens)
             + self.token_time
     }
 
-    /// The time to keep for work of this cost once it is granted, of the time
-    /// that it came with. An answer may be shorter than its greatest length,
-    /// so its decode is given half of that time at most: an ask is not refused
-    /// because of tokens that may never come. Work without tokens is a call of
-    /// a plain service, of which nothing is known.
+    /// Returns the service time to reserve for a granted request, of the time that was left when it
+    /// arrived. The decode is limited to half of that time, so that a request isn't refused because
+    /// of tokens that may never come: an answer may be shorter than its maximum. A request without
+    /// tokens is a call of a plain service, whose service time is unknown.
     pub fn service_time(&self, cost: Cost, time_at_arrival: Duration) -> Duration {
         if cost.kv().0 == 0 {
             return Duration::ZERO;
@@ -101,24 +98,24 @@
         self.time_to_first_token(cost.prefill).saturating_add(decode)
     }
 
-    /// The time until `work` has left the queue.
+    /// Returns the time until `work` has been granted from the queue.
     pub fn queue_time(&self, work: u64, long: bool) -> Duration {
         rate::TokensPerSecond(self.grant_rate(long)).time_for(size::Tokens(work))
     }
 
-    /// Work a second that leaves the queue.
+    /// Returns the work per second that is granted from the queue.
     pub fn grant_rate(&self, long: bool) -> f64 {
         let size = usize::from(long);
         let measured = self.recent_grants[size] / RATE_WINDOWS_S[size];
         measured.max(self.initial_rate * MIN_RATE_FRACTION)
     }
 
-    /// Notes work that left the queue.
+    /// Records work that was granted from the queue.
     pub fn record_grant(&mut self, work: u64, long: bool) {
         self.recent_grants[usize::from(long)] += work as f64;
     }
 
-    /// Learns the time between tokens from a stream that is whole.
+    /// Updates the inter-token time from a completed stream.
     pub fn record_decode(&mut self, tokens: size::Tokens, took: Duration) {
         if tokens.0 < 2 {
             return;
@@ -129,8 +126,8 @@
         self.token_time = Duration::from_secs_f64(token_time);
     }
 
-    /// Lets time pass. Only time in which asks of a size wait counts for its
-    /// rate: what an idle target was given says nothing of what it can do.
+    /// Advances the time. Only time in which requests of a size wait counts for the rate of that
+    /// size, since the load of an idle target doesn't show its capacity.
     pub fn advance(&mut self, now: Instant, has_waiting: [bool; 2]) {
         let previous = self.advanced_at.replace(now).unwrap_or(now);
         let elapsed = now.saturating_duration_since(previous).as_secs_f64();
@@ -139,8 +136,8 @@
             let baseline = self.initial_rate * RATE_WINDOWS_S[size];
             *granted = match has_waiting[size] {
                 true => *granted * decay,
-                // Back towards the first estimate, so that one bad spell is
-                // not held against the next one.
+                // Decays towards the initial estimate, so that a slow period doesn't affect later
+                // ones.
                 false => baseline + (*granted - baseline) * decay,
             };
         }
