--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -38,7 +38,7 @@
 
 /// Time to first token beside the engine's work: the network round trip and scheduling on the
 /// hosts.
-const NETWORK_OVERHEAD: Duration = Duration::from_millis(10);
+const OVERHEAD: Duration = Duration::from_millis(10);
 
 /// First tokens that differ by less than this arrive at the same time for the caller.
 const FIRST_TOKEN_RESOLUTION: Duration = Duration::from_millis(20);
@@ -232,17 +232,13 @@
     /// Time until the first token of a chunk: it comes at the end of the iteration that ends the
     /// prefill.
     fn time_to_first_token(&self, engine: usize, chunk_time: Duration) -> Duration {
-        self.loads[engine].prefill_start_delay
-            + chunk_time
-            + self.iteration_time(engine)
-            + NETWORK_OVERHEAD
+        self.loads[engine].prefill_start_delay + chunk_time + self.iteration_time(engine) + OVERHEAD
     }
 
     /// Packs a short prompt on the preferred engine among those that have short streams and can
     /// meet the goal. Otherwise takes the engine with the earliest first token.
     fn place_short(&self) -> Result<Choice, Refused> {
-        let fits =
-            |&engine: &usize| self.has_slot(engine) && self.kv_free(engine) >= self.kv_needed;
+        let fits = |&index: &usize| self.has_slot(index) && self.kv_free(index) >= self.kv_needed;
         let latest = self.query.goal_left.mul_f64(PACK_GOAL_FRACTION);
         let max_packed = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION) as u32;
         let first_token_on = |engine: usize| self.time_to_first_token(engine, self.prefill_time);
@@ -285,7 +281,7 @@
         // A slot comes free at the end of an iteration; the next one starts before the prompt
         // arrives.
         let iteration = total / self.loads.len() as u32;
-        let first_token = wait + iteration + self.prefill_time + iteration + NETWORK_OVERHEAD;
+        let first_token = wait + iteration + self.prefill_time + iteration + OVERHEAD;
         match first_token <= self.query.goal_left.mul_f64(PACK_GOAL_FRACTION) {
             true => Ok(Choice::Wait(MAX_POLL_INTERVAL)),
             false => Err(Refused::Busy(wait)),
@@ -310,8 +306,7 @@
             let load = &self.loads[engine];
             (load.penalty, load.short_requests, !load.is_same_zone)
         });
-        let clear =
-            engines.iter().filter(|&&engine| self.loads[engine].short_requests == 0).count();
+        let clear = engines.iter().filter(|&&index| self.loads[index].short_requests == 0).count();
         let idle: Vec<usize> = engines
             .iter()
             .copied()
@@ -321,13 +316,11 @@
         let own_time = self.prefill_time / clear.clamp(1, MAX_HELPERS + 1) as u32;
         if wait + own_time <= self.query.goal_left {
             let plan = self.split_in_time(&idle, clear);
-            return Ok(
-                plan.map_or_else(|| Choice::Wait(self.time_until_idle(&engines)), Choice::Place)
-            );
+            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Place));
         }
         let shared = self.split_in_time(&idle, engines.len());
         if shared.is_none() && self.estimate_time_on_cleared(&engines) <= self.query.goal_left {
-            return Ok(Choice::Wait(self.time_until_idle(&engines)));
+            return Ok(Choice::Wait(self.until_idle(&engines)));
         }
         let plan = shared.or_else(|| self.split_late(&idle, clear));
         plan.map(Choice::Place).ok_or(Refused::Busy((wait + own_time).max(MIN_LATE_RETRY)))
@@ -336,15 +329,13 @@
     /// Estimates the time to prefill the prompt on the engines whose short streams will have ended:
     /// all except those that the packed short prompts need.
     fn estimate_time_on_cleared(&self, engines: &[usize]) -> Duration {
-        let short_requests: u32 =
-            engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
+        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
         let slots_per_engine = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION).max(1.0);
-        let engines_for_short = (f64::from(short_requests) / slots_per_engine).ceil() as usize;
-        let Some(cleared) = engines.len().checked_sub(engines_for_short).filter(|&count| count > 0)
-        else {
+        let needed = (f64::from(short) / slots_per_engine).ceil() as usize;
+        let Some(cleared) = engines.len().checked_sub(needed).filter(|&count| count > 0) else {
             return Duration::MAX;
         };
-        let stream_time = self.profile.stream_time(short_requests / engines.len().max(1) as u32);
+        let stream_time = self.profile.stream_time(short / engines.len().max(1) as u32);
         let prefill_time = self.prefill_time / cleared.min(MAX_HELPERS + 1) as u32;
         stream_time.max(self.estimate_wait(&engines[..cleared])) + prefill_time
     }
@@ -352,9 +343,8 @@
     /// Estimates the time to prefill the placed and the waiting prompts ahead, spread evenly over
     /// the engines.
     fn estimate_wait(&self, engines: &[usize]) -> Duration {
-        let backlog: Duration =
-            engines.iter().map(|&engine| self.loads[engine].prefill_backlog).sum();
-        (backlog + self.query.ahead.prefill_time) / engines.len().max(1) as u32
+        let total: Duration = engines.iter().map(|&index| self.loads[index].prefill_backlog).sum();
+        (total + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
     /// Splits over the fewest idle engines that keep the chunks small, or over most engines where
@@ -398,12 +388,9 @@
         (chosen.len() == count).then(|| self.build_plan(&chosen, chunk_time)).flatten()
     }
 
-    fn time_until_idle(&self, engines: &[usize]) -> Duration {
-        let backlogs = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
-        let next = backlogs
-            .filter(|backlog| *backlog > MAX_IDLE_BACKLOG)
-            .min()
-            .unwrap_or(MAX_POLL_INTERVAL);
+    fn until_idle(&self, engines: &[usize]) -> Duration {
+        let times = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
+        let next = times.filter(|time| *time > MAX_IDLE_BACKLOG).min().unwrap_or(MAX_POLL_INTERVAL);
         next.saturating_sub(MAX_IDLE_BACKLOG).clamp(Duration::from_millis(2), MAX_POLL_INTERVAL)
     }
 
@@ -422,22 +409,21 @@
     /// Whether prefilling the prompt in the engine's next iteration keeps the inter-token target.
     fn can_add_prompt(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        let iteration =
-            load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
-        load.inter_token_target.is_none_or(|target| iteration <= target.mul_f64(MAX_PAUSE_FRACTION))
+        let time = load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
+        load.inter_token_target.is_none_or(|target| time <= target.mul_f64(MAX_PAUSE_FRACTION))
     }
 
     fn build_plan(&self, engines: &[usize], chunk_time: Duration) -> Option<Plan> {
         let reservations = self.reserve_kv(engines)?;
         let primary = reservations.first().map(|(engine, _)| *engine)?;
-        let first_token =
-            engines.iter().map(|&engine| self.time_to_first_token(engine, chunk_time)).max()?;
+        let last =
+            engines.iter().map(|&index| self.time_to_first_token(index, chunk_time)).max()?;
         Some(Plan {
             primary,
             helpers: engines.iter().copied().filter(|&engine| engine != primary).collect(),
             kv_reservations: if reservations.len() > 1 { reservations } else { Vec::new() },
             chunk_time,
-            time_to_first_token: first_token,
+            time_to_first_token: last,
         })
     }
 
