--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -23,8 +23,7 @@
 /// immediately. Short streams on the same engine tolerate a pause of this length.
 const MAX_SHORT_PREFILL: Duration = Duration::from_millis(100);
 
-/// Prompts with a goal below this are placed as short ones: they have no time to wait for idle
-/// engines.
+/// Prompts with a goal below this are placed as short ones: they can't wait for idle engines.
 const MAX_URGENT_GOAL: Duration = Duration::from_millis(600);
 
 /// Fraction of the goal that the predicted first token of a short prompt may take for it to be
@@ -36,8 +35,7 @@
 /// find no slot.
 const PACK_SLOT_FRACTION: f64 = 0.9;
 
-/// Time to first token beside the engine's work: the network round trip and scheduling on the
-/// hosts.
+/// Time to first token beside the engine's work: network round trip and host scheduling.
 const OVERHEAD: Duration = Duration::from_millis(10);
 
 /// First tokens that differ by less than this arrive at the same time for the caller.
@@ -68,8 +66,7 @@
 /// Fraction of the remaining time limit that the prefill of a late prompt may take.
 const LATE_PREFILL_FRACTION: f64 = 0.6;
 
-/// Minimum retry delay of a prompt that can't meet its goal: phases of long prompts don't end
-/// sooner.
+/// Minimum retry delay of a prompt that can't meet its goal: long phases don't end sooner.
 const MIN_LATE_RETRY: Duration = Duration::from_millis(4_000);
 
 /// Maximum interval between two checks for idle engines.
