--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -19,7 +19,7 @@
 
 /// The grain of time. Spans are rounded outwards to it, which can only raise the
 /// bound.
-const GRAIN: Duration = Duration::from_millis(200);
+const SLICE: Duration = Duration::from_millis(200);
 
 /// What prompts use up.
 #[derive(Clone, Copy)]
@@ -33,10 +33,10 @@
 }
 
 /// The part of all credit that could be got.
-pub fn most_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
-    let owed: f64 = requests.iter().map(|request| phases::worth(mix, request)).sum();
+pub fn max_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
+    let owed: f64 = requests.iter().map(|request| phases::credit_of(mix, request)).sum();
     let earn = |limit: Limit| {
-        let tasks = requests.iter().map(|request| Task::read(mix, profile, request, limit));
+        let tasks = requests.iter().map(|request| Task::new(mix, profile, request, limit));
         earn(tasks.collect(), engines) / owed
     };
     [Limit::Reading, Limit::Work, Limit::Slots].map(earn).into_iter().fold(1.0, f64::min)
@@ -47,28 +47,28 @@
     /// What one engine needs for it.
     work: Duration,
     /// The grains in which it may be worked on.
-    begin: usize,
-    end: usize,
+    first_slice: usize,
+    end_slice: usize,
 }
 
 impl Task {
-    fn read(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
+    fn new(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
         let events = (request.answer.0 / u64::from(profile.steps_per_iteration)).max(1) as u32;
         let read = profile.prefill_time(request.prompt);
         let stride = |writers| profile.iteration_time(writers, Tokens(0));
         let goal = request.arrival + request.goal;
         // It is written within the pauses that its caller bears.
-        let last = goal + request.gap * events;
+        let last = goal + request.inter_token_target * events;
         let (work, end) = match limit {
             Limit::Reading => (read, goal),
             Limit::Work => (read + stride(profile.slots) / profile.slots * events, last),
             Limit::Slots => (stride(1) * events / profile.slots, last),
         };
         Self {
-            credit: phases::worth(mix, request),
+            credit: phases::credit_of(mix, request),
             work,
-            begin: (request.arrival.as_millis() / GRAIN.as_millis()) as usize,
-            end: end.as_millis().div_ceil(GRAIN.as_millis()) as usize,
+            first_slice: (request.arrival.as_millis() / SLICE.as_millis()) as usize,
+            end_slice: end.as_millis().div_ceil(SLICE.as_millis()) as usize,
         }
     }
 
@@ -79,41 +79,41 @@
 
 fn earn(mut tasks: Vec<Task>, engines: usize) -> f64 {
     tasks.sort_by(|one, other| other.density().total_cmp(&one.density()));
-    let grains = tasks.iter().map(|task| task.end).max().unwrap_or(0);
+    let grains = tasks.iter().map(|task| task.end_slice).max().unwrap_or(0);
     let mut spans = Spans::new(grains, engines);
-    tasks.iter().map(|task| task.credit * spans.take(task)).sum()
+    tasks.iter().map(|task| task.credit * spans.reserve(task)).sum()
 }
 
 /// What is still free in each span of grains.
 struct Spans {
-    grains: usize,
+    slices: usize,
     free: Vec<f64>,
 }
 
 impl Spans {
     fn new(grains: usize, engines: usize) -> Self {
-        let grain = GRAIN.as_secs_f64() * engines as f64;
+        let grain = SLICE.as_secs_f64() * engines as f64;
         let free = (0..grains).flat_map(|begin| {
             (1..=grains).map(move |end| end.saturating_sub(begin) as f64 * grain)
         });
-        Self { grains, free: free.collect() }
+        Self { slices: grains, free: free.collect() }
     }
 
     /// Takes as much of a task as all spans around it have room for; returns the
     /// part.
-    fn take(&mut self, task: &Task) -> f64 {
-        let around = (0..=task.begin)
-            .flat_map(|begin| (task.end..=self.grains).map(move |end| (begin, end)));
+    fn reserve(&mut self, task: &Task) -> f64 {
+        let around = (0..=task.first_slice)
+            .flat_map(|begin| (task.end_slice..=self.slices).map(move |end| (begin, end)));
         let work = task.work.as_secs_f64();
-        let least = around.clone().map(|span| self.free[self.at(span)]).fold(work, f64::min);
+        let least = around.clone().map(|span| self.free[self.index_of(span)]).fold(work, f64::min);
         for span in around {
-            let at = self.at(span);
+            let at = self.index_of(span);
             self.free[at] -= least;
         }
         least / work
     }
 
-    fn at(&self, (begin, end): (usize, usize)) -> usize {
-        begin * self.grains + end - 1
+    fn index_of(&self, (begin, end): (usize, usize)) -> usize {
+        begin * self.slices + end - 1
     }
 }
--- a/crates/policy/examples/regret/main.rs
+++ b/crates/policy/examples/regret/main.rs
@@ -17,8 +17,8 @@
 use clap::Parser;
 use engines::Request;
 use hickory_policy::engine::Profile;
-use phases::{ADVICE, ARCHIVES, AUDITS, Mix, Phase, alternate, arrive};
-use replay::{Chooser, Outcome, Scene};
+use phases::{ADVICE, ARCHIVES, AUDITS, Mix, Phase, alternate_phases, draw_arrivals};
+use replay::{Outcome, Policy, Setup};
 use std::time::Duration;
 
 /// Measures regret.
@@ -46,7 +46,7 @@
 
 /// The cases at sixteen engines times this.
 fn cases(size: f64) -> Vec<Case> {
-    let usual = || alternate([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
+    let usual = || alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
     let mut burst = usual();
     burst.push(Phase { begin: 3.0, end: 7.0, factors: [0.0, 0.0, 1.4] });
     burst.push(Phase { begin: 13.0, end: 16.0, factors: [1.2, 0.0, 0.0] });
@@ -81,17 +81,17 @@
     println!("mix      load               ours  least  fifo  bound  regret");
     for ((mix_name, mix, profile), cases) in mixes {
         for case in cases {
-            let load = |seed| arrive(mix, &case.phases, seed);
-            let play = |chooser: Chooser| {
-                let scene = Scene { forget: case.forget, ..Scene::new(case.engines) };
-                let play = |seed| replay::play(&scene, &profile, load(seed), chooser);
+            let load = |seed| draw_arrivals(mix, &case.phases, seed);
+            let play = |chooser: Policy| {
+                let scene = Setup { forget_at: case.forget, ..Setup::new(case.engines) };
+                let play = |seed| replay::run(&scene, &profile, load(seed), chooser);
                 mean(mix, &(1..=options.seeds).map(play).collect::<Vec<_>>())
             };
-            let ours = play(replay::choose);
+            let ours = play(replay::choose_by_plan);
             print!("{mix_name:8} {:18} {:.3}", case.name, ours.0);
             if !options.quick {
-                let least = play(replay::choose_least).0;
-                let fifo = play(replay::choose_fifo).0;
+                let least = play(replay::choose_least_loaded).0;
+                let fifo = play(replay::choose_round_robin).0;
                 let bounds =
                     (1..=options.seeds).map(|seed| bound(mix, &profile, &case, load(seed)));
                 let most = bounds.sum::<f64>() / options.seeds as f64;
@@ -115,5 +115,5 @@
 }
 
 fn bound(mix: &Mix, profile: &Profile, case: &Case, requests: Vec<Request>) -> f64 {
-    bound::most_credit(mix, profile, case.engines, &requests)
+    bound::max_credit(mix, profile, case.engines, &requests)
 }
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A target with four slots, bound by slots and not by prefill.
-const NARROW: Capacity =
+const FOUR_SLOTS: Capacity =
     Capacity { streams: 4, kv: size::Tokens(450_000), prefill_rate: 4_000_000 };
 
 proptest! {
@@ -91,8 +91,8 @@
     /// A batch ask with time enough starts by its age bound and one turn,
     /// however many interactive asks of its account come.
     #[test]
-    fn batch_starts_by_its_age(load in 1usize..6, size in 100u64..4_000) {
-        let (mut now, mut limiter) = warm(Instant::now(), NARROW);
+    fn batch_starts_within_its_maximum_wait(load in 1usize..6, size in 100u64..4_000) {
+        let (mut now, mut limiter) = warm(Instant::now(), FOUR_SLOTS);
         let mut running = std::collections::VecDeque::new();
         let mut ask_for = |limiter: &mut Limiter, now, ask| match limiter.ask(now, ask) {
             Answer::Granted(t) => running.push_back(t),
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -14,32 +14,32 @@
     pub prompt: Tokens,
     pub answer: Tokens,
     pub goal: Duration,
-    pub gap: Duration,
+    pub inter_token_target: Duration,
     /// Engines that have still to read their part.
-    pub unread: u32,
-    pub placed: Option<(usize, Vec<usize>, Duration)>,
+    pub chunks_left: u32,
+    pub placement: Option<(usize, Vec<usize>, Duration)>,
     pub placed_at: Option<Duration>,
-    pub first: Option<Duration>,
-    pub last: Duration,
+    pub first_token_at: Option<Duration>,
+    pub last_event_at: Duration,
     pub longest_pause: Duration,
-    pub written: u64,
-    pub done: bool,
-    pub refused: bool,
+    pub decoded_tokens: u64,
+    pub is_done: bool,
+    pub is_refused: bool,
 }
 
 impl Request {
     /// Whether its caller got all of it in time.
-    pub fn in_time(&self) -> bool {
-        let first = self.first.is_some_and(|first| first - self.arrival <= self.goal);
-        self.done && first && self.longest_pause <= self.gap
+    pub fn is_in_time(&self) -> bool {
+        let first = self.first_token_at.is_some_and(|first| first - self.arrival <= self.goal);
+        self.is_done && first && self.longest_pause <= self.inter_token_target
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
     /// Requests and what is left of their parts; the last is read first.
-    parts: Vec<(usize, Duration)>,
-    writers: Vec<usize>,
+    chunks: Vec<(usize, Duration)>,
+    decoding: Vec<usize>,
     /// When the pass that runs ends.
     busy_until: Duration,
 }
@@ -65,7 +65,7 @@
     }
 
     /// Forgets what was placed so far: the engines go on with it unseen.
-    pub fn forget(&mut self) {
+    pub fn forget_placements(&mut self) {
         let placed = self.requests.iter().filter_map(|request| request.placed_at);
         self.known_since = placed.max().unwrap_or_default() + Duration::from_nanos(1);
     }
@@ -85,72 +85,74 @@
     ) {
         let all = std::iter::once(&first).chain(helpers);
         for &engine in all.clone() {
-            self.engines[engine].parts.push((request, part));
+            self.engines[engine].chunks.push((request, part));
         }
-        self.requests[request].unread = all.count() as u32;
-        self.requests[request].placed = Some((first, helpers.to_vec(), part));
+        self.requests[request].chunks_left = all.count() as u32;
+        self.requests[request].placement = Some((first, helpers.to_vec(), part));
         self.requests[request].placed_at = Some(now);
     }
 
     /// Runs every engine whose pass has ended by `now`.
     pub fn run(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
-            while self.engines[engine].busy_until <= now && self.pass(engine, now) {}
+            while self.engines[engine].busy_until <= now && self.run_iteration(engine, now) {}
         }
     }
 
     /// One pass; whether there was anything to do.
-    fn pass(&mut self, engine: usize, now: Duration) -> bool {
+    fn run_iteration(&mut self, engine: usize, now: Duration) -> bool {
         let state = &mut self.engines[engine];
-        if state.parts.is_empty() && state.writers.is_empty() {
+        if state.chunks.is_empty() && state.decoding.is_empty() {
             state.busy_until = now;
             return false;
         }
         let begun = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
-        let context: u64 = state.writers.iter().map(|&w| self.requests[w].prompt.0).sum();
-        let writing = match state.writers.is_empty() {
+        let context: u64 = state.decoding.iter().map(|&w| self.requests[w].prompt.0).sum();
+        let writing = match state.decoding.is_empty() {
             true => Duration::ZERO,
-            false => self.profile.iteration_time(state.writers.len() as u32, Tokens(context)),
+            false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
         };
         // Without writers a pass is one chunk, so that a newer part comes next;
         // the newest part read whole is close enough to that.
-        let read: Vec<(usize, Duration)> = match state.writers.is_empty() {
-            true => state.parts.pop().into_iter().collect(),
-            false => std::mem::take(&mut state.parts),
+        let read: Vec<(usize, Duration)> = match state.decoding.is_empty() {
+            true => state.chunks.pop().into_iter().collect(),
+            false => std::mem::take(&mut state.chunks),
         };
         let reading: Duration = read.iter().map(|(_, part)| *part).sum();
         let end = begun + writing + reading;
         state.busy_until = end;
-        let writers = state.writers.clone();
+        let writers = state.decoding.clone();
         for writer in writers {
-            self.write(engine, writer, end);
+            self.decode(engine, writer, end);
         }
         for (request, _) in read {
-            self.finish_part(request);
+            self.finish_chunk(request);
         }
         true
     }
 
-    fn write(&mut self, engine: usize, writer: usize, at: Duration) {
+    fn decode(&mut self, engine: usize, writer: usize, at: Duration) {
         let request = &mut self.requests[writer];
-        match request.first {
-            None => request.first = Some(at),
-            Some(_) => request.longest_pause = request.longest_pause.max(at - request.last),
+        match request.first_token_at {
+            None => request.first_token_at = Some(at),
+            Some(_) => {
+                request.longest_pause = request.longest_pause.max(at - request.last_event_at)
+            }
         }
-        request.last = at;
-        request.written += u64::from(self.profile.steps_per_iteration);
-        if request.written >= request.answer.0 {
-            request.done = true;
-            self.engines[engine].writers.retain(|&other| other != writer);
+        request.last_event_at = at;
+        request.decoded_tokens += u64::from(self.profile.steps_per_iteration);
+        if request.decoded_tokens >= request.answer.0 {
+            request.is_done = true;
+            self.engines[engine].decoding.retain(|&other| other != writer);
         }
     }
 
-    fn finish_part(&mut self, request: usize) {
-        self.requests[request].unread -= 1;
-        if self.requests[request].unread == 0
-            && let Some((first, ..)) = &self.requests[request].placed
+    fn finish_chunk(&mut self, request: usize) {
+        self.requests[request].chunks_left -= 1;
+        if self.requests[request].chunks_left == 0
+            && let Some((first, ..)) = &self.requests[request].placement
         {
-            self.engines[*first].writers.push(request);
+            self.engines[*first].decoding.push(request);
         }
     }
 
@@ -160,15 +162,16 @@
             self.engines.iter().map(|engine| self.load(engine, now)).collect();
         loads.iter_mut().zip(0..).for_each(|(load, place)| load.preference = place);
         let known = (0..self.requests.len()).filter(|&request| self.is_known(request));
-        for request in known.map(|request| &self.requests[request]).filter(|r| !r.done) {
-            let Some((first, helpers, _)) = &request.placed else { continue };
+        for request in known.map(|request| &self.requests[request]).filter(|r| !r.is_done) {
+            let Some((first, helpers, _)) = &request.placement else { continue };
             let load = &mut loads[*first];
             load.requests += 1;
             load.inter_token_target =
-                load.inter_token_target.into_iter().chain([request.gap]).min();
-            load.short_requests += u32::from(request.gap <= Duration::from_millis(250));
+                load.inter_token_target.into_iter().chain([request.inter_token_target]).min();
+            load.short_requests +=
+                u32::from(request.inter_token_target <= Duration::from_millis(250));
             load.kv_used += request.prompt + request.answer;
-            if request.unread > 0 {
+            if request.chunks_left > 0 {
                 helpers.iter().for_each(|&helper| loads[helper].helper_chunks += 1);
             }
         }
@@ -176,10 +179,10 @@
     }
 
     fn load(&self, engine: &Engine, now: Duration) -> Load {
-        let parts = engine.parts.iter().filter(|(request, _)| self.is_known(*request));
+        let parts = engine.chunks.iter().filter(|(request, _)| self.is_known(*request));
         let parts: Duration = parts.map(|(_, part)| *part).sum();
         let writers: Vec<usize> =
-            engine.writers.iter().copied().filter(|&w| self.is_known(w)).collect();
+            engine.decoding.iter().copied().filter(|&w| self.is_known(w)).collect();
         // Of an engine that is taken for empty, no pass is known to run.
         let running = match parts.is_zero() && writers.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -15,45 +15,45 @@
 const LONG: Lane = Lane { class: Class::Interactive, is_long: true };
 
 /// A queue that counts the work that each partner got.
-struct Bench {
+struct Fixture {
     queue: Queue,
     now: Instant,
-    next: u64,
-    of: BTreeMap<u64, (&'static str, Lane, u64)>,
-    got: BTreeMap<&'static str, u64>,
+    last_ticket: u64,
+    items: BTreeMap<u64, (&'static str, Lane, u64)>,
+    granted_work: BTreeMap<&'static str, u64>,
 }
 
-impl Bench {
+impl Fixture {
     fn open(shares: &[(&str, f64)]) -> Self {
         let mut queue = Queue::open();
         queue.set_shares(shares.iter().map(|&(name, share)| (name.into(), share)));
         let now = Instant::now();
-        Self { queue, now, next: 0, of: BTreeMap::new(), got: BTreeMap::new() }
+        Self { queue, now, last_ticket: 0, items: BTreeMap::new(), granted_work: BTreeMap::new() }
     }
 
     fn push(&mut self, partner: &'static str, lane: Lane, work: u64) {
-        self.next += 1;
+        self.last_ticket += 1;
         let flow = (id::Partner::from(partner), id::Account::from(partner));
-        self.queue.push(self.now, (&flow.0, &flow.1), lane, work, self.next);
-        self.of.insert(self.next, (partner, lane, work));
+        self.queue.push(self.now, (&flow.0, &flow.1), lane, work, self.last_ticket);
+        self.items.insert(self.last_ticket, (partner, lane, work));
     }
 
     /// Serves the next ask and queues another of its kind.
-    fn turn(&mut self) -> (&'static str, Lane, u64) {
+    fn serve_next(&mut self) -> (&'static str, Lane, u64) {
         let (ticket, _) = self.queue.peek(self.now, Lanes::ALL).expect("work waits");
         assert!(self.queue.grant(ticket));
-        let (partner, lane, work) = self.of.remove(&ticket).expect("granted twice");
-        *self.got.entry(partner).or_default() += work;
+        let (partner, lane, work) = self.items.remove(&ticket).expect("granted twice");
+        *self.granted_work.entry(partner).or_default() += work;
         self.push(partner, lane, work);
         (partner, lane, work)
     }
 
     fn serve(&mut self) {
-        self.turn();
+        self.serve_next();
     }
 
-    fn part(&self, partner: &str) -> f64 {
-        self.got[partner] as f64 / self.got.values().sum::<u64>() as f64
+    fn work_fraction(&self, partner: &str) -> f64 {
+        self.granted_work[partner] as f64 / self.granted_work.values().sum::<u64>() as f64
     }
 }
 
@@ -61,39 +61,43 @@
 /// times as many requests, each a tenth as long. Work, not requests, is
 /// shared.
 #[test]
-fn shares_hold_whatever_the_size_of_requests() {
-    let mut bench = Bench::open(&[("mawe", 3.0), ("caucao", 1.0)]);
+fn shares_are_independent_of_request_size() {
+    let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
     bench.push("mawe", SHORT, 10_000);
     (0..10).for_each(|_| bench.push("caucao", SHORT, 1_000));
     (0..2_000).for_each(|_| bench.serve());
-    assert!((bench.part("mawe") - 0.75).abs() < 0.02, "{}", bench.part("mawe"));
+    assert!((bench.work_fraction("mawe") - 0.75).abs() < 0.02, "{}", bench.work_fraction("mawe"));
 }
 
 /// The shares are renegotiated while both partners are backlogged: what is
 /// served from then on follows the new ones.
 #[test]
-fn replaced_shares_govern_what_is_queued() {
-    let mut bench = Bench::open(&[("mawe", 3.0), ("caucao", 1.0)]);
+fn replaced_shares_apply_to_queued_requests() {
+    let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
     bench.push("mawe", SHORT, 1_000);
     bench.push("caucao", SHORT, 1_000);
     (0..1_000).for_each(|_| bench.serve());
-    bench.got.clear();
+    bench.granted_work.clear();
     bench.queue.set_shares([("mawe".into(), 1.0), ("caucao".into(), 3.0)]);
     (0..1_000).for_each(|_| bench.serve());
-    assert!((bench.part("caucao") - 0.75).abs() < 0.02, "{}", bench.part("caucao"));
+    assert!(
+        (bench.work_fraction("caucao") - 0.75).abs() < 0.02,
+        "{}",
+        bench.work_fraction("caucao")
+    );
 }
 
 /// One partner used the whole target while the other was idle. When the other
 /// is back it gets its share from the first turn, and no more than that: it
 /// does not collect what it left unused.
 #[test]
-fn lent_share_is_back_at_once_without_credit() {
-    let mut bench = Bench::open(&[("mawe", 1.0), ("caucao", 1.0)]);
+fn idle_share_returns_immediately_without_credit() {
+    let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
     bench.push("mawe", SHORT, 1_000);
     (0..500).for_each(|_| bench.serve());
     bench.push("caucao", SHORT, 1_000);
-    bench.got.clear();
-    let first: Vec<_> = (0..10).map(|_| bench.turn().0).collect();
+    bench.granted_work.clear();
+    let first: Vec<_> = (0..10).map(|_| bench.serve_next().0).collect();
     assert_eq!(first.iter().filter(|&&p| p == "caucao").count(), 5, "{first:?}");
 }
 
@@ -102,14 +106,14 @@
 /// review is paid off; the other partner still gets its half over all, and
 /// the next review comes.
 #[test]
-fn long_work_does_not_shut_out_its_own_partner() {
-    let mut bench = Bench::open(&[("mawe", 1.0), ("caucao", 1.0)]);
+fn long_prompt_does_not_block_its_own_partner() {
+    let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
     bench.push("mawe", LONG, 1_000_000);
     bench.push("mawe", SHORT, 1_000);
     bench.push("caucao", SHORT, 1_000);
     let (mut review, mut staff, mut rival) = (0, 0, 0);
     for _ in 0..1_000 {
-        match bench.turn() {
+        match bench.serve_next() {
             ("mawe", LONG, _) => review += 1,
             ("mawe", ..) => staff += 1,
             _ => rival += 1,
@@ -120,19 +124,19 @@
     for _ in 0..20_000 {
         bench.serve();
     }
-    assert!(bench.got["mawe"] > 5_000_000, "no other review came");
-    assert!((bench.part("mawe") - 0.5).abs() < 0.05, "{}", bench.part("mawe"));
+    assert!(bench.granted_work["mawe"] > 5_000_000, "no other review came");
+    assert!((bench.work_fraction("mawe") - 0.5).abs() < 0.05, "{}", bench.work_fraction("mawe"));
 }
 
 /// Interactive asks of the account come without end. Its batch asks wait, but
 /// not past the age bound: the report arrives.
 #[test]
-fn batch_is_overtaken_only_up_to_its_age() {
-    let mut bench = Bench::open(&[]);
+fn batch_is_overtaken_for_a_bounded_time() {
+    let mut bench = Fixture::open(&[]);
     bench.push("mawe", SHORT_BATCH, 1_000);
     bench.push("mawe", SHORT, 1_000);
     let mut turns = 0;
-    while bench.turn().1 != SHORT_BATCH {
+    while bench.serve_next().1 != SHORT_BATCH {
         bench.now += ms(100);
         turns += 1;
         assert!(turns < 1_000, "the batch ask starved");
@@ -143,8 +147,8 @@
 /// A lane without room does not hold up the others: the flow whose turn it is
 /// in a blocked lane is passed over and keeps its place.
 #[test]
-fn blocked_lane_is_passed_over() {
-    let mut bench = Bench::open(&[]);
+fn blocked_lane_is_skipped() {
+    let mut bench = Fixture::open(&[]);
     bench.push("mawe", LONG, 100_000);
     bench.push("caucao", SHORT, 1_000);
     let open = Lanes::ALL.without(LONG);
@@ -173,7 +177,7 @@
     /// Under any arrival and departure, each ask comes out once, and none
     /// is lost.
     #[test]
-    fn no_ask_is_lost_or_served_twice(ops in prop::collection::vec((0u8..4, 0usize..4, 0usize..5, 1u64..50_000), 1..400)) {
+    fn no_request_is_lost_or_served_twice(ops in prop::collection::vec((0u8..4, 0usize..4, 0usize..5, 1u64..50_000), 1..400)) {
         let partners = ["a", "b", "c"].map(id::Partner::from);
         let mut queue = Queue::open();
         queue.set_shares([(partners[0].clone(), 3.0), (partners[1].clone(), 0.5)]);
@@ -215,17 +219,17 @@
     ) {
         const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
         let named: Vec<_> = shares.iter().zip(NAMES).map(|(&s, n)| (n, s as f64)).collect();
-        let mut bench = Bench::open(&named);
+        let mut bench = Fixture::open(&named);
         for (i, &(name, _)) in named.iter().enumerate() {
             bench.push(name, SHORT, sizes[i]);
         }
         let total = 10_000_000;
-        while bench.got.values().sum::<u64>() < total {
-            bench.turn();
+        while bench.granted_work.values().sum::<u64>() < total {
+            bench.serve_next();
         }
         let sum: f64 = named.iter().map(|&(_, s)| s).sum();
         for (name, share) in named {
-            let error = (bench.part(name) - share / sum).abs();
+            let error = (bench.work_fraction(name) - share / sum).abs();
             prop_assert!(error < 0.02, "{}: {} off", name, error);
         }
     }
--- a/crates/policy/tests/iteration.rs
+++ b/crates/policy/tests/iteration.rs
@@ -11,7 +11,7 @@
     Duration::from_millis(ms)
 }
 
-fn read(placed: Instant, part: u64) -> PendingPrefill {
+fn prefill(placed: Instant, part: u64) -> PendingPrefill {
     PendingPrefill {
         placed_at: placed,
         chunk_time: ms(part),
@@ -21,7 +21,7 @@
 }
 
 /// A stride of an engine with these writers.
-fn stride(writers: u32) -> Duration {
+fn decode_time(writers: u32) -> Duration {
     profile().iteration_time(writers, Tokens(0))
 }
 
@@ -34,10 +34,10 @@
 /// and the books count the first ones as read by then. A seventh prompt must
 /// find all six before it.
 #[test]
-fn what_comes_within_a_pass_is_read_after_it() {
+fn prompts_arriving_within_an_iteration_are_prefilled_in_the_next() {
     let ended = Instant::now();
     let now = ended + ms(35);
-    let reads = (1..=6).map(|at| read(ended + ms(at * 5), 30)).collect();
+    let reads = (1..=6).map(|at| prefill(ended + ms(at * 5), 30)).collect();
     let mut engine = Engine {
         pending_prefills: reads,
         decoding_streams: 4,
@@ -45,7 +45,7 @@
         ..Engine::default()
     };
     let backlog = engine.backlog(now, &profile());
-    let wanted = stride(4) - ms(35) + ms(180);
+    let wanted = decode_time(4) - ms(35) + ms(180);
     assert!(is_near(backlog.prefill_start_delay, wanted), "{backlog:?}, wanted {wanted:?}");
     assert!(backlog.prefill_left >= ms(180), "{backlog:?}");
 }
@@ -53,10 +53,10 @@
 /// In the pass after, all of them are being read, and a further prompt waits
 /// for its end: their reading and a stride.
 #[test]
-fn a_pass_that_reads_is_longer_by_what_it_reads() {
+fn iteration_is_longer_by_its_prefills() {
     let ended = Instant::now();
-    let now = ended + stride(4) + ms(100);
-    let reads = (1..=6).map(|at| read(ended + ms(at * 5), 30)).collect();
+    let now = ended + decode_time(4) + ms(100);
+    let reads = (1..=6).map(|at| prefill(ended + ms(at * 5), 30)).collect();
     let mut engine = Engine {
         pending_prefills: reads,
         decoding_streams: 4,
@@ -64,19 +64,19 @@
         ..Engine::default()
     };
     let backlog = engine.backlog(now, &profile());
-    let wanted = stride(4) + ms(80);
+    let wanted = decode_time(4) + ms(80);
     assert!(is_near(backlog.prefill_start_delay, wanted), "{backlog:?}, wanted {wanted:?}");
 }
 
 /// Without a word of its passes, an engine that only writes is at any point of
 /// one.
 #[test]
-fn an_engine_that_only_writes_is_half_a_stride_away() {
+fn decoding_engine_is_assumed_halfway_through_an_iteration() {
     let mut engine = Engine { decoding_streams: 4, ..Engine::default() };
     let backlog = engine.backlog(Instant::now(), &profile());
     assert_eq!(
         (backlog.prefill_left, backlog.prefill_start_delay),
-        (Duration::ZERO, stride(4) / 2)
+        (Duration::ZERO, decode_time(4) / 2)
     );
 }
 
@@ -85,11 +85,11 @@
 /// so long, each engine is left idle between two prompts. An engine that should
 /// be done is taken for done, until the word is overdue.
 #[test]
-fn an_engine_that_should_be_done_is_idle_until_the_word_is_overdue() {
+fn engine_counts_as_done_until_its_first_token_is_overdue() {
     let now = Instant::now() + ms(1_000);
     let unread = |ago: u64, writers: u32| {
         let mut engine = Engine {
-            pending_prefills: vec![read(now - ms(ago), 250)],
+            pending_prefills: vec![prefill(now - ms(ago), 250)],
             decoding_streams: writers,
             ..Engine::default()
         };
@@ -108,16 +108,17 @@
 /// without its strides, it looks as if it read the next prompts at once. Prompts
 /// that must have been read are reckoned as written.
 #[test]
-fn what_must_have_been_read_is_reckoned_as_written() {
+fn finished_prefills_count_as_decoding() {
     let now = Instant::now() + ms(1_000);
-    let placed = |ago| PendingPrefill { notification_delay: ms(600), ..read(now - ms(ago), 30) };
+    let placed = |ago| PendingPrefill { notification_delay: ms(600), ..prefill(now - ms(ago), 30) };
     let mut engine =
         Engine { pending_prefills: vec![placed(200), placed(190)], ..Engine::default() };
     let backlog = engine.backlog(now, &profile());
     assert_eq!((backlog.decoding_streams, backlog.prefill_left), (2, Duration::ZERO));
     // Read until 170 ms ago with the first one's stride between, it strides since.
     assert!(
-        backlog.prefill_start_delay > Duration::ZERO && backlog.prefill_start_delay <= stride(2),
+        backlog.prefill_start_delay > Duration::ZERO
+            && backlog.prefill_start_delay <= decode_time(2),
         "{backlog:?}"
     );
     let helps = PendingPrefill { is_primary: false, ..placed(200) };
@@ -129,9 +130,9 @@
 /// and wait 130. The first prompt is written while the others are read, and each
 /// pass has its stride; they were reckoned as if nothing was written.
 #[test]
-fn prompts_that_are_read_before_are_written_beside_a_further_one() {
+fn earlier_prompts_decode_beside_a_new_one() {
     let now = Instant::now();
-    let reads = vec![read(now, 10), read(now + ms(1), 30), read(now + ms(2), 30)];
+    let reads = vec![prefill(now, 10), prefill(now + ms(1), 30), prefill(now + ms(2), 30)];
     let mut engine = Engine { pending_prefills: reads, ..Engine::default() };
     let backlog = engine.backlog(now + ms(3), &profile());
     assert_eq!(backlog.decoding_streams, 3, "{backlog:?}");
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -12,19 +12,19 @@
 
 /// A fleet that carries out the changes; a load takes effect at once or at
 /// `finish_loads`.
-struct Bench {
+struct Fixture {
     layout: Layout<Weights>,
-    offers: Vec<Deployment<Weights>>,
+    deployments: Vec<Deployment<Weights>>,
     engines: Vec<Engine<Weights>>,
     now: Instant,
     loads: usize,
 }
 
-fn offer(weights: Weights) -> Deployment<Weights> {
+fn deployment(weights: Weights) -> Deployment<Weights> {
     Deployment { weights, min_replicas: 2, replaces: None }
 }
 
-impl Bench {
+impl Fixture {
     fn open(count: usize, offers: &[Weights]) -> Self {
         let engine = |index: usize| Engine {
             target: id::Target::from(format!("engine-{index:02}").as_str()),
@@ -35,23 +35,23 @@
         };
         Self {
             layout: Layout::open(),
-            offers: offers.iter().map(|&w| offer(w)).collect(),
+            deployments: offers.iter().map(|&w| deployment(w)).collect(),
             engines: (0..count).map(engine).collect(),
             now: Instant::now(),
             loads: 0,
         }
     }
 
-    fn demand(&mut self, rates: &[(Weights, &str, f64)]) {
+    fn set_demand(&mut self, rates: &[(Weights, &str, f64)]) {
         self.now += Duration::from_secs(10);
         let rates = rates.iter().map(|&(w, p, r)| ((w, p.into()), TokensPerSecond(r)));
         self.layout.observe(self.now, &rates.collect());
         let shares = [("mawe".into(), 1.0), ("caucao".into(), 1.0)].into();
-        self.layout.plan(&self.offers, &shares, &self.engines);
+        self.layout.plan(&self.deployments, &shares, &self.engines);
     }
 
-    fn change(&mut self, slots: u32) -> Vec<Change<Weights>> {
-        let changes = self.layout.plan_changes(&self.offers, &self.engines, slots);
+    fn apply_changes(&mut self, slots: u32) -> Vec<Change<Weights>> {
+        let changes = self.layout.plan_changes(&self.deployments, &self.engines, slots);
         for change in &changes {
             let (target, load) = match change {
                 Change::Load(target, weights) => (target, Some(*weights)),
@@ -80,7 +80,7 @@
     }
 
     fn settle(&mut self) {
-        while !self.change(4).is_empty() {
+        while !self.apply_changes(4).is_empty() {
             self.finish_loads();
         }
     }
@@ -97,8 +97,8 @@
 /// one model stand in different zones.
 #[test]
 fn replicas_follow_demand() {
-    let mut bench = Bench::open(12, &["big", "small"]);
-    bench.demand(&[("big", "mawe", 900.0), ("small", "caucao", 100.0)]);
+    let mut bench = Fixture::open(12, &["big", "small"]);
+    bench.set_demand(&[("big", "mawe", 900.0), ("small", "caucao", 100.0)]);
     bench.settle();
     assert_eq!(bench.ready("big"), 12);
     assert!(bench.ready("small") >= 3, "{}", bench.ready("small"));
@@ -110,19 +110,19 @@
 /// A burst of ten seconds at four times the demand, and a small shift that
 /// lasts, reload nothing.
 #[test]
-fn burst_reloads_nothing() {
-    let mut bench = Bench::open(12, &["big", "small", "other"]);
+fn burst_causes_no_loads() {
+    let mut bench = Fixture::open(12, &["big", "small", "other"]);
     let with = |big| [("big", "mawe", big), ("small", "caucao", 500.0), ("other", "caucao", 500.0)];
-    (0..20).for_each(|_| bench.demand(&with(500.0)));
+    (0..20).for_each(|_| bench.set_demand(&with(500.0)));
     bench.settle();
     assert!((8..10).contains(&bench.ready("big")));
     let loads = bench.loads;
-    bench.demand(&with(2_000.0));
+    bench.set_demand(&with(2_000.0));
     bench.settle();
-    (0..30).for_each(|_| bench.demand(&with(600.0)));
+    (0..30).for_each(|_| bench.set_demand(&with(600.0)));
     bench.settle();
     assert_eq!(bench.loads, loads);
-    (0..30).for_each(|_| bench.demand(&with(2_000.0)));
+    (0..30).for_each(|_| bench.set_demand(&with(2_000.0)));
     bench.settle();
     assert!(bench.ready("big") >= 10, "what lasts is followed");
 }
@@ -132,9 +132,9 @@
 /// into two zones, never more than two loads run, and no engine of the zone
 /// stays empty.
 #[test]
-fn zone_that_returns_empty_loads_the_emptiest_first() {
-    let mut bench = Bench::open(9, &["big", "small"]);
-    bench.demand(&[("big", "mawe", 800.0), ("small", "caucao", 200.0)]);
+fn empty_zone_loads_the_scarcest_weights_first() {
+    let mut bench = Fixture::open(9, &["big", "small"]);
+    bench.set_demand(&[("big", "mawe", 800.0), ("small", "caucao", 200.0)]);
     bench.settle();
     for engine in bench.engines.iter_mut() {
         engine.loaded.remove("small");
@@ -142,7 +142,7 @@
             engine.loaded.clear();
         }
     }
-    let first = bench.change(2);
+    let first = bench.apply_changes(2);
     assert!(first.iter().all(|c| matches!(c, Change::Load(_, "small"))), "{first:?}");
     assert_eq!(first.len(), 2);
     let zones: std::collections::BTreeSet<_> =
@@ -150,7 +150,7 @@
     assert_eq!(zones.len(), 2);
     bench.finish_loads();
     loop {
-        let loads = bench.change(2);
+        let loads = bench.apply_changes(2);
         assert!(loads.len() <= 2);
         if loads.is_empty() {
             break;
@@ -166,16 +166,16 @@
 /// on it has ended. At each step one of the two can serve.
 #[test]
 fn new_version_replaces_the_old_without_a_gap() {
-    let mut bench = Bench::open(6, &["v1"]);
-    bench.demand(&[("v1", "mawe", 500.0)]);
+    let mut bench = Fixture::open(6, &["v1"]);
+    bench.set_demand(&[("v1", "mawe", 500.0)]);
     bench.settle();
     assert_eq!(bench.ready("v1"), 6);
     bench.engines[0].loaded.get_mut("v1").expect("held").streams = 1;
-    bench.offers = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
-    bench.demand(&[("v1", "mawe", 500.0)]);
+    bench.deployments = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
+    bench.set_demand(&[("v1", "mawe", 500.0)]);
     for _ in 0..10 {
         let before = bench.ready("v2") as u32;
-        let changes = bench.change(2);
+        let changes = bench.apply_changes(2);
         let unloads = changes.iter().any(|c| matches!(c, Change::Unload(..)));
         assert!(!unloads || before >= bench.layout.wanted_replicas(&"v2"));
         assert!(bench.ready("v1") + bench.ready("v2") > 0);
@@ -191,14 +191,14 @@
 /// idle ones at once, from the others after their last stream, and is never
 /// loaded again.
 #[test]
-fn withdrawn_model_goes_after_its_last_stream() {
-    let mut bench = Bench::open(6, &["kept", "gone"]);
-    bench.demand(&[("kept", "mawe", 500.0), ("gone", "mawe", 500.0)]);
+fn withdrawn_model_is_unloaded_after_its_last_stream() {
+    let mut bench = Fixture::open(6, &["kept", "gone"]);
+    bench.set_demand(&[("kept", "mawe", 500.0), ("gone", "mawe", 500.0)]);
     bench.settle();
     let holder = bench.engines.iter().position(|e| e.loaded.contains_key("gone")).expect("some");
     bench.engines[holder].loaded.get_mut("gone").expect("held").streams = 3;
-    bench.offers.pop();
-    bench.demand(&[("gone", "mawe", 500.0)]);
+    bench.deployments.pop();
+    bench.set_demand(&[("gone", "mawe", 500.0)]);
     bench.settle();
     assert_eq!(bench.ready("gone"), 1);
     bench.engines[holder].loaded.get_mut("gone").expect("held").streams = 0;
@@ -212,8 +212,8 @@
 #[test]
 fn demand_above_the_share_counts_less() {
     let replicas = |rates: &[(Weights, &str, f64)]| {
-        let mut bench = Bench::open(12, &["theirs", "ours"]);
-        bench.demand(rates);
+        let mut bench = Fixture::open(12, &["theirs", "ours"]);
+        bench.set_demand(rates);
         bench.layout.wanted_replicas(&"ours")
     };
     let within = replicas(&[("theirs", "mawe", 850.0), ("ours", "mawe", 150.0)]);
--- a/crates/policy/tests/phases/mod.rs
+++ b/crates/policy/tests/phases/mod.rs
@@ -12,15 +12,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
     /// Requests a second where no phase changes it.
-    pub a_second: f64,
+    pub per_second: f64,
     /// Mean, spread and greatest of its prompts' tokens.
     pub prompt: (f64, f64, f64),
     /// Mean of its answers' events.
     pub events: f64,
     pub goal: Duration,
-    pub gap: Duration,
+    pub inter_token_target: Duration,
     /// What an answer in time is worth at the mean size.
-    pub worth: f64,
+    pub credit: f64,
 }
 
 /// A caller mix and the tokens of an event.
@@ -47,28 +47,28 @@
     event_tokens: 51,
     kinds: [
         Kind {
-            a_second: 32.6,
+            per_second: 32.6,
             prompt: (4_960.0, 0.9, 23_800.0),
             events: 33.0,
             goal: ms(300),
-            gap: ms(250),
-            worth: 1.3,
+            inter_token_target: ms(250),
+            credit: 1.3,
         },
         Kind {
-            a_second: 1.66,
+            per_second: 1.66,
             prompt: (45_000.0, 0.5, 110_000.0),
             events: 20.0,
             goal: ms(1_500),
-            gap: ms(600),
-            worth: 4.2,
+            inter_token_target: ms(600),
+            credit: 4.2,
         },
         Kind {
-            a_second: 1.0,
+            per_second: 1.0,
             prompt: (154_000.0, 0.55, 700_000.0),
             events: 16.0,
             goal: ms(3_000),
-            gap: ms(1_000),
-            worth: 21.0,
+            inter_token_target: ms(1_000),
+            credit: 21.0,
         },
     ],
 };
@@ -78,12 +78,12 @@
 pub const AUDITS: Mix = Mix {
     event_tokens: 43,
     kinds: [
-        Kind { a_second: 31.0, events: 32.0, ..ADVICE.kinds[0] },
-        Kind { a_second: 1.7, events: 19.0, worth: 3.9, ..ADVICE.kinds[1] },
+        Kind { per_second: 31.0, events: 32.0, ..ADVICE.kinds[0] },
+        Kind { per_second: 1.7, events: 19.0, credit: 3.9, ..ADVICE.kinds[1] },
         Kind {
-            a_second: 1.45,
+            per_second: 1.45,
             prompt: (133_000.0, 0.55, 600_000.0),
-            worth: 15.0,
+            credit: 15.0,
             ..ADVICE.kinds[2]
         },
     ],
@@ -93,20 +93,20 @@
 pub const ARCHIVES: Mix = Mix {
     event_tokens: 48,
     kinds: [
-        Kind { a_second: 84.0, events: 31.0, ..ADVICE.kinds[0] },
-        Kind { a_second: 9.9, events: 18.0, worth: 3.3, ..ADVICE.kinds[1] },
+        Kind { per_second: 84.0, events: 31.0, ..ADVICE.kinds[0] },
+        Kind { per_second: 9.9, events: 18.0, credit: 3.3, ..ADVICE.kinds[1] },
         Kind {
-            a_second: 2.7,
+            per_second: 2.7,
             prompt: (190_000.0, 0.55, 600_000.0),
             events: 15.0,
-            worth: 20.0,
+            credit: 20.0,
             ..ADVICE.kinds[2]
         },
     ],
 };
 
 /// Ten seconds of long prompts, ten of short ones, ten of long ones again.
-pub fn alternate(long: [f64; 3], short: [f64; 3]) -> Vec<Phase> {
+pub fn alternate_phases(long: [f64; 3], short: [f64; 3]) -> Vec<Phase> {
     vec![
         Phase { begin: 0.0, end: 10.0, factors: long },
         Phase { begin: 10.0, end: 20.0, factors: short },
@@ -116,21 +116,21 @@
 
 /// A number with this mean and spread, as callers' prompts are: most are
 /// smaller, a few several times as large.
-pub fn draw(random: &mut StdRng, mean: f64, spread: f64, most: f64) -> u64 {
+pub fn draw_size(random: &mut StdRng, mean: f64, spread: f64, most: f64) -> u64 {
     let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
     let sigma = (1.0 + spread * spread).ln().sqrt();
     (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(most) as u64
 }
 
 /// The requests of a mix in these phases, by arrival.
-pub fn arrive(mix: &Mix, phases: &[Phase], seed: u64) -> Vec<Request> {
+pub fn draw_arrivals(mix: &Mix, phases: &[Phase], seed: u64) -> Vec<Request> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
     for phase in phases {
         for (kind, factor) in mix.kinds.iter().zip(phase.factors) {
             let mut at = phase.begin;
             loop {
-                at += -random.random::<f64>().max(1e-9).ln() / (kind.a_second * factor);
+                at += -random.random::<f64>().max(1e-9).ln() / (kind.per_second * factor);
                 if at > phase.end {
                     break;
                 }
@@ -144,24 +144,24 @@
 
 fn draw_request(random: &mut StdRng, mix: &Mix, kind: &Kind, at: f64) -> Request {
     let (mean, spread, most) = kind.prompt;
-    let events = draw(random, kind.events, 0.6, 80.0).max(1);
+    let events = draw_size(random, kind.events, 0.6, 80.0).max(1);
     Request {
         arrival: Duration::from_secs_f64(at),
-        prompt: Tokens(draw(random, mean, spread, most).max(100)),
+        prompt: Tokens(draw_size(random, mean, spread, most).max(100)),
         answer: Tokens(events * mix.event_tokens),
         goal: kind.goal,
-        gap: kind.gap,
+        inter_token_target: kind.inter_token_target,
         ..Request::default()
     }
 }
 
 /// What a request is worth in time: three tenths of its kind's worth, and seven
 /// by its size against the kind's mean, four times the kind's worth at most.
-pub fn worth(mix: &Mix, request: &Request) -> f64 {
-    let kind = mix.kinds.iter().find(|kind| kind.gap == request.gap);
+pub fn credit_of(mix: &Mix, request: &Request) -> f64 {
+    let kind = mix.kinds.iter().find(|kind| kind.inter_token_target == request.inter_token_target);
     let kind = kind.expect("every request is of a kind");
     let answers = 10.0 * mix.event_tokens as f64;
     let mean = kind.prompt.0 + answers * kind.events;
     let size = request.prompt.0 as f64 + 10.0 * request.answer.0 as f64;
-    (kind.worth * (0.3 + 0.7 * size / mean)).min(4.0 * kind.worth)
+    (kind.credit * (0.3 + 0.7 * size / mean)).min(4.0 * kind.credit)
 }
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -11,7 +11,7 @@
 use hickory_unit::{id, size};
 use std::collections::BTreeMap;
 
-fn idle(index: usize) -> Candidate {
+fn idle_candidate(index: usize) -> Candidate {
     let target = id::Target::from(format!("engine-{index}").as_str());
     Candidate {
         hash: hash_target(&target),
@@ -31,21 +31,21 @@
 }
 
 fn fleet(count: usize) -> Vec<Candidate> {
-    (0..count).map(idle).collect()
+    (0..count).map(idle_candidate).collect()
 }
 
 fn query(cost: Cost, random: u64) -> Query {
     Query { cost, class: Class::Interactive, prefix: None, random }
 }
 
-fn with_prefix(random: u64, tokens: u64) -> Query {
+fn query_with_prefix(random: u64, tokens: u64) -> Query {
     let prefix = Prefix { hash: 77, tokens: size::Tokens(tokens) };
     Query { prefix: Some(prefix), ..query(cost(tokens + 500, 32), random) }
 }
 
 /// Places each query and books its prefill, as a node does between two
 /// states of the owners.
-fn place(
+fn place_all(
     fleet: &mut [Candidate],
     queries: impl IntoIterator<Item = Query>,
 ) -> BTreeMap<usize, u32> {
@@ -68,8 +68,8 @@
 /// A burst of equal short requests: no target gets much more than another,
 /// although the states are not renewed in between.
 #[test]
-fn burst_spreads_by_what_was_sent() {
-    let counts = place(&mut fleet(16), (0..320).map(|i| query(cost(1_000, 32), i)));
+fn burst_is_spread_evenly_between_reports() {
+    let counts = place_all(&mut fleet(16), (0..320).map(|i| query(cost(1_000, 32), i)));
     assert_eq!(counts.len(), 16);
     assert!(counts.values().all(|&n| (15..=25).contains(&n)), "{counts:?}");
 }
@@ -77,7 +77,7 @@
 /// 380 nodes choose by the same state at the same moment: without the spread
 /// all would choose the same target.
 #[test]
-fn nodes_with_equal_states_do_not_choose_alike() {
+fn nodes_with_equal_reports_choose_different_targets() {
     let fleet = fleet(16);
     let mut counts = BTreeMap::<_, u32>::new();
     for node in 0..380 {
@@ -91,22 +91,22 @@
 /// node; short questions then find the others, and their time to first token
 /// is that of an engine without long work.
 #[test]
-fn long_prompts_keep_to_few_engines_and_short_ones_off_them() {
+fn long_prompts_are_packed_and_short_ones_avoid_them() {
     let mut fleet = fleet(16);
-    let long = place(&mut fleet, (0..6).map(|i| query(cost(100_000, 500), i)));
+    let long = place_all(&mut fleet, (0..6).map(|i| query(cost(100_000, 500), i)));
     assert_eq!(long.len(), 3, "two on each engine: {long:?}");
     // Two on each free engine: less to wait than a step of a long prefill.
-    let short = place(&mut fleet, (0..26).map(|i| query(cost(1_000, 32), i)));
+    let short = place_all(&mut fleet, (0..26).map(|i| query(cost(1_000, 32), i)));
     assert!(short.keys().all(|index| !long.contains_key(index)), "{short:?}");
-    let burst = place(&mut fleet, (0..400).map(|i| query(cost(1_000, 32), i)));
+    let burst = place_all(&mut fleet, (0..400).map(|i| query(cost(1_000, 32), i)));
     assert!(burst.keys().any(|index| long.contains_key(index)), "a burst may use them all");
 }
 
 /// Demand for long work exceeds the fleet: it is spread over all engines and
 /// none is left out.
 #[test]
-fn long_work_uses_the_fleet_when_it_must() {
-    let counts = place(&mut fleet(8), (0..32).map(|i| query(cost(100_000, 500), i)));
+fn long_prompts_use_all_engines_under_high_demand() {
+    let counts = place_all(&mut fleet(8), (0..32).map(|i| query(cost(100_000, 500), i)));
     assert_eq!(counts.len(), 8);
     assert!(counts.values().all(|&n| n <= 6), "{counts:?}");
 }
@@ -119,25 +119,25 @@
     let mut home = None;
     for random in 0..100 {
         let fleet = fleet(16);
-        let chosen = choose_target(&with_prefix(random, 8_000), &fleet).expect("some").hash;
+        let chosen = choose_target(&query_with_prefix(random, 8_000), &fleet).expect("some").hash;
         assert_eq!(*home.get_or_insert(chosen), chosen, "no event ever came");
     }
-    let counts = place(&mut fleet(16), (0..320).map(|i| with_prefix(i, 8_000)));
+    let counts = place_all(&mut fleet(16), (0..320).map(|i| query_with_prefix(i, 8_000)));
     assert!(counts.values().all(|&n| n <= 30), "{counts:?}");
     let mut late = fleet(16);
     let other = late.iter().position(|c| Some(c.hash) != home).expect("another");
     late[other].has_cached_prefix = true;
-    let chosen = choose_target(&with_prefix(1, 8_000), &late).expect("some");
+    let chosen = choose_target(&query_with_prefix(1, 8_000), &late).expect("some");
     assert_eq!(chosen.hash, late[other].hash, "an event is worth more than the hash");
 }
 
 /// One target is slow to free its slots: it is passed over while others have
 /// room, and takes work again when all are full.
 #[test]
-fn full_target_is_passed_over() {
+fn full_target_is_skipped() {
     let mut fleet = fleet(4);
     fleet[0].running = 64;
-    let counts = place(&mut fleet, (0..30).map(|i| query(cost(1_000, 32), i)));
+    let counts = place_all(&mut fleet, (0..30).map(|i| query(cost(1_000, 32), i)));
     assert!(!counts.contains_key(&0));
     fleet.iter_mut().for_each(|c| c.running = 64);
     fleet[1..].iter_mut().for_each(|c| c.waiting = 200);
@@ -148,7 +148,7 @@
 /// Work stays in the zone where that costs nothing, and leaves it where the
 /// zone is busy; a request that no target can hold gets none.
 #[test]
-fn near_targets_are_preferred_until_they_are_busy() {
+fn same_zone_targets_are_preferred_until_they_are_busy() {
     let mut fleet = fleet(16);
     fleet[8..].iter_mut().for_each(|c| c.is_same_zone = false);
     let near = |fleet: &[Candidate]| {
@@ -165,7 +165,7 @@
 /// ask; it never does where there is no other target to turn to, and long
 /// work, which packs, always queues.
 #[test]
-fn first_asks_of_short_work_are_answered_at_once() {
+fn first_requests_of_short_prompts_are_answered_immediately() {
     let (short, long) = (cost(1_000, 32), cost(100_000, 32));
     let asked: Vec<bool> = (0..4).map(|asked| wants_immediate_answer(short, asked, 9)).collect();
     assert_eq!(asked, [true, true, false, false]);
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -10,9 +10,9 @@
 use hickory_policy::plan::{self, Choice, Load, Plan, Query, Refused};
 use hickory_policy::queue::Ahead;
 use hickory_unit::size::Tokens;
-use phases::{ADVICE, Phase, alternate, arrive};
+use phases::{ADVICE, Phase, alternate_phases, draw_arrivals};
 use profile::profile;
-use replay::{Chooser, Scene, choose, choose_least, choose_refusing};
+use replay::{Policy, Setup, choose_by_plan, choose_least_loaded, choose_without_waiting};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -20,14 +20,14 @@
 }
 
 /// Phases of ten seconds: long prompts, short ones, long ones again.
-fn phases(seed: u64) -> Vec<Request> {
-    let phases = alternate([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
-    arrive(&ADVICE, &phases, seed)
+fn alternating_requests(seed: u64) -> Vec<Request> {
+    let phases = alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
+    draw_arrivals(&ADVICE, &phases, seed)
 }
 
 /// Parts of the short, middle and long requests that were served in time.
-fn play(engines: usize, requests: Vec<Request>, chooser: Chooser) -> [f64; 3] {
-    replay::play(&Scene::new(engines), &profile(), requests, chooser).in_time()
+fn play(engines: usize, requests: Vec<Request>, chooser: Policy) -> [f64; 3] {
+    replay::run(&Setup::new(engines), &profile(), requests, chooser).in_time()
 }
 
 /// Callers of short prompts get answers that pause, and callers of long ones
@@ -39,8 +39,8 @@
     const SEEDS: u32 = 6;
     let mut sum = [0.0; 3];
     for seed in 1..=u64::from(SEEDS) {
-        let split = play(16, phases(seed), choose);
-        let whole = play(16, phases(seed), choose_least);
+        let split = play(16, alternating_requests(seed), choose_by_plan);
+        let whole = play(16, alternating_requests(seed), choose_least_loaded);
         for kind in 0..3 {
             assert!(split[kind] > whole[kind], "seed {seed}: {split:.2?}, whole {whole:.2?}");
             sum[kind] += split[kind] / f64::from(SEEDS);
@@ -59,8 +59,8 @@
 #[test]
 fn too_few_engines_still_serve_all_kinds() {
     for seed in 7..=9 {
-        let [short, middle, long] = play(10, phases(seed), choose);
-        let least = play(10, phases(seed), choose_least);
+        let [short, middle, long] = play(10, alternating_requests(seed), choose_by_plan);
+        let least = play(10, alternating_requests(seed), choose_least_loaded);
         assert!(short > least[0], "seed {seed}: short {short:.2}, whole {least:.2?}");
         assert!(middle > least[1], "seed {seed}: middle {middle:.2}, whole {least:.2?}");
         assert!(long > 0.25, "seed {seed}: long {long:.2}, whole {least:.2?}");
@@ -104,7 +104,7 @@
     }
 }
 
-fn go(choice: Result<Choice, Refused>) -> Plan {
+fn expect_plan(choice: Result<Choice, Refused>) -> Plan {
     match choice {
         Ok(Choice::Place(plan)) => plan,
         other => panic!("{other:?}"),
@@ -114,19 +114,19 @@
 #[test]
 fn short_prompts_are_packed_while_they_are_in_time() {
     let loads = [load(0, 0), load(0, 5), load(0, 12), load(400, 11)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
 /// Guards against engines that short streams lie on one by one, though few of them
 /// could carry all.
 #[test]
-fn short_prompts_go_by_the_order_of_the_engines() {
+fn short_prompts_follow_the_engine_preference() {
     for short in [5, 0] {
         for preferred in 0..4_u64 {
             let engine =
                 |place: u64| Load { preference: (place + 4 - preferred) % 4, ..load(0, short) };
             let loads: Vec<Load> = (0..4).map(engine).collect();
-            let plan = go(plan::choose_engines(&short_query(), &profile(), &loads));
+            let plan = expect_plan(plan::choose_engines(&short_query(), &profile(), &loads));
             assert_eq!(plan.primary as u64, preferred);
         }
     }
@@ -137,46 +137,46 @@
 /// again. A prompt whose reading would make that pass too long goes elsewhere, also
 /// where its own first token would be in time.
 #[test]
-fn short_prompts_keep_off_engines_whose_next_pass_grows_too_long() {
+fn short_prompts_avoid_engines_with_a_long_next_iteration() {
     let reading = Load { next_iteration_prefill: ms(170), preference: 0, ..load(0, 5) };
     let other = Load { preference: 1, ..load(0, 5) };
     let loads = [reading, other];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     // With no stream to bear, the preferred one is taken.
     let loads = [Load { inter_token_target: None, ..loads[0].clone() }, loads[1].clone()];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
 
 #[test]
-fn doubtful_engines_come_last_and_are_used_where_all_are() {
+fn penalized_engines_are_used_only_if_all_are_penalized() {
     let doubtful = Load { penalty: ms(300), ..load(0, 5) };
     let loads = [doubtful.clone(), load(0, 0)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     let busy = Load { prefill_backlog: ms(400), prefill_start_delay: ms(400), ..doubtful.clone() };
     let loads = [busy, doubtful];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
 /// Ten of sixteen engines lose one answer in forty, and each loss puts its engine
 /// in penalty. Callers of short prompts then all wait 1.7 s at the few engines that
 /// are not in penalty, beside idle ones.
 #[test]
-fn doubt_weighs_no_more_than_what_a_failure_costs() {
+fn penalty_is_weighed_against_waiting_time() {
     let doubtful = Load { penalty: ms(300), ..load(0, 0) };
     let loads = [load(1_700, 5), doubtful.clone(), load(1_800, 5)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     let loads = [load(200, 5), doubtful, load(300, 5)];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
     // One that failed again and again is not tried for less than it costs.
     let dead = Load { penalty: ms(2_400), ..load(0, 0) };
     let loads = [load(1_700, 5), dead];
-    assert_eq!(go(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
+    assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
 
 #[test]
-fn long_prompts_keep_off_engines_with_short_streams() {
+fn long_prompts_avoid_engines_with_short_streams() {
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 4 { 10 } else { 0 })).collect();
-    let plan = go(plan::choose_engines(&long_query(154_000), &profile(), &loads));
+    let plan = expect_plan(plan::choose_engines(&long_query(154_000), &profile(), &loads));
     assert!(plan.helpers.iter().chain([&plan.primary]).all(|&engine| engine >= 4), "{plan:?}");
     assert!(plan.chunk_time <= ms(300), "{plan:?}");
 }
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_with_a_time() {
+fn late_prompt_is_refused_with_a_retry_time() {
     let loads: Vec<Load> = (0..16).map(|_| load(2_000, 0)).collect();
     let query = Query {
         ahead: Ahead { prefill_time: ms(40_000), short_prompts: 0 },
@@ -222,16 +222,16 @@
 }
 
 #[test]
-fn a_prompt_greater_than_one_engine_names_memory_on_several() {
+fn prompt_larger_than_one_engine_reserves_memory_on_several() {
     let loads: Vec<Load> = (0..16).map(|_| load(0, 0)).collect();
-    let plan = go(plan::choose_engines(&long_query(700_000), &profile(), &loads));
+    let plan = expect_plan(plan::choose_engines(&long_query(700_000), &profile(), &loads));
     let memory: u64 = plan.kv_reservations.iter().map(|(_, tokens)| tokens.0).sum();
     assert_eq!(plan.kv_reservations.first().map(|(engine, _)| *engine), Some(plan.primary));
     assert!(memory >= 700_000 && plan.kv_reservations.len() >= 3, "{plan:?}");
 }
 
 #[test]
-fn a_prompt_greater_than_the_fleet_is_refused_for_good() {
+fn prompt_larger_than_the_fleet_is_refused_permanently() {
     let loads = [load(0, 0), load(0, 0)];
     let choice = plan::choose_engines(&long_query(700_000), &profile(), &loads);
     assert_eq!(choice, Err(Refused::TooLong));
@@ -244,16 +244,17 @@
     const SEEDS: u32 = 6;
     for load in [0.7, 0.9, 1.1] {
         let phases = [Phase { begin: 0.0, end: 25.0, factors: [load, 0.0, 0.0] }];
-        let [waiting, refusing] = [choose as Chooser, choose_refusing].map(|chooser| {
-            let (mut in_time, mut refused) = (0.0, 0);
-            for seed in 1..=u64::from(SEEDS) {
-                let requests = arrive(&ADVICE, &phases, seed);
-                let outcome = replay::play(&Scene::new(4), &profile(), requests, chooser);
-                in_time += outcome.in_time()[0] / f64::from(SEEDS);
-                refused += outcome.requests.iter().filter(|request| request.refused).count();
-            }
-            (in_time, refused)
-        });
+        let [waiting, refusing] =
+            [choose_by_plan as Policy, choose_without_waiting].map(|chooser| {
+                let (mut in_time, mut refused) = (0.0, 0);
+                for seed in 1..=u64::from(SEEDS) {
+                    let requests = draw_arrivals(&ADVICE, &phases, seed);
+                    let outcome = replay::run(&Setup::new(4), &profile(), requests, chooser);
+                    in_time += outcome.in_time()[0] / f64::from(SEEDS);
+                    refused += outcome.requests.iter().filter(|request| request.is_refused).count();
+                }
+                (in_time, refused)
+            });
         println!("load {load}: waiting {waiting:.3?}, refusing {refusing:.3?}");
         assert!(waiting.0 > refusing.0, "in time at load {load}: {waiting:?}, {refusing:?}");
         assert!(waiting.1 < refusing.1, "refused at load {load}: {waiting:?}, {refusing:?}");
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn a_short_prompt_waits_only_for_a_slot_that_comes_in_time() {
+fn short_prompt_waits_only_for_a_slot_within_its_goal() {
     let full = || Load { prefill_start_delay: ms(30), requests: 16, ..load(0, 16) };
     let loads: Vec<Load> = (0..4).map(|_| full()).collect();
     let choose = |query: &Query| plan::choose_engines(query, &profile(), &loads);
--- a/crates/policy/tests/preempt.rs
+++ b/crates/policy/tests/preempt.rs
@@ -11,7 +11,7 @@
 const SPEED: EngineSpeed =
     EngineSpeed { prefill_rate: 40_000, token_time: Duration::from_millis(15) };
 
-fn report(now: Instant, ticket: u64, prefilled: u64) -> RunningStream {
+fn batch_stream(now: Instant, ticket: u64, prefilled: u64) -> RunningStream {
     RunningStream {
         ticket,
         class: Class::Batch,
@@ -23,7 +23,7 @@
     }
 }
 
-fn question(wait: u64) -> WaitingRequest {
+fn interactive_request(wait: u64) -> WaitingRequest {
     WaitingRequest {
         cost: cost(1_000, 32),
         class: Class::Interactive,
@@ -37,22 +37,23 @@
 /// where all are far on, none does, since redoing one takes longer than the
 /// wait is worth.
 #[test]
-fn least_work_is_lost() {
+fn stream_with_least_work_to_redo_is_preempted() {
     let now = Instant::now();
-    let begun = [report(now, 1, 90_000), report(now, 2, 8_000), report(now, 3, 30_000)];
-    assert_eq!(choose_victim(now, question(2_000), SPEED, &begun), Some(2));
-    let far = [report(now, 1, 90_000), report(now, 2, 80_000)];
-    assert_eq!(choose_victim(now, question(2_000), SPEED, &far), None);
-    assert_eq!(choose_victim(now, question(200), SPEED, &begun), None, "a short wait");
+    let begun =
+        [batch_stream(now, 1, 90_000), batch_stream(now, 2, 8_000), batch_stream(now, 3, 30_000)];
+    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &begun), Some(2));
+    let far = [batch_stream(now, 1, 90_000), batch_stream(now, 2, 80_000)];
+    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &far), None);
+    assert_eq!(choose_victim(now, interactive_request(200), SPEED, &begun), None, "a short wait");
 }
 
 /// What must not go: interactive work, a stream whose own deadline would be
 /// missed, one that went once before (it must arrive), and one that frees too
 /// little. Batch asks preempt nothing.
 #[test]
-fn what_is_never_preempted() {
+fn protected_streams_are_never_preempted() {
     let now = Instant::now();
-    let fresh = report(now, 1, 0);
+    let fresh = batch_stream(now, 1, 0);
     let spared = [
         RunningStream { class: Class::Interactive, cost: cost(1_000, 1_000), ..fresh.clone() },
         RunningStream { deadline: now + Duration::from_secs(15), ..fresh.clone() },
@@ -60,8 +61,11 @@
         RunningStream { cost: cost(500, 10), ..fresh.clone() },
     ];
     for stream in spared {
-        assert_eq!(choose_victim(now, question(2_000), SPEED, std::slice::from_ref(&stream)), None);
+        assert_eq!(
+            choose_victim(now, interactive_request(2_000), SPEED, std::slice::from_ref(&stream)),
+            None
+        );
     }
-    let waiting = WaitingRequest { class: Class::Batch, ..question(2_000) };
+    let waiting = WaitingRequest { class: Class::Batch, ..interactive_request(2_000) };
     assert_eq!(choose_victim(now, waiting, SPEED, &[fresh]), None);
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -7,18 +7,18 @@
     Duration::from_millis(ms)
 }
 
-fn names(queue: &Queue<&'static str, u32>) -> Vec<&'static str> {
+fn queued_keys(queue: &Queue<&'static str, u32>) -> Vec<&'static str> {
     queue.in_order().into_iter().map(|(key, _)| key).collect()
 }
 
 /// Guards against small prompts that wait behind a large one which needs all engines.
 #[test]
-fn the_smallest_chooses_first() {
+fn smallest_long_prompt_comes_first() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     for (key, read) in [("large", 900), ("small", 100), ("other", 400), ("later", 400)] {
         assert!(queue.insert_or_refresh(now, key, Priority::Long(ms(read)), 0));
     }
-    assert_eq!(names(&queue), ["small", "other", "later", "large"]);
+    assert_eq!(queued_keys(&queue), ["small", "other", "later", "large"]);
     assert_eq!(
         queue.ahead_of(&"large", Priority::Long(ms(900))),
         Ahead { prefill_time: ms(900), short_prompts: 0 }
@@ -34,13 +34,13 @@
 /// Guards against short prompts that wait behind long ones, and against large ones of
 /// them that wait behind those which came later.
 #[test]
-fn short_prompts_choose_first_by_their_due_time() {
+fn short_prompts_come_first_by_due_time() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     queue.insert_or_refresh(now, "long", Priority::Long(ms(400)), 0);
     for (key, due) in [("third", 290), ("first", 100), ("second", 200)] {
         assert!(queue.insert_or_refresh(now, key, Priority::Short(now + ms(due)), 0));
     }
-    assert_eq!(names(&queue), ["first", "second", "third", "long"]);
+    assert_eq!(queued_keys(&queue), ["first", "second", "third", "long"]);
     let third = queue.ahead_of(&"third", Priority::Short(now + ms(290)));
     assert_eq!(third, Ahead { prefill_time: Duration::ZERO, short_prompts: 2 });
     let longer = queue.ahead_of(&"longer", Priority::Long(ms(500)));
@@ -54,7 +54,7 @@
 
 /// Guards against prompts that wait for ever for callers who are gone.
 #[test]
-fn what_is_not_asked_for_again_is_dropped() {
+fn entries_that_are_not_refreshed_expire() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     queue.insert_or_refresh(now, "left", Priority::Long(ms(100)), 1);
     queue.insert_or_refresh(now, "kept", Priority::Long(ms(200)), 1);
@@ -66,7 +66,7 @@
 
 /// Guards against a queue that grows without a bound.
 #[test]
-fn a_full_queue_takes_no_more() {
+fn full_queue_accepts_no_new_prompt() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     let taken = (0..5_000)
         .filter(|key| queue.insert_or_refresh(now, *key, Priority::Long(ms(100)), ()))
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -10,28 +10,28 @@
 use std::time::Duration;
 
 /// Between two looks of prompts that wait.
-const STEP: Duration = Duration::from_millis(5);
+const TIME_STEP: Duration = Duration::from_millis(5);
 
 /// When the last answers have ended.
-const END: Duration = Duration::from_secs(45);
+const SIMULATION_TIME: Duration = Duration::from_secs(45);
 
 /// The part of its credit that an answer gets which is late.
-const LATE: f64 = 0.25;
+const LATE_CREDIT_FRACTION: f64 = 0.25;
 
 /// What chooses for a request, by its number.
-pub type Chooser = fn(&Fleet, usize, Duration) -> Result<Choice, Refused>;
+pub type Policy = fn(&Fleet, usize, Duration) -> Result<Choice, Refused>;
 
 /// The engines of a replay.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct Setup {
     pub engines: usize,
     /// When all that was known of the engines is forgotten.
-    pub forget: Option<Duration>,
+    pub forget_at: Option<Duration>,
 }
 
-impl Scene {
+impl Setup {
     pub fn new(engines: usize) -> Self {
-        Self { engines, forget: None }
+        Self { engines, forget_at: None }
     }
 }
 
@@ -44,19 +44,19 @@
     /// The parts of the short, middle and long requests that were in time.
     pub fn in_time(&self) -> [f64; 3] {
         [250, 600, 1_000].map(|gap| {
-            let is_kind = |r: &&Request| r.gap == Duration::from_millis(gap);
+            let is_kind = |r: &&Request| r.inter_token_target == Duration::from_millis(gap);
             let kind: Vec<&Request> = self.requests.iter().filter(is_kind).collect();
-            let served = kind.iter().filter(|r| r.in_time()).count();
+            let served = kind.iter().filter(|r| r.is_in_time()).count();
             served as f64 / kind.len().max(1) as f64
         })
     }
 
     /// The part of all credit that was earned.
     pub fn credit(&self, mix: &Mix) -> f64 {
-        let owed: f64 = self.requests.iter().map(|r| phases::worth(mix, r)).sum();
-        let earned = self.requests.iter().map(|r| match (r.in_time(), r.done) {
-            (true, _) => phases::worth(mix, r),
-            (false, true) => phases::worth(mix, r) * LATE,
+        let owed: f64 = self.requests.iter().map(|r| phases::credit_of(mix, r)).sum();
+        let earned = self.requests.iter().map(|r| match (r.is_in_time(), r.is_done) {
+            (true, _) => phases::credit_of(mix, r),
+            (false, true) => phases::credit_of(mix, r) * LATE_CREDIT_FRACTION,
             (false, false) => 0.0,
         });
         earned.sum::<f64>() / owed
@@ -64,33 +64,33 @@
 }
 
 /// Plays requests, by arrival, with this choice.
-pub fn play(scene: &Scene, profile: &Profile, requests: Vec<Request>, chooser: Chooser) -> Outcome {
+pub fn run(scene: &Setup, profile: &Profile, requests: Vec<Request>, chooser: Policy) -> Outcome {
     let mut fleet = Fleet::open(profile.clone(), scene.engines, requests);
     let mut now = Duration::ZERO;
-    while now < END {
-        if scene.forget.is_some_and(|at| at == now) {
-            fleet.forget();
+    while now < SIMULATION_TIME {
+        if scene.forget_at.is_some_and(|at| at == now) {
+            fleet.forget_placements();
         }
         fleet.run(now);
-        for request in waiting(&fleet, now) {
+        for request in waiting_requests(&fleet, now) {
             match chooser(&fleet, request, now) {
                 Ok(Choice::Place(plan)) => {
                     fleet.place(request, plan.primary, &plan.helpers, plan.chunk_time, now)
                 }
                 Ok(Choice::Wait(_)) => {}
-                Err(_) => fleet.requests[request].refused = true,
+                Err(_) => fleet.requests[request].is_refused = true,
             }
         }
-        now += STEP;
+        now += TIME_STEP;
     }
     Outcome { requests: fleet.requests }
 }
 
 /// Requests that wait: the short ones as they came, then the smallest first.
-fn waiting(fleet: &Fleet, now: Duration) -> Vec<usize> {
+fn waiting_requests(fleet: &Fleet, now: Duration) -> Vec<usize> {
     let waits = |&request: &usize| {
         let r = &fleet.requests[request];
-        r.arrival <= now && r.placed.is_none() && !r.refused
+        r.arrival <= now && r.placement.is_none() && !r.is_refused
     };
     let mut waiting: Vec<usize> = (0..fleet.requests.len()).filter(waits).collect();
     waiting.sort_by_key(|&request| {
@@ -110,7 +110,7 @@
     let waiting = fleet
         .requests
         .iter()
-        .filter(|other| other.arrival <= now && other.placed.is_none() && !other.refused);
+        .filter(|other| other.arrival <= now && other.placement.is_none() && !other.is_refused);
     let is_short = |r: &Request| plan::is_short(&fleet.profile, r.prompt, r.goal);
     let (short, long): (Vec<&Request>, Vec<&Request>) = waiting.partition(|other| is_short(other));
     let reads = long.iter().map(|other| fleet.profile.prefill_time(other.prompt));
@@ -125,16 +125,19 @@
             prefill_time: reads.filter(|other| *other < read).sum(),
             short_prompts: before.count() as u32,
         },
-        typical_stream_time: usual_stream(fleet),
+        typical_stream_time: typical_stream_time(fleet),
     }
 }
 
 /// What short streams took that ended last.
-fn usual_stream(fleet: &Fleet) -> Duration {
+fn typical_stream_time(fleet: &Fleet) -> Duration {
     const LAST: usize = 16;
-    let ended =
-        fleet.requests.iter().rev().filter(|r| r.done && r.gap < Duration::from_millis(500));
-    let times = ended.filter_map(|r| r.last.checked_sub(r.placed_at?)).take(LAST);
+    let ended = fleet
+        .requests
+        .iter()
+        .rev()
+        .filter(|r| r.is_done && r.inter_token_target < Duration::from_millis(500));
+    let times = ended.filter_map(|r| r.last_event_at.checked_sub(r.placed_at?)).take(LAST);
     let times: Vec<Duration> = times.collect();
     match times.len() {
         0 => fleet.profile.stream_time(fleet.profile.slots),
@@ -143,12 +146,16 @@
 }
 
 /// What nodes do.
-pub fn choose(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+pub fn choose_by_plan(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
     plan::choose_engines(&query(fleet, request, now), &fleet.profile, &fleet.loads(now))
 }
 
 /// The same, where short prompts that find no slot are refused.
-pub fn choose_refusing(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+pub fn choose_without_waiting(
+    fleet: &Fleet,
+    request: usize,
+    now: Duration,
+) -> Result<Choice, Refused> {
     let query = query(fleet, request, now);
     match plan::choose_engines(&query, &fleet.profile, &fleet.loads(now)) {
         Ok(Choice::Wait(time)) if query.is_short => Err(Refused::Busy(time)),
@@ -157,18 +164,22 @@
 }
 
 /// Each prompt whole to the engine with the least to read.
-pub fn choose_least(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+pub fn choose_least_loaded(
+    fleet: &Fleet,
+    request: usize,
+    now: Duration,
+) -> Result<Choice, Refused> {
     let loads = fleet.loads(now);
     let first = (0..loads.len()).min_by_key(|&i| (loads[i].prefill_backlog, loads[i].requests));
-    Ok(whole(fleet, request, first.unwrap_or_default()))
+    Ok(place_whole(fleet, request, first.unwrap_or_default()))
 }
 
 /// Each prompt whole to the next engine in a circle, as it comes.
-pub fn choose_fifo(fleet: &Fleet, request: usize, _: Duration) -> Result<Choice, Refused> {
-    Ok(whole(fleet, request, request % fleet.engines()))
+pub fn choose_round_robin(fleet: &Fleet, request: usize, _: Duration) -> Result<Choice, Refused> {
+    Ok(place_whole(fleet, request, request % fleet.engines()))
 }
 
-fn whole(fleet: &Fleet, request: usize, first: usize) -> Choice {
+fn place_whole(fleet: &Fleet, request: usize, first: usize) -> Choice {
     let part = fleet.profile.prefill_time(fleet.requests[request].prompt);
     let (helpers, memory) = (Vec::new(), Vec::new());
     Choice::Place(Plan {
--- a/crates/policy/tests/replica.rs
+++ b/crates/policy/tests/replica.rs
@@ -10,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-fn pick(loads: &[Load]) -> Result<usize, Duration> {
+fn choose(loads: &[Load]) -> Result<usize, Duration> {
     let candidates: Vec<Candidate<'_>> =
         loads.iter().map(|load| Candidate { load, slots: SLOTS }).collect();
     choose_replica(&candidates, ms(60))
@@ -21,30 +21,30 @@
 }
 
 #[test]
-fn the_replica_with_the_most_free_slots_is_taken() {
-    assert_eq!(pick(&[load(3, 0), load(1, 0), load(2, 0)]), Ok(1));
+fn replica_with_most_free_slots_is_chosen() {
+    assert_eq!(choose(&[load(3, 0), load(1, 0), load(2, 0)]), Ok(1));
     let near = Load { is_same_zone: true, ..load(2, 0) };
-    assert_eq!(pick(&[load(2, 0), near, load(3, 0)]), Ok(1), "the nearer of two alike");
+    assert_eq!(choose(&[load(2, 0), near, load(3, 0)]), Ok(1), "the nearer of two alike");
 }
 
 /// Guards against requests that are refused as all replicas are busy, beside replicas
 /// that are idle and failed one request of late.
 #[test]
-fn a_replica_that_failed_once_goes_before_one_with_a_long_queue() {
+fn replica_that_failed_once_is_preferred_to_a_long_queue() {
     let loads = [load(17, 0), load(16, 0), load(0, 100), load(0, 120), load(0, 300)];
-    assert_eq!(pick(&loads), Ok(2));
+    assert_eq!(choose(&loads), Ok(2));
     let loads = [load(18, 0), load(18, 0), load(5, 4_000)];
-    assert_eq!(pick(&loads), Ok(2), "rather than to refuse");
+    assert_eq!(choose(&loads), Ok(2), "rather than to refuse");
 }
 
 #[test]
-fn a_replica_that_fails_is_avoided_while_others_have_slots() {
-    assert_eq!(pick(&[load(4, 0), load(0, 300)]), Ok(0));
+fn failing_replica_is_avoided_while_others_have_slots() {
+    assert_eq!(choose(&[load(4, 0), load(0, 300)]), Ok(0));
 }
 
 /// Guards against callers who come back into the same queue: it has gone by the time
 /// that they are told.
 #[test]
-fn full_replicas_refuse_with_the_time_that_their_queue_takes() {
-    assert_eq!(pick(&[load(18, 0), load(20, 0)]), Err(ms(120)));
+fn full_replicas_refuse_with_their_queue_time() {
+    assert_eq!(choose(&[load(18, 0), load(20, 0)]), Err(ms(120)));
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -38,7 +38,7 @@
 /// A million tokens on engines of 450,000: three parts that together are the
 /// prompt, the last with the answer, and an eighth of each engine left free.
 #[test]
-fn million_tokens_take_three_engines() {
+fn million_tokens_need_three_engines() {
     let fleet = engines(&[450_000; 16]);
     let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
     assert_eq!(parts.len(), 3);
@@ -55,7 +55,7 @@
 /// The refusal is true: too long for the fleet at any time, too long for the
 /// time that is left, or no memory just now.
 #[test]
-fn impossible_is_said_at_once_and_truly() {
+fn impossible_prompts_are_refused_with_the_right_reason() {
     let plan = |fleet: &[u64], left| plan_parts(cost(1_000_000, 1_000), left, &engines(fleet));
     assert_eq!(plan(&[450_000, 450_000], HOUR), Err(Impossible::TooLong));
     assert_eq!(plan(&[450_000, 450_000, 100_000], HOUR), Err(Impossible::NoMemory));
@@ -67,7 +67,7 @@
 /// ids, and a refusal gives all that was held back at once: two prompts that
 /// want the same engines meet at the first and never hold one each.
 #[test]
-fn asks_in_one_order_and_holds_all_or_none() {
+fn engines_are_reserved_in_id_order_all_or_none() {
     let fleet = engines(&[300_000, 350_000, 390_000, 380_000]);
     let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
     let planned: Vec<_> = parts.iter().map(|part| part.target.as_str()).collect();
@@ -86,7 +86,7 @@
 }
 
 /// A round of one reservation: asks until it holds all or was refused.
-fn step(
+fn run_step(
     limiters: &mut BTreeMap<id::Target, Limiter>,
     now: Instant,
     reservation: &mut Reservation,
@@ -116,7 +116,7 @@
     /// of each round a prompt holds all its parts or none, and all of them
     /// are served before their time: no deadlock, no starvation.
     #[test]
-    fn contending_reservations_all_get_through(seed in prop::collection::vec(0usize..3, 40), random: u64) {
+    fn contending_reservations_all_complete(seed in prop::collection::vec(0usize..3, 40), random: u64) {
         let start = Instant::now();
         let fleet = engines(&[450_000; 3]);
         let mut now = start;
@@ -141,14 +141,14 @@
                 limiter.poll(now);
             });
             let Some(reservation) = open[who].as_mut().filter(|_| wake[who] <= now) else { continue };
-            if let Some(held) = step(&mut limiters, now, reservation) {
+            if let Some(held) = run_step(&mut limiters, now, reservation) {
                 prop_assert_eq!(held.len(), 3);
                 for (part, ticket) in held {
                     let limiter = limiters.get_mut(&part.target).expect("known");
                     limiter.settle(now, ticket, Outcome::Whole(None));
                 }
                 open[who] = None;
-            } else if reservation.next_step() == Step::Ask(parts_by_target(&parts)) {
+            } else if reservation.next_step() == Step::Ask(first_part_by_target(&parts)) {
                 rounds[who] += 1;
                 wake[who] = now + backoff(rounds[who], random ^ turns as u64);
             }
@@ -161,6 +161,6 @@
     }
 }
 
-fn parts_by_target(parts: &[Part]) -> Part {
+fn first_part_by_target(parts: &[Part]) -> Part {
     parts.iter().min_by(|a, b| a.target.cmp(&b.target)).expect("parts").clone()
 }
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -21,7 +21,7 @@
     [(9, Duration::from_secs(2)), (79, Duration::from_secs(3)), (380, Duration::from_secs(8))];
 
 /// Bytes that may be sent for each that has to be.
-const OVERHEAD_MOST: f64 = 1.1;
+const MAX_OVERHEAD: f64 = 1.1;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -30,14 +30,14 @@
 /// Plays a kind of case over these sizes, all fleets and seeds; fails with all
 /// that broke a bound. A fault may lengthen the time by `fault`, for those that
 /// it hits; the others have the usual one.
-fn check(sizes: &[u64], fault: Duration, change: impl Fn(Case) -> Case) {
+fn check_bounds(sizes: &[u64], fault: Duration, change: impl Fn(Case) -> Case) {
     let mut broken = Vec::new();
     for (nodes, bound) in FLEETS {
         for size in sizes {
             let case = change(Case::new(nodes, *size));
             for seed in 1..=SEEDS {
                 let outcome = model::play(&case, Policy::ByTurns, seed);
-                let fault = breach(&case, &outcome, bound, fault);
+                let fault = find_breach(&case, &outcome, bound, fault);
                 broken.extend(
                     fault.map(|what| format!("{nodes} nodes, {size} bytes, seed {seed}: {what}")),
                 );
@@ -47,7 +47,7 @@
     assert!(broken.is_empty(), "{} broke a bound:\n{}", broken.len(), broken.join("\n"));
 }
 
-fn breach(case: &Case, outcome: &Outcome, bound: Duration, fault: Duration) -> Option<String> {
+fn find_breach(case: &Case, outcome: &Outcome, bound: Duration, fault: Duration) -> Option<String> {
     let bound = case.written() + bound;
     let (last, spared) = (outcome.last(), outcome.last_spared());
     let overhead = outcome.overhead(case);
@@ -57,7 +57,7 @@
     if spared.is_none_or(|last| last > bound) {
         return Some(format!("the last without a fault of its own had it at {spared:?}"));
     }
-    (overhead > OVERHEAD_MOST).then(|| format!("{overhead:.2} of the bytes were sent"))
+    (overhead > MAX_OVERHEAD).then(|| format!("{overhead:.2} of the bytes were sent"))
 }
 
 fn with_fault(fault: Fault) -> impl Fn(Case) -> Case {
@@ -70,7 +70,7 @@
 /// that carries nine in a second, none is whole when its taker gives up, and all
 /// ask again. The replay has to show it, or it proves nothing of the mend.
 #[test]
-fn everybody_at_once_collapses() {
+fn simultaneous_requests_congest_the_links() {
     let case = Case::new(79, 270_000);
     for seed in 1..=SEEDS {
         let last = model::play(&case, Policy::AtOnce, seed).last();
@@ -83,22 +83,22 @@
 /// giver takes on what its link can send soon and names its earlier takers to
 /// the rest, so that the givers double with each round.
 #[test]
-fn all_have_it_in_time() {
-    check(&SIZES, Duration::ZERO, |case| case);
+fn all_nodes_have_it_in_time() {
+    check_bounds(&SIZES, Duration::ZERO, |case| case);
 }
 
 /// Two of the three nodes that heard the configuration die while they send it,
 /// without a word. Their takers see nothing for a while, keep the pieces, and
 /// ask the third or those that it gave to.
 #[test]
-fn givers_die_in_the_middle() {
-    check(&SIZES[..3], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
+fn senders_die_during_transfer() {
+    check_bounds(&SIZES[..3], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
 }
 
 /// As above, with the largest configuration.
 #[test]
-fn givers_die_in_the_middle_of_the_largest() {
-    check(&[LARGEST_BYTES], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
+fn senders_die_during_transfer_of_the_largest() {
+    check_bounds(&[LARGEST_BYTES], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
 }
 
 /// Some takers ask for the configuration and read nothing of it for seconds.
@@ -106,19 +106,19 @@
 /// have it in the usual time, as a place that was taken on is free again once
 /// the link could have sent it.
 #[test]
-fn takers_stop_reading() {
+fn receivers_stop_reading() {
     let fault = Fault::Stop { part: 0.05, time: Duration::from_secs(5) };
-    check(&SIZES, Duration::from_secs(5), with_fault(fault));
+    check_bounds(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
 /// A third of the nodes can't reach the others, while the configuration is
 /// written or soon after. What they were being sent falls silent, and whom they
 /// ask is silent too. Once the network is whole they have it in the usual time.
 #[test]
-fn a_third_is_cut_off() {
+fn a_third_of_the_nodes_is_partitioned() {
     for begin in [ms(0), ms(50)] {
         let end = begin + Duration::from_secs(3);
-        check(&SIZES, end, with_fault(Fault::Cut { begin, end }));
+        check_bounds(&SIZES, end, with_fault(Fault::Cut { begin, end }));
     }
 }
 
@@ -126,33 +126,33 @@
 /// everywhere. Links are full of older ones, which nobody breaks off. Whoever
 /// gives has moved on and gives the newest that it has.
 #[test]
-fn configurations_follow_each_other() {
-    check(&SIZES[..3], Duration::ZERO, |case| Case { versions: 5, pause: ms(330), ..case });
+fn configurations_are_written_in_quick_succession() {
+    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { versions: 5, pause: ms(330), ..case });
 }
 
 /// As above, with the largest configuration: a link needs longer for one than
 /// passes until the next is written.
 #[test]
-fn largest_configurations_follow_each_other() {
+fn largest_configurations_are_written_in_quick_succession() {
     let change = |case| Case { versions: 5, pause: ms(330), ..case };
-    check(&[LARGEST_BYTES], Duration::ZERO, change);
+    check_bounds(&[LARGEST_BYTES], Duration::ZERO, change);
 }
 
 /// Few nodes have fast links, and most slow ones. The fast ones give to more at
 /// a time, the slow ones to no more than they can send.
 #[test]
-fn links_are_unlike() {
-    check(&SIZES, Duration::ZERO, |case| Case { fast: 6, ..case });
+fn link_speeds_differ() {
+    check_bounds(&SIZES, Duration::ZERO, |case| Case { fast: 6, ..case });
 }
 
 /// One node alone hears the configuration, and all others want it of that one.
 #[test]
-fn only_one_has_it_first() {
-    check(&SIZES[..3], Duration::ZERO, |case| Case { first: 1, ..case });
+fn only_one_node_has_it_first() {
+    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { first: 1, ..case });
 }
 
 /// As above, with the largest configuration.
 #[test]
-fn only_one_has_the_largest_first() {
-    check(&[LARGEST_BYTES], Duration::ZERO, |case| Case { first: 1, ..case });
+fn only_one_node_has_the_largest_first() {
+    check_bounds(&[LARGEST_BYTES], Duration::ZERO, |case| Case { first: 1, ..case });
 }
--- a/crates/policy/tests/survey.rs
+++ b/crates/policy/tests/survey.rs
@@ -15,7 +15,7 @@
 /// must tell an idle engine from one that is merely without short streams, and
 /// both from one that has no slot or failed lately.
 #[test]
-fn engines_are_counted_by_what_keeps_a_prompt_off_them() {
+fn engines_are_counted_by_reason() {
     let idle = Load::default();
     let reading = Load { prefill_backlog: ms(400), ..Load::default() };
     let short = Load { short_requests: 3, requests: 3, ..Load::default() };
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn replicas_of_plain_services_are_never_full_by_an_engine_s_slots() {
+fn replicas_of_plain_services_are_never_counted_as_full() {
     let load = Load { requests: 40, ..Load::default() };
     assert_eq!(Survey::new(None, &[load], Ahead::default()).full, 0);
 }
