--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -34,10 +34,10 @@
 
 /// The part of all credit that could be got.
 pub fn max_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
-    let owed: f64 = requests.iter().map(|request| phases::credit_of(mix, request)).sum();
+    let total_credit: f64 = requests.iter().map(|request| phases::credit_of(mix, request)).sum();
     let earn = |limit: Limit| {
         let tasks = requests.iter().map(|request| Task::new(mix, profile, request, limit));
-        earn(tasks.collect(), engines) / owed
+        earn(tasks.collect(), engines) / total_credit
     };
     [Limit::Reading, Limit::Work, Limit::Slots].map(earn).into_iter().fold(1.0, f64::min)
 }
@@ -54,15 +54,17 @@
 impl Task {
     fn new(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
         let events = (request.answer.0 / u64::from(profile.steps_per_iteration)).max(1) as u32;
-        let read = profile.prefill_time(request.prompt);
-        let stride = |writers| profile.iteration_time(writers, Tokens(0));
+        let prefill_time = profile.prefill_time(request.prompt);
+        let iteration = |streams| profile.iteration_time(streams, Tokens(0));
         let goal = request.arrival + request.goal;
         // It is written within the pauses that its caller bears.
-        let last = goal + request.inter_token_target * events;
+        let latest_end = goal + request.inter_token_target * events;
         let (work, end) = match limit {
-            Limit::Reading => (read, goal),
-            Limit::Work => (read + stride(profile.slots) / profile.slots * events, last),
-            Limit::Slots => (stride(1) * events / profile.slots, last),
+            Limit::Reading => (prefill_time, goal),
+            Limit::Work => {
+                (prefill_time + iteration(profile.slots) / profile.slots * events, latest_end)
+            }
+            Limit::Slots => (iteration(1) * events / profile.slots, latest_end),
         };
         Self {
             credit: phases::credit_of(mix, request),
@@ -79,8 +81,8 @@
 
 fn earn(mut tasks: Vec<Task>, engines: usize) -> f64 {
     tasks.sort_by(|one, other| other.density().total_cmp(&one.density()));
-    let grains = tasks.iter().map(|task| task.end_slice).max().unwrap_or(0);
-    let mut spans = Spans::new(grains, engines);
+    let slices = tasks.iter().map(|task| task.end_slice).max().unwrap_or(0);
+    let mut spans = Spans::new(slices, engines);
     tasks.iter().map(|task| task.credit * spans.reserve(task)).sum()
 }
 
@@ -102,15 +104,16 @@
     /// Takes as much of a task as all spans around it have room for; returns the
     /// part.
     fn reserve(&mut self, task: &Task) -> f64 {
-        let around = (0..=task.first_slice)
+        let spans = (0..=task.first_slice)
             .flat_map(|begin| (task.end_slice..=self.slices).map(move |end| (begin, end)));
         let work = task.work.as_secs_f64();
-        let least = around.clone().map(|span| self.free[self.index_of(span)]).fold(work, f64::min);
-        for span in around {
-            let at = self.index_of(span);
-            self.free[at] -= least;
+        let available =
+            spans.clone().map(|span| self.free[self.index_of(span)]).fold(work, f64::min);
+        for span in spans {
+            let index = self.index_of(span);
+            self.free[index] -= available;
         }
-        least / work
+        available / work
     }
 
     fn index_of(&self, (begin, end): (usize, usize)) -> usize {
--- a/crates/policy/examples/regret/main.rs
+++ b/crates/policy/examples/regret/main.rs
@@ -87,19 +87,22 @@
                 let play = |seed| replay::run(&scene, &profile, load(seed), chooser);
                 mean(mix, &(1..=options.seeds).map(play).collect::<Vec<_>>())
             };
-            let ours = play(replay::choose_by_plan);
-            print!("{mix_name:8} {:18} {:.3}", case.name, ours.0);
+            let by_plan = play(replay::choose_by_plan);
+            print!("{mix_name:8} {:18} {:.3}", case.name, by_plan.0);
             if !options.quick {
-                let least = play(replay::choose_least_loaded).0;
-                let fifo = play(replay::choose_round_robin).0;
+                let least_loaded = play(replay::choose_least_loaded).0;
+                let round_robin = play(replay::choose_round_robin).0;
                 let bounds =
                     (1..=options.seeds).map(|seed| bound(mix, &profile, &case, load(seed)));
-                let most = bounds.sum::<f64>() / options.seeds as f64;
-                print!("  {least:.3}  {fifo:.3}  {most:.3}  {:.3}", most - ours.0);
+                let bound_mean = bounds.sum::<f64>() / options.seeds as f64;
+                print!(
+                    "  {least_loaded:.3}  {round_robin:.3}  {bound_mean:.3}  {:.3}",
+                    bound_mean - by_plan.0
+                );
             }
             println!();
             if options.kinds {
-                println!("        in time by kind    {:.3?}", ours.1);
+                println!("        in time by kind    {:.3?}", by_plan.1);
             }
         }
     }
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -30,8 +30,9 @@
 impl Request {
     /// Whether its caller got all of it in time.
     pub fn is_in_time(&self) -> bool {
-        let first = self.first_token_at.is_some_and(|first| first - self.arrival <= self.goal);
-        self.is_done && first && self.longest_pause <= self.inter_token_target
+        let is_first_in_time =
+            self.first_token_at.is_some_and(|first| first - self.arrival <= self.goal);
+        self.is_done && is_first_in_time && self.longest_pause <= self.inter_token_target
     }
 }
 
@@ -80,15 +81,15 @@
         request: usize,
         first: usize,
         helpers: &[usize],
-        part: Duration,
+        chunk_time: Duration,
         now: Duration,
     ) {
-        let all = std::iter::once(&first).chain(helpers);
-        for &engine in all.clone() {
-            self.engines[engine].chunks.push((request, part));
+        let engines = std::iter::once(&first).chain(helpers);
+        for &engine in engines.clone() {
+            self.engines[engine].chunks.push((request, chunk_time));
         }
-        self.requests[request].chunks_left = all.count() as u32;
-        self.requests[request].placement = Some((first, helpers.to_vec(), part));
+        self.requests[request].chunks_left = engines.count() as u32;
+        self.requests[request].placement = Some((first, helpers.to_vec(), chunk_time));
         self.requests[request].placed_at = Some(now);
     }
 
@@ -106,44 +107,44 @@
             state.busy_until = now;
             return false;
         }
-        let begun = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
+        let start = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
         let context: u64 = state.decoding.iter().map(|&w| self.requests[w].prompt.0).sum();
-        let writing = match state.decoding.is_empty() {
+        let decode_time = match state.decoding.is_empty() {
             true => Duration::ZERO,
             false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
         };
         // Without writers a pass is one chunk, so that a newer part comes next;
         // the newest part read whole is close enough to that.
-        let read: Vec<(usize, Duration)> = match state.decoding.is_empty() {
+        let started: Vec<(usize, Duration)> = match state.decoding.is_empty() {
             true => state.chunks.pop().into_iter().collect(),
             false => std::mem::take(&mut state.chunks),
         };
-        let reading: Duration = read.iter().map(|(_, part)| *part).sum();
-        let end = begun + writing + reading;
+        let prefill_time: Duration = started.iter().map(|(_, time)| *time).sum();
+        let end = start + decode_time + prefill_time;
         state.busy_until = end;
         let writers = state.decoding.clone();
         for writer in writers {
             self.decode(engine, writer, end);
         }
-        for (request, _) in read {
+        for (request, _) in started {
             self.finish_chunk(request);
         }
         true
     }
 
-    fn decode(&mut self, engine: usize, writer: usize, at: Duration) {
-        let request = &mut self.requests[writer];
+    fn decode(&mut self, engine: usize, request_index: usize, now: Duration) {
+        let request = &mut self.requests[request_index];
         match request.first_token_at {
-            None => request.first_token_at = Some(at),
+            None => request.first_token_at = Some(now),
             Some(_) => {
-                request.longest_pause = request.longest_pause.max(at - request.last_event_at)
+                request.longest_pause = request.longest_pause.max(now - request.last_event_at)
             }
         }
-        request.last_event_at = at;
+        request.last_event_at = now;
         request.decoded_tokens += u64::from(self.profile.steps_per_iteration);
         if request.decoded_tokens >= request.answer.0 {
             request.is_done = true;
-            self.engines[engine].decoding.retain(|&other| other != writer);
+            self.engines[engine].decoding.retain(|&other| other != request_index);
         }
     }
 
@@ -179,26 +180,26 @@
     }
 
     fn load(&self, engine: &Engine, now: Duration) -> Load {
-        let parts = engine.chunks.iter().filter(|(request, _)| self.is_known(*request));
-        let parts: Duration = parts.map(|(_, part)| *part).sum();
-        let writers: Vec<usize> =
+        let chunks = engine.chunks.iter().filter(|(request, _)| self.is_known(*request));
+        let chunks: Duration = chunks.map(|(_, time)| *time).sum();
+        let decoding: Vec<usize> =
             engine.decoding.iter().copied().filter(|&w| self.is_known(w)).collect();
         // Of an engine that is taken for empty, no pass is known to run.
-        let running = match parts.is_zero() && writers.is_empty() {
+        let iteration_left = match chunks.is_zero() && decoding.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
             true => Duration::ZERO,
             false => engine.busy_until.saturating_sub(now),
         };
-        let reading = match writers.is_empty() {
-            true => running,
-            false => running.saturating_sub(Duration::from_millis(60)),
+        let prefill_left = match decoding.is_empty() {
+            true => iteration_left,
+            false => iteration_left.saturating_sub(Duration::from_millis(60)),
         };
         Load {
-            prefill_backlog: parts + reading,
-            prefill_start_delay: parts + running,
-            next_iteration_prefill: parts,
-            decoding_streams: writers.len() as u32,
-            decode_context: writers.iter().map(|&w| self.requests[w].prompt).sum(),
+            prefill_backlog: chunks + prefill_left,
+            prefill_start_delay: chunks + iteration_left,
+            next_iteration_prefill: chunks,
+            decoding_streams: decoding.len() as u32,
+            decode_context: decoding.iter().map(|&w| self.requests[w].prompt).sum(),
             ..Load::default()
         }
     }
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -111,16 +111,19 @@
     bench.push("mawe", LONG, 1_000_000);
     bench.push("mawe", SHORT, 1_000);
     bench.push("caucao", SHORT, 1_000);
-    let (mut review, mut staff, mut rival) = (0, 0, 0);
+    let (mut long_grants, mut short_grants, mut other_grants) = (0, 0, 0);
     for _ in 0..1_000 {
         match bench.serve_next() {
-            ("mawe", LONG, _) => review += 1,
-            ("mawe", ..) => staff += 1,
-            _ => rival += 1,
+            ("mawe", LONG, _) => long_grants += 1,
+            ("mawe", ..) => short_grants += 1,
+            _ => other_grants += 1,
         }
     }
-    assert_eq!(review, 1);
-    assert!(staff * 2 >= rival - 2, "{staff} of the staff beside {rival} of the rival");
+    assert_eq!(long_grants, 1);
+    assert!(
+        short_grants * 2 >= other_grants - 2,
+        "{short_grants} of the staff beside {other_grants} of the rival"
+    );
     for _ in 0..20_000 {
         bench.serve();
     }
--- a/crates/policy/tests/phases/mod.rs
+++ b/crates/policy/tests/phases/mod.rs
@@ -116,10 +116,10 @@
 
 /// A number with this mean and spread, as callers' prompts are: most are
 /// smaller, a few several times as large.
-pub fn draw_size(random: &mut StdRng, mean: f64, spread: f64, most: f64) -> u64 {
+pub fn draw_size(random: &mut StdRng, mean: f64, spread: f64, max: f64) -> u64 {
     let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
     let sigma = (1.0 + spread * spread).ln().sqrt();
-    (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(most) as u64
+    (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(max) as u64
 }
 
 /// The requests of a mix in these phases, by arrival.
@@ -143,11 +143,11 @@
 }
 
 fn draw_request(random: &mut StdRng, mix: &Mix, kind: &Kind, at: f64) -> Request {
-    let (mean, spread, most) = kind.prompt;
+    let (mean, spread, max) = kind.prompt;
     let events = draw_size(random, kind.events, 0.6, 80.0).max(1);
     Request {
         arrival: Duration::from_secs_f64(at),
-        prompt: Tokens(draw_size(random, mean, spread, most).max(100)),
+        prompt: Tokens(draw_size(random, mean, spread, max).max(100)),
         answer: Tokens(events * mix.event_tokens),
         goal: kind.goal,
         inter_token_target: kind.inter_token_target,
@@ -160,8 +160,8 @@
 pub fn credit_of(mix: &Mix, request: &Request) -> f64 {
     let kind = mix.kinds.iter().find(|kind| kind.inter_token_target == request.inter_token_target);
     let kind = kind.expect("every request is of a kind");
-    let answers = 10.0 * mix.event_tokens as f64;
-    let mean = kind.prompt.0 + answers * kind.events;
+    let event_cost = 10.0 * mix.event_tokens as f64;
+    let mean_size = kind.prompt.0 + event_cost * kind.events;
     let size = request.prompt.0 as f64 + 10.0 * request.answer.0 as f64;
-    (kind.credit * (0.3 + 0.7 * size / mean)).min(4.0 * kind.credit)
+    (kind.credit * (0.3 + 0.7 * size / mean_size)).min(4.0 * kind.credit)
 }
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -93,13 +93,19 @@
 #[test]
 fn long_prompts_are_packed_and_short_ones_avoid_them() {
     let mut fleet = fleet(16);
-    let long = place_all(&mut fleet, (0..6).map(|i| query(cost(100_000, 500), i)));
-    assert_eq!(long.len(), 3, "two on each engine: {long:?}");
+    let engines_with_long = place_all(&mut fleet, (0..6).map(|i| query(cost(100_000, 500), i)));
+    assert_eq!(engines_with_long.len(), 3, "two on each engine: {engines_with_long:?}");
     // Two on each free engine: less to wait than a step of a long prefill.
-    let short = place_all(&mut fleet, (0..26).map(|i| query(cost(1_000, 32), i)));
-    assert!(short.keys().all(|index| !long.contains_key(index)), "{short:?}");
+    let engines_with_short = place_all(&mut fleet, (0..26).map(|i| query(cost(1_000, 32), i)));
+    assert!(
+        engines_with_short.keys().all(|index| !engines_with_long.contains_key(index)),
+        "{engines_with_short:?}"
+    );
     let burst = place_all(&mut fleet, (0..400).map(|i| query(cost(1_000, 32), i)));
-    assert!(burst.keys().any(|index| long.contains_key(index)), "a burst may use them all");
+    assert!(
+        burst.keys().any(|index| engines_with_long.contains_key(index)),
+        "a burst may use them all"
+    );
 }
 
 /// Demand for long work exceeds the fleet: it is spread over all engines and
@@ -116,19 +122,19 @@
 /// the hash does not, change speed and nothing else.
 #[test]
 fn prefix_affinity_is_bounded_by_load() {
-    let mut home = None;
+    let mut home_engine = None;
     for random in 0..100 {
         let fleet = fleet(16);
         let chosen = choose_target(&query_with_prefix(random, 8_000), &fleet).expect("some").hash;
-        assert_eq!(*home.get_or_insert(chosen), chosen, "no event ever came");
+        assert_eq!(*home_engine.get_or_insert(chosen), chosen, "no event ever came");
     }
     let counts = place_all(&mut fleet(16), (0..320).map(|i| query_with_prefix(i, 8_000)));
     assert!(counts.values().all(|&n| n <= 30), "{counts:?}");
-    let mut late = fleet(16);
-    let other = late.iter().position(|c| Some(c.hash) != home).expect("another");
-    late[other].has_cached_prefix = true;
-    let chosen = choose_target(&query_with_prefix(1, 8_000), &late).expect("some");
-    assert_eq!(chosen.hash, late[other].hash, "an event is worth more than the hash");
+    let mut with_event = fleet(16);
+    let other = with_event.iter().position(|c| Some(c.hash) != home_engine).expect("another");
+    with_event[other].has_cached_prefix = true;
+    let chosen = choose_target(&query_with_prefix(1, 8_000), &with_event).expect("some");
+    assert_eq!(chosen.hash, with_event[other].hash, "an event is worth more than the hash");
 }
 
 /// One target is slow to free its slots: it is passed over while others have
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -26,8 +26,8 @@
 }
 
 /// Parts of the short, middle and long requests that were served in time.
-fn play(engines: usize, requests: Vec<Request>, chooser: Policy) -> [f64; 3] {
-    replay::run(&Setup::new(engines), &profile(), requests, chooser).in_time()
+fn play(engines: usize, requests: Vec<Request>, policy: Policy) -> [f64; 3] {
+    replay::run(&Setup::new(engines), &profile(), requests, policy).in_time()
 }
 
 /// Callers of short prompts get answers that pause, and callers of long ones
@@ -37,16 +37,16 @@
 #[test]
 fn alternating_phases_serve_short_and_long() {
     const SEEDS: u32 = 6;
-    let mut sum = [0.0; 3];
+    let mut mean = [0.0; 3];
     for seed in 1..=u64::from(SEEDS) {
         let split = play(16, alternating_requests(seed), choose_by_plan);
         let whole = play(16, alternating_requests(seed), choose_least_loaded);
         for kind in 0..3 {
             assert!(split[kind] > whole[kind], "seed {seed}: {split:.2?}, whole {whole:.2?}");
-            sum[kind] += split[kind] / f64::from(SEEDS);
+            mean[kind] += split[kind] / f64::from(SEEDS);
         }
     }
-    let [short, middle, long] = sum;
+    let [short, middle, long] = mean;
     assert!(short > 0.85, "short {short:.2}");
     assert!(middle > 0.9, "middle {middle:.2}");
     assert!(long > 0.75, "long {long:.2}");
@@ -60,10 +60,13 @@
 fn too_few_engines_still_serve_all_kinds() {
     for seed in 7..=9 {
         let [short, middle, long] = play(10, alternating_requests(seed), choose_by_plan);
-        let least = play(10, alternating_requests(seed), choose_least_loaded);
-        assert!(short > least[0], "seed {seed}: short {short:.2}, whole {least:.2?}");
-        assert!(middle > least[1], "seed {seed}: middle {middle:.2}, whole {least:.2?}");
-        assert!(long > 0.25, "seed {seed}: long {long:.2}, whole {least:.2?}");
+        let least_loaded = play(10, alternating_requests(seed), choose_least_loaded);
+        assert!(short > least_loaded[0], "seed {seed}: short {short:.2}, whole {least_loaded:.2?}");
+        assert!(
+            middle > least_loaded[1],
+            "seed {seed}: middle {middle:.2}, whole {least_loaded:.2?}"
+        );
+        assert!(long > 0.25, "seed {seed}: long {long:.2}, whole {least_loaded:.2?}");
     }
 }
 
@@ -245,11 +248,11 @@
     for load in [0.7, 0.9, 1.1] {
         let phases = [Phase { begin: 0.0, end: 25.0, factors: [load, 0.0, 0.0] }];
         let [waiting, refusing] =
-            [choose_by_plan as Policy, choose_without_waiting].map(|chooser| {
+            [choose_by_plan as Policy, choose_without_waiting].map(|policy| {
                 let (mut in_time, mut refused) = (0.0, 0);
                 for seed in 1..=u64::from(SEEDS) {
                     let requests = draw_arrivals(&ADVICE, &phases, seed);
-                    let outcome = replay::run(&Setup::new(4), &profile(), requests, chooser);
+                    let outcome = replay::run(&Setup::new(4), &profile(), requests, policy);
                     in_time += outcome.in_time()[0] / f64::from(SEEDS);
                     refused += outcome.requests.iter().filter(|request| request.is_refused).count();
                 }
--- a/crates/policy/tests/preempt.rs
+++ b/crates/policy/tests/preempt.rs
@@ -39,12 +39,12 @@
 #[test]
 fn stream_with_least_work_to_redo_is_preempted() {
     let now = Instant::now();
-    let begun =
+    let streams =
         [batch_stream(now, 1, 90_000), batch_stream(now, 2, 8_000), batch_stream(now, 3, 30_000)];
-    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &begun), Some(2));
-    let far = [batch_stream(now, 1, 90_000), batch_stream(now, 2, 80_000)];
-    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &far), None);
-    assert_eq!(choose_victim(now, interactive_request(200), SPEED, &begun), None, "a short wait");
+    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &streams), Some(2));
+    let mostly_done = [batch_stream(now, 1, 90_000), batch_stream(now, 2, 80_000)];
+    assert_eq!(choose_victim(now, interactive_request(2_000), SPEED, &mostly_done), None);
+    assert_eq!(choose_victim(now, interactive_request(200), SPEED, &streams), None, "a short wait");
 }
 
 /// What must not go: interactive work, a stream whose own deadline would be
@@ -53,19 +53,23 @@
 #[test]
 fn protected_streams_are_never_preempted() {
     let now = Instant::now();
-    let fresh = batch_stream(now, 1, 0);
-    let spared = [
-        RunningStream { class: Class::Interactive, cost: cost(1_000, 1_000), ..fresh.clone() },
-        RunningStream { deadline: now + Duration::from_secs(15), ..fresh.clone() },
-        RunningStream { preemptions: 1, ..fresh.clone() },
-        RunningStream { cost: cost(500, 10), ..fresh.clone() },
+    let stream_to_preempt = batch_stream(now, 1, 0);
+    let protected = [
+        RunningStream {
+            class: Class::Interactive,
+            cost: cost(1_000, 1_000),
+            ..stream_to_preempt.clone()
+        },
+        RunningStream { deadline: now + Duration::from_secs(15), ..stream_to_preempt.clone() },
+        RunningStream { preemptions: 1, ..stream_to_preempt.clone() },
+        RunningStream { cost: cost(500, 10), ..stream_to_preempt.clone() },
     ];
-    for stream in spared {
+    for stream in protected {
         assert_eq!(
             choose_victim(now, interactive_request(2_000), SPEED, std::slice::from_ref(&stream)),
             None
         );
     }
     let waiting = WaitingRequest { class: Class::Batch, ..interactive_request(2_000) };
-    assert_eq!(choose_victim(now, waiting, SPEED, &[fresh]), None);
+    assert_eq!(choose_victim(now, waiting, SPEED, &[stream_to_preempt]), None);
 }
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -45,35 +45,35 @@
     pub fn in_time(&self) -> [f64; 3] {
         [250, 600, 1_000].map(|gap| {
             let is_kind = |r: &&Request| r.inter_token_target == Duration::from_millis(gap);
-            let kind: Vec<&Request> = self.requests.iter().filter(is_kind).collect();
-            let served = kind.iter().filter(|r| r.is_in_time()).count();
-            served as f64 / kind.len().max(1) as f64
+            let requests: Vec<&Request> = self.requests.iter().filter(is_kind).collect();
+            let in_time = requests.iter().filter(|r| r.is_in_time()).count();
+            in_time as f64 / requests.len().max(1) as f64
         })
     }
 
     /// The part of all credit that was earned.
     pub fn credit(&self, mix: &Mix) -> f64 {
-        let owed: f64 = self.requests.iter().map(|r| phases::credit_of(mix, r)).sum();
+        let total: f64 = self.requests.iter().map(|r| phases::credit_of(mix, r)).sum();
         let earned = self.requests.iter().map(|r| match (r.is_in_time(), r.is_done) {
             (true, _) => phases::credit_of(mix, r),
             (false, true) => phases::credit_of(mix, r) * LATE_CREDIT_FRACTION,
             (false, false) => 0.0,
         });
-        earned.sum::<f64>() / owed
+        earned.sum::<f64>() / total
     }
 }
 
 /// Plays requests, by arrival, with this choice.
-pub fn run(scene: &Setup, profile: &Profile, requests: Vec<Request>, chooser: Policy) -> Outcome {
-    let mut fleet = Fleet::open(profile.clone(), scene.engines, requests);
+pub fn run(setup: &Setup, profile: &Profile, requests: Vec<Request>, policy: Policy) -> Outcome {
+    let mut fleet = Fleet::open(profile.clone(), setup.engines, requests);
     let mut now = Duration::ZERO;
     while now < SIMULATION_TIME {
-        if scene.forget_at.is_some_and(|at| at == now) {
+        if setup.forget_at.is_some_and(|at| at == now) {
             fleet.forget_placements();
         }
         fleet.run(now);
         for request in waiting_requests(&fleet, now) {
-            match chooser(&fleet, request, now) {
+            match policy(&fleet, request, now) {
                 Ok(Choice::Place(plan)) => {
                     fleet.place(request, plan.primary, &plan.helpers, plan.chunk_time, now)
                 }
@@ -88,16 +88,18 @@
 
 /// Requests that wait: the short ones as they came, then the smallest first.
 fn waiting_requests(fleet: &Fleet, now: Duration) -> Vec<usize> {
-    let waits = |&request: &usize| {
-        let r = &fleet.requests[request];
-        r.arrival <= now && r.placement.is_none() && !r.is_refused
+    let is_waiting = |&request: &usize| {
+        let request_state = &fleet.requests[request];
+        request_state.arrival <= now
+            && request_state.placement.is_none()
+            && !request_state.is_refused
     };
-    let mut waiting: Vec<usize> = (0..fleet.requests.len()).filter(waits).collect();
+    let mut waiting: Vec<usize> = (0..fleet.requests.len()).filter(is_waiting).collect();
     waiting.sort_by_key(|&request| {
-        let r = &fleet.requests[request];
-        match plan::is_short(&fleet.profile, r.prompt, r.goal) {
-            true => (false, r.arrival, Tokens(0)),
-            false => (true, Duration::ZERO, r.prompt),
+        let request_state = &fleet.requests[request];
+        match plan::is_short(&fleet.profile, request_state.prompt, request_state.goal) {
+            true => (false, request_state.arrival, Tokens(0)),
+            false => (true, Duration::ZERO, request_state.prompt),
         }
     });
     waiting
@@ -105,25 +107,25 @@
 
 /// What a request asks of the plan.
 fn query(fleet: &Fleet, request: usize, now: Duration) -> Query {
-    let r = &fleet.requests[request];
-    let read = fleet.profile.prefill_time(r.prompt);
+    let own = &fleet.requests[request];
+    let prefill_time = fleet.profile.prefill_time(own.prompt);
     let waiting = fleet
         .requests
         .iter()
         .filter(|other| other.arrival <= now && other.placement.is_none() && !other.is_refused);
     let is_short = |r: &Request| plan::is_short(&fleet.profile, r.prompt, r.goal);
     let (short, long): (Vec<&Request>, Vec<&Request>) = waiting.partition(|other| is_short(other));
-    let reads = long.iter().map(|other| fleet.profile.prefill_time(other.prompt));
-    let before = short.iter().filter(|other| other.arrival < r.arrival);
+    let prefill_times = long.iter().map(|other| fleet.profile.prefill_time(other.prompt));
+    let short_before = short.iter().filter(|other| other.arrival < own.arrival);
     Query {
-        prompt_tokens: r.prompt,
-        answer_tokens: r.answer,
-        is_short: is_short(r),
-        goal_left: (r.arrival + r.goal).saturating_sub(now),
-        limit_left: (r.arrival + r.goal * 4).saturating_sub(now),
+        prompt_tokens: own.prompt,
+        answer_tokens: own.answer,
+        is_short: is_short(own),
+        goal_left: (own.arrival + own.goal).saturating_sub(now),
+        limit_left: (own.arrival + own.goal * 4).saturating_sub(now),
         ahead: Ahead {
-            prefill_time: reads.filter(|other| *other < read).sum(),
-            short_prompts: before.count() as u32,
+            prefill_time: prefill_times.filter(|other| *other < prefill_time).sum(),
+            short_prompts: short_before.count() as u32,
         },
         typical_stream_time: typical_stream_time(fleet),
     }
@@ -132,12 +134,12 @@
 /// What short streams took that ended last.
 fn typical_stream_time(fleet: &Fleet) -> Duration {
     const LAST: usize = 16;
-    let ended = fleet
+    let finished = fleet
         .requests
         .iter()
         .rev()
         .filter(|r| r.is_done && r.inter_token_target < Duration::from_millis(500));
-    let times = ended.filter_map(|r| r.last_event_at.checked_sub(r.placed_at?)).take(LAST);
+    let times = finished.filter_map(|r| r.last_event_at.checked_sub(r.placed_at?)).take(LAST);
     let times: Vec<Duration> = times.collect();
     match times.len() {
         0 => fleet.profile.stream_time(fleet.profile.slots),
@@ -179,14 +181,14 @@
     Ok(place_whole(fleet, request, request % fleet.engines()))
 }
 
-fn place_whole(fleet: &Fleet, request: usize, first: usize) -> Choice {
-    let part = fleet.profile.prefill_time(fleet.requests[request].prompt);
-    let (helpers, memory) = (Vec::new(), Vec::new());
+fn place_whole(fleet: &Fleet, request: usize, primary: usize) -> Choice {
+    let chunk_time = fleet.profile.prefill_time(fleet.requests[request].prompt);
+    let (helpers, kv_reservations) = (Vec::new(), Vec::new());
     Choice::Place(Plan {
-        primary: first,
+        primary,
         helpers,
-        kv_reservations: memory,
-        chunk_time: part,
-        time_to_first_token: part,
+        kv_reservations,
+        chunk_time,
+        time_to_first_token: chunk_time,
     })
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -96,8 +96,8 @@
         Step::Ask(part) => part,
     };
     let limiter = limiters.get_mut(&part.target).expect("known");
-    let wanted = Ask { cost: part.cost, urgent: true, ..batch(now, "mawe", 0) };
-    let granted = match limiter.ask(now, wanted) {
+    let ask = Ask { cost: part.cost, urgent: true, ..batch(now, "mawe", 0) };
+    let granted = match limiter.ask(now, ask) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
         Answer::Queued(_) => panic!("an urgent ask was queued"),
@@ -129,10 +129,10 @@
         let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
         let mut open: Vec<_> = (0..3).map(|_| Some(Reservation::open(parts.clone()))).collect();
         let mut rounds = [0_u32; 3];
-        let mut wake = [now; 3];
+        let mut retry_at = [now; 3];
         let mut turns = 0;
         while open.iter().any(Option::is_some) {
-            let who = seed[turns % seed.len()];
+            let index = seed[turns % seed.len()];
             turns += 1;
             prop_assert!(turns < 5_000, "a reservation starved");
             now += ms(20);
@@ -140,17 +140,17 @@
                 limiter.ask(now, Ask { deadline: now + ms(400), ..ask(now, "caucao", 500) });
                 limiter.poll(now);
             });
-            let Some(reservation) = open[who].as_mut().filter(|_| wake[who] <= now) else { continue };
+            let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now) else { continue };
             if let Some(held) = run_step(&mut limiters, now, reservation) {
                 prop_assert_eq!(held.len(), 3);
                 for (part, ticket) in held {
                     let limiter = limiters.get_mut(&part.target).expect("known");
                     limiter.settle(now, ticket, Outcome::Whole(None));
                 }
-                open[who] = None;
+                open[index] = None;
             } else if reservation.next_step() == Step::Ask(first_part_by_target(&parts)) {
-                rounds[who] += 1;
-                wake[who] = now + backoff(rounds[who], random ^ turns as u64);
+                rounds[index] += 1;
+                retry_at[index] = now + backoff(rounds[index], random ^ turns as u64);
             }
         }
         now += Duration::from_secs(70);
