--- a/crates/policy/benches/common/mod.rs
+++ b/crates/policy/benches/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the benches of the decisions share: a large fleet and an owner with a long
-//! queue, the same in each run.
+//! Fixtures shared by the policy benchmarks: a large fleet and an owner with a long queue, the same
+//! in each run.
 
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::limit::{Answer, Ask, Capacity, Limiter, Observed, Ticket};
@@ -13,14 +13,14 @@
 const PARTNERS: u64 = 12;
 const QUEUED: usize = 10_000;
 
-/// Numbers that look random and are the same in each run.
+/// Returns a pseudo-random number, the same in each run.
 pub fn number(index: u64) -> u64 {
     let mut z = index.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z ^ (z >> 27)
 }
 
-/// Candidates with all sorts of load.
+/// Returns candidates with varied load.
 pub fn candidates() -> Vec<Candidate> {
     let candidate = |index: u64| {
         let target = id::Target::from(format!("engine-{index}").as_str());
@@ -66,7 +66,7 @@
     }
 }
 
-/// A warm, full limiter with asks queued, and the permits that run.
+/// Returns a warm, full limiter with queued requests, and the running permits.
 pub fn limiter(start: Instant) -> (Instant, Limiter, Vec<Ticket>) {
     let capacity = Capacity { streams: 64, kv: size::Tokens(450_000_000), prefill_rate: 4_000_000 };
     let mut limiter = Limiter::open(capacity);
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -1,4 +1,4 @@
-//! One placement and one admission at the size to come.
+//! Benchmarks of one placement and one admission at the planned fleet size.
 
 mod common;
 
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -1,5 +1,5 @@
-//! Percentiles of one decision: a target is chosen in a large fleet, and its owner,
-//! at which many asks wait, answers the ask.
+//! Percentiles of one decision: choosing a target in a large fleet, and the answer of its owner
+//! with a long queue.
 //!
 //! `cargo bench -p hickory-policy --bench percentile`
 
--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -1,15 +1,13 @@
-//! An upper bound of the credit that any placement can get from a load that it
-//! knows in advance.
+//! An upper bound of the credit that any placement can earn from a load that is known in advance.
 //!
-//! Engines are taken for one machine of their joint rate, any prompt may be read
-//! by all of them at once, in any pieces, and served in any part for that part of
-//! its credit. Three real limits are left, each by itself: prompts are read between
-//! their arrival and their goal; reading and writing fit into the engines' time,
-//! writing at the rate of a full engine; and streams hold slots, for as long as an
-//! engine takes that writes just one. No span of time holds more than the engines
-//! do in it. For such loads the greatest credit is found by taking prompts by credit
-//! for what they use, each as far as every span around it has room; the least of the
-//! three is the bound.
+//! The bound relaxes the problem: the engines form one machine with their joint rate, any prompt
+//! may be prefilled by all of them at once in any pieces, and any fraction of a prompt earns that
+//! fraction of its credit. Three limits remain, each applied alone: prompts are prefilled between
+//! their arrival and their goal; prefill and decode fit into the engines' time, with decode at the
+//! rate of a full engine; and streams hold slots for as long as an engine with a single stream
+//! takes. No time span holds more work than the engines can do in it. For such loads the maximum
+//! credit is found greedily by credit per work, each prompt as far as every span around it has
+//! capacity. The lowest of the three results is the bound.
 
 use crate::engines::Request;
 use crate::phases::{self, Mix};
@@ -17,22 +15,21 @@
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// The grain of time. Spans are rounded outwards to it, which can only raise the
-/// bound.
+/// Time resolution. Spans are rounded outwards to it, which can only raise the bound.
 const SLICE: Duration = Duration::from_millis(200);
 
-/// What prompts use up.
+/// The limited resource.
 #[derive(Clone, Copy)]
 enum Limit {
-    /// Time to read, until the goal.
+    /// Prefill time until the goal.
     Reading,
-    /// Time to read and to write.
+    /// Time to prefill and to decode.
     Work,
-    /// Slots.
+    /// Stream slots.
     Slots,
 }
 
-/// The part of all credit that could be got.
+/// Returns the maximum fraction of the total credit.
 pub fn max_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
     let total_credit: f64 = requests.iter().map(|request| phases::credit_of(mix, request)).sum();
     let earn = |limit: Limit| {
@@ -44,9 +41,9 @@
 
 struct Task {
     credit: f64,
-    /// What one engine needs for it.
+    /// Engine time that it needs.
     work: Duration,
-    /// The grains in which it may be worked on.
+    /// Time slices in which it may be processed.
     first_slice: usize,
     end_slice: usize,
 }
@@ -57,7 +54,7 @@
         let prefill_time = profile.prefill_time(request.prompt);
         let iteration = |streams| profile.iteration_time(streams, Tokens(0));
         let goal = request.arrival + request.goal;
-        // It is written within the pauses that its caller bears.
+        // It is decoded within the pauses that its caller tolerates.
         let latest_end = goal + request.inter_token_target * events;
         let (work, end) = match limit {
             Limit::Reading => (prefill_time, goal),
@@ -86,7 +83,7 @@
     tasks.iter().map(|task| task.credit * spans.reserve(task)).sum()
 }
 
-/// What is still free in each span of grains.
+/// Free capacity of each span of slices.
 struct Spans {
     slices: usize,
     free: Vec<f64>,
@@ -101,8 +98,8 @@
         Self { slices: grains, free: free.collect() }
     }
 
-    /// Takes as much of a task as all spans around it have room for; returns the
-    /// part.
+    /// Reserves as much of a task as all spans around it have capacity for, and returns that
+    /// fraction.
     fn reserve(&mut self, task: &Task) -> f64 {
         let spans = (0..=task.first_slice)
             .flat_map(|begin| (task.end_slice..=self.slices).map(move |end| (begin, end)));
--- a/crates/policy/examples/regret/main.rs
+++ b/crates/policy/examples/regret/main.rs
@@ -1,6 +1,6 @@
-//! What placement earns of what could be earned: the part of all credit that our
-//! choice gets, that two simpler ones get, and that nobody could exceed who knew
-//! every arrival in advance.
+//! Measures how much of the possible credit placement earns: the fraction of the total credit for
+//! our policy, for two simpler ones, and an upper bound for any policy that knows every arrival in
+//! advance.
 //!
 //! `cargo run --release -p hickory-policy --example regret -- --seeds 6`
 
@@ -21,30 +21,30 @@
 use replay::{Outcome, Policy, Setup};
 use std::time::Duration;
 
-/// Measures regret.
+/// Measures the regret of the placement policy.
 #[derive(Parser)]
 struct Options {
-    /// Seeds to play, from 1.
+    /// Number of seeds to simulate, from 1.
     #[arg(long, default_value_t = 6)]
     seeds: u64,
-    /// Print the parts of each kind that were in time as well.
+    /// Also print the fractions of each kind that were answered in time.
     #[arg(long)]
     kinds: bool,
-    /// Play our choice alone.
+    /// Simulate only our policy.
     #[arg(long)]
     quick: bool,
 }
 
-/// A load and the engines that it meets.
+/// A load and the number of engines.
 struct Case {
     name: &'static str,
     engines: usize,
     phases: Vec<Phase>,
-    /// When all that was known of the engines is forgotten.
+    /// When the owner forgets all placements.
     forget: Option<Duration>,
 }
 
-/// The cases at sixteen engines times this.
+/// Returns the cases for sixteen engines times `size`.
 fn cases(size: f64) -> Vec<Case> {
     let usual = || alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
     let mut burst = usual();
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The owner's limit on a target under asks and events in any order.
+//! Property tests of the limiter on a target, with requests and events in any order.
 
 mod common;
 
@@ -11,16 +11,15 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A target with four slots, bound by slots and not by prefill.
+/// A target with four slots that is limited by slots, not by prefill.
 const FOUR_SLOTS: Capacity =
     Capacity { streams: 4, kv: size::Tokens(450_000), prefill_rate: 4_000_000 };
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever comes in whatever order: granted streams and memory stay
-    /// within the bound that held at the grant, each ticket is answered once,
-    /// and in the end nothing is held.
+    /// For any order of events, granted streams and memory stay within the bound at the time of the
+    /// grant, each ticket is answered once, and no permit is held at the end.
     #[test]
     fn limiter_never_exceeds_its_bound(ops in prop::collection::vec((0u8..10, 0usize..8, 1u64..90_000), 1..300)) {
         let capacity = Capacity { streams: 6, kv: size::Tokens(100_000), prefill_rate: 40_000 };
@@ -88,8 +87,8 @@
         prop_assert_eq!(limiter.prefill_queued(), size::Tokens(0));
     }
 
-    /// A batch ask with time enough starts by its age bound and one turn,
-    /// however many interactive asks of its account come.
+    /// A batch request with enough time must start within its maximum wait plus one turn,
+    /// regardless of the number of interactive requests of its account.
     #[test]
     fn batch_starts_within_its_maximum_wait(load in 1usize..6, size in 100u64..4_000) {
         let (mut now, mut limiter) = warm(Instant::now(), FOUR_SLOTS);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the decisions share: asks and a fixed start of time.
+//! Helpers shared by the policy tests: permit requests, load reports and limiters.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use hickory_policy::cost::{Class, Cost};
@@ -18,7 +18,7 @@
     Cost { prefill: size::Tokens(prefill), decode: size::Tokens(decode) }
 }
 
-/// An interactive ask with a minute of time.
+/// An interactive request with a deadline in one minute.
 pub fn ask(now: Instant, partner: &str, prefill: u64) -> Ask {
     Ask {
         partner: partner.into(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A limiter of a target whose ramp is over.
+/// Returns a limiter of a target that has finished its ramp.
 pub fn warm(now: Instant, capacity: Capacity) -> (Instant, Limiter) {
     let mut limiter = Limiter::open(capacity);
     let mut now = now;
@@ -66,7 +66,7 @@
     }
 }
 
-/// The tickets that a poll granted.
+/// Polls and returns the granted tickets.
 pub fn granted(limiter: &mut Limiter, now: Instant) -> Vec<Ticket> {
     limiter.poll(now).into_iter().filter(|(_, a)| a.is_ok()).map(|(t, _)| t).collect()
 }
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -1,13 +1,13 @@
-//! Engines by their published cost model, in steps of virtual time: a pass
-//! reads all that is there, the newest part first, and then writes a stride of
-//! tokens for each stream. One event goes out at the end of each pass.
+//! Simulation of engines by their published cost model, in steps of virtual time. An iteration
+//! prefills all pending chunks, the newest first, and then decodes several tokens for each stream.
+//! Each stream gets one event at the end of an iteration.
 
 use hickory_policy::engine::Profile;
 use hickory_policy::plan::Load;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// A request in the simulation.
+/// A simulated request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub arrival: Duration,
@@ -15,7 +15,7 @@
     pub answer: Tokens,
     pub goal: Duration,
     pub inter_token_target: Duration,
-    /// Engines that have still to read their part.
+    /// Engines that still have to prefill their chunk.
     pub chunks_left: u32,
     pub placement: Option<(usize, Vec<usize>, Duration)>,
     pub placed_at: Option<Duration>,
@@ -28,7 +28,7 @@
 }
 
 impl Request {
-    /// Whether its caller got all of it in time.
+    /// Whether the caller received the whole answer in time.
     pub fn is_in_time(&self) -> bool {
         let is_first_in_time =
             self.first_token_at.is_some_and(|first| first - self.arrival <= self.goal);
@@ -38,10 +38,10 @@
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    /// Requests and what is left of their parts; the last is read first.
+    /// Requests and the prefill time of their chunks; the last one is prefilled first.
     chunks: Vec<(usize, Duration)>,
     decoding: Vec<usize>,
-    /// When the pass that runs ends.
+    /// End of the running iteration.
     busy_until: Duration,
 }
 
@@ -51,7 +51,7 @@
     pub profile: Profile,
     engines: Vec<Engine>,
     pub requests: Vec<Request>,
-    /// What was placed before is not known.
+    /// Placements before this time are unknown to the owner.
     known_since: Duration,
 }
 
@@ -65,7 +65,7 @@
         self.engines.len()
     }
 
-    /// Forgets what was placed so far: the engines go on with it unseen.
+    /// Makes the owner forget all placements; the engines continue their work.
     pub fn forget_placements(&mut self) {
         let placed = self.requests.iter().filter_map(|request| request.placed_at);
         self.known_since = placed.max().unwrap_or_default() + Duration::from_nanos(1);
@@ -75,7 +75,7 @@
         self.requests[request].placed_at.is_some_and(|at| at >= self.known_since)
     }
 
-    /// Places a request: each engine gets its part.
+    /// Places a request: each engine gets its chunk.
     pub fn place(
         &mut self,
         request: usize,
@@ -93,14 +93,14 @@
         self.requests[request].placed_at = Some(now);
     }
 
-    /// Runs every engine whose pass has ended by `now`.
+    /// Runs every engine whose iteration has ended by `now`.
     pub fn run(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
             while self.engines[engine].busy_until <= now && self.run_iteration(engine, now) {}
         }
     }
 
-    /// One pass; whether there was anything to do.
+    /// Runs one iteration and returns whether the engine had work.
     fn run_iteration(&mut self, engine: usize, now: Duration) -> bool {
         let state = &mut self.engines[engine];
         if state.chunks.is_empty() && state.decoding.is_empty() {
@@ -113,8 +113,8 @@
             true => Duration::ZERO,
             false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
         };
-        // Without writers a pass is one chunk, so that a newer part comes next;
-        // the newest part read whole is close enough to that.
+        // Without decoding streams an iteration is one small chunk, so that a newer request is
+        // prefilled next. Prefilling the newest chunk whole approximates this.
         let started: Vec<(usize, Duration)> = match state.decoding.is_empty() {
             true => state.chunks.pop().into_iter().collect(),
             false => std::mem::take(&mut state.chunks),
@@ -157,7 +157,7 @@
         }
     }
 
-    /// What the ledger of an owner says.
+    /// Returns the loads as the ledger of an owner reports them.
     pub fn loads(&self, now: Duration) -> Vec<Load> {
         let mut loads: Vec<Load> =
             self.engines.iter().map(|engine| self.load(engine, now)).collect();
@@ -184,7 +184,7 @@
         let chunks: Duration = chunks.map(|(_, time)| *time).sum();
         let decoding: Vec<usize> =
             engine.decoding.iter().copied().filter(|&w| self.is_known(w)).collect();
-        // Of an engine that is taken for empty, no pass is known to run.
+        // If the owner takes the engine for empty, it knows of no running iteration.
         let iteration_left = match chunks.is_zero() && decoding.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
             true => Duration::ZERO,
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queueing by partner, account and class.
+//! Tests of weighted fair queueing by partner, account and class.
 
 mod common;
 
@@ -14,7 +14,7 @@
 const SHORT_BATCH: Lane = Lane { class: Class::Batch, is_long: false };
 const LONG: Lane = Lane { class: Class::Interactive, is_long: true };
 
-/// A queue that counts the work that each partner got.
+/// A queue that counts the work granted to each partner.
 struct Fixture {
     queue: Queue,
     now: Instant,
@@ -38,7 +38,7 @@
         self.items.insert(self.last_ticket, (partner, lane, work));
     }
 
-    /// Serves the next ask and queues another of its kind.
+    /// Grants the next request and queues another one of the same kind.
     fn serve_next(&mut self) -> (&'static str, Lane, u64) {
         let (ticket, _) = self.queue.peek(self.now, Lanes::ALL).expect("work waits");
         assert!(self.queue.grant(ticket));
@@ -57,9 +57,8 @@
     }
 }
 
-/// Saturation with a skewed mix: the partner with the small share sends ten
-/// times as many requests, each a tenth as long. Work, not requests, is
-/// shared.
+/// The target is saturated, and the partner with the smaller share sends ten times as many
+/// requests, each a tenth as long. Shares must hold by work, not by number of requests.
 #[test]
 fn shares_are_independent_of_request_size() {
     let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
@@ -69,8 +68,8 @@
     assert!((bench.work_fraction("mawe") - 0.75).abs() < 0.02, "{}", bench.work_fraction("mawe"));
 }
 
-/// The shares are renegotiated while both partners are backlogged: what is
-/// served from then on follows the new ones.
+/// The shares change while both partners have queued requests; grants must follow the new shares
+/// from then on.
 #[test]
 fn replaced_shares_apply_to_queued_requests() {
     let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
@@ -87,9 +86,8 @@
     );
 }
 
-/// One partner used the whole target while the other was idle. When the other
-/// is back it gets its share from the first turn, and no more than that: it
-/// does not collect what it left unused.
+/// One partner used the whole target while the other was idle. When the other one returns, it must
+/// get its share from the first grant, but no credit for the unused time.
 #[test]
 fn idle_share_returns_immediately_without_credit() {
     let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
@@ -101,10 +99,9 @@
     assert_eq!(first.iter().filter(|&&p| p == "caucao").count(), 5, "{first:?}");
 }
 
-/// A partner's archive review of a million tokens and its counter staff share
-/// one share. The staff keeps at least half of what the share gives while the
-/// review is paid off; the other partner still gets its half over all, and
-/// the next review comes.
+/// Guards against a long prompt of a million tokens that blocks the short requests of its own
+/// partner. These must get at least half of the partner's share while the debt is paid off. The
+/// other partner still gets its half overall, and further long prompts are granted.
 #[test]
 fn long_prompt_does_not_block_its_own_partner() {
     let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
@@ -131,8 +128,8 @@
     assert!((bench.work_fraction("mawe") - 0.5).abs() < 0.05, "{}", bench.work_fraction("mawe"));
 }
 
-/// Interactive asks of the account come without end. Its batch asks wait, but
-/// not past the age bound: the report arrives.
+/// Guards against batch requests that starve behind an endless sequence of interactive requests of
+/// the same account.
 #[test]
 fn batch_is_overtaken_for_a_bounded_time() {
     let mut bench = Fixture::open(&[]);
@@ -147,8 +144,8 @@
     assert_eq!(turns, MAX_BATCH_OVERTAKING.as_millis() / 100);
 }
 
-/// A lane without room does not hold up the others: the flow whose turn it is
-/// in a blocked lane is passed over and keeps its place.
+/// Guards against a lane without capacity that blocks the others: it is skipped, and its first
+/// request keeps its position.
 #[test]
 fn blocked_lane_is_skipped() {
     let mut bench = Fixture::open(&[]);
@@ -161,9 +158,8 @@
     assert_eq!(bench.queue.peek(bench.now, Lanes::ALL).map(|(t, _)| t), Some(1));
 }
 
-/// An account moves to the other partner by a release note while it has asks
-/// queued: the old ones stay charged to the old partner, the new ones to the
-/// new one, and none is lost.
+/// An account moves to another partner while it has queued requests. The old requests stay charged
+/// to the old partner, new ones to the new partner, and none is lost.
 #[test]
 fn account_changes_partner() {
     let mut queue = Queue::open();
@@ -177,8 +173,8 @@
 }
 
 proptest! {
-    /// Under any arrival and departure, each ask comes out once, and none
-    /// is lost.
+    /// Each request is granted or removed exactly once, for any sequence of arrivals and
+    /// departures.
     #[test]
     fn no_request_is_lost_or_served_twice(ops in prop::collection::vec((0u8..4, 0usize..4, 0usize..5, 1u64..50_000), 1..400)) {
         let partners = ["a", "b", "c"].map(id::Partner::from);
@@ -213,8 +209,8 @@
         prop_assert!(waiting.is_empty());
     }
 
-    /// Backlogged partners of any shares, with short requests of any size,
-    /// differ from their shares by no more than the greatest requests.
+    /// The work of backlogged partners with short requests of any size differs from their shares by
+    /// no more than the largest requests.
     #[test]
     fn share_error_is_bounded(
         shares in prop::collection::vec(1u64..20, 2..6),
--- a/crates/policy/tests/iteration.rs
+++ b/crates/policy/tests/iteration.rs
@@ -1,4 +1,4 @@
-//! What an engine has to do before a further prompt, by its passes.
+//! Tests of the simulated iterations of an engine.
 
 mod profile;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A stride of an engine with these writers.
+/// Decode time of an iteration with this number of streams.
 fn decode_time(writers: u32) -> Duration {
     profile().iteration_time(writers, Tokens(0))
 }
@@ -29,10 +29,9 @@
     time.abs_diff(wanted) < ms(2)
 }
 
-/// Callers of six short prompts all wait twice their goal. The prompts come
-/// within one pass of an engine that writes; none is read before the pass ends,
-/// and the books count the first ones as read by then. A seventh prompt must
-/// find all six before it.
+/// Guards against a first token after twice the goal for six short prompts that arrive within one
+/// iteration of a decoding engine. None of them is prefilled before the iteration ends; if some
+/// counted as prefilled by then, a seventh prompt would not see all six before it.
 #[test]
 fn prompts_arriving_within_an_iteration_are_prefilled_in_the_next() {
     let ended = Instant::now();
@@ -50,8 +49,8 @@
     assert!(backlog.prefill_left >= ms(180), "{backlog:?}");
 }
 
-/// In the pass after, all of them are being read, and a further prompt waits
-/// for its end: their reading and a stride.
+/// In the next iteration all of them are prefilled, so a further prompt waits until its end: their
+/// prefill and the decode time.
 #[test]
 fn iteration_is_longer_by_its_prefills() {
     let ended = Instant::now();
@@ -68,8 +67,7 @@
     assert!(is_near(backlog.prefill_start_delay, wanted), "{backlog:?}, wanted {wanted:?}");
 }
 
-/// Without a word of its passes, an engine that only writes is at any point of
-/// one.
+/// If no iteration end is known, a decoding engine is at a random point of its iteration.
 #[test]
 fn decoding_engine_is_assumed_halfway_through_an_iteration() {
     let mut engine = Engine { decoding_streams: 4, ..Engine::default() };
@@ -80,10 +78,10 @@
     );
 }
 
-/// Long prompts wait while engines idle. Their parts are read, but the word of
-/// the first token takes a stride and a datagram to come; counted as reading for
-/// so long, each engine is left idle between two prompts. An engine that should
-/// be done is taken for done, until the word is overdue.
+/// Guards against engines that idle between two long prompts. The first token of a finished chunk
+/// is reported one iteration and one datagram later; if the chunk counted as running until then,
+/// each engine would idle for that time. An engine counts as done at the predicted time, until the
+/// report is overdue.
 #[test]
 fn engine_counts_as_done_until_its_first_token_is_overdue() {
     let now = Instant::now() + ms(1_000);
@@ -103,10 +101,10 @@
     assert_eq!(unread(340, 2), Duration::ZERO);
 }
 
-/// At the beginning of a phase of short prompts, callers wait twice their goal.
-/// Of many nodes, each hears half a second late that an engine writes; reckoned
-/// without its strides, it looks as if it read the next prompts at once. Prompts
-/// that must have been read are reckoned as written.
+/// Guards against a first token after twice the goal at the start of a phase of short prompts.
+/// Nodes learn half a second late that an engine decodes; without the decode time of its
+/// iterations, it seems to prefill the next prompts immediately. Prompts that must have been
+/// prefilled count as decoding.
 #[test]
 fn finished_prefills_count_as_decoding() {
     let now = Instant::now() + ms(1_000);
@@ -115,7 +113,8 @@
         Engine { pending_prefills: vec![placed(200), placed(190)], ..Engine::default() };
     let backlog = engine.backlog(now, &profile());
     assert_eq!((backlog.decoding_streams, backlog.prefill_left), (2, Duration::ZERO));
-    // Read until 170 ms ago with the first one's stride between, it strides since.
+    // The last prefill ended 170 ms ago, after the decode time of the first prompt; decoding since
+    // then.
     assert!(
         backlog.prefill_start_delay > Duration::ZERO
             && backlog.prefill_start_delay <= decode_time(2),
@@ -126,9 +125,9 @@
     assert_eq!(engine.backlog(now, &profile()).decoding_streams, 0, "another engine writes");
 }
 
-/// Callers who come to an idle engine one after the other are promised 40 and 67 ms
-/// and wait 130. The first prompt is written while the others are read, and each
-/// pass has its stride; they were reckoned as if nothing was written.
+/// Guards against a first token after 130 ms instead of the predicted 40 and 67 ms for prompts that
+/// arrive at an idle engine one after the other. The first prompt decodes while the others are
+/// prefilled, so each iteration includes decode time.
 #[test]
 fn earlier_prompts_decode_beside_a_new_one() {
     let now = Instant::now();
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -1,4 +1,4 @@
-//! Which engine holds which weights, through changes of demand and fleet.
+//! Tests of the assignment of weights to engines under changes of demand and fleet.
 
 mod common;
 
@@ -10,8 +10,7 @@
 
 type Weights = &'static str;
 
-/// A fleet that carries out the changes; a load takes effect at once or at
-/// `finish_loads`.
+/// A fleet that applies the changes. A load is ready after `finish_loads`.
 struct Fixture {
     layout: Layout<Weights>,
     deployments: Vec<Deployment<Weights>>,
@@ -93,8 +92,8 @@
     }
 }
 
-/// Replicas follow demand, each model keeps its least number, and replicas of
-/// one model stand in different zones.
+/// Replicas follow demand, each model keeps its minimum number of replicas, and replicas of one
+/// model are in different zones.
 #[test]
 fn replicas_follow_demand() {
     let mut bench = Fixture::open(12, &["big", "small"]);
@@ -107,8 +106,8 @@
     assert_eq!(zones.len(), 3);
 }
 
-/// A burst of ten seconds at four times the demand, and a small shift that
-/// lasts, reload nothing.
+/// Guards against loads caused by a burst of ten seconds at four times the demand, or by a small
+/// lasting shift.
 #[test]
 fn burst_causes_no_loads() {
     let mut bench = Fixture::open(12, &["big", "small", "other"]);
@@ -127,10 +126,9 @@
     assert!(bench.ready("big") >= 10, "what lasts is followed");
 }
 
-/// A zone returns with all its engines empty, and one model has lost all its
-/// replicas, while the store bears two loads at once: that model comes first,
-/// into two zones, never more than two loads run, and no engine of the zone
-/// stays empty.
+/// A zone returns with all its engines empty, one model has lost all its replicas, and the store
+/// can serve two loads at once. That model must be loaded first and into two zones, no more than
+/// two loads may run, and no engine may stay empty.
 #[test]
 fn empty_zone_loads_the_scarcest_weights_first() {
     let mut bench = Fixture::open(9, &["big", "small"]);
@@ -161,9 +159,9 @@
     assert_eq!(bench.ready("big"), 9);
 }
 
-/// A new version goes out: it is loaded beside the old one, which serves until
-/// the new one is ready on as many engines as are wanted and the last stream
-/// on it has ended. At each step one of the two can serve.
+/// Guards against a gap in service during the rollout of a version. The new version is loaded
+/// beside the old one, which serves until the new one is ready on the wanted number of engines and
+/// its last stream has ended.
 #[test]
 fn new_version_replaces_the_old_without_a_gap() {
     let mut bench = Fixture::open(6, &["v1"]);
@@ -187,9 +185,8 @@
     assert_eq!(bench.ready("v1"), 0);
 }
 
-/// A model is withdrawn while streams run on some engines: it goes from the
-/// idle ones at once, from the others after their last stream, and is never
-/// loaded again.
+/// A model is withdrawn while streams run on some engines. It must be unloaded from idle engines
+/// immediately, from the others after their last stream, and never be loaded again.
 #[test]
 fn withdrawn_model_is_unloaded_after_its_last_stream() {
     let mut bench = Fixture::open(6, &["kept", "gone"]);
@@ -207,8 +204,8 @@
     bench.now += ms(1);
 }
 
-/// One partner asks for far more than its share of the fleet: what is above
-/// it counts for half, so that the model of the other keeps its replicas.
+/// Guards against a partner that displaces the model of another one by requesting far more than its
+/// share: demand above the share counts half.
 #[test]
 fn demand_above_the_share_counts_less() {
     let replicas = |rates: &[(Weights, &str, f64)]| {
--- a/crates/policy/tests/phases/mod.rs
+++ b/crates/policy/tests/phases/mod.rs
@@ -1,5 +1,4 @@
-//! Loads of callers by seed: phases of long and of short prompts, bursts, and
-//! fleets that lose engines or are full when the load begins.
+//! Seeded load patterns of callers: phases of long and of short prompts, and bursts.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use crate::engines::Request;
@@ -8,29 +7,29 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// A kind of request: how often it comes, and what its callers want.
+/// A kind of request: its rate, size and latency goals.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Requests a second where no phase changes it.
+    /// Requests per second in a phase with factor one.
     pub per_second: f64,
-    /// Mean, spread and greatest of its prompts' tokens.
+    /// Mean, relative spread and maximum of the prompt tokens.
     pub prompt: (f64, f64, f64),
-    /// Mean of its answers' events.
+    /// Mean number of events of an answer.
     pub events: f64,
     pub goal: Duration,
     pub inter_token_target: Duration,
-    /// What an answer in time is worth at the mean size.
+    /// Credit for an answer of mean size in time.
     pub credit: f64,
 }
 
-/// A caller mix and the tokens of an event.
+/// A mix of callers and the tokens of each event.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
     pub kinds: [Kind; 3],
     pub event_tokens: u64,
 }
 
-/// A span of time in which each kind comes this much oftener than usual.
+/// A period in which the rate of each kind is multiplied by a factor.
 #[derive(Clone, Copy, Debug)]
 pub struct Phase {
     pub begin: f64,
@@ -73,8 +72,7 @@
     ],
 };
 
-/// Questions, corridor reviews and district audits: shorter long prompts, which
-/// come oftener.
+/// Questions, corridor reviews and district audits. Long prompts are shorter and more frequent.
 pub const AUDITS: Mix = Mix {
     event_tokens: 43,
     kinds: [
@@ -89,7 +87,7 @@
     ],
 };
 
-/// Advice, lists and archives at a fleet of many engines with few slots.
+/// Advice, lists and archives for a fleet of many engines with few slots.
 pub const ARCHIVES: Mix = Mix {
     event_tokens: 48,
     kinds: [
@@ -105,7 +103,7 @@
     ],
 };
 
-/// Ten seconds of long prompts, ten of short ones, ten of long ones again.
+/// Ten seconds of long prompts, ten of short ones, and ten of long ones again.
 pub fn alternate_phases(long: [f64; 3], short: [f64; 3]) -> Vec<Phase> {
     vec![
         Phase { begin: 0.0, end: 10.0, factors: long },
@@ -114,15 +112,15 @@
     ]
 }
 
-/// A number with this mean and spread, as callers' prompts are: most are
-/// smaller, a few several times as large.
+/// Draws a log-normal size with this mean and relative spread: most are smaller than the mean, and
+/// a few several times larger.
 pub fn draw_size(random: &mut StdRng, mean: f64, spread: f64, max: f64) -> u64 {
     let normal: f64 = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
     let sigma = (1.0 + spread * spread).ln().sqrt();
     (mean * (sigma * normal - sigma * sigma / 2.0).exp()).min(max) as u64
 }
 
-/// The requests of a mix in these phases, by arrival.
+/// Draws the requests of a mix in these phases, ordered by arrival.
 pub fn draw_arrivals(mix: &Mix, phases: &[Phase], seed: u64) -> Vec<Request> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut requests = Vec::new();
@@ -155,8 +153,8 @@
     }
 }
 
-/// What a request is worth in time: three tenths of its kind's worth, and seven
-/// by its size against the kind's mean, four times the kind's worth at most.
+/// Credit for an answer in time: three tenths of the credit of its kind, and seven tenths scaled by
+/// its size relative to the mean of the kind, at most four times the credit of the kind.
 pub fn credit_of(mix: &Mix, request: &Request) -> f64 {
     let kind = mix.kinds.iter().find(|kind| kind.inter_token_target == request.inter_token_target);
     let kind = kind.expect("every request is of a kind");
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placement, seen over many choices.
+//! Tests of target selection over many choices.
 
 mod common;
 
@@ -43,8 +43,7 @@
     Query { prefix: Some(prefix), ..query(cost(tokens + 500, 32), random) }
 }
 
-/// Places each query and books its prefill, as a node does between two
-/// states of the owners.
+/// Places each query and adds its load to the target, as a node does between two load reports.
 fn place_all(
     fleet: &mut [Candidate],
     queries: impl IntoIterator<Item = Query>,
@@ -65,8 +64,8 @@
     counts
 }
 
-/// A burst of equal short requests: no target gets much more than another,
-/// although the states are not renewed in between.
+/// Guards against a burst of equal short requests that goes to few targets because load reports
+/// aren't updated within the burst.
 #[test]
 fn burst_is_spread_evenly_between_reports() {
     let counts = place_all(&mut fleet(16), (0..320).map(|i| query(cost(1_000, 32), i)));
@@ -74,8 +73,8 @@
     assert!(counts.values().all(|&n| (15..=25).contains(&n)), "{counts:?}");
 }
 
-/// 380 nodes choose by the same state at the same moment: without the spread
-/// all would choose the same target.
+/// Guards against 380 nodes that choose the same target from the same load report at the same time;
+/// random spread must separate them.
 #[test]
 fn nodes_with_equal_reports_choose_different_targets() {
     let fleet = fleet(16);
@@ -87,15 +86,15 @@
     assert!(counts.values().all(|&n| n < 60), "{counts:?}");
 }
 
-/// Reports of 100,000 tokens go to few engines, in the same order on every
-/// node; short questions then find the others, and their time to first token
-/// is that of an engine without long work.
+/// Guards against long prompts of 100,000 tokens on every engine, where each one would delay the
+/// first tokens of short prompts. They must be packed on few engines, and short prompts must use
+/// the others.
 #[test]
 fn long_prompts_are_packed_and_short_ones_avoid_them() {
     let mut fleet = fleet(16);
     let engines_with_long = place_all(&mut fleet, (0..6).map(|i| query(cost(100_000, 500), i)));
     assert_eq!(engines_with_long.len(), 3, "two on each engine: {engines_with_long:?}");
-    // Two on each free engine: less to wait than a step of a long prefill.
+    // Two on each free engine wait for less time than one step of a long prefill.
     let engines_with_short = place_all(&mut fleet, (0..26).map(|i| query(cost(1_000, 32), i)));
     assert!(
         engines_with_short.keys().all(|index| !engines_with_long.contains_key(index)),
@@ -108,8 +107,7 @@
     );
 }
 
-/// Demand for long work exceeds the fleet: it is spread over all engines and
-/// none is left out.
+/// Guards against engines without work while the demand for long prompts exceeds the fleet.
 #[test]
 fn long_prompts_use_all_engines_under_high_demand() {
     let counts = place_all(&mut fleet(8), (0..32).map(|i| query(cost(100_000, 500), i)));
@@ -117,9 +115,9 @@
     assert!(counts.values().all(|&n| n <= 6), "{counts:?}");
 }
 
-/// A hot prefix: it stays on its engine while the hit is worth the queue, and
-/// spills when it isn't. Cache events that never come, or that name an engine
-/// the hash does not, change speed and nothing else.
+/// Guards against a hot prefix that overloads its engine: requests stay there while the cache hit
+/// saves more than the queue costs, and spill afterwards. Cache events that are missing or name
+/// another engine than the hash only affect speed.
 #[test]
 fn prefix_affinity_is_bounded_by_load() {
     let mut home_engine = None;
@@ -137,8 +135,8 @@
     assert_eq!(chosen.hash, with_event[other].hash, "an event is worth more than the hash");
 }
 
-/// One target is slow to free its slots: it is passed over while others have
-/// room, and takes work again when all are full.
+/// A target that is slow to free its slots is skipped while others have room, and is used again
+/// when all are full.
 #[test]
 fn full_target_is_skipped() {
     let mut fleet = fleet(4);
@@ -151,8 +149,8 @@
     assert_eq!(chosen.hash, fleet[0].hash);
 }
 
-/// Work stays in the zone where that costs nothing, and leaves it where the
-/// zone is busy; a request that no target can hold gets none.
+/// Requests stay in their zone while that costs nothing and leave it when its targets are busy. A
+/// request that no target can hold gets none.
 #[test]
 fn same_zone_targets_are_preferred_until_they_are_busy() {
     let mut fleet = fleet(16);
@@ -167,9 +165,8 @@
     assert_eq!(choose_target(&query(cost(450_000, 1), 1), &fleet), None);
 }
 
-/// Short work asks two owners for an answer at once and queues at the third
-/// ask; it never does where there is no other target to turn to, and long
-/// work, which packs, always queues.
+/// Short requests ask two owners for an immediate answer and may queue at the third. Requests
+/// without another target to try, and long ones, always queue.
 #[test]
 fn first_requests_of_short_prompts_are_answered_immediately() {
     let (short, long) = (cost(1_000, 32), cost(100_000, 32));
@@ -178,8 +175,8 @@
     assert!(!wants_immediate_answer(short, 0, 1) && !wants_immediate_answer(long, 0, 9));
 }
 
-/// A zone goes out while states are old: its targets refuse one after the
-/// other, which uses up none of a request's asks.
+/// Guards against requests that fail while a zone goes out of service: load reports are old, its
+/// targets refuse one after the other, and these refusals must not use up the attempts.
 #[test]
 fn refusals_of_stopped_targets_do_not_count() {
     assert!(!counts_as_ask(Reason::NoTarget));
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -1,5 +1,5 @@
-//! Placement under the loads that it is made for, against engines by their
-//! published cost model.
+//! Tests of engine placement under the load patterns that it is designed for, with simulated
+//! engines.
 
 mod engines;
 mod phases;
@@ -19,21 +19,21 @@
     Duration::from_millis(ms)
 }
 
-/// Phases of ten seconds: long prompts, short ones, long ones again.
+/// Phases of ten seconds: long prompts, short ones, and long ones again.
 fn alternating_requests(seed: u64) -> Vec<Request> {
     let phases = alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
     draw_arrivals(&ADVICE, &phases, seed)
 }
 
-/// Parts of the short, middle and long requests that were served in time.
+/// Returns the fractions of short, middle and long requests that were answered in time.
 fn play(engines: usize, requests: Vec<Request>, policy: Policy) -> [f64; 3] {
     replay::run(&Setup::new(engines), &profile(), requests, policy).in_time()
 }
 
-/// Callers of short prompts get answers that pause, and callers of long ones
-/// wait for ten seconds. Long and short prompts come in turns of ten seconds;
-/// long ones keep an engine for seconds, and all streams there stand still.
-/// Packed short prompts and split long ones must serve both.
+/// Guards against pauses in short answers and ten-second waits for long prompts when phases of long
+/// and short prompts alternate. A long prompt occupies an engine for seconds, in which all its
+/// streams pause. Packing short prompts and splitting long ones must serve both better than whole
+/// prompts do.
 #[test]
 fn alternating_phases_serve_short_and_long() {
     const SEEDS: u32 = 6;
@@ -52,10 +52,9 @@
     assert!(long > 0.75, "long {long:.2}");
 }
 
-/// Six of sixteen engines are out of service, and prompts come as before:
-/// there is less than they need. Callers of short prompts must feel less of it
-/// than where each prompt goes whole to the idlest engine, and of the long ones
-/// some must still be served.
+/// Guards against starvation while six of sixteen engines are out of service and the load stays the
+/// same. Callers must be served better than with whole prompts on the least loaded engine, and some
+/// long prompts must still be served.
 #[test]
 fn too_few_engines_still_serve_all_kinds() {
     for seed in 7..=9 {
@@ -120,8 +119,7 @@
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
-/// Guards against engines that short streams lie on one by one, though few of them
-/// could carry all.
+/// Guards against short streams that are spread over all engines, though a few could serve them.
 #[test]
 fn short_prompts_follow_the_engine_preference() {
     for short in [5, 0] {
@@ -135,17 +133,17 @@
     }
 }
 
-/// Callers' answers stop for 350 ms where 250 are wanted. Ten prompts are packed on
-/// the engine that all nodes prefer; its next pass reads them all before it writes
-/// again. A prompt whose reading would make that pass too long goes elsewhere, also
-/// where its own first token would be in time.
+/// Guards against answers that pause for 350 ms instead of 250 ms. If ten prompts are packed on the
+/// engine that all nodes prefer, its next iteration prefills all of them before it decodes again. A
+/// prompt that would make that iteration too long must go elsewhere, even if its own first token
+/// would be in time.
 #[test]
 fn short_prompts_avoid_engines_with_a_long_next_iteration() {
     let reading = Load { next_iteration_prefill: ms(170), preference: 0, ..load(0, 5) };
     let other = Load { preference: 1, ..load(0, 5) };
     let loads = [reading, other];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
-    // With no stream to bear, the preferred one is taken.
+    // Without streams to delay, the preferred engine is chosen.
     let loads = [Load { inter_token_target: None, ..loads[0].clone() }, loads[1].clone()];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
@@ -160,9 +158,9 @@
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
-/// Ten of sixteen engines lose one answer in forty, and each loss puts its engine
-/// in penalty. Callers of short prompts then all wait 1.7 s at the few engines that
-/// are not in penalty, beside idle ones.
+/// Guards against short prompts that wait 1.7 s at a few engines beside idle ones. If ten of
+/// sixteen engines lose one answer in forty, each loss penalizes its engine, and prompts crowd on
+/// the remaining ones.
 #[test]
 fn penalty_is_weighed_against_waiting_time() {
     let doubtful = Load { penalty: ms(300), ..load(0, 0) };
@@ -170,7 +168,7 @@
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     let loads = [load(200, 5), doubtful, load(300, 5)];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
-    // One that failed again and again is not tried for less than it costs.
+    // An engine that failed repeatedly is not tried for a shorter wait than the failure costs.
     let dead = Load { penalty: ms(2_400), ..load(0, 0) };
     let loads = [load(1_700, 5), dead];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
@@ -184,8 +182,8 @@
     assert!(plan.chunk_time <= ms(300), "{plan:?}");
 }
 
-/// A part that is placed behind another overtakes it at the engine, and the
-/// older prompt is late. A long prompt therefore waits while engines read.
+/// Guards against a chunk that is placed behind another one and overtakes it at the engine, which
+/// makes the older prompt late. A long prompt must wait while engines prefill.
 #[test]
 fn long_prompts_wait_for_idle_engines() {
     let loads: Vec<Load> = (0..16).map(|_| load(200, 0)).collect();
@@ -193,18 +191,18 @@
     assert!(matches!(choice, Ok(Choice::Wait(_))), "{choice:?}");
 }
 
-/// Guards against long prompts that are refused at once when a phase of short ones has
-/// just ended: few engines are without streams, and most will be before the goal.
+/// Guards against long prompts that are refused right after a phase of short ones, when few engines
+/// are without streams but most will be before the goal.
 #[test]
 fn long_prompts_wait_for_engines_whose_short_streams_end() {
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 15 { 3 } else { 0 })).collect();
     let choice = plan::choose_engines(&long_query(200_000), &profile(), &loads);
     assert!(matches!(choice, Ok(Choice::Wait(_))), "{choice:?}");
-    // Short prompts need all of the engines.
+    // Short prompts need all engines.
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 15 { 15 } else { 0 })).collect();
     let choice = plan::choose_engines(&long_query(200_000), &profile(), &loads);
     assert!(!matches!(choice, Ok(Choice::Wait(_))), "{choice:?}");
-    // What is left of the goal is less than the streams last.
+    // The streams last longer than the goal.
     let loads: Vec<Load> = (0..16).map(|i| load(0, if i < 15 { 3 } else { 0 })).collect();
     let query = Query { goal_left: ms(1_000), ..long_query(200_000) };
     let choice = plan::choose_engines(&query, &profile(), &loads);
@@ -240,8 +238,8 @@
     assert_eq!(choice, Err(Refused::TooLong));
 }
 
-/// Guards against short prompts that are refused in the moment in which all slots are
-/// taken, though one comes free every few milliseconds.
+/// Guards against short prompts that are refused while all slots are in use, although a slot comes
+/// free every few milliseconds.
 #[test]
 fn short_prompts_wait_for_slots_that_come_free() {
     const SEEDS: u32 = 6;
@@ -276,7 +274,7 @@
     assert!(matches!(choose(&behind(0)), Ok(Choice::Wait(_))));
     let late = choose(&behind(30));
     assert!(matches!(late, Err(Refused::Busy(_))), "{late:?}");
-    // What is left of its goal is less than its own turn takes.
+    // The prompt's own prefill takes longer than the goal.
     let late = choose(&Query { goal_left: ms(100), ..behind(0) });
     assert!(matches!(late, Err(Refused::Busy(_))), "{late:?}");
 }
--- a/crates/policy/tests/preempt.rs
+++ b/crates/policy/tests/preempt.rs
@@ -1,4 +1,4 @@
-//! Preemption only where it pays.
+//! Tests that streams are preempted only where it is worthwhile.
 
 mod common;
 
@@ -32,10 +32,9 @@
     }
 }
 
-/// A person would wait two seconds behind reports that hold every slot. The
-/// report that has just begun goes back, not the one that is nearly done; and
-/// where all are far on, none does, since redoing one takes longer than the
-/// wait is worth.
+/// An interactive request would wait two seconds behind batch streams that hold every slot. The
+/// stream with the least work to redo must be preempted, and none if redoing takes longer than the
+/// wait justifies.
 #[test]
 fn stream_with_least_work_to_redo_is_preempted() {
     let now = Instant::now();
@@ -47,9 +46,9 @@
     assert_eq!(choose_victim(now, interactive_request(200), SPEED, &streams), None, "a short wait");
 }
 
-/// What must not go: interactive work, a stream whose own deadline would be
-/// missed, one that went once before (it must arrive), and one that frees too
-/// little. Batch asks preempt nothing.
+/// Guards against the preemption of an interactive stream, of a stream that would miss its
+/// deadline, of one that was preempted before, and of one that frees too little memory. Batch
+/// requests preempt no stream.
 #[test]
 fn protected_streams_are_never_preempted() {
     let now = Instant::now();
--- a/crates/policy/tests/profile/mod.rs
+++ b/crates/policy/tests/profile/mod.rs
@@ -1,10 +1,10 @@
-//! The engine that decisions are tested with.
+//! Engine profiles for the tests.
 
 use hickory_policy::engine::Profile;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// An engine of a 70-billion model on one accelerator, as both users run it.
+/// An engine with a model of 70 billion parameters on one accelerator, as both users run it.
 pub fn profile() -> Profile {
     Profile {
         slots: 16,
@@ -20,7 +20,7 @@
     }
 }
 
-/// A faster reader with less memory, whose steps take longer.
+/// An engine with faster prefill, less memory and slower steps.
 #[allow(dead_code, reason = "each test binary uses a part")]
 pub fn small() -> Profile {
     Profile {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The same reader with fewer slots.
+/// As `small`, with fewer slots.
 #[allow(dead_code, reason = "each test binary uses a part")]
 pub fn narrow() -> Profile {
     Profile { slots: 12, steps_per_iteration: 48, ..small() }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -1,4 +1,4 @@
-//! Prompts that wait for engines.
+//! Tests of the queue of prompts that wait for engines.
 
 use hickory_policy::queue::{Ahead, Priority, Queue};
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
     queue.in_order().into_iter().map(|(key, _)| key).collect()
 }
 
-/// Guards against small prompts that wait behind a large one which needs all engines.
+/// Guards against small prompts that wait behind a large one that needs all engines.
 #[test]
 fn smallest_long_prompt_comes_first() {
     let (mut queue, now) = (Queue::default(), Instant::now());
@@ -31,8 +31,8 @@
     assert_eq!(queue.remove(now, &"small"), None);
 }
 
-/// Guards against short prompts that wait behind long ones, and against large ones of
-/// them that wait behind those which came later.
+/// Guards against short prompts that wait behind long ones, and against larger short prompts that
+/// wait behind later arrivals.
 #[test]
 fn short_prompts_come_first_by_due_time() {
     let (mut queue, now) = (Queue::default(), Instant::now());
@@ -52,7 +52,7 @@
     assert!(!queue.has_short());
 }
 
-/// Guards against prompts that wait for ever for callers who are gone.
+/// Guards against entries that stay forever after their callers have gone.
 #[test]
 fn entries_that_are_not_refreshed_expire() {
     let (mut queue, now) = (Queue::default(), Instant::now());
@@ -64,7 +64,7 @@
     assert_eq!(queue.len(), 1);
 }
 
-/// Guards against a queue that grows without a bound.
+/// Guards against unbounded growth of the queue.
 #[test]
 fn full_queue_accepts_no_new_prompt() {
     let (mut queue, now) = (Queue::default(), Instant::now());
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Replays a load against engines, with one choice for all prompts.
+//! Replays a load against simulated engines with one placement policy.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use crate::engines::{Fleet, Request};
@@ -9,23 +9,23 @@
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// Between two looks of prompts that wait.
+/// Interval between two placement attempts for waiting prompts.
 const TIME_STEP: Duration = Duration::from_millis(5);
 
-/// When the last answers have ended.
+/// Length of the simulation, by which the last answers have ended.
 const SIMULATION_TIME: Duration = Duration::from_secs(45);
 
-/// The part of its credit that an answer gets which is late.
+/// Fraction of its credit that a late answer earns.
 const LATE_CREDIT_FRACTION: f64 = 0.25;
 
-/// What chooses for a request, by its number.
+/// Chooses the engines for a request, by its index.
 pub type Policy = fn(&Fleet, usize, Duration) -> Result<Choice, Refused>;
 
 /// The engines of a replay.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
     pub engines: usize,
-    /// When all that was known of the engines is forgotten.
+    /// When the owner forgets all placements.
     pub forget_at: Option<Duration>,
 }
 
@@ -35,13 +35,13 @@
     }
 }
 
-/// The requests as they ended.
+/// The requests at the end of a replay.
 pub struct Outcome {
     pub requests: Vec<Request>,
 }
 
 impl Outcome {
-    /// The parts of the short, middle and long requests that were in time.
+    /// Returns the fractions of short, middle and long requests that were answered in time.
     pub fn in_time(&self) -> [f64; 3] {
         [250, 600, 1_000].map(|gap| {
             let is_kind = |r: &&Request| r.inter_token_target == Duration::from_millis(gap);
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The part of all credit that was earned.
+    /// Returns the fraction of the total credit that was earned.
     pub fn credit(&self, mix: &Mix) -> f64 {
         let total: f64 = self.requests.iter().map(|r| phases::credit_of(mix, r)).sum();
         let earned = self.requests.iter().map(|r| match (r.is_in_time(), r.is_done) {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Plays requests, by arrival, with this choice.
+/// Replays requests, ordered by arrival, with this policy.
 pub fn run(setup: &Setup, profile: &Profile, requests: Vec<Request>, policy: Policy) -> Outcome {
     let mut fleet = Fleet::open(profile.clone(), setup.engines, requests);
     let mut now = Duration::ZERO;
@@ -86,7 +86,8 @@
     Outcome { requests: fleet.requests }
 }
 
-/// Requests that wait: the short ones as they came, then the smallest first.
+/// Returns the waiting requests: the short ones in the order of arrival, then the long ones by
+/// size.
 fn waiting_requests(fleet: &Fleet, now: Duration) -> Vec<usize> {
     let is_waiting = |&request: &usize| {
         let request_state = &fleet.requests[request];
@@ -105,7 +106,7 @@
     waiting
 }
 
-/// What a request asks of the plan.
+/// Returns the placement query of a request.
 fn query(fleet: &Fleet, request: usize, now: Duration) -> Query {
     let own = &fleet.requests[request];
     let prefill_time = fleet.profile.prefill_time(own.prompt);
@@ -131,7 +132,7 @@
     }
 }
 
-/// What short streams took that ended last.
+/// Returns the mean time of the last short streams that ended.
 fn typical_stream_time(fleet: &Fleet) -> Duration {
     const LAST: usize = 16;
     let finished = fleet
@@ -147,12 +148,12 @@
     }
 }
 
-/// What nodes do.
+/// The placement policy of the nodes.
 pub fn choose_by_plan(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
     plan::choose_engines(&query(fleet, request, now), &fleet.profile, &fleet.loads(now))
 }
 
-/// The same, where short prompts that find no slot are refused.
+/// As [`choose_by_plan`], but short prompts that find no slot are refused.
 pub fn choose_without_waiting(
     fleet: &Fleet,
     request: usize,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Each prompt whole to the engine with the least to read.
+/// Places each prompt whole on the engine with the smallest prefill backlog.
 pub fn choose_least_loaded(
     fleet: &Fleet,
     request: usize,
@@ -176,7 +177,7 @@
     Ok(place_whole(fleet, request, first.unwrap_or_default()))
 }
 
-/// Each prompt whole to the next engine in a circle, as it comes.
+/// Places each prompt whole on the next engine in turn.
 pub fn choose_round_robin(fleet: &Fleet, request: usize, _: Duration) -> Result<Choice, Refused> {
     Ok(place_whole(fleet, request, request % fleet.engines()))
 }
--- a/crates/policy/tests/replica.rs
+++ b/crates/policy/tests/replica.rs
@@ -1,4 +1,4 @@
-//! The replica of a plain service that a request is sent to.
+//! Tests of replica selection for plain services.
 
 use hickory_policy::plan::Load;
 use hickory_policy::replica::{Candidate, choose_replica};
@@ -27,8 +27,8 @@
     assert_eq!(choose(&[load(2, 0), near, load(3, 0)]), Ok(1), "the nearer of two alike");
 }
 
-/// Guards against requests that are refused as all replicas are busy, beside replicas
-/// that are idle and failed one request of late.
+/// Guards against requests that are refused because all replicas without failures are full, while
+/// replicas that failed one request recently are idle.
 #[test]
 fn replica_that_failed_once_is_preferred_to_a_long_queue() {
     let loads = [load(17, 0), load(16, 0), load(0, 100), load(0, 120), load(0, 300)];
@@ -42,8 +42,7 @@
     assert_eq!(choose(&[load(4, 0), load(0, 300)]), Ok(0));
 }
 
-/// Guards against callers who come back into the same queue: it has gone by the time
-/// that they are told.
+/// Guards against callers that retry while the same queue is still full.
 #[test]
 fn full_replicas_refuse_with_their_queue_time() {
     assert_eq!(choose(&[load(18, 0), load(20, 0)]), Err(ms(120)));
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -1,4 +1,4 @@
-//! Prompts greater than one engine, on real limiters.
+//! Tests of reservations for prompts that exceed one engine, with real limiters.
 
 mod common;
 
@@ -35,8 +35,8 @@
 
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// A million tokens on engines of 450,000: three parts that together are the
-/// prompt, the last with the answer, and an eighth of each engine left free.
+/// A million tokens on engines of 450,000 must give three parts that together cover the prompt,
+/// with the answer on the last one and an eighth of each engine left free.
 #[test]
 fn million_tokens_need_three_engines() {
     let fleet = engines(&[450_000; 16]);
@@ -52,8 +52,8 @@
     assert_eq!(parts[2].cost.decode, size::Tokens(1_000));
 }
 
-/// The refusal is true: too long for the fleet at any time, too long for the
-/// time that is left, or no memory just now.
+/// Prompts are refused with the right reason: more than the fleet can hold, more than the remaining
+/// time allows, or not enough memory at present.
 #[test]
 fn impossible_prompts_are_refused_with_the_right_reason() {
     let plan = |fleet: &[u64], left| plan_parts(cost(1_000_000, 1_000), left, &engines(fleet));
@@ -63,9 +63,8 @@
     assert_eq!(late, Err(Impossible::NoTime(Duration::from_secs(5))));
 }
 
-/// Whatever the order of the plan, engines are asked in the order of their
-/// ids, and a refusal gives all that was held back at once: two prompts that
-/// want the same engines meet at the first and never hold one each.
+/// Guards against a deadlock of two prompts that want the same engines. Engines are requested in
+/// the order of their ids regardless of the plan, and a refusal returns all permits held.
 #[test]
 fn engines_are_reserved_in_id_order_all_or_none() {
     let fleet = engines(&[300_000, 350_000, 390_000, 380_000]);
@@ -85,7 +84,8 @@
     assert_eq!(reservation.release(), [], "nothing is held");
 }
 
-/// A round of one reservation: asks until it holds all or was refused.
+/// Runs one step of a reservation: requests its next part, or returns its permits if it holds all
+/// parts.
 fn run_step(
     limiters: &mut BTreeMap<id::Target, Limiter>,
     now: Instant,
@@ -111,10 +111,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
-    /// Several prompts of a million tokens contend for three engines, their
-    /// steps interleaved in any order, with other work in between. At the end
-    /// of each round a prompt holds all its parts or none, and all of them
-    /// are served before their time: no deadlock, no starvation.
+    /// Guards against deadlock and starvation when several prompts of a million tokens contend for
+    /// three engines, with their steps interleaved in any order beside other work. After each round
+    /// a prompt must hold all of its parts or none, and all prompts must be served in time.
     #[test]
     fn contending_reservations_all_complete(seed in prop::collection::vec(0usize..3, 40), random: u64) {
         let start = Instant::now();
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -1,5 +1,5 @@
-//! A configuration spreads over a fleet in the time that users bear, whatever
-//! its size, and with faults on the way.
+//! Tests that a configuration of any size reaches all nodes of a fleet in the required time, also
+//! with faults during the distribution.
 
 #[path = "spread/mod.rs"]
 mod model;
@@ -7,29 +7,29 @@
 use model::case::{Case, Fault, Outcome, Policy};
 use std::time::Duration;
 
-/// Seeds of each case.
+/// Number of seeds for each case.
 const SEEDS: u64 = 10;
 
-/// Bytes of the configurations.
+/// Sizes of the configurations in bytes.
 const SIZES: [u64; 4] = [10_000, 60_000, 270_000, 1_000_000];
 
-/// Bytes of the largest one.
+/// Size of the largest configuration in bytes.
 const LARGEST_BYTES: u64 = 1_000_000;
 
-/// Nodes of the fleets, and the time in which all of each have a configuration.
+/// Number of nodes of each fleet, and the time in which all of them must have a configuration.
 const FLEETS: [(usize, Duration); 3] =
     [(9, Duration::from_secs(2)), (79, Duration::from_secs(3)), (380, Duration::from_secs(8))];
 
-/// Bytes that may be sent for each that has to be.
+/// Maximum ratio of the bytes that are sent to the bytes that have to be sent.
 const MAX_OVERHEAD: f64 = 1.1;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Plays a kind of case over these sizes, all fleets and seeds; fails with all
-/// that broke a bound. A fault may lengthen the time by `fault`, for those that
-/// it hits; the others have the usual one.
+/// Simulates a case for these sizes with all fleets and seeds, and fails with a list of all broken
+/// bounds. A fault may extend the time by `fault` for the nodes that it affects; the other nodes
+/// must keep the usual bound.
 fn check_bounds(sizes: &[u64], fault: Duration, change: impl Fn(Case) -> Case) {
     let mut broken = Vec::new();
     for (nodes, bound) in FLEETS {
@@ -64,11 +64,11 @@
     move |case| Case { fault, ..case }
 }
 
-/// Callers of routes that were just added get 404 for seconds. Operators write
-/// 270 KB, three of 79 nodes hear it, and the others ask these for the whole at
-/// the same moment. Each of the three sends two dozen copies at once over a link
-/// that carries nine in a second, none is whole when its taker gives up, and all
-/// ask again. The replay has to show it, or it proves nothing of the mend.
+/// Shows the failure that the distribution by turns avoids: callers of new routes get 404 for
+/// seconds. Three of 79 nodes receive a configuration of 270 KB, and all others request it from
+/// them simultaneously. Each sender starts two dozen transfers over a link that can carry nine per
+/// second, so no transfer completes before its receiver gives up and all of them request it again.
+/// If the simulation doesn't show this, the other tests prove nothing.
 #[test]
 fn simultaneous_requests_congest_the_links() {
     let case = Case::new(79, 270_000);
@@ -78,18 +78,18 @@
     }
 }
 
-/// Callers of routes that were just added get 404 until the last node has the
-/// configuration. Three nodes hear it, all others want it of them at once. Each
-/// giver takes on what its link can send soon and names its earlier takers to
-/// the rest, so that the givers double with each round.
+/// Guards against slow distribution, which causes 404 for callers of new routes. Three nodes have
+/// the configuration and all others request it from them. Each sender accepts as many transfers as
+/// its link can soon send and refers the rest to its earlier receivers, so that the number of
+/// senders doubles each round.
 #[test]
 fn all_nodes_have_it_in_time() {
     check_bounds(&SIZES, Duration::ZERO, |case| case);
 }
 
-/// Two of the three nodes that heard the configuration die while they send it,
-/// without a word. Their takers see nothing for a while, keep the pieces, and
-/// ask the third or those that it gave to.
+/// Two of the three nodes with the configuration die silently while they send it. Their receivers
+/// must detect this by a timeout, keep the chunks, and request the rest from the third node or from
+/// its receivers.
 #[test]
 fn senders_die_during_transfer() {
     check_bounds(&SIZES[..3], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
@@ -101,19 +101,18 @@
     check_bounds(&[LARGEST_BYTES], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
 }
 
-/// Some takers ask for the configuration and read nothing of it for seconds.
-/// They ask one giver after the other and hold an answer at each. All others
-/// have it in the usual time, as a place that was taken on is free again once
-/// the link could have sent it.
+/// Some receivers request the configuration, read no data for seconds and occupy a transfer slot at
+/// one sender after another. All other nodes must have it in the usual time, since a slot is free
+/// again after the time that the link needs for the transfer.
 #[test]
 fn receivers_stop_reading() {
     let fault = Fault::Stop { part: 0.05, time: Duration::from_secs(5) };
     check_bounds(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
-/// A third of the nodes can't reach the others, while the configuration is
-/// written or soon after. What they were being sent falls silent, and whom they
-/// ask is silent too. Once the network is whole they have it in the usual time.
+/// A third of the nodes are partitioned from the others during or shortly after the write. Their
+/// transfers stall and the nodes that they ask don't answer. They must have the configuration in
+/// the usual time after the partition ends.
 #[test]
 fn a_third_of_the_nodes_is_partitioned() {
     for begin in [ms(0), ms(50)] {
@@ -122,30 +121,30 @@
     }
 }
 
-/// Operators write five configurations, each long before the one before it is
-/// everywhere. Links are full of older ones, which nobody breaks off. Whoever
-/// gives has moved on and gives the newest that it has.
+/// Operators write five configurations, each long before the previous one has reached all nodes.
+/// Links are busy with older versions, whose transfers aren't aborted. Senders must offer the
+/// newest version that they have.
 #[test]
 fn configurations_are_written_in_quick_succession() {
     check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { versions: 5, pause: ms(330), ..case });
 }
 
-/// As above, with the largest configuration: a link needs longer for one than
-/// passes until the next is written.
+/// As above, with the largest configuration: a link needs more time for one transfer than passes
+/// between two writes.
 #[test]
 fn largest_configurations_are_written_in_quick_succession() {
     let change = |case| Case { versions: 5, pause: ms(330), ..case };
     check_bounds(&[LARGEST_BYTES], Duration::ZERO, change);
 }
 
-/// Few nodes have fast links, and most slow ones. The fast ones give to more at
-/// a time, the slow ones to no more than they can send.
+/// Few nodes have fast links and most have slow ones. Fast nodes must send to more receivers at a
+/// time, and slow ones to no more than their links can carry.
 #[test]
 fn link_speeds_differ() {
     check_bounds(&SIZES, Duration::ZERO, |case| Case { fast: 6, ..case });
 }
 
-/// One node alone hears the configuration, and all others want it of that one.
+/// Only one node receives the configuration, and all others request it from that node.
 #[test]
 fn only_one_node_has_it_first() {
     check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { first: 1, ..case });
--- a/crates/policy/tests/survey.rs
+++ b/crates/policy/tests/survey.rs
@@ -1,4 +1,4 @@
-//! What logs say of the engines that a choice found.
+//! Tests of the summary of engines for the logs.
 
 use hickory_policy::plan::Load;
 use hickory_policy::queue::Ahead;
@@ -11,9 +11,9 @@
     Duration::from_millis(ms)
 }
 
-/// A caller's long prompt was refused beside engines that looked free. The line
-/// must tell an idle engine from one that is merely without short streams, and
-/// both from one that has no slot or failed lately.
+/// A long prompt was refused beside engines that looked free. The summary must distinguish idle
+/// engines from those without short streams, and both from engines without a free slot or with a
+/// recent failure.
 #[test]
 fn engines_are_counted_by_reason() {
     let idle = Load::default();
