--- a/crates/policy/examples/regret/main.rs
+++ b/crates/policy/examples/regret/main.rs
@@ -45,9 +45,9 @@
 }
 
 /// Returns the cases for sixteen engines times `size`.
-fn cases(size: f64) -> Vec<Case> {
-    let usual = || alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
-    let mut burst = usual();
+fn cases(scale: f64) -> Vec<Case> {
+    let alternating = || alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
+    let mut burst = alternating();
     burst.push(Phase { begin: 3.0, end: 7.0, factors: [0.0, 0.0, 1.4] });
     burst.push(Phase { begin: 13.0, end: 16.0, factors: [1.2, 0.0, 0.0] });
     let mixed = vec![
@@ -57,16 +57,16 @@
     let steady = vec![Phase { begin: 0.0, end: 30.0, factors: [1.0; 3] }];
     let case = |name, engines: f64, phases, forget| Case {
         name,
-        engines: (engines * size) as usize,
+        engines: (engines * scale) as usize,
         phases,
         forget,
     };
     vec![
-        case("phases", 16.0, usual(), None),
-        case("half out", 8.0, usual(), None),
-        case("zone out", 10.0, usual(), None),
+        case("phases", 16.0, alternating(), None),
+        case("half out", 8.0, alternating(), None),
+        case("zone out", 10.0, alternating(), None),
         case("bursts", 16.0, burst, None),
-        case("restart of all", 16.0, usual(), Some(Duration::from_secs(23))),
+        case("restart of all", 16.0, alternating(), Some(Duration::from_secs(23))),
         case("steady, zone out", 10.0, steady, None),
         case("mixed, most out", 6.4, mixed, None),
     ]
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -61,28 +61,32 @@
 /// requests, each a tenth as long. Shares must hold by work, not by number of requests.
 #[test]
 fn shares_are_independent_of_request_size() {
-    let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
-    bench.push("mawe", SHORT, 10_000);
-    (0..10).for_each(|_| bench.push("caucao", SHORT, 1_000));
-    (0..2_000).for_each(|_| bench.serve());
-    assert!((bench.work_fraction("mawe") - 0.75).abs() < 0.02, "{}", bench.work_fraction("mawe"));
+    let mut fixture = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
+    fixture.push("mawe", SHORT, 10_000);
+    (0..10).for_each(|_| fixture.push("caucao", SHORT, 1_000));
+    (0..2_000).for_each(|_| fixture.serve());
+    assert!(
+        (fixture.work_fraction("mawe") - 0.75).abs() < 0.02,
+        "{}",
+        fixture.work_fraction("mawe")
+    );
 }
 
 /// The shares change while both partners have queued requests; grants must follow the new shares
 /// from then on.
 #[test]
 fn replaced_shares_apply_to_queued_requests() {
-    let mut bench = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
-    bench.push("mawe", SHORT, 1_000);
-    bench.push("caucao", SHORT, 1_000);
-    (0..1_000).for_each(|_| bench.serve());
-    bench.granted_work.clear();
-    bench.queue.set_shares([("mawe".into(), 1.0), ("caucao".into(), 3.0)]);
-    (0..1_000).for_each(|_| bench.serve());
+    let mut fixture = Fixture::open(&[("mawe", 3.0), ("caucao", 1.0)]);
+    fixture.push("mawe", SHORT, 1_000);
+    fixture.push("caucao", SHORT, 1_000);
+    (0..1_000).for_each(|_| fixture.serve());
+    fixture.granted_work.clear();
+    fixture.queue.set_shares([("mawe".into(), 1.0), ("caucao".into(), 3.0)]);
+    (0..1_000).for_each(|_| fixture.serve());
     assert!(
-        (bench.work_fraction("caucao") - 0.75).abs() < 0.02,
+        (fixture.work_fraction("caucao") - 0.75).abs() < 0.02,
         "{}",
-        bench.work_fraction("caucao")
+        fixture.work_fraction("caucao")
     );
 }
 
@@ -90,12 +94,12 @@
 /// get its share from the first grant, but no credit for the unused time.
 #[test]
 fn idle_share_returns_immediately_without_credit() {
-    let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
-    bench.push("mawe", SHORT, 1_000);
-    (0..500).for_each(|_| bench.serve());
-    bench.push("caucao", SHORT, 1_000);
-    bench.granted_work.clear();
-    let first: Vec<_> = (0..10).map(|_| bench.serve_next().0).collect();
+    let mut fixture = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
+    fixture.push("mawe", SHORT, 1_000);
+    (0..500).for_each(|_| fixture.serve());
+    fixture.push("caucao", SHORT, 1_000);
+    fixture.granted_work.clear();
+    let first: Vec<_> = (0..10).map(|_| fixture.serve_next().0).collect();
     assert_eq!(first.iter().filter(|&&p| p == "caucao").count(), 5, "{first:?}");
 }
 
@@ -104,13 +108,13 @@
 /// other partner still gets its half overall, and further long prompts are granted.
 #[test]
 fn long_prompt_does_not_block_its_own_partner() {
-    let mut bench = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
-    bench.push("mawe", LONG, 1_000_000);
-    bench.push("mawe", SHORT, 1_000);
-    bench.push("caucao", SHORT, 1_000);
+    let mut fixture = Fixture::open(&[("mawe", 1.0), ("caucao", 1.0)]);
+    fixture.push("mawe", LONG, 1_000_000);
+    fixture.push("mawe", SHORT, 1_000);
+    fixture.push("caucao", SHORT, 1_000);
     let (mut long_grants, mut short_grants, mut other_grants) = (0, 0, 0);
     for _ in 0..1_000 {
-        match bench.serve_next() {
+        match fixture.serve_next() {
             ("mawe", LONG, _) => long_grants += 1,
             ("mawe", ..) => short_grants += 1,
             _ => other_grants += 1,
@@ -122,22 +126,26 @@
         "{short_grants} of the staff beside {other_grants} of the rival"
     );
     for _ in 0..20_000 {
-        bench.serve();
+        fixture.serve();
     }
-    assert!(bench.granted_work["mawe"] > 5_000_000, "no other review came");
-    assert!((bench.work_fraction("mawe") - 0.5).abs() < 0.05, "{}", bench.work_fraction("mawe"));
+    assert!(fixture.granted_work["mawe"] > 5_000_000, "no other review came");
+    assert!(
+        (fixture.work_fraction("mawe") - 0.5).abs() < 0.05,
+        "{}",
+        fixture.work_fraction("mawe")
+    );
 }
 
 /// Guards against batch requests that starve behind an endless sequence of interactive requests of
 /// the same account.
 #[test]
 fn batch_is_overtaken_for_a_bounded_time() {
-    let mut bench = Fixture::open(&[]);
-    bench.push("mawe", SHORT_BATCH, 1_000);
-    bench.push("mawe", SHORT, 1_000);
+    let mut fixture = Fixture::open(&[]);
+    fixture.push("mawe", SHORT_BATCH, 1_000);
+    fixture.push("mawe", SHORT, 1_000);
     let mut turns = 0;
-    while bench.serve_next().1 != SHORT_BATCH {
-        bench.now += ms(100);
+    while fixture.serve_next().1 != SHORT_BATCH {
+        fixture.now += ms(100);
         turns += 1;
         assert!(turns < 1_000, "the batch ask starved");
     }
@@ -148,14 +156,14 @@
 /// request keeps its position.
 #[test]
 fn blocked_lane_is_skipped() {
-    let mut bench = Fixture::open(&[]);
-    bench.push("mawe", LONG, 100_000);
-    bench.push("caucao", SHORT, 1_000);
+    let mut fixture = Fixture::open(&[]);
+    fixture.push("mawe", LONG, 100_000);
+    fixture.push("caucao", SHORT, 1_000);
     let open = Lanes::ALL.without(LONG);
-    assert_eq!(bench.queue.peek(bench.now, open).map(|(t, _)| t), Some(2));
-    assert!(bench.queue.grant(2));
-    assert_eq!(bench.queue.peek(bench.now, open), None);
-    assert_eq!(bench.queue.peek(bench.now, Lanes::ALL).map(|(t, _)| t), Some(1));
+    assert_eq!(fixture.queue.peek(fixture.now, open).map(|(t, _)| t), Some(2));
+    assert!(fixture.queue.grant(2));
+    assert_eq!(fixture.queue.peek(fixture.now, open), None);
+    assert_eq!(fixture.queue.peek(fixture.now, Lanes::ALL).map(|(t, _)| t), Some(1));
 }
 
 /// An account moves to another partner while it has queued requests. The old requests stay charged
@@ -218,17 +226,17 @@
     ) {
         const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
         let named: Vec<_> = shares.iter().zip(NAMES).map(|(&s, n)| (n, s as f64)).collect();
-        let mut bench = Fixture::open(&named);
+        let mut fixture = Fixture::open(&named);
         for (i, &(name, _)) in named.iter().enumerate() {
-            bench.push(name, SHORT, sizes[i]);
+            fixture.push(name, SHORT, sizes[i]);
         }
         let total = 10_000_000;
-        while bench.granted_work.values().sum::<u64>() < total {
-            bench.serve_next();
+        while fixture.granted_work.values().sum::<u64>() < total {
+            fixture.serve_next();
         }
         let sum: f64 = named.iter().map(|&(_, s)| s).sum();
         for (name, share) in named {
-            let error = (bench.work_fraction(name) - share / sum).abs();
+            let error = (fixture.work_fraction(name) - share / sum).abs();
             prop_assert!(error < 0.02, "{}: {} off", name, error);
         }
     }
--- a/crates/policy/tests/iteration.rs
+++ b/crates/policy/tests/iteration.rs
@@ -11,18 +11,18 @@
     Duration::from_millis(ms)
 }
 
-fn prefill(placed: Instant, part: u64) -> PendingPrefill {
+fn prefill(placed: Instant, chunk_ms: u64) -> PendingPrefill {
     PendingPrefill {
         placed_at: placed,
-        chunk_time: ms(part),
+        chunk_time: ms(chunk_ms),
         is_primary: true,
         notification_delay: ms(100),
     }
 }
 
 /// Decode time of an iteration with this number of streams.
-fn decode_time(writers: u32) -> Duration {
-    profile().iteration_time(writers, Tokens(0))
+fn decode_time(streams: u32) -> Duration {
+    profile().iteration_time(streams, Tokens(0))
 }
 
 fn is_near(time: Duration, wanted: Duration) -> bool {
@@ -85,20 +85,20 @@
 #[test]
 fn engine_counts_as_done_until_its_first_token_is_overdue() {
     let now = Instant::now() + ms(1_000);
-    let unread = |ago: u64, writers: u32| {
+    let prefill_left = |sent_ms_ago: u64, writers: u32| {
         let mut engine = Engine {
-            pending_prefills: vec![prefill(now - ms(ago), 250)],
+            pending_prefills: vec![prefill(now - ms(sent_ms_ago), 250)],
             decoding_streams: writers,
             ..Engine::default()
         };
         engine.backlog(now, &profile()).prefill_left
     };
-    assert_eq!(unread(200, 0), ms(50));
-    assert_eq!(unread(260, 0), Duration::ZERO);
-    assert_eq!(unread(340, 0), Duration::ZERO);
-    assert_eq!(unread(360, 0), ms(50), "a fifth, as long as nothing is heard");
-    assert!(unread(260, 2) > Duration::ZERO, "its pass still writes");
-    assert_eq!(unread(340, 2), Duration::ZERO);
+    assert_eq!(prefill_left(200, 0), ms(50));
+    assert_eq!(prefill_left(260, 0), Duration::ZERO);
+    assert_eq!(prefill_left(340, 0), Duration::ZERO);
+    assert_eq!(prefill_left(360, 0), ms(50), "a fifth, as long as nothing is heard");
+    assert!(prefill_left(260, 2) > Duration::ZERO, "its pass still writes");
+    assert_eq!(prefill_left(340, 2), Duration::ZERO);
 }
 
 /// Guards against a first token after twice the goal at the start of a phase of short prompts.
@@ -108,9 +108,12 @@
 #[test]
 fn finished_prefills_count_as_decoding() {
     let now = Instant::now() + ms(1_000);
-    let placed = |ago| PendingPrefill { notification_delay: ms(600), ..prefill(now - ms(ago), 30) };
-    let mut engine =
-        Engine { pending_prefills: vec![placed(200), placed(190)], ..Engine::default() };
+    let placed_ms_ago =
+        |ago| PendingPrefill { notification_delay: ms(600), ..prefill(now - ms(ago), 30) };
+    let mut engine = Engine {
+        pending_prefills: vec![placed_ms_ago(200), placed_ms_ago(190)],
+        ..Engine::default()
+    };
     let backlog = engine.backlog(now, &profile());
     assert_eq!((backlog.decoding_streams, backlog.prefill_left), (2, Duration::ZERO));
     // The last prefill ended 170 ms ago, after the decode time of the first prompt; decoding since
@@ -120,8 +123,8 @@
             && backlog.prefill_start_delay <= decode_time(2),
         "{backlog:?}"
     );
-    let helps = PendingPrefill { is_primary: false, ..placed(200) };
-    let mut engine = Engine { pending_prefills: vec![helps], ..Engine::default() };
+    let helper_chunk = PendingPrefill { is_primary: false, ..placed_ms_ago(200) };
+    let mut engine = Engine { pending_prefills: vec![helper_chunk], ..Engine::default() };
     assert_eq!(engine.backlog(now, &profile()).decoding_streams, 0, "another engine writes");
 }
 
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -63,8 +63,8 @@
                     engine.loaded.insert(weights, Residency { is_ready: false, streams: 0 });
                 }
                 (None, Change::Unload(_, weights)) => {
-                    let held = engine.loaded.remove(weights).expect("held");
-                    assert_eq!(held.streams, 0, "unloaded under a stream");
+                    let residency = engine.loaded.remove(weights).expect("held");
+                    assert_eq!(residency.streams, 0, "unloaded under a stream");
                 }
                 _ => {}
             }
@@ -74,8 +74,8 @@
     }
 
     fn finish_loads(&mut self) {
-        let held = self.engines.iter_mut().flat_map(|e| e.loaded.values_mut());
-        held.for_each(|held| held.is_ready = true);
+        let residency = self.engines.iter_mut().flat_map(|e| e.loaded.values_mut());
+        residency.for_each(|residency| residency.is_ready = true);
     }
 
     fn settle(&mut self) {
@@ -86,7 +86,7 @@
 
     fn ready(&self, weights: Weights) -> usize {
         let serves = |e: &&Engine<Weights>| {
-            e.accepting && e.loaded.get(weights).is_some_and(|held| held.is_ready)
+            e.accepting && e.loaded.get(weights).is_some_and(|residency| residency.is_ready)
         };
         self.engines.iter().filter(serves).count()
     }
@@ -96,12 +96,12 @@
 /// model are in different zones.
 #[test]
 fn replicas_follow_demand() {
-    let mut bench = Fixture::open(12, &["big", "small"]);
-    bench.set_demand(&[("big", "mawe", 900.0), ("small", "caucao", 100.0)]);
-    bench.settle();
-    assert_eq!(bench.ready("big"), 12);
-    assert!(bench.ready("small") >= 3, "{}", bench.ready("small"));
-    let zones = bench.engines.iter().filter(|e| e.loaded.contains_key("small"));
+    let mut fixture = Fixture::open(12, &["big", "small"]);
+    fixture.set_demand(&[("big", "mawe", 900.0), ("small", "caucao", 100.0)]);
+    fixture.settle();
+    assert_eq!(fixture.ready("big"), 12);
+    assert!(fixture.ready("small") >= 3, "{}", fixture.ready("small"));
+    let zones = fixture.engines.iter().filter(|e| e.loaded.contains_key("small"));
     let zones: std::collections::BTreeSet<_> = zones.map(|e| &e.zone).collect();
     assert_eq!(zones.len(), 3);
 }
@@ -110,20 +110,21 @@
 /// lasting shift.
 #[test]
 fn burst_causes_no_loads() {
-    let mut bench = Fixture::open(12, &["big", "small", "other"]);
-    let with = |big| [("big", "mawe", big), ("small", "caucao", 500.0), ("other", "caucao", 500.0)];
-    (0..20).for_each(|_| bench.set_demand(&with(500.0)));
-    bench.settle();
-    assert!((8..10).contains(&bench.ready("big")));
-    let loads = bench.loads;
-    bench.set_demand(&with(2_000.0));
-    bench.settle();
-    (0..30).for_each(|_| bench.set_demand(&with(600.0)));
-    bench.settle();
-    assert_eq!(bench.loads, loads);
-    (0..30).for_each(|_| bench.set_demand(&with(2_000.0)));
-    bench.settle();
-    assert!(bench.ready("big") >= 10, "what lasts is followed");
+    let mut fixture = Fixture::open(12, &["big", "small", "other"]);
+    let rates_with_big =
+        |big| [("big", "mawe", big), ("small", "caucao", 500.0), ("other", "caucao", 500.0)];
+    (0..20).for_each(|_| fixture.set_demand(&rates_with_big(500.0)));
+    fixture.settle();
+    assert!((8..10).contains(&fixture.ready("big")));
+    let loads = fixture.loads;
+    fixture.set_demand(&rates_with_big(2_000.0));
+    fixture.settle();
+    (0..30).for_each(|_| fixture.set_demand(&rates_with_big(600.0)));
+    fixture.settle();
+    assert_eq!(fixture.loads, loads);
+    (0..30).for_each(|_| fixture.set_demand(&rates_with_big(2_000.0)));
+    fixture.settle();
+    assert!(fixture.ready("big") >= 10, "what lasts is followed");
 }
 
 /// A zone returns with all its engines empty, one model has lost all its replicas, and the store
@@ -131,32 +132,36 @@
 /// two loads may run, and no engine may stay empty.
 #[test]
 fn empty_zone_loads_the_scarcest_weights_first() {
-    let mut bench = Fixture::open(9, &["big", "small"]);
-    bench.set_demand(&[("big", "mawe", 800.0), ("small", "caucao", 200.0)]);
-    bench.settle();
-    for engine in bench.engines.iter_mut() {
+    let mut fixture = Fixture::open(9, &["big", "small"]);
+    fixture.set_demand(&[("big", "mawe", 800.0), ("small", "caucao", 200.0)]);
+    fixture.settle();
+    for engine in fixture.engines.iter_mut() {
         engine.loaded.remove("small");
         if engine.zone == "a".into() {
             engine.loaded.clear();
         }
     }
-    let first = bench.apply_changes(2);
+    let first = fixture.apply_changes(2);
     assert!(first.iter().all(|c| matches!(c, Change::Load(_, "small"))), "{first:?}");
     assert_eq!(first.len(), 2);
-    let zones: std::collections::BTreeSet<_> =
-        bench.engines.iter().filter(|e| e.loaded.contains_key("small")).map(|e| &e.zone).collect();
+    let zones: std::collections::BTreeSet<_> = fixture
+        .engines
+        .iter()
+        .filter(|e| e.loaded.contains_key("small"))
+        .map(|e| &e.zone)
+        .collect();
     assert_eq!(zones.len(), 2);
-    bench.finish_loads();
+    fixture.finish_loads();
     loop {
-        let loads = bench.apply_changes(2);
+        let loads = fixture.apply_changes(2);
         assert!(loads.len() <= 2);
         if loads.is_empty() {
             break;
         }
-        bench.finish_loads();
+        fixture.finish_loads();
     }
-    assert!(bench.engines.iter().all(|e| !e.loaded.is_empty()));
-    assert_eq!(bench.ready("big"), 9);
+    assert!(fixture.engines.iter().all(|e| !e.loaded.is_empty()));
+    assert_eq!(fixture.ready("big"), 9);
 }
 
 /// Guards against a gap in service during the rollout of a version. The new version is loaded
@@ -164,44 +169,44 @@
 /// its last stream has ended.
 #[test]
 fn new_version_replaces_the_old_without_a_gap() {
-    let mut bench = Fixture::open(6, &["v1"]);
-    bench.set_demand(&[("v1", "mawe", 500.0)]);
-    bench.settle();
-    assert_eq!(bench.ready("v1"), 6);
-    bench.engines[0].loaded.get_mut("v1").expect("held").streams = 1;
-    bench.deployments = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
-    bench.set_demand(&[("v1", "mawe", 500.0)]);
+    let mut fixture = Fixture::open(6, &["v1"]);
+    fixture.set_demand(&[("v1", "mawe", 500.0)]);
+    fixture.settle();
+    assert_eq!(fixture.ready("v1"), 6);
+    fixture.engines[0].loaded.get_mut("v1").expect("held").streams = 1;
+    fixture.deployments = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
+    fixture.set_demand(&[("v1", "mawe", 500.0)]);
     for _ in 0..10 {
-        let before = bench.ready("v2") as u32;
-        let changes = bench.apply_changes(2);
+        let before = fixture.ready("v2") as u32;
+        let changes = fixture.apply_changes(2);
         let unloads = changes.iter().any(|c| matches!(c, Change::Unload(..)));
-        assert!(!unloads || before >= bench.layout.wanted_replicas(&"v2"));
-        assert!(bench.ready("v1") + bench.ready("v2") > 0);
-        bench.finish_loads();
+        assert!(!unloads || before >= fixture.layout.wanted_replicas(&"v2"));
+        assert!(fixture.ready("v1") + fixture.ready("v2") > 0);
+        fixture.finish_loads();
     }
-    assert_eq!((bench.ready("v1"), bench.ready("v2")), (1, 6), "the stream still runs");
-    bench.engines[0].loaded.get_mut("v1").expect("held").streams = 0;
-    bench.settle();
-    assert_eq!(bench.ready("v1"), 0);
+    assert_eq!((fixture.ready("v1"), fixture.ready("v2")), (1, 6), "the stream still runs");
+    fixture.engines[0].loaded.get_mut("v1").expect("held").streams = 0;
+    fixture.settle();
+    assert_eq!(fixture.ready("v1"), 0);
 }
 
 /// A model is withdrawn while streams run on some engines. It must be unloaded from idle engines
 /// immediately, from the others after their last stream, and never be loaded again.
 #[test]
 fn withdrawn_model_is_unloaded_after_its_last_stream() {
-    let mut bench = Fixture::open(6, &["kept", "gone"]);
-    bench.set_demand(&[("kept", "mawe", 500.0), ("gone", "mawe", 500.0)]);
-    bench.settle();
-    let holder = bench.engines.iter().position(|e| e.loaded.contains_key("gone")).expect("some");
-    bench.engines[holder].loaded.get_mut("gone").expect("held").streams = 3;
-    bench.deployments.pop();
-    bench.set_demand(&[("gone", "mawe", 500.0)]);
-    bench.settle();
-    assert_eq!(bench.ready("gone"), 1);
-    bench.engines[holder].loaded.get_mut("gone").expect("held").streams = 0;
-    bench.settle();
-    assert_eq!(bench.ready("gone"), 0);
-    bench.now += ms(1);
+    let mut fixture = Fixture::open(6, &["kept", "gone"]);
+    fixture.set_demand(&[("kept", "mawe", 500.0), ("gone", "mawe", 500.0)]);
+    fixture.settle();
+    let holder = fixture.engines.iter().position(|e| e.loaded.contains_key("gone")).expect("some");
+    fixture.engines[holder].loaded.get_mut("gone").expect("held").streams = 3;
+    fixture.deployments.pop();
+    fixture.set_demand(&[("gone", "mawe", 500.0)]);
+    fixture.settle();
+    assert_eq!(fixture.ready("gone"), 1);
+    fixture.engines[holder].loaded.get_mut("gone").expect("held").streams = 0;
+    fixture.settle();
+    assert_eq!(fixture.ready("gone"), 0);
+    fixture.now += ms(1);
 }
 
 /// Guards against a partner that displaces the model of another one by requesting far more than its
@@ -209,9 +214,9 @@
 #[test]
 fn demand_above_the_share_counts_less() {
     let replicas = |rates: &[(Weights, &str, f64)]| {
-        let mut bench = Fixture::open(12, &["theirs", "ours"]);
-        bench.set_demand(rates);
-        bench.layout.wanted_replicas(&"ours")
+        let mut fixture = Fixture::open(12, &["theirs", "ours"]);
+        fixture.set_demand(rates);
+        fixture.layout.wanted_replicas(&"ours")
     };
     let within = replicas(&[("theirs", "mawe", 850.0), ("ours", "mawe", 150.0)]);
     let over = replicas(&[("theirs", "mawe", 850.0), ("ours", "caucao", 150.0)]);
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -139,9 +139,9 @@
 /// would be in time.
 #[test]
 fn short_prompts_avoid_engines_with_a_long_next_iteration() {
-    let reading = Load { next_iteration_prefill: ms(170), preference: 0, ..load(0, 5) };
+    let preferred = Load { next_iteration_prefill: ms(170), preference: 0, ..load(0, 5) };
     let other = Load { preference: 1, ..load(0, 5) };
-    let loads = [reading, other];
+    let loads = [preferred, other];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
     // Without streams to delay, the preferred engine is chosen.
     let loads = [Load { inter_token_target: None, ..loads[0].clone() }, loads[1].clone()];
@@ -150,11 +150,11 @@
 
 #[test]
 fn penalized_engines_are_used_only_if_all_are_penalized() {
-    let doubtful = Load { penalty: ms(300), ..load(0, 5) };
-    let loads = [doubtful.clone(), load(0, 0)];
+    let penalized = Load { penalty: ms(300), ..load(0, 5) };
+    let loads = [penalized.clone(), load(0, 0)];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
-    let busy = Load { prefill_backlog: ms(400), prefill_start_delay: ms(400), ..doubtful.clone() };
-    let loads = [busy, doubtful];
+    let busy = Load { prefill_backlog: ms(400), prefill_start_delay: ms(400), ..penalized.clone() };
+    let loads = [busy, penalized];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
@@ -163,14 +163,14 @@
 /// the remaining ones.
 #[test]
 fn penalty_is_weighed_against_waiting_time() {
-    let doubtful = Load { penalty: ms(300), ..load(0, 0) };
-    let loads = [load(1_700, 5), doubtful.clone(), load(1_800, 5)];
+    let penalized = Load { penalty: ms(300), ..load(0, 0) };
+    let loads = [load(1_700, 5), penalized.clone(), load(1_800, 5)];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
-    let loads = [load(200, 5), doubtful, load(300, 5)];
+    let loads = [load(200, 5), penalized, load(300, 5)];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
     // An engine that failed repeatedly is not tried for a shorter wait than the failure costs.
-    let dead = Load { penalty: ms(2_400), ..load(0, 0) };
-    let loads = [load(1_700, 5), dead];
+    let failing = Load { penalty: ms(2_400), ..load(0, 0) };
+    let loads = [load(1_700, 5), failing];
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 0);
 }
 
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -15,8 +15,8 @@
 #[test]
 fn smallest_long_prompt_comes_first() {
     let (mut queue, now) = (Queue::default(), Instant::now());
-    for (key, read) in [("large", 900), ("small", 100), ("other", 400), ("later", 400)] {
-        assert!(queue.insert_or_refresh(now, key, Priority::Long(ms(read)), 0));
+    for (key, prefill_ms) in [("large", 900), ("small", 100), ("other", 400), ("later", 400)] {
+        assert!(queue.insert_or_refresh(now, key, Priority::Long(ms(prefill_ms)), 0));
     }
     assert_eq!(queued_keys(&queue), ["small", "other", "later", "large"]);
     assert_eq!(
@@ -37,8 +37,8 @@
 fn short_prompts_come_first_by_due_time() {
     let (mut queue, now) = (Queue::default(), Instant::now());
     queue.insert_or_refresh(now, "long", Priority::Long(ms(400)), 0);
-    for (key, due) in [("third", 290), ("first", 100), ("second", 200)] {
-        assert!(queue.insert_or_refresh(now, key, Priority::Short(now + ms(due)), 0));
+    for (key, due_ms) in [("third", 290), ("first", 100), ("second", 200)] {
+        assert!(queue.insert_or_refresh(now, key, Priority::Short(now + ms(due_ms)), 0));
     }
     assert_eq!(queued_keys(&queue), ["first", "second", "third", "long"]);
     let third = queue.ahead_of(&"third", Priority::Short(now + ms(290)));
@@ -68,10 +68,10 @@
 #[test]
 fn full_queue_accepts_no_new_prompt() {
     let (mut queue, now) = (Queue::default(), Instant::now());
-    let taken = (0..5_000)
+    let accepted = (0..5_000)
         .filter(|key| queue.insert_or_refresh(now, *key, Priority::Long(ms(100)), ()))
         .count();
-    assert!((100..5_000).contains(&taken), "{taken}");
+    assert!((100..5_000).contains(&accepted), "{accepted}");
     assert!(
         queue.insert_or_refresh(now, 0, Priority::Long(ms(100)), ()),
         "what waits already is asked for again"
