--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -40,9 +40,10 @@
 
     /// Grants the next request and queues another one of the same kind.
     fn serve_next(&mut self) -> (&'static str, Lane, u64) {
-        let (ticket, _) = self.queue.peek(self.now, Lanes::ALL).expect("work waits");
+        let (ticket, _) = self.queue.peek(self.now, Lanes::ALL).expect("a request is waiting");
         assert!(self.queue.grant(ticket));
-        let (partner, lane, work) = self.items.remove(&ticket).expect("granted twice");
+        let (partner, lane, work) =
+            self.items.remove(&ticket).expect("the ticket was granted before");
         *self.granted_work.entry(partner).or_default() += work;
         self.push(partner, lane, work);
         (partner, lane, work)
@@ -123,12 +124,12 @@
     assert_eq!(long_grants, 1);
     assert!(
         short_grants * 2 >= other_grants - 2,
-        "{short_grants} of the staff beside {other_grants} of the rival"
+        "{short_grants} short grants beside {other_grants} of the other partner"
     );
     for _ in 0..20_000 {
         fixture.serve();
     }
-    assert!(fixture.granted_work["mawe"] > 5_000_000, "no other review came");
+    assert!(fixture.granted_work["mawe"] > 5_000_000, "no further long prompt was granted");
     assert!(
         (fixture.work_fraction("mawe") - 0.5).abs() < 0.05,
         "{}",
@@ -147,7 +148,7 @@
     while fixture.serve_next().1 != SHORT_BATCH {
         fixture.now += ms(100);
         turns += 1;
-        assert!(turns < 1_000, "the batch ask starved");
+        assert!(turns < 1_000, "the batch request starved");
     }
     assert_eq!(turns, MAX_BATCH_OVERTAKING.as_millis() / 100);
 }
--- a/crates/policy/tests/iteration.rs
+++ b/crates/policy/tests/iteration.rs
@@ -96,8 +96,12 @@
     assert_eq!(prefill_left(200, 0), ms(50));
     assert_eq!(prefill_left(260, 0), Duration::ZERO);
     assert_eq!(prefill_left(340, 0), Duration::ZERO);
-    assert_eq!(prefill_left(360, 0), ms(50), "a fifth, as long as nothing is heard");
-    assert!(prefill_left(260, 2) > Duration::ZERO, "its pass still writes");
+    assert_eq!(
+        prefill_left(360, 0),
+        ms(50),
+        "a fifth of the chunk until its first token is reported"
+    );
+    assert!(prefill_left(260, 2) > Duration::ZERO, "its iteration still decodes");
     assert_eq!(prefill_left(340, 2), Duration::ZERO);
 }
 
@@ -125,7 +129,11 @@
     );
     let helper_chunk = PendingPrefill { is_primary: false, ..placed_ms_ago(200) };
     let mut engine = Engine { pending_prefills: vec![helper_chunk], ..Engine::default() };
-    assert_eq!(engine.backlog(now, &profile()).decoding_streams, 0, "another engine writes");
+    assert_eq!(
+        engine.backlog(now, &profile()).decoding_streams,
+        0,
+        "another engine decodes the answer"
+    );
 }
 
 /// Guards against a first token after 130 ms instead of the predicted 40 and 67 ms for prompts that
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -63,12 +63,15 @@
                     engine.loaded.insert(weights, Residency { is_ready: false, streams: 0 });
                 }
                 (None, Change::Unload(_, weights)) => {
-                    let residency = engine.loaded.remove(weights).expect("held");
-                    assert_eq!(residency.streams, 0, "unloaded under a stream");
+                    let residency = engine.loaded.remove(weights).expect("weights are loaded");
+                    assert_eq!(
+                        residency.streams, 0,
+                        "weights were unloaded under a running stream"
+                    );
                 }
                 _ => {}
             }
-            assert!(engine.loaded.len() <= 2, "no place");
+            assert!(engine.loaded.len() <= 2, "more weights than slots");
         }
         changes
     }
@@ -124,7 +127,7 @@
     assert_eq!(fixture.loads, loads);
     (0..30).for_each(|_| fixture.set_demand(&rates_with_big(2_000.0)));
     fixture.settle();
-    assert!(fixture.ready("big") >= 10, "what lasts is followed");
+    assert!(fixture.ready("big") >= 10, "lasting demand is followed");
 }
 
 /// A zone returns with all its engines empty, one model has lost all its replicas, and the store
@@ -173,7 +176,7 @@
     fixture.set_demand(&[("v1", "mawe", 500.0)]);
     fixture.settle();
     assert_eq!(fixture.ready("v1"), 6);
-    fixture.engines[0].loaded.get_mut("v1").expect("held").streams = 1;
+    fixture.engines[0].loaded.get_mut("v1").expect("weights are loaded").streams = 1;
     fixture.deployments = vec![Deployment { weights: "v2", min_replicas: 2, replaces: Some("v1") }];
     fixture.set_demand(&[("v1", "mawe", 500.0)]);
     for _ in 0..10 {
@@ -185,7 +188,7 @@
         fixture.finish_loads();
     }
     assert_eq!((fixture.ready("v1"), fixture.ready("v2")), (1, 6), "the stream still runs");
-    fixture.engines[0].loaded.get_mut("v1").expect("held").streams = 0;
+    fixture.engines[0].loaded.get_mut("v1").expect("weights are loaded").streams = 0;
     fixture.settle();
     assert_eq!(fixture.ready("v1"), 0);
 }
@@ -198,12 +201,12 @@
     fixture.set_demand(&[("kept", "mawe", 500.0), ("gone", "mawe", 500.0)]);
     fixture.settle();
     let holder = fixture.engines.iter().position(|e| e.loaded.contains_key("gone")).expect("some");
-    fixture.engines[holder].loaded.get_mut("gone").expect("held").streams = 3;
+    fixture.engines[holder].loaded.get_mut("gone").expect("weights are loaded").streams = 3;
     fixture.deployments.pop();
     fixture.set_demand(&[("gone", "mawe", 500.0)]);
     fixture.settle();
     assert_eq!(fixture.ready("gone"), 1);
-    fixture.engines[holder].loaded.get_mut("gone").expect("held").streams = 0;
+    fixture.engines[holder].loaded.get_mut("gone").expect("weights are loaded").streams = 0;
     fixture.settle();
     assert_eq!(fixture.ready("gone"), 0);
     fixture.now += ms(1);
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -103,7 +103,7 @@
     let burst = place_all(&mut fleet, (0..400).map(|i| query(cost(1_000, 32), i)));
     assert!(
         burst.keys().any(|index| engines_with_long.contains_key(index)),
-        "a burst may use them all"
+        "a burst may use all engines"
     );
 }
 
@@ -124,7 +124,7 @@
     for random in 0..100 {
         let fleet = fleet(16);
         let chosen = choose_target(&query_with_prefix(random, 8_000), &fleet).expect("some").hash;
-        assert_eq!(*home_engine.get_or_insert(chosen), chosen, "no event ever came");
+        assert_eq!(*home_engine.get_or_insert(chosen), chosen, "no cache event arrived");
     }
     let counts = place_all(&mut fleet(16), (0..320).map(|i| query_with_prefix(i, 8_000)));
     assert!(counts.values().all(|&n| n <= 30), "{counts:?}");
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -74,6 +74,6 @@
     assert!((100..5_000).contains(&accepted), "{accepted}");
     assert!(
         queue.insert_or_refresh(now, 0, Priority::Long(ms(100)), ()),
-        "what waits already is asked for again"
+        "a queued prompt can be refreshed"
     );
 }
--- a/crates/policy/tests/replica.rs
+++ b/crates/policy/tests/replica.rs
@@ -24,7 +24,11 @@
 fn replica_with_most_free_slots_is_chosen() {
     assert_eq!(choose(&[load(3, 0), load(1, 0), load(2, 0)]), Ok(1));
     let near = Load { is_same_zone: true, ..load(2, 0) };
-    assert_eq!(choose(&[load(2, 0), near, load(3, 0)]), Ok(1), "the nearer of two alike");
+    assert_eq!(
+        choose(&[load(2, 0), near, load(3, 0)]),
+        Ok(1),
+        "of two equal replicas, the one in the same zone"
+    );
 }
 
 /// Guards against requests that are refused because all replicas without failures are full, while
@@ -34,7 +38,7 @@
     let loads = [load(17, 0), load(16, 0), load(0, 100), load(0, 120), load(0, 300)];
     assert_eq!(choose(&loads), Ok(2));
     let loads = [load(18, 0), load(18, 0), load(5, 4_000)];
-    assert_eq!(choose(&loads), Ok(2), "rather than to refuse");
+    assert_eq!(choose(&loads), Ok(2), "preferred to a refusal");
 }
 
 #[test]
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -81,7 +81,7 @@
     let back = reservation.answer(None);
     assert_eq!(back, [(asked[0].clone(), 1), (asked[1].clone(), 2)]);
     assert_eq!(asked, ["engine-1".into(), "engine-2".into()]);
-    assert_eq!(reservation.release(), [], "nothing is held");
+    assert_eq!(reservation.release(), [], "no permit is held");
 }
 
 /// Runs one step of a reservation: requests its next part, or returns its permits if it holds all
@@ -100,7 +100,7 @@
     let granted = match limiter.ask(now, ask) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
-        Answer::Queued(_) => panic!("an urgent ask was queued"),
+        Answer::Queued(_) => panic!("an urgent request was queued"),
     };
     for (target, ticket) in reservation.answer(granted) {
         limiters.get_mut(&target).expect("known").finish(ticket);
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -52,12 +52,12 @@
     let (last, spared) = (outcome.last(), outcome.last_spared());
     let overhead = outcome.overhead(case);
     if last.is_none_or(|last| last > bound + fault) {
-        return Some(format!("the last had it at {last:?}"));
+        return Some(format!("the last node had it at {last:?}"));
     }
     if spared.is_none_or(|last| last > bound) {
-        return Some(format!("the last without a fault of its own had it at {spared:?}"));
+        return Some(format!("the last unaffected node had it at {spared:?}"));
     }
-    (overhead > MAX_OVERHEAD).then(|| format!("{overhead:.2} of the bytes were sent"))
+    (overhead > MAX_OVERHEAD).then(|| format!("{overhead:.2} times the necessary bytes were sent"))
 }
 
 fn with_fault(fault: Fault) -> impl Fn(Case) -> Case {
