--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -103,25 +103,25 @@
         ticket: u64,
     ) {
         let account = self.intern(partner, account);
-        let entry = &mut self.accounts[account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
+        let account_flow = &mut self.accounts[account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
         let index = lane.index();
-        owner.accounts.enter(&mut entry.flow, account, index);
-        self.partner_level.enter(&mut owner.flow, entry.partner, index);
+        partner_flow.accounts.enter(&mut account_flow.flow, account, index);
+        self.partner_level.enter(&mut partner_flow.flow, account_flow.partner, index);
         let size = usize::from(lane.is_long);
-        entry.flow.queued_work[size] += work;
-        owner.flow.queued_work[size] += work;
-        entry.queues[index].insert(ticket);
+        account_flow.flow.queued_work[size] += work;
+        partner_flow.flow.queued_work[size] += work;
+        account_flow.queues[index].insert(ticket);
         self.items.insert(ticket, Item { account, lane, work, queued_at: now });
     }
 
     /// Returns the next request in fair order among the admitted lanes.
     pub fn peek(&self, now: Instant, lanes: Lanes) -> Option<(u64, Lane)> {
-        let (partner, long) = self.partner_level.first(lanes)?;
-        let lanes = lanes.of_size(long);
+        let (partner, is_long) = self.partner_level.first(lanes)?;
+        let lanes = lanes.of_size(is_long);
         let (account, _) = self.partners[partner as usize].accounts.first(lanes)?;
         let first_in_class = |class| {
-            let lane = Lane { class, is_long: long };
+            let lane = Lane { class, is_long };
             let queue = &self.accounts[account as usize].queues[lane.index()];
             lanes.contains(lane).then(|| queue.first().map(|&ticket| (ticket, lane))).flatten()
         };
@@ -137,25 +137,35 @@
     /// Removes a granted request and charges its work to its partner and account.
     pub fn grant(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.get(&ticket).copied() else { return false };
-        let entry = &mut self.accounts[item.account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
-        owner.accounts.charge(&mut entry.flow, item.account, item.work, item.lane.is_long);
-        self.partner_level.charge(&mut owner.flow, entry.partner, item.work, item.lane.is_long);
+        let account_flow = &mut self.accounts[item.account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
+        partner_flow.accounts.charge(
+            &mut account_flow.flow,
+            item.account,
+            item.work,
+            item.lane.is_long,
+        );
+        self.partner_level.charge(
+            &mut partner_flow.flow,
+            account_flow.partner,
+            item.work,
+            item.lane.is_long,
+        );
         self.remove(ticket)
     }
 
     /// Removes a request without charging it.
     pub fn remove(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.remove(&ticket) else { return false };
-        let entry = &mut self.accounts[item.account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
+        let account_flow = &mut self.accounts[item.account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
         let lane = item.lane.index();
-        entry.queues[lane].remove(&ticket);
-        owner.accounts.leave(&mut entry.flow, item.account, lane);
-        self.partner_level.leave(&mut owner.flow, entry.partner, lane);
+        account_flow.queues[lane].remove(&ticket);
+        partner_flow.accounts.leave(&mut account_flow.flow, item.account, lane);
+        self.partner_level.leave(&mut partner_flow.flow, account_flow.partner, lane);
         let size = usize::from(item.lane.is_long);
-        entry.flow.queued_work[size] -= item.work;
-        owner.flow.queued_work[size] -= item.work;
+        account_flow.flow.queued_work[size] -= item.work;
+        partner_flow.flow.queued_work[size] -= item.work;
         true
     }
 
@@ -190,25 +200,27 @@
     }
 
     /// Returns the waiting work of short or long requests.
-    pub fn queued_work(&self, long: bool) -> u64 {
-        let size = usize::from(long);
+    pub fn queued_work(&self, is_long: bool) -> u64 {
+        let size = usize::from(is_long);
         self.partners.iter().map(|p| p.flow.queued_work[size]).sum()
     }
 
     /// Returns the work that would be granted before a new request of `account` with the same size:
     /// the queued work of the partner or the account divided by its share, at most all queued work.
-    pub fn work_ahead(&self, partner: &id::Partner, account: &id::Account, long: bool) -> u64 {
-        let size = usize::from(long);
-        let Some(owner) = self.partner_index.get(partner).map(|&i| &self.partners[i as usize])
+    pub fn work_ahead(&self, partner: &id::Partner, account: &id::Account, is_long: bool) -> u64 {
+        let size = usize::from(is_long);
+        let Some(partner_flow) =
+            self.partner_index.get(partner).map(|&i| &self.partners[i as usize])
         else {
             return 0;
         };
         let share = self.share_of(partner);
-        let by_partner = owner.flow.queued_work[size] as f64 / share;
-        let entry = self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
-        let account_work = entry.map_or(0, |flow| flow.queued_work[size]);
-        let by_account = account_work as f64 * owner.waiting_accounts() / share;
-        self.queued_work(long).min(by_partner.min(by_account) as u64)
+        let by_partner = partner_flow.flow.queued_work[size] as f64 / share;
+        let account_flow =
+            self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
+        let account_work = account_flow.map_or(0, |flow| flow.queued_work[size]);
+        let by_account = account_work as f64 * partner_flow.waiting_accounts() / share;
+        self.queued_work(is_long).min(by_partner.min(by_account) as u64)
     }
 
     /// Returns the short or long requests that can't start in time. The work before each one in the
@@ -216,18 +228,20 @@
     /// Returned requests don't count as work before the others.
     pub fn find_late(
         &self,
-        long: bool,
+        is_long: bool,
         rate: f64,
         time_left: impl Fn(u64) -> Duration,
     ) -> Vec<u64> {
-        let lanes = if long { 2..4 } else { 0..2 };
+        let lanes = if is_long { 2..4 } else { 0..2 };
         let mut late = Vec::new();
-        for entry in self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(long)] > 0) {
-            let owner = &self.partners[entry.partner as usize];
-            let share = self.waiting_share(&owner.flow) / owner.waiting_accounts();
+        for account_flow in
+            self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(is_long)] > 0)
+        {
+            let partner_flow = &self.partners[account_flow.partner as usize];
+            let share = self.waiting_share(&partner_flow.flow) / partner_flow.waiting_accounts();
             let account_rate = (rate * share).max(1.0);
             let mut work_before = 0;
-            for ticket in lanes.clone().flat_map(|lane| &entry.queues[lane]) {
+            for ticket in lanes.clone().flat_map(|lane| &account_flow.queues[lane]) {
                 let wait = Duration::try_from_secs_f64(work_before as f64 / account_rate);
                 if wait.unwrap_or(Duration::MAX) > time_left(*ticket) {
                     late.push(*ticket);
@@ -246,15 +260,15 @@
     }
 
     fn intern(&mut self, partner: &id::Partner, account: &id::Account) -> u32 {
-        let owner = self.intern_partner(partner);
+        let partner_flow = self.intern_partner(partner);
         if let Some(&index) = self.account_index.get(account)
-            && self.accounts[index as usize].partner == owner
+            && self.accounts[index as usize].partner == partner_flow
         {
             return index;
         }
         let flow = Flow::open(weight_of(&self.weights, account));
         let index = self.accounts.len() as u32;
-        self.accounts.push(AccountFlow { partner: owner, flow, queues: Default::default() });
+        self.accounts.push(AccountFlow { partner: partner_flow, flow, queues: Default::default() });
         self.account_index.insert(account.clone(), index);
         index
     }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -65,7 +65,7 @@
         self.0 & (1 << index) != 0
     }
 
-    pub(crate) fn of_size(self, long: bool) -> Self {
-        Self(self.0 & if long { 0b1100 } else { 0b0011 })
+    pub(crate) fn of_size(self, is_long: bool) -> Self {
+        Self(self.0 & if is_long { 0b1100 } else { 0b0011 })
     }
 }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -42,7 +42,7 @@
     /// Its zone.
     pub zone: id::Zone,
     /// Whether it accepts new work.
-    pub accepting: bool,
+    pub is_accepting: bool,
     /// Maximum number of weights that it can hold.
     pub weight_slots: u32,
     /// Weights that are loaded or being loaded.
@@ -112,7 +112,7 @@
             demand_for(&deployment.weights) + deployment.replaces.as_ref().map_or(0.0, demand_for)
         };
         let total: f64 = deployments.iter().map(expected).sum();
-        let accepting = engines.iter().filter(|e| e.accepting);
+        let accepting = engines.iter().filter(|e| e.is_accepting);
         let weight_slots: u32 = accepting.clone().map(|e| e.weight_slots).sum();
         let max_replicas = accepting.count() as u32;
         let spare_slots = weight_slots
@@ -241,7 +241,7 @@
             let eligible = engines.iter().enumerate().filter(|(_, engine)| {
                 let has_slot = (engine.loaded.len() as u32) < engine.weight_slots;
                 let has_slot = has_slot || self.choose_eviction(engine, engines).is_some();
-                engine.accepting && !engine.loaded.contains_key(weights) && has_slot
+                engine.is_accepting && !engine.loaded.contains_key(weights) && has_slot
             });
             let best = eligible
                 .min_by_key(|(_, e)| (replicas_in_zone(&e.zone), e.loaded.len(), &e.target));
@@ -272,12 +272,13 @@
 
 /// Counts replicas on engines that accept work, including those being loaded.
 fn count_replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
-    let holds = |e: &&Engine<W>| e.accepting && e.loaded.contains_key(weights);
+    let holds = |e: &&Engine<W>| e.is_accepting && e.loaded.contains_key(weights);
     engines.iter().filter(holds).count() as u32
 }
 
 /// Counts ready replicas on engines that accept work.
 fn count_ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
-    let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
+    let serves =
+        |e: &&Engine<W>| e.is_accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
     engines.iter().filter(serves).count() as u32
 }
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -240,8 +240,8 @@
     }
 
     /// Returns the estimated prompt tokens in flight of short or long prompts.
-    pub fn prefill_in_flight(&self, long: bool) -> f64 {
-        self.prefills[usize::from(long)].iter().map(|p| p.tokens_left).sum()
+    pub fn prefill_in_flight(&self, is_long: bool) -> f64 {
+        self.prefills[usize::from(is_long)].iter().map(|p| p.tokens_left).sum()
     }
 }
 
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -21,11 +21,13 @@
     /// Refuses a request on arrival that could not end before its deadline behind the work ahead of
     /// it, or for which the queue has no room.
     pub(crate) fn refuse_late(&self, now: Instant, ask: &Ask) -> Option<Answer> {
-        let long = ask.cost.is_long();
-        let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, long);
+        let is_long = ask.cost.is_long();
+        let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, is_long);
         let hold = self.hold.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         let wait = hold
-            + self.pace.queue_time(work_ahead + self.room.prefill_in_flight(long) as u64, long);
+            + self
+                .pace
+                .queue_time(work_ahead + self.room.prefill_in_flight(is_long) as u64, is_long);
         let service_time = self.pace.service_time(ask.cost, ask.deadline - now);
         let lateness = (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + service_time)
             .checked_duration_since(ask.deadline);
@@ -64,7 +66,9 @@
         };
         let sizes = [false, true].into_iter();
         let late: Vec<Ticket> = sizes
-            .flat_map(|long| self.queue.find_late(long, self.pace.grant_rate(long), time_left))
+            .flat_map(|is_long| {
+                self.queue.find_late(is_long, self.pace.grant_rate(is_long), time_left)
+            })
             .collect();
         for &ticket in &late {
             self.forget(ticket);
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -99,20 +99,20 @@
     }
 
     /// Returns the time until `work` has been granted from the queue.
-    pub fn queue_time(&self, work: u64, long: bool) -> Duration {
-        rate::TokensPerSecond(self.grant_rate(long)).time_for(size::Tokens(work))
+    pub fn queue_time(&self, work: u64, is_long: bool) -> Duration {
+        rate::TokensPerSecond(self.grant_rate(is_long)).time_for(size::Tokens(work))
     }
 
     /// Returns the work per second that is granted from the queue.
-    pub fn grant_rate(&self, long: bool) -> f64 {
-        let size = usize::from(long);
+    pub fn grant_rate(&self, is_long: bool) -> f64 {
+        let size = usize::from(is_long);
         let measured = self.recent_grants[size] / RATE_WINDOWS_S[size];
         measured.max(self.initial_rate * MIN_RATE_FRACTION)
     }
 
     /// Records work that was granted from the queue.
-    pub fn record_grant(&mut self, work: u64, long: bool) {
-        self.recent_grants[usize::from(long)] += work as f64;
+    pub fn record_grant(&mut self, work: u64, is_long: bool) {
+        self.recent_grants[usize::from(is_long)] += work as f64;
     }
 
     /// Updates the inter-token time from a completed stream.
--- a/crates/policy/tests/layout.rs
+++ b/crates/policy/tests/layout.rs
@@ -28,7 +28,7 @@
         let engine = |index: usize| Engine {
             target: id::Target::from(format!("engine-{index:02}").as_str()),
             zone: id::Zone::from(["a", "b", "c"][index % 3]),
-            accepting: true,
+            is_accepting: true,
             weight_slots: 2,
             loaded: BTreeMap::new(),
         };
@@ -89,7 +89,7 @@
 
     fn ready(&self, weights: Weights) -> usize {
         let serves = |e: &&Engine<Weights>| {
-            e.accepting && e.loaded.get(weights).is_some_and(|residency| residency.is_ready)
+            e.is_accepting && e.loaded.get(weights).is_some_and(|residency| residency.is_ready)
         };
         self.engines.iter().filter(serves).count()
     }
