--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -260,15 +260,19 @@
     }
 
     fn intern(&mut self, partner: &id::Partner, account: &id::Account) -> u32 {
-        let partner_flow = self.intern_partner(partner);
+        let partner_index = self.intern_partner(partner);
         if let Some(&index) = self.account_index.get(account)
-            && self.accounts[index as usize].partner == partner_flow
+            && self.accounts[index as usize].partner == partner_index
         {
             return index;
         }
         let flow = Flow::open(weight_of(&self.weights, account));
         let index = self.accounts.len() as u32;
-        self.accounts.push(AccountFlow { partner: partner_flow, flow, queues: Default::default() });
+        self.accounts.push(AccountFlow {
+            partner: partner_index,
+            flow,
+            queues: Default::default(),
+        });
         self.account_index.insert(account.clone(), index);
         index
     }
