--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -142,10 +142,10 @@
     let mut best: Option<(f64, &Candidate)> = None;
     let mut hash_owner: Option<(u64, &Candidate)> = None;
     for candidate in eligible {
-        let min_score =
+        let base_score =
             estimate_cost(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
-        if best.is_none_or(|(score, _)| min_score < score) {
-            let score = min_score + random_spread(query, candidate);
+        if best.is_none_or(|(score, _)| base_score < score) {
+            let score = base_score + random_spread(query, candidate);
             if best.is_none_or(|(best, _)| score < best) {
                 best = Some((score, candidate));
             }
