--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -27,9 +27,9 @@
 /// carries the rest of the chunk.
 const LONG_CHUNK_COST_S: f64 = 0.09;
 
-/// Cost of the engine steps up to a first token, beside the prompt itself: about three steps of 13
-/// ms at 40,000 tokens a second. It is counted in prefill tokens so that it grows on a target that
-/// is slow or cold.
+/// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps at
+/// 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that is
+/// slow or cold.
 const FIRST_TOKEN_STEP_TOKENS: f64 = 1_600.0;
 
 /// Delay that each KV cache token in use adds to a first token, in seconds. Each engine step reads
@@ -43,7 +43,7 @@
 
 /// Random spread that is added to estimates: a fraction of the estimate plus a minimum in seconds.
 /// Callers don't notice smaller differences between targets, and nodes that choose from equal
-/// states must not all choose the same target.
+/// load reports must not all choose the same target.
 const SPREAD_FRACTION: f64 = 0.1;
 const MIN_SPREAD_S: f64 = 0.001;
 
@@ -180,7 +180,7 @@
 /// Whether a refusal counts against the permit requests of an attempt. Refusals of a target that
 /// accepts no new work don't count: when a zone is taken out of service, all of its targets refuse
 /// until the load reports are updated, and a request that used up its attempts on them would fail
-/// although other zones have room. Each such target is excluded from later attempts.
+/// although other zones have room. Each such target is excluded from then on.
 pub fn counts_as_ask(refused: Reason) -> bool {
     refused != Reason::NoTarget
 }
@@ -222,7 +222,7 @@
 }
 
 /// Whether a long prompt may be packed onto a candidate: it has a free slot and enough memory, and
-/// its backlog is no longer than the prompt itself.
+/// its backlog is no longer than the prompt itself or [`MIN_PACK_WAIT_S`].
 fn can_pack(cost: Cost, candidate: &Candidate) -> bool {
     let min_tokens = candidate.prefill_rate * MIN_PACK_WAIT_S;
     candidate.kv_free >= cost.kv()
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -84,8 +84,8 @@
     assert_eq!(reservation.release(), [], "no permit is held");
 }
 
-/// Runs one step of a reservation: requests its next part, or returns its permits if it holds all
-/// parts.
+/// Runs one step of a reservation: requests its next part. Returns all parts with their permits once
+/// they are held.
 fn run_step(
     limiters: &mut BTreeMap<id::Target, Limiter>,
     now: Instant,
