--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy)]
 enum Limit {
     /// Prefill time until the goal.
-    Reading,
+    Prefill,
     /// Time to prefill and to decode.
-    Work,
+    PrefillAndDecode,
     /// Stream slots.
     Slots,
 }
@@ -36,7 +36,10 @@
         let tasks = requests.iter().map(|request| Task::new(mix, profile, request, limit));
         earn(tasks.collect(), engines) / total_credit
     };
-    [Limit::Reading, Limit::Work, Limit::Slots].map(earn).into_iter().fold(1.0, f64::min)
+    [Limit::Prefill, Limit::PrefillAndDecode, Limit::Slots]
+        .map(earn)
+        .into_iter()
+        .fold(1.0, f64::min)
 }
 
 struct Task {
@@ -57,8 +60,8 @@
         // It is decoded within the pauses that its caller tolerates.
         let latest_end = goal + request.inter_token_target * events;
         let (work, end) = match limit {
-            Limit::Reading => (prefill_time, goal),
-            Limit::Work => {
+            Limit::Prefill => (prefill_time, goal),
+            Limit::PrefillAndDecode => {
                 (prefill_time + iteration(profile.slots) / profile.slots * events, latest_end)
             }
             Limit::Slots => (iteration(1) * events / profile.slots, latest_end),
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -79,17 +79,17 @@
     pub fn place(
         &mut self,
         request: usize,
-        first: usize,
+        primary: usize,
         helpers: &[usize],
         chunk_time: Duration,
         now: Duration,
     ) {
-        let engines = std::iter::once(&first).chain(helpers);
+        let engines = std::iter::once(&primary).chain(helpers);
         for &engine in engines.clone() {
             self.engines[engine].chunks.push((request, chunk_time));
         }
         self.requests[request].chunks_left = engines.count() as u32;
-        self.requests[request].placement = Some((first, helpers.to_vec(), chunk_time));
+        self.requests[request].placement = Some((primary, helpers.to_vec(), chunk_time));
         self.requests[request].placed_at = Some(now);
     }
 
@@ -108,7 +108,8 @@
             return false;
         }
         let start = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
-        let context: u64 = state.decoding.iter().map(|&w| self.requests[w].prompt.0).sum();
+        let context: u64 =
+            state.decoding.iter().map(|&stream| self.requests[stream].prompt.0).sum();
         let decode_time = match state.decoding.is_empty() {
             true => Duration::ZERO,
             false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
@@ -122,9 +123,9 @@
         let prefill_time: Duration = started.iter().map(|(_, time)| *time).sum();
         let end = start + decode_time + prefill_time;
         state.busy_until = end;
-        let writers = state.decoding.clone();
-        for writer in writers {
-            self.decode(engine, writer, end);
+        let streams = state.decoding.clone();
+        for stream in streams {
+            self.decode(engine, stream, end);
         }
         for (request, _) in started {
             self.finish_chunk(request);
@@ -151,9 +152,9 @@
     fn finish_chunk(&mut self, request: usize) {
         self.requests[request].chunks_left -= 1;
         if self.requests[request].chunks_left == 0
-            && let Some((first, ..)) = &self.requests[request].placement
+            && let Some((primary, ..)) = &self.requests[request].placement
         {
-            self.engines[*first].decoding.push(request);
+            self.engines[*primary].decoding.push(request);
         }
     }
 
@@ -161,11 +162,11 @@
     pub fn loads(&self, now: Duration) -> Vec<Load> {
         let mut loads: Vec<Load> =
             self.engines.iter().map(|engine| self.load(engine, now)).collect();
-        loads.iter_mut().zip(0..).for_each(|(load, place)| load.preference = place);
+        loads.iter_mut().zip(0..).for_each(|(load, index)| load.preference = index);
         let known = (0..self.requests.len()).filter(|&request| self.is_known(request));
         for request in known.map(|request| &self.requests[request]).filter(|r| !r.is_done) {
-            let Some((first, helpers, _)) = &request.placement else { continue };
-            let load = &mut loads[*first];
+            let Some((primary, helpers, _)) = &request.placement else { continue };
+            let load = &mut loads[*primary];
             load.requests += 1;
             load.inter_token_target =
                 load.inter_token_target.into_iter().chain([request.inter_token_target]).min();
@@ -183,7 +184,7 @@
         let chunks = engine.chunks.iter().filter(|(request, _)| self.is_known(*request));
         let chunks: Duration = chunks.map(|(_, time)| *time).sum();
         let decoding: Vec<usize> =
-            engine.decoding.iter().copied().filter(|&w| self.is_known(w)).collect();
+            engine.decoding.iter().copied().filter(|&stream| self.is_known(stream)).collect();
         // If the owner takes the engine for empty, it knows of no running iteration.
         let iteration_left = match chunks.is_zero() && decoding.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
@@ -199,7 +200,7 @@
             prefill_start_delay: chunks + iteration_left,
             next_iteration_prefill: chunks,
             decoding_streams: decoding.len() as u32,
-            decode_context: decoding.iter().map(|&w| self.requests[w].prompt).sum(),
+            decode_context: decoding.iter().map(|&stream| self.requests[stream].prompt).sum(),
             ..Load::default()
         }
     }
--- a/crates/policy/tests/iteration.rs
+++ b/crates/policy/tests/iteration.rs
@@ -11,9 +11,9 @@
     Duration::from_millis(ms)
 }
 
-fn prefill(placed: Instant, chunk_ms: u64) -> PendingPrefill {
+fn prefill(placed_at: Instant, chunk_ms: u64) -> PendingPrefill {
     PendingPrefill {
-        placed_at: placed,
+        placed_at,
         chunk_time: ms(chunk_ms),
         is_primary: true,
         notification_delay: ms(100),
@@ -34,13 +34,14 @@
 /// counted as prefilled by then, a seventh prompt would not see all six before it.
 #[test]
 fn prompts_arriving_within_an_iteration_are_prefilled_in_the_next() {
-    let ended = Instant::now();
-    let now = ended + ms(35);
-    let reads = (1..=6).map(|at| prefill(ended + ms(at * 5), 30)).collect();
+    let iteration_end = Instant::now();
+    let now = iteration_end + ms(35);
+    let pending_prefills =
+        (1..=6).map(|index| prefill(iteration_end + ms(index * 5), 30)).collect();
     let mut engine = Engine {
-        pending_prefills: reads,
+        pending_prefills,
         decoding_streams: 4,
-        last_iteration_end: Some(ended),
+        last_iteration_end: Some(iteration_end),
         ..Engine::default()
     };
     let backlog = engine.backlog(now, &profile());
@@ -53,13 +54,14 @@
 /// prefill and the decode time.
 #[test]
 fn iteration_is_longer_by_its_prefills() {
-    let ended = Instant::now();
-    let now = ended + decode_time(4) + ms(100);
-    let reads = (1..=6).map(|at| prefill(ended + ms(at * 5), 30)).collect();
+    let iteration_end = Instant::now();
+    let now = iteration_end + decode_time(4) + ms(100);
+    let pending_prefills =
+        (1..=6).map(|index| prefill(iteration_end + ms(index * 5), 30)).collect();
     let mut engine = Engine {
-        pending_prefills: reads,
+        pending_prefills,
         decoding_streams: 4,
-        last_iteration_end: Some(ended),
+        last_iteration_end: Some(iteration_end),
         ..Engine::default()
     };
     let backlog = engine.backlog(now, &profile());
@@ -85,10 +87,10 @@
 #[test]
 fn engine_counts_as_done_until_its_first_token_is_overdue() {
     let now = Instant::now() + ms(1_000);
-    let prefill_left = |sent_ms_ago: u64, writers: u32| {
+    let prefill_left = |sent_ms_ago: u64, decoding_streams: u32| {
         let mut engine = Engine {
             pending_prefills: vec![prefill(now - ms(sent_ms_ago), 250)],
-            decoding_streams: writers,
+            decoding_streams,
             ..Engine::default()
         };
         engine.backlog(now, &profile()).prefill_left
@@ -142,8 +144,9 @@
 #[test]
 fn earlier_prompts_decode_beside_a_new_one() {
     let now = Instant::now();
-    let reads = vec![prefill(now, 10), prefill(now + ms(1), 30), prefill(now + ms(2), 30)];
-    let mut engine = Engine { pending_prefills: reads, ..Engine::default() };
+    let pending_prefills =
+        vec![prefill(now, 10), prefill(now + ms(1), 30), prefill(now + ms(2), 30)];
+    let mut engine = Engine { pending_prefills, ..Engine::default() };
     let backlog = engine.backlog(now + ms(3), &profile());
     assert_eq!(backlog.decoding_streams, 3, "{backlog:?}");
     assert!(is_near(backlog.next_iteration_prefill, ms(60)), "{backlog:?}");
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -42,13 +42,13 @@
     let fleet = engines(&[450_000; 16]);
     let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
     assert_eq!(parts.len(), 3);
-    let mut from = size::Tokens(0);
+    let mut prompt_offset = size::Tokens(0);
     for part in &parts {
-        assert_eq!(part.prompt_offset, from);
+        assert_eq!(part.prompt_offset, prompt_offset);
         assert!(part.cost.kv() <= size::Tokens(450_000 / 8 * 7 + 1));
-        from += part.cost.prefill;
+        prompt_offset += part.cost.prefill;
     }
-    assert_eq!(from, size::Tokens(1_000_000));
+    assert_eq!(prompt_offset, size::Tokens(1_000_000));
     assert_eq!(parts[2].cost.decode, size::Tokens(1_000));
 }
 
