--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -27,8 +27,8 @@
 /// carries the rest of the chunk.
 const LONG_CHUNK_COST_S: f64 = 0.09;
 
-/// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps at
-/// 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that is
+/// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps
+/// at 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that is
 /// slow or cold.
 const FIRST_TOKEN_STEP_TOKENS: f64 = 1_600.0;
 
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -102,7 +102,10 @@
         let waits = ticket(limiter.ask(now, batch(now, "mawe", size)));
         loop {
             now += ms(100);
-            prop_assert!(now <= asked + MAX_BATCH_OVERTAKING + ms(1_000), "the batch request starved");
+            prop_assert!(
+                now <= asked + MAX_BATCH_OVERTAKING + ms(1_000),
+                "the batch request starved"
+            );
             for _ in 0..load {
                 limiter.ask(now, ask(now, "mawe", size));
             }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -84,8 +84,8 @@
     assert_eq!(reservation.release(), [], "no permit is held");
 }
 
-/// Runs one step of a reservation: requests its next part. Returns all parts with their permits once
-/// they are held.
+/// Runs one step of a reservation: requests its next part. Returns all parts with their permits
+/// once they are held.
 fn run_step(
     limiters: &mut BTreeMap<id::Target, Limiter>,
     now: Instant,
@@ -139,7 +139,10 @@
                 limiter.ask(now, Ask { deadline: now + ms(400), ..ask(now, "caucao", 500) });
                 limiter.poll(now);
             });
-            let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now) else { continue };
+            let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now)
+            else {
+                continue
+            };
             if let Some(held) = run_step(&mut limiters, now, reservation) {
                 prop_assert_eq!(held.len(), 3);
                 for (part, ticket) in held {
