--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -28,8 +28,8 @@
 const LONG_CHUNK_COST_S: f64 = 0.09;
 
 /// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps
-/// at 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that is
-/// slow or cold.
+/// at 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that
+/// is slow or cold.
 const FIRST_TOKEN_STEP_TOKENS: f64 = 1_600.0;
 
 /// Delay that each KV cache token in use adds to a first token, in seconds. Each engine step reads
