--- a/crates/path/src/decision.rs
+++ b/crates/path/src/decision.rs
@@ -32,11 +32,11 @@
             engines_known = context.survey.engines,
             full = context.survey.full,
             idle = context.survey.idle,
-            clear = context.survey.clear,
+            clear = context.survey.without_short,
             penalized = context.survey.penalized,
-            unread_ms = context.survey.unread.as_millis() as u64,
-            ahead_ms = context.survey.ahead.as_millis() as u64,
-            ahead_short = context.survey.ahead_short;
+            unread_ms = context.survey.prefill_backlog.as_millis() as u64,
+            ahead_ms = context.survey.ahead_prefill_time.as_millis() as u64,
+            ahead_short = context.survey.ahead_short_prompts;
             $($message)*
         );
     };
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::view::{Tag, Target};
 use hickory_policy::engine::Profile;
-use hickory_policy::pass::{Engine, Read};
+use hickory_policy::iteration::{Engine, PendingPrefill};
 use hickory_policy::plan::Load;
 use hickory_unit::id;
 use hickory_unit::size::Tokens;
@@ -81,12 +81,12 @@
         prompt.0 == 0 || (*is_short && *phase == Phase::Decode)
     }
 
-    fn pending_read(&self, writes: bool) -> Read {
-        Read {
-            placed: self.placed,
-            part: self.allocation.prefill_time,
-            writes,
-            word: FIRST_TOKEN_REPORT_DELAY,
+    fn pending_read(&self, writes: bool) -> PendingPrefill {
+        PendingPrefill {
+            placed_at: self.placed,
+            chunk_time: self.allocation.prefill_time,
+            is_primary: writes,
+            notification_delay: FIRST_TOKEN_REPORT_DELAY,
         }
     }
 }
@@ -256,14 +256,14 @@
         }
         if let Some(profile) = profile {
             for ((load, engine), target) in loads.iter_mut().zip(&mut engines).zip(targets) {
-                engine.writers = load.writers;
-                engine.context = load.context;
-                engine.ended = self.pass_ends.get(&target.tag).copied();
+                engine.decoding_streams = load.decoding_streams;
+                engine.decode_context = load.decode_context;
+                engine.last_iteration_end = self.pass_ends.get(&target.tag).copied();
                 let backlog = engine.backlog(now, profile);
-                load.backlog = backlog.unread;
-                load.begins = backlog.begins;
-                load.next = backlog.next;
-                load.writers = backlog.writers;
+                load.prefill_backlog = backlog.prefill_left;
+                load.prefill_start_delay = backlog.prefill_start_delay;
+                load.next_iteration_prefill = backlog.next_iteration_prefill;
+                load.decoding_streams = backlog.decoding_streams;
             }
         }
         loads
@@ -284,29 +284,30 @@
     if let Some(&target) = indexes.get(&allocation.target) {
         let load = &mut loads[target];
         load.requests += 1;
-        load.short += u32::from(allocation.is_short);
-        load.gap = load.gap.into_iter().chain(allocation.max_token_gap).min();
+        load.short_requests += u32::from(allocation.is_short);
+        load.inter_token_target =
+            load.inter_token_target.into_iter().chain(allocation.max_token_gap).min();
         match allocation.phase {
             Phase::Decode => {
-                load.writers += 1;
-                load.context += allocation.prompt + allocation.expected_answer;
+                load.decoding_streams += 1;
+                load.decode_context += allocation.prompt + allocation.expected_answer;
             }
-            Phase::Prefill => engines[target].reads.push(entry.pending_read(true)),
+            Phase::Prefill => engines[target].pending_prefills.push(entry.pending_read(true)),
         }
         if allocation.memory.is_empty() {
-            loads[target].memory += allocation.prompt + allocation.expected_answer;
+            loads[target].kv_used += allocation.prompt + allocation.expected_answer;
         }
     }
     for &(tag, tokens) in &allocation.memory {
         if let Some(&index) = indexes.get(&tag) {
-            loads[index].memory += tokens;
+            loads[index].kv_used += tokens;
         }
     }
     if allocation.phase == Phase::Decode {
         return;
     }
     for index in allocation.helpers.iter().filter_map(|tag| indexes.get(tag)) {
-        loads[*index].helping += 1;
-        engines[*index].reads.push(entry.pending_read(false));
+        loads[*index].helper_chunks += 1;
+        engines[*index].pending_prefills.push(entry.pending_read(false));
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -8,7 +8,7 @@
 use crate::ledger::AllocationId;
 use crate::placement::{Answer, Decision, Request, Scope, Snapshot};
 use hickory_policy::plan;
-use hickory_policy::queue::{Ahead, Queue, Turn};
+use hickory_policy::queue::{Ahead, Priority, Queue};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -45,7 +45,7 @@
 struct QueuedRequest {
     requester: Requester,
     request: Request,
-    turn: Turn,
+    turn: Priority,
     received: Instant,
 }
 
@@ -86,8 +86,8 @@
         self.queues.iter().map(|(group, queue)| (group.clone(), queue.in_order())).collect()
     }
 
-    fn ahead(&self, group: &Group, ticket: &Ticket, turn: Turn) -> Ahead {
-        self.queues.get(group).map(|queue| queue.ahead(ticket, turn)).unwrap_or_default()
+    fn ahead(&self, group: &Group, ticket: &Ticket, turn: Priority) -> Ahead {
+        self.queues.get(group).map(|queue| queue.ahead_of(ticket, turn)).unwrap_or_default()
     }
 
     fn has_short_queued(&self, group: &Group) -> bool {
@@ -97,11 +97,11 @@
 
 /// Returns the turn of a request in the queue: by the time left until the goal for a short prompt,
 /// by the prefill time for a long one. `None` if the request has no prompt to queue.
-fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Turn> {
+fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Priority> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
-        true => Turn::Short(received + request.goal_left),
-        false => Turn::Long(profile.read_time(prompt.tokens)),
+        true => Priority::Short(received + request.goal_left),
+        false => Priority::Long(profile.prefill_time(prompt.tokens)),
     })
 }
 
@@ -123,7 +123,7 @@
     let Some(snapshot) = Snapshot::capture(core, now, &request.service, scope) else { return };
     let group = request.group();
     let turn = queue_turn(&snapshot, &request, now);
-    let is_long = matches!(turn, Some(Turn::Long(_)));
+    let is_long = matches!(turn, Some(Priority::Long(_)));
     let is_immediate = !is_long && !core.owner().has_short_queued(&group);
     if is_immediate && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default())
     {
@@ -133,7 +133,12 @@
     let Some(turn) = turn else { return };
     let queued = QueuedRequest { requester: requester.clone(), request, turn, received: now };
     let mut owner = core.owner();
-    owner.queues.entry(group).or_default().put(now, requester.ticket.clone(), turn, queued);
+    owner.queues.entry(group).or_default().insert_or_refresh(
+        now,
+        requester.ticket.clone(),
+        turn,
+        queued,
+    );
     drop(owner);
     serve_queues(core, Some(&requester.ticket));
     core.queue_notify.notify_one();
@@ -173,7 +178,7 @@
         let mut is_full = false;
         for (ticket, queued) in entries {
             let Some(current) = &snapshot else { break };
-            let is_short = matches!(queued.turn, Turn::Short(_));
+            let is_short = matches!(queued.turn, Priority::Short(_));
             let is_newly_queued = newly_queued == Some(&ticket);
             if is_short && is_full && !is_newly_queued {
                 continue;
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -177,7 +177,7 @@
         let indexes = self.candidate_indexes(request);
         let load = |&index: &usize| {
             let near = self.targets[index].entry.zone == request.zone;
-            Load { near, ..self.loads[index].clone() }
+            Load { is_same_zone: near, ..self.loads[index].clone() }
         };
         let loads: Vec<Load> = indexes.iter().map(load).collect();
         match (self.profile(&request.service), request.prompt) {
@@ -185,7 +185,7 @@
                 self.place_prompt(request, profile, prompt, &indexes, &loads, ahead)
             }
             (profile, _) => {
-                let survey = Survey::read(profile, &loads, Ahead::default());
+                let survey = Survey::new(profile, &loads, Ahead::default());
                 self.place_service_request(request, &indexes, &loads, survey)
             }
         }
@@ -209,18 +209,20 @@
         loads: &[Load],
         ahead: Ahead,
     ) -> Decision {
-        let survey = Survey::read(Some(profile), loads, ahead);
+        let survey = Survey::new(Some(profile), loads, ahead);
         let query = Query {
-            prompt: prompt.tokens,
-            answer: estimate_answer(profile, prompt),
-            short: plan::is_short(profile, prompt.tokens, request.goal),
-            goal: request.goal_left,
-            limit: request.limit_left,
+            prompt_tokens: prompt.tokens,
+            answer_tokens: estimate_answer(profile, prompt),
+            is_short: plan::is_short(profile, prompt.tokens, request.goal),
+            goal_left: request.goal_left,
+            limit_left: request.limit_left,
             ahead,
-            usual: self.typical_time.unwrap_or_else(|| profile.stream_time(profile.slots)),
+            typical_stream_time: self
+                .typical_time
+                .unwrap_or_else(|| profile.stream_time(profile.slots)),
         };
         match plan::choose_engines(&query, profile, loads) {
-            Ok(Choice::Go(plan)) => self.grant(request, &query, &plan, indexes, survey),
+            Ok(Choice::Place(plan)) => self.grant(request, &query, &plan, indexes, survey),
             Ok(Choice::Wait(time)) => Decision::Wait(time, survey),
             Err(refused) => Decision::rejected(reject_reason(refused), survey),
         }
@@ -237,18 +239,22 @@
         let tag = |index: usize| self.targets[indexes[index]].tag;
         let allocation = Allocation {
             service: request.service.clone(),
-            target: tag(plan.first),
+            target: tag(plan.primary),
             helpers: plan.helpers.iter().map(|&index| tag(index)).collect(),
-            prefill_time: plan.part,
-            prompt: query.prompt,
-            expected_answer: query.answer,
-            memory: plan.memory.iter().map(|&(index, tokens)| (tag(index), tokens)).collect(),
+            prefill_time: plan.chunk_time,
+            prompt: query.prompt_tokens,
+            expected_answer: query.answer_tokens,
+            memory: plan
+                .kv_reservations
+                .iter()
+                .map(|&(index, tokens)| (tag(index), tokens))
+                .collect(),
             max_token_gap: request.max_token_gap,
-            is_short: query.short,
+            is_short: query.is_short,
             phase: Phase::Prefill,
             age: Duration::ZERO,
         };
-        let grant = Grant { allocation, expected_time: plan.first_token, survey };
+        let grant = Grant { allocation, expected_time: plan.time_to_first_token, survey };
         Decision::Answered(Answer::Placed(Box::new(grant)))
     }
 
@@ -266,25 +272,25 @@
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
         let candidates: Vec<Candidate<'_>> = candidates.collect();
         let usual = self.typical_time.unwrap_or(request.goal / TYPICAL_TIME_GOAL_DIVISOR);
-        let first = match replica::choose(&candidates, usual) {
+        let first = match replica::choose_replica(&candidates, usual) {
             Ok(first) => first,
             Err(time) => return Decision::rejected(RejectReason::Busy(time), survey),
         };
         let query = Query {
-            prompt: Tokens(0),
-            answer: Tokens(0),
-            short: false,
-            goal: request.goal_left,
-            limit: request.limit_left,
+            prompt_tokens: Tokens(0),
+            answer_tokens: Tokens(0),
+            is_short: false,
+            goal_left: request.goal_left,
+            limit_left: request.limit_left,
             ahead: Ahead::default(),
-            usual,
+            typical_stream_time: usual,
         };
         let plan = Plan {
-            first,
+            primary: first,
             helpers: Vec::new(),
-            memory: Vec::new(),
-            part: Duration::ZERO,
-            first_token: request.goal,
+            kv_reservations: Vec::new(),
+            chunk_time: Duration::ZERO,
+            time_to_first_token: request.goal,
         };
         self.grant(request, &query, &plan, indexes, survey)
     }
@@ -301,7 +307,7 @@
 fn estimate_answer(profile: &Profile, prompt: Prompt) -> Tokens {
     let estimate =
         prompt.expected_answer.unwrap_or(Tokens(prompt.max_answer.0 / TYPICAL_ANSWER_DIVISOR));
-    estimate.max(profile.usual_answer).min(prompt.max_answer)
+    estimate.max(profile.mean_answer).min(prompt.max_answer)
 }
 
 fn eligible_targets<D: Dialect, S: Store, C: Clock>(
@@ -352,6 +358,6 @@
             false => group::node_specific_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
-        load.shut = ejection.is_shut(now, target.tag);
+        load.is_refusing_chunks = ejection.is_shut(now, target.tag);
     }
 }
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -1,5 +1,5 @@
-//! Percentiles of one decision: a target is chosen in a large fleet, and its owner,
-//! at which many asks wait, answers the ask.
+//! Percentiles of one decision: choosing a target in a large fleet, and the answer of its owner
+//! with a long queue.
 //!
 //! `cargo bench -p hickory-policy --bench percentile`
 
@@ -22,7 +22,7 @@
         let query = query(index);
         let wanted = ask(now, &query);
         let began = Instant::now();
-        black_box(choose_target(&query, &candidates).map(|c| c.key));
+        black_box(choose_target(&query, &candidates).map(|c| c.hash));
         let chosen = began.elapsed();
         let answer = limiter.ask(now, wanted);
         let answered = began.elapsed();
--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -1,15 +1,13 @@
-//! An upper bound of the credit that any placement can get from a load that it
-//! knows in advance.
+//! An upper bound of the credit that any placement can earn from a load that is known in advance.
 //!
-//! Engines are taken for one machine of their joint rate, any prompt may be read
-//! by all of them at once, in any pieces, and served in any part for that part of
-//! its credit. Three real limits are left, each by itself: prompts are read between
-//! their arrival and their goal; reading and writing fit into the engines' time,
-//! writing at the rate of a full engine; and streams hold slots, for as long as an
-//! engine takes that writes just one. No span of time holds more than the engines
-//! do in it. For such loads the greatest credit is found by taking prompts by credit
-//! for what they use, each as far as every span around it has room; the least of the
-//! three is the bound.
+//! The bound relaxes the problem: the engines form one machine with their joint rate, any prompt
+//! may be prefilled by all of them at once in any pieces, and any fraction of a prompt earns that
+//! fraction of its credit. Three limits remain, each applied alone: prompts are prefilled between
+//! their arrival and their goal; prefill and decode fit into the engines' time, with decode at the
+//! rate of a full engine; and streams hold slots for as long as an engine with a single stream
+//! takes. No time span holds more work than the engines can do in it. For such loads the maximum
+//! credit is found greedily by credit per work, each prompt as far as every span around it has
+//! capacity. The lowest of the three results is the bound.
 
 use crate::engines::Request;
 use crate::phases::{self, Mix};
@@ -17,58 +15,62 @@
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// The grain of time. Spans are rounded outwards to it, which can only raise the
-/// bound.
-const GRAIN: Duration = Duration::from_millis(200);
+/// Time resolution. Spans are rounded outwards to it, which can only raise the bound.
+const SLICE: Duration = Duration::from_millis(200);
 
-/// What prompts use up.
+/// The limited resource.
 #[derive(Clone, Copy)]
 enum Limit {
-    /// Time to read, until the goal.
-    Reading,
-    /// Time to read and to write.
-    Work,
-    /// Slots.
+    /// Prefill time until the goal.
+    Prefill,
+    /// Time to prefill and to decode.
+    PrefillAndDecode,
+    /// Stream slots.
     Slots,
 }
 
-/// The part of all credit that could be got.
-pub fn most_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
-    let owed: f64 = requests.iter().map(|request| phases::worth(mix, request)).sum();
+/// Returns the maximum fraction of the total credit.
+pub fn max_credit(mix: &Mix, profile: &Profile, engines: usize, requests: &[Request]) -> f64 {
+    let total_credit: f64 = requests.iter().map(|request| phases::credit_of(mix, request)).sum();
     let earn = |limit: Limit| {
-        let tasks = requests.iter().map(|request| Task::read(mix, profile, request, limit));
-        earn(tasks.collect(), engines) / owed
+        let tasks = requests.iter().map(|request| Task::new(mix, profile, request, limit));
+        earn(tasks.collect(), engines) / total_credit
     };
-    [Limit::Reading, Limit::Work, Limit::Slots].map(earn).into_iter().fold(1.0, f64::min)
+    [Limit::Prefill, Limit::PrefillAndDecode, Limit::Slots]
+        .map(earn)
+        .into_iter()
+        .fold(1.0, f64::min)
 }
 
 struct Task {
     credit: f64,
-    /// What one engine needs for it.
+    /// Engine time that it needs.
     work: Duration,
-    /// The grains in which it may be worked on.
-    begin: usize,
-    end: usize,
+    /// Time slices in which it may be processed.
+    first_slice: usize,
+    end_slice: usize,
 }
 
 impl Task {
-    fn read(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
-        let events = (request.answer.0 / u64::from(profile.stride)).max(1) as u32;
-        let read = profile.read_time(request.prompt);
-        let stride = |writers| profile.pass_time(writers, Tokens(0));
+    fn new(mix: &Mix, profile: &Profile, request: &Request, limit: Limit) -> Self {
+        let events = (request.answer.0 / u64::from(profile.steps_per_iteration)).max(1) as u32;
+        let prefill_time = profile.prefill_time(request.prompt);
+        let iteration = |streams| profile.iteration_time(streams, Tokens(0));
         let goal = request.arrival + request.goal;
-        // It is written within the pauses that its caller bears.
-        let last = goal + request.gap * events;
+        // It is decoded within the pauses that its caller tolerates.
+        let latest_end = goal + request.inter_token_target * events;
         let (work, end) = match limit {
-            Limit::Reading => (read, goal),
-            Limit::Work => (read + stride(profile.slots) / profile.slots * events, last),
-            Limit::Slots => (stride(1) * events / profile.slots, last),
+            Limit::Prefill => (prefill_time, goal),
+            Limit::PrefillAndDecode => {
+                (prefill_time + iteration(profile.slots) / profile.slots * events, latest_end)
+            }
+            Limit::Slots => (iteration(1) * events / profile.slots, latest_end),
         };
         Self {
-            credit: phases::worth(mix, request),
+            credit: phases::credit_of(mix, request),
             work,
-            begin: (request.arrival.as_millis() / GRAIN.as_millis()) as usize,
-            end: end.as_millis().div_ceil(GRAIN.as_millis()) as usize,
+            first_slice: (request.arrival.as_millis() / SLICE.as_millis()) as usize,
+            end_slice: end.as_millis().div_ceil(SLICE.as_millis()) as usize,
         }
     }
 
@@ -79,41 +81,42 @@
 
 fn earn(mut tasks: Vec<Task>, engines: usize) -> f64 {
     tasks.sort_by(|one, other| other.density().total_cmp(&one.density()));
-    let grains = tasks.iter().map(|task| task.end).max().unwrap_or(0);
-    let mut spans = Spans::new(grains, engines);
-    tasks.iter().map(|task| task.credit * spans.take(task)).sum()
+    let slices = tasks.iter().map(|task| task.end_slice).max().unwrap_or(0);
+    let mut spans = Spans::new(slices, engines);
+    tasks.iter().map(|task| task.credit * spans.reserve(task)).sum()
 }
 
-/// What is still free in each span of grains.
+/// Free capacity of each span of slices.
 struct Spans {
-    grains: usize,
+    slices: usize,
     free: Vec<f64>,
 }
 
 impl Spans {
     fn new(grains: usize, engines: usize) -> Self {
-        let grain = GRAIN.as_secs_f64() * engines as f64;
+        let grain = SLICE.as_secs_f64() * engines as f64;
         let free = (0..grains).flat_map(|begin| {
             (1..=grains).map(move |end| end.saturating_sub(begin) as f64 * grain)
         });
-        Self { grains, free: free.collect() }
+        Self { slices: grains, free: free.collect() }
     }
 
-    /// Takes as much of a task as all spans around it have room for; returns the
-    /// part.
-    fn take(&mut self, task: &Task) -> f64 {
-        let around = (0..=task.begin)
-            .flat_map(|begin| (task.end..=self.grains).map(move |end| (begin, end)));
+    /// Reserves as much of a task as all spans around it have capacity for, and returns that
+    /// fraction.
+    fn reserve(&mut self, task: &Task) -> f64 {
+        let spans = (0..=task.first_slice)
+            .flat_map(|begin| (task.end_slice..=self.slices).map(move |end| (begin, end)));
         let work = task.work.as_secs_f64();
-        let least = around.clone().map(|span| self.free[self.at(span)]).fold(work, f64::min);
-        for span in around {
-            let at = self.at(span);
-            self.free[at] -= least;
+        let available =
+            spans.clone().map(|span| self.free[self.index_of(span)]).fold(work, f64::min);
+        for span in spans {
+            let index = self.index_of(span);
+            self.free[index] -= available;
         }
-        least / work
+        available / work
     }
 
-    fn at(&self, (begin, end): (usize, usize)) -> usize {
-        begin * self.grains + end - 1
+    fn index_of(&self, (begin, end): (usize, usize)) -> usize {
+        begin * self.slices + end - 1
     }
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -1,17 +1,17 @@
-//! Two-level weighted fair queueing: partner by share, then account by weight,
-//! then class.
+//! Two-level weighted fair queueing: partners by share, then accounts by weight, then service
+//! class.
 //!
-//! Start-time fair queueing over work in tokens. Each level keeps a virtual time;
-//! a flow that was idle starts at the virtual time, so it gets no credit for the
-//! past, and a share that its partner does not use is lent at once.
+//! This is start-time fair queueing over work in tokens. Each level keeps a virtual time, and a
+//! flow that was idle starts at the virtual time. It thus gets no credit for the past, and other
+//! partners can use an unused share at once.
 //!
-//! Long work is charged to a debt beside the flow's start tag. Long asks are
-//! ordered by tag and debt together, short ones by the tag alone, and each short
-//! grant pays off at most its own work again: one long prompt does not shut its
-//! partner's short ones out until everybody else has used as much.
+//! Long requests are charged to a debt beside the flow's start tag. Long requests are ordered by
+//! tag plus debt, short ones by the tag alone, and each short grant pays off debt of at most its
+//! own work. One long prompt therefore doesn't block the short prompts of its partner until all
+//! other partners have used as much.
 //!
-//! Load pattern: all partners ask for more than the target bears, or one of them
-//! does and the others come and go.
+//! Load pattern: all partners request more than the target can serve, or one of them does while the
+//! others come and go.
 
 use crate::cost::Class;
 use crate::flow::{Flow, Level};
@@ -21,14 +21,13 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// How long a batch ask may be overtaken by interactive asks of its own
-/// account. Long enough that a burst at the counter goes first, short enough
-/// that reports arrive.
-pub const BATCH_AGE: Duration = Duration::from_secs(10);
+/// Maximum time for which interactive requests of the same account may overtake a batch request. It
+/// is long enough that interactive bursts go first and short enough that batch work completes.
+pub const MAX_BATCH_OVERTAKING: Duration = Duration::from_secs(10);
 
-/// The weight of a flow that has none set, and the least weight.
+/// Weight of a flow without a configured weight, and the minimum weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
-const LEAST_WEIGHT: f64 = 0.001;
+const MIN_WEIGHT: f64 = 0.001;
 
 #[derive(Clone, Debug)]
 struct PartnerFlow {
@@ -37,8 +36,8 @@
 }
 
 impl PartnerFlow {
-    /// Accounts of the partner that wait, at least one.
-    fn rivals(&self) -> f64 {
+    /// Number of accounts of the partner with waiting requests, at least one.
+    fn waiting_accounts(&self) -> f64 {
         self.accounts.order.iter().map(BTreeSet::len).max().unwrap_or(0).max(1) as f64
     }
 }
@@ -47,7 +46,7 @@
 struct AccountFlow {
     partner: u32,
     flow: Flow,
-    /// Tickets grow, so their order is the order of arrival.
+    /// Tickets increase, so their order is the order of arrival.
     queues: [BTreeSet<u64>; LANES],
 }
 
@@ -56,13 +55,13 @@
     account: u32,
     lane: Lane,
     work: u64,
-    since: Instant,
+    queued_at: Instant,
 }
 
-/// The asks that wait for one target.
+/// The permit requests that wait for one target.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    level: Level,
+    partner_level: Level,
     partners: Vec<PartnerFlow>,
     accounts: Vec<AccountFlow>,
     partner_index: HashMap<id::Partner, u32>,
@@ -73,13 +72,12 @@
 }
 
 impl Queue {
-    /// An empty queue; each partner and account weighs the same.
+    /// Creates an empty queue with equal weights of partners and accounts.
     pub fn open() -> Self {
         Self::default()
     }
 
-    /// Replaces the partners' shares; what is queued goes on under the new
-    /// ones.
+    /// Replaces the partners' shares. Queued requests continue under the new shares.
     pub fn set_shares(&mut self, shares: impl IntoIterator<Item = (id::Partner, f64)>) {
         self.shares = shares.into_iter().collect();
         for (partner, &index) in &self.partner_index {
@@ -95,7 +93,7 @@
         }
     }
 
-    /// Queues an ask. Tickets must grow from one call to the next.
+    /// Queues a permit request. Tickets must increase from one call to the next.
     pub fn push(
         &mut self,
         now: Instant,
@@ -105,153 +103,176 @@
         ticket: u64,
     ) {
         let account = self.intern(partner, account);
-        let entry = &mut self.accounts[account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
+        let account_flow = &mut self.accounts[account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
         let index = lane.index();
-        owner.accounts.enter(&mut entry.flow, account, index);
-        self.level.enter(&mut owner.flow, entry.partner, index);
-        let size = usize::from(lane.long);
-        entry.flow.queued_work[size] += work;
-        owner.flow.queued_work[size] += work;
-        entry.queues[index].insert(ticket);
-        self.items.insert(ticket, Item { account, lane, work, since: now });
+        partner_flow.accounts.enter(&mut account_flow.flow, account, index);
+        self.partner_level.enter(&mut partner_flow.flow, account_flow.partner, index);
+        let size = usize::from(lane.is_long);
+        account_flow.flow.queued_work[size] += work;
+        partner_flow.flow.queued_work[size] += work;
+        account_flow.queues[index].insert(ticket);
+        self.items.insert(ticket, Item { account, lane, work, queued_at: now });
     }
 
-    /// The ask whose turn it is among the lanes that are let in.
+    /// Returns the next request in fair order among the admitted lanes.
     pub fn peek(&self, now: Instant, lanes: Lanes) -> Option<(u64, Lane)> {
-        let (partner, long) = self.level.first(lanes)?;
-        let lanes = lanes.of_size(long);
+        let (partner, is_long) = self.partner_level.first(lanes)?;
+        let lanes = lanes.of_size(is_long);
         let (account, _) = self.partners[partner as usize].accounts.first(lanes)?;
-        let head = |class| {
-            let lane = Lane { class, long };
+        let first_in_class = |class| {
+            let lane = Lane { class, is_long };
             let queue = &self.accounts[account as usize].queues[lane.index()];
             lanes.contains(lane).then(|| queue.first().map(|&ticket| (ticket, lane))).flatten()
         };
-        let batch = head(Class::Batch);
-        let overdue = |(ticket, _): &(u64, Lane)| {
-            self.items.get(ticket).is_some_and(|i| now.duration_since(i.since) >= BATCH_AGE)
+        let batch = first_in_class(Class::Batch);
+        let is_overdue = |(ticket, _): &(u64, Lane)| {
+            self.items
+                .get(ticket)
+                .is_some_and(|i| now.duration_since(i.queued_at) >= MAX_BATCH_OVERTAKING)
         };
-        batch.filter(overdue).or_else(|| head(Class::Interactive)).or(batch)
+        batch.filter(is_overdue).or_else(|| first_in_class(Class::Interactive)).or(batch)
     }
 
-    /// Takes an ask out because it is granted, and charges its share.
+    /// Removes a granted request and charges its work to its partner and account.
     pub fn grant(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.get(&ticket).copied() else { return false };
-        let entry = &mut self.accounts[item.account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
-        owner.accounts.charge(&mut entry.flow, item.account, item.work, item.lane.long);
-        self.level.charge(&mut owner.flow, entry.partner, item.work, item.lane.long);
+        let account_flow = &mut self.accounts[item.account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
+        partner_flow.accounts.charge(
+            &mut account_flow.flow,
+            item.account,
+            item.work,
+            item.lane.is_long,
+        );
+        self.partner_level.charge(
+            &mut partner_flow.flow,
+            account_flow.partner,
+            item.work,
+            item.lane.is_long,
+        );
         self.remove(ticket)
     }
 
-    /// Takes an ask out without a charge.
+    /// Removes a request without charging it.
     pub fn remove(&mut self, ticket: u64) -> bool {
         let Some(item) = self.items.remove(&ticket) else { return false };
-        let entry = &mut self.accounts[item.account as usize];
-        let owner = &mut self.partners[entry.partner as usize];
+        let account_flow = &mut self.accounts[item.account as usize];
+        let partner_flow = &mut self.partners[account_flow.partner as usize];
         let lane = item.lane.index();
-        entry.queues[lane].remove(&ticket);
-        owner.accounts.leave(&mut entry.flow, item.account, lane);
-        self.level.leave(&mut owner.flow, entry.partner, lane);
-        let size = usize::from(item.lane.long);
-        entry.flow.queued_work[size] -= item.work;
-        owner.flow.queued_work[size] -= item.work;
+        account_flow.queues[lane].remove(&ticket);
+        partner_flow.accounts.leave(&mut account_flow.flow, item.account, lane);
+        self.partner_level.leave(&mut partner_flow.flow, account_flow.partner, lane);
+        let size = usize::from(item.lane.is_long);
+        account_flow.flow.queued_work[size] -= item.work;
+        partner_flow.flow.queued_work[size] -= item.work;
         true
     }
 
-    /// How long an ask has waited.
-    pub fn age(&self, now: Instant, ticket: u64) -> Option<Duration> {
-        self.items.get(&ticket).map(|item| now.duration_since(item.since))
+    /// Returns the time that a request has waited.
+    pub fn wait_time(&self, now: Instant, ticket: u64) -> Option<Duration> {
+        self.items.get(&ticket).map(|item| now.duration_since(item.queued_at))
     }
 
-    /// Asks that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Asks of a partner that wait.
-    pub fn waiting_of(&self, partner: &id::Partner) -> usize {
+    /// Returns the number of waiting requests of a partner.
+    pub fn waiting_asks_of(&self, partner: &id::Partner) -> usize {
         let flow = self.partner_index.get(partner).map(|&i| &self.partners[i as usize].flow);
         flow.map_or(0, |flow| flow.waiting.iter().sum::<u32>() as usize)
     }
 
-    /// The part of the whole that a partner's share is, among the partners
-    /// that wait and itself.
-    pub fn part_of(&self, partner: &id::Partner) -> f64 {
-        let own = weight_of(&self.shares, partner);
-        let others = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
-        let waits = self.waiting_of(partner) > 0;
-        own / (others.sum::<f64>() + if waits { 0.0 } else { own })
+    /// Returns the partner's part of the target's capacity, by its share among the waiting partners
+    /// and itself.
+    pub fn share_of(&self, partner: &id::Partner) -> f64 {
+        let own_weight = weight_of(&self.shares, partner);
+        let other_weights = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let is_waiting = self.waiting_asks_of(partner) > 0;
+        own_weight / (other_weights.sum::<f64>() + if is_waiting { 0.0 } else { own_weight })
     }
 
-    /// Work of one size that waits.
-    pub fn queued_work(&self, long: bool) -> u64 {
-        let size = usize::from(long);
+    /// Returns the waiting work of short or long requests.
+    pub fn queued_work(&self, is_long: bool) -> u64 {
+        let size = usize::from(is_long);
         self.partners.iter().map(|p| p.flow.queued_work[size]).sum()
     }
 
-    /// Work that stands before a new ask of `account`, of the same size: what
-    /// the partner or the account has queued over its part of the whole, at
-    /// most all that is queued.
-    pub fn work_ahead(&self, partner: &id::Partner, account: &id::Account, long: bool) -> u64 {
-        let size = usize::from(long);
-        let Some(owner) = self.partner_index.get(partner).map(|&i| &self.partners[i as usize])
+    /// Returns the work that would be granted before a new request of `account` with the same size:
+    /// the queued work of the partner or the account divided by its share, at most all queued work.
+    pub fn work_ahead(&self, partner: &id::Partner, account: &id::Account, is_long: bool) -> u64 {
+        let size = usize::from(is_long);
+        let Some(partner_flow) =
+            self.partner_index.get(partner).map(|&i| &self.partners[i as usize])
         else {
             return 0;
         };
-        let part = self.part_of(partner);
-        let by_partner = owner.flow.queued_work[size] as f64 / part;
-        let entry = self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
-        let own = entry.map_or(0, |flow| flow.queued_work[size]);
-        let by_account = own as f64 * owner.rivals() / part;
-        self.queued_work(long).min(by_partner.min(by_account) as u64)
+        let share = self.share_of(partner);
+        let by_partner = partner_flow.flow.queued_work[size] as f64 / share;
+        let account_flow =
+            self.account_index.get(account).map(|&i| &self.accounts[i as usize].flow);
+        let account_work = account_flow.map_or(0, |flow| flow.queued_work[size]);
+        let by_account = account_work as f64 * partner_flow.waiting_accounts() / share;
+        self.queued_work(is_long).min(by_partner.min(by_account) as u64)
     }
 
-    /// The asks of one size that could not start in time, by their place: the
-    /// work before each in its account's queue, over the part of `rate` that
-    /// the account gets, is compared with `time_left`. What is named does not
-    /// count as standing before the others.
-    pub fn hopeless(&self, long: bool, rate: f64, time_left: impl Fn(u64) -> Duration) -> Vec<u64> {
-        let lanes = if long { 2..4 } else { 0..2 };
-        let mut named = Vec::new();
-        for entry in self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(long)] > 0) {
-            let owner = &self.partners[entry.partner as usize];
-            let part = self.part(&owner.flow) / owner.rivals();
-            let own_rate = (rate * part).max(1.0);
-            let mut before = 0;
-            for ticket in lanes.clone().flat_map(|lane| &entry.queues[lane]) {
-                let wait = Duration::try_from_secs_f64(before as f64 / own_rate);
+    /// Returns the short or long requests that can't start in time. The work before each one in the
+    /// queue of its account, divided by the account's part of `rate`, is compared with `time_left`.
+    /// Returned requests don't count as work before the others.
+    pub fn find_late(
+        &self,
+        is_long: bool,
+        rate: f64,
+        time_left: impl Fn(u64) -> Duration,
+    ) -> Vec<u64> {
+        let lanes = if is_long { 2..4 } else { 0..2 };
+        let mut late = Vec::new();
+        for account_flow in
+            self.accounts.iter().filter(|a| a.flow.queued_work[usize::from(is_long)] > 0)
+        {
+            let partner_flow = &self.partners[account_flow.partner as usize];
+            let share = self.waiting_share(&partner_flow.flow) / partner_flow.waiting_accounts();
+            let account_rate = (rate * share).max(1.0);
+            let mut work_before = 0;
+            for ticket in lanes.clone().flat_map(|lane| &account_flow.queues[lane]) {
+                let wait = Duration::try_from_secs_f64(work_before as f64 / account_rate);
                 if wait.unwrap_or(Duration::MAX) > time_left(*ticket) {
-                    named.push(*ticket);
+                    late.push(*ticket);
                 } else {
-                    before += self.items.get(ticket).map_or(0, |item| item.work);
+                    work_before += self.items.get(ticket).map_or(0, |item| item.work);
                 }
             }
         }
-        named
+        late
     }
 
-    /// The part of the whole of a partner that waits.
-    fn part(&self, flow: &Flow) -> f64 {
-        let all = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
-        flow.weight / all.sum::<f64>().max(flow.weight)
+    /// Returns the part of the capacity of a partner with waiting requests.
+    fn waiting_share(&self, flow: &Flow) -> f64 {
+        let total_weight = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        flow.weight / total_weight.sum::<f64>().max(flow.weight)
     }
 
     fn intern(&mut self, partner: &id::Partner, account: &id::Account) -> u32 {
-        let owner = self.intern_partner(partner);
+        let partner_index = self.intern_partner(partner);
         if let Some(&index) = self.account_index.get(account)
-            && self.accounts[index as usize].partner == owner
+            && self.accounts[index as usize].partner == partner_index
         {
             return index;
         }
         let flow = Flow::open(weight_of(&self.weights, account));
         let index = self.accounts.len() as u32;
-        self.accounts.push(AccountFlow { partner: owner, flow, queues: Default::default() });
+        self.accounts.push(AccountFlow {
+            partner: partner_index,
+            flow,
+            queues: Default::default(),
+        });
         self.account_index.insert(account.clone(), index);
         index
     }
@@ -269,5 +290,5 @@
 }
 
 fn weight_of<K: std::hash::Hash + Eq>(weights: &HashMap<K, f64>, key: &K) -> f64 {
-    weights.get(key).copied().unwrap_or(DEFAULT_WEIGHT).max(LEAST_WEIGHT)
+    weights.get(key).copied().unwrap_or(DEFAULT_WEIGHT).max(MIN_WEIGHT)
 }
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -1,5 +1,5 @@
-//! Which of the asks that wait at a target is granted next, and the room that
-//! is held for those that short work would starve.
+//! Selection of the next permit request to grant at a target, and the capacity that is held for
+//! requests that short ones would starve.
 
 use crate::ask::{Ask, Ticket};
 use crate::fair::Lanes;
@@ -8,21 +8,20 @@
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-/// How long a long ask waits before room is held for it, and a suspect
-/// before other grants stop: shorter, and each long ask would idle slots that
-/// short ones could use; longer, and it would starve behind them.
-const CLAIM_AFTER: Duration = Duration::from_secs(1);
+/// Minimum wait before capacity is held for a long request, and before a request that must run
+/// alone stops other grants. If shorter, each long request would idle slots that short ones could
+/// use; if longer, it would starve behind them.
+const MIN_WAIT_FOR_CLAIM: Duration = Duration::from_secs(1);
 
 impl Limiter {
-    fn may_grant(&self, now: Instant) -> bool {
-        let held = self.hold.is_some_and(|until| now < until);
-        self.accepting && !self.may_be_dead && !held
+    fn can_grant(&self, now: Instant) -> bool {
+        let is_held = self.hold.is_some_and(|until| now < until);
+        self.accepting && !self.may_be_dead && !is_held
     }
 
-    /// The ticket that may be granted now, by the fair order over the lanes
-    /// that have room.
+    /// Returns the ticket that can be granted now, in fair order over the lanes with free capacity.
     pub(crate) fn next_grant(&self, now: Instant) -> Option<Ticket> {
-        if !self.may_grant(now) {
+        if !self.can_grant(now) {
             return None;
         }
         if self.granted.values().next().is_some_and(|grant| grant.ask.alone) {
@@ -33,23 +32,23 @@
             if self.room.slots() == 0 && bound.slots > 0 {
                 return Some(ticket);
             }
-            // Grants stop only after a while: a target that drains for each
-            // suspect at once would let one caller idle it at will.
-            if now.saturating_duration_since(since) >= CLAIM_AFTER {
+            // Other grants stop only after a while. If the target drained for each such request
+            // immediately, one caller could idle it at will.
+            if now.saturating_duration_since(since) >= MIN_WAIT_FOR_CLAIM {
                 return None;
             }
         }
-        self.next_beside(now, bound)
+        self.next_shared_grant(now, bound)
     }
 
-    fn next_beside(&self, now: Instant, bound: Bound) -> Option<Ticket> {
+    fn next_shared_grant(&self, now: Instant, bound: Bound) -> Option<Ticket> {
         let mut lanes = Lanes::ALL;
-        let claim = match self.live_claim(now) {
+        let claim = match self.active_claim(now) {
             Some(claim) => {
                 lanes = lanes.only_short();
                 claim
             }
-            None => self.claim(now, bound),
+            None => self.starvation_claim(now, bound),
         };
         while let Some((ticket, lane)) = self.queue.peek(now, lanes) {
             let cost = self.asks.get(&ticket)?.ask.cost;
@@ -61,40 +60,40 @@
         None
     }
 
-    /// The room held for the long ask whose turn it is, once it has waited
-    /// for slots or memory that short work keeps taking as it comes free.
-    fn claim(&self, now: Instant, bound: Bound) -> Claim {
-        let waits = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
-            let old = self.queue.age(now, ticket)? >= CLAIM_AFTER;
-            old.then_some((self.asks.get(&ticket)?.ask.cost, lane))
+    /// Returns the capacity to hold for the next long request, once it has waited for slots or
+    /// memory that short requests keep taking.
+    fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
+        let long_ask = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
+            let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
+            has_waited.then_some((self.asks.get(&ticket)?.ask.cost, lane))
         });
-        let Some((cost, lane)) = waits else { return Claim::default() };
+        let Some((cost, lane)) = long_ask else { return Claim::default() };
         match self.room.fits(bound, lane, cost, Claim::default()) {
             Err(Full::Slots | Full::Memory) => Claim { slots: 1, kv: cost.kv() },
             Ok(()) | Err(Full::Prefill) => Claim::default(),
         }
     }
 
-    /// Holds room for an urgent long ask, unless it is held for another.
-    pub(crate) fn keep_claim(&mut self, now: Instant, ask: &Ask) {
-        if ask.cost.is_long() && self.live_claim(now).is_none() {
+    /// Holds capacity for an urgent long request, unless it is held for another one.
+    pub(crate) fn hold_claim(&mut self, now: Instant, ask: &Ask) {
+        if ask.cost.is_long() && self.active_claim(now).is_none() {
             let claim = Claim { slots: 1, kv: ask.cost.kv() };
             self.claimed = Some((claim, now + CLAIM_LIFE));
         }
     }
 
-    fn live_claim(&self, now: Instant) -> Option<Claim> {
+    fn active_claim(&self, now: Instant) -> Option<Claim> {
         self.claimed.filter(|&(_, until)| now < until).map(|(claim, _)| claim)
     }
 
-    /// Whether an urgent ask fits into the room that is held.
-    pub(crate) fn fits_claimed(&self, now: Instant, ticket: Ticket) -> bool {
-        let alone = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
+    /// Whether an urgent request fits into the capacity that is held.
+    pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
+        let is_alone_running = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
         let Some(Waiting { ask, .. }) = self.asks.get(&ticket).filter(|w| !w.ask.alone) else {
             return false;
         };
         let fits = self.room.fits(self.present_bound(), ask.lane(), ask.cost, Claim::default());
-        self.may_grant(now) && !alone && self.live_claim(now).is_some() && fits.is_ok()
+        self.can_grant(now) && !is_alone_running && self.active_claim(now).is_some() && fits.is_ok()
     }
 
     pub(crate) fn grant(&mut self, now: Instant, ticket: Ticket) {
@@ -104,12 +103,13 @@
             self.claimed = None;
         }
         if !self.queue.is_empty() {
-            self.pace.grant(ask.cost.work(), ask.cost.is_long());
+            self.pace.record_grant(ask.cost.work(), ask.cost.is_long());
         }
-        let ahead =
-            size::Tokens(self.room.in_flight(false) as u64 + self.room.in_flight(true) as u64);
-        let expected = self.pace.first_token(ask.cost.prefill + ahead);
-        self.room.add(ticket, ask.lane(), ask.cost);
+        let prefill_ahead = size::Tokens(
+            self.room.prefill_in_flight(false) as u64 + self.room.prefill_in_flight(true) as u64,
+        );
+        let expected = self.pace.time_to_first_token(ask.cost.prefill + prefill_ahead);
+        self.room.acquire(ticket, ask.lane(), ask.cost);
         self.expiry.insert((ask.deadline + GRACE, ticket));
         self.granted.insert(ticket, Grant { ask, at: now, expected });
     }
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -1,33 +1,33 @@
-//! The kinds of asks that are let in or held back separately.
+//! The lanes: kinds of permit requests that are admitted or held back separately.
 
 use crate::cost::Class;
 
-/// Kinds of asks that are let in or held back separately.
+/// Number of lanes.
 pub(crate) const LANES: usize = 4;
 
-/// The kind of an ask: its class, and whether it is long.
+/// The lane of a request: its service class, and whether its prompt is long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lane {
-    /// Who waits.
+    /// Service class.
     pub class: Class,
     /// Whether the prompt is long.
-    pub long: bool,
+    pub is_long: bool,
 }
 
 impl Lane {
     /// All lanes, in the order of their index.
     pub const ALL: [Self; LANES] = [
-        Self { class: Class::Interactive, long: false },
-        Self { class: Class::Batch, long: false },
-        Self { class: Class::Interactive, long: true },
-        Self { class: Class::Batch, long: true },
+        Self { class: Class::Interactive, is_long: false },
+        Self { class: Class::Batch, is_long: false },
+        Self { class: Class::Interactive, is_long: true },
+        Self { class: Class::Batch, is_long: true },
     ];
 
     pub(crate) fn index(self) -> usize {
-        usize::from(self.long) * 2 + usize::from(self.class == Class::Batch)
+        usize::from(self.is_long) * 2 + usize::from(self.class == Class::Batch)
     }
 
-    /// Whether only the asks for which the headroom is kept are in it.
+    /// Whether this is the lane of short interactive requests, which may use the headroom.
     pub fn is_short_interactive(self) -> bool {
         self.index() == 0
     }
@@ -38,20 +38,20 @@
 pub struct Lanes(u8);
 
 impl Lanes {
-    /// Every lane.
+    /// All lanes.
     pub const ALL: Self = Self((1 << LANES) - 1);
 
-    /// The set without `lane`.
+    /// Returns the set without `lane`.
     pub fn without(self, lane: Lane) -> Self {
         Self(self.0 & !(1 << lane.index()))
     }
 
-    /// Only the lanes of long asks.
+    /// Returns only the lanes of long requests.
     pub fn only_long(self) -> Self {
         Self(self.0 & 0b1100)
     }
 
-    /// Only the lanes of short asks.
+    /// Returns only the lanes of short requests.
     pub fn only_short(self) -> Self {
         Self(self.0 & 0b0011)
     }
@@ -65,7 +65,7 @@
         self.0 & (1 << index) != 0
     }
 
-    pub(crate) fn of_size(self, long: bool) -> Self {
-        Self(self.0 & if long { 0b1100 } else { 0b0011 })
+    pub(crate) fn of_size(self, is_long: bool) -> Self {
+        Self(self.0 & if is_long { 0b1100 } else { 0b0011 })
     }
 }
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,237 +1,266 @@
-//! Which engine is to hold which weights (a model with version and adapter). The
-//! number of replicas follows demand with hysteresis, loads are bounded by what the
-//! weight store bears and go to the weights furthest from what is wanted, and
-//! weights leave an engine only when nothing runs on them and others are ready.
+//! Assignment of model weights (a model with version and adapter) to engines.
 //!
-//! Load pattern: demand shifts between models, a zone returns with all its engines
-//! empty, a new version goes out, a model is withdrawn.
+//! The number of replicas follows demand with hysteresis. Concurrent loads are bounded by what the
+//! weight store can serve and go first to the weights that have the smallest part of their wanted
+//! replicas. Weights are unloaded from an engine only if no stream runs on them and enough other
+//! replicas are ready.
+//!
+//! Load pattern: demand shifts between models, a zone returns with all its engines empty, a new
+//! version is rolled out, a model is withdrawn.
 
 use hickory_unit::{id, rate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Time constant of the demand. Longer than a burst, and long against the
-/// time that a load takes.
+/// Time constant of the demand average: longer than a burst, and much longer than a load takes.
 const DEMAND_WINDOW: Duration = Duration::from_secs(60);
 
-/// The change of the wanted number of replicas, as a part of it, below which
-/// it stays: loads cost the store more than a small imbalance costs callers.
-const HYSTERESIS: f64 = 0.25;
+/// Relative change of the wanted number of replicas below which it is kept, since loads cost the
+/// store more than a small imbalance costs callers.
+const HYSTERESIS_FRACTION: f64 = 0.25;
 
-/// What demand above its partner's share counts: it is lent where others
-/// leave room, and must not push out what they have bought.
-const OVER_SHARE: f64 = 0.5;
+/// Weight of demand above the share of its partner. Such demand uses capacity that other partners
+/// leave free and must not displace the capacity that they bought.
+const OVER_SHARE_WEIGHT: f64 = 0.5;
 
-/// Weights that exist, by the configuration in force.
+/// Weights that the active configuration requires on the engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Offer<W> {
+pub struct Deployment<W> {
     /// The weights.
     pub weights: W,
-    /// Replicas at least: two where a zone may go out at any time.
-    pub least: u32,
-    /// The weights that they take the place of; their demand is expected.
+    /// Minimum number of replicas: two where a zone may go out of service at any time.
+    pub min_replicas: u32,
+    /// Weights that these replace; their demand is added to the expected demand.
     pub replaces: Option<W>,
 }
 
-/// An engine as its owner sees it.
+/// An engine, as its owner sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine<W> {
     /// The engine.
     pub target: id::Target,
     /// Its zone.
     pub zone: id::Zone,
-    /// Whether it takes new work.
-    pub accepting: bool,
-    /// Weights that it can hold.
-    pub places: u32,
-    /// Weights that it holds, and those that are being loaded.
-    pub loaded: BTreeMap<W, Held>,
+    /// Whether it accepts new work.
+    pub is_accepting: bool,
+    /// Maximum number of weights that it can hold.
+    pub weight_slots: u32,
+    /// Weights that are loaded or being loaded.
+    pub loaded: BTreeMap<W, Residency>,
 }
 
-/// How an engine holds weights.
+/// State of weights on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// Whether they serve yet.
-    pub ready: bool,
+pub struct Residency {
+    /// Whether they are loaded and can serve.
+    pub is_ready: bool,
     /// Streams that run on them.
     pub streams: u32,
 }
 
-/// A change that is wanted.
+/// A change to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<W> {
-    /// Load weights onto an engine; takes a load slot.
+    /// Load weights onto an engine; uses one of the concurrent loads.
     Load(id::Target, W),
-    /// Unload weights on which nothing runs.
+    /// Unload weights that no stream runs on.
     Unload(id::Target, W),
 }
 
-/// The demand for weights and the replicas that are wanted for it.
+/// The demand for weights and the wanted number of replicas.
 #[derive(Clone, Debug)]
 pub struct Layout<W> {
     demand: BTreeMap<(W, id::Partner), f64>,
-    wanted: BTreeMap<W, u32>,
-    advanced: Option<Instant>,
+    wanted_replicas: BTreeMap<W, u32>,
+    last_observed: Option<Instant>,
 }
 
 impl<W: Clone + Ord> Layout<W> {
-    /// Nothing is asked for yet.
+    /// Creates a layout without demand.
     pub fn open() -> Self {
-        Self { demand: BTreeMap::new(), wanted: BTreeMap::new(), advanced: None }
+        Self { demand: BTreeMap::new(), wanted_replicas: BTreeMap::new(), last_observed: None }
     }
 
-    /// Notes the rates of work that was asked for since the last call.
+    /// Records the requested work rates since the previous call.
     pub fn observe(
         &mut self,
         now: Instant,
         rates: &BTreeMap<(W, id::Partner), rate::TokensPerSecond>,
     ) {
-        let since = self.advanced.replace(now);
-        let passed = since.map_or(DEMAND_WINDOW, |since| now.saturating_duration_since(since));
-        let old = (-passed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp();
-        self.demand.values_mut().for_each(|demand| *demand *= old);
+        let previous = self.last_observed.replace(now);
+        let elapsed =
+            previous.map_or(DEMAND_WINDOW, |previous| now.saturating_duration_since(previous));
+        let decay = (-elapsed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp();
+        self.demand.values_mut().for_each(|demand| *demand *= decay);
         for (key, rate) in rates {
-            *self.demand.entry(key.clone()).or_default() += rate.0 * (1.0 - old);
+            *self.demand.entry(key.clone()).or_default() += rate.0 * (1.0 - decay);
         }
         self.demand.retain(|_, demand| *demand > 1e-3);
     }
 
-    /// Sets the wanted replicas of each offer: the least, and the rest of the
-    /// fleet's places by demand.
+    /// Sets the wanted number of replicas of each deployment: its minimum, plus a part of the
+    /// remaining weight slots by demand.
     pub fn plan(
         &mut self,
-        offers: &[Offer<W>],
+        deployments: &[Deployment<W>],
         shares: &BTreeMap<id::Partner, f64>,
         engines: &[Engine<W>],
     ) {
-        let demand = self.weigh(shares);
-        let of = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
-        let expected =
-            |offer: &Offer<W>| of(&offer.weights) + offer.replaces.as_ref().map_or(0.0, of);
-        let total: f64 = offers.iter().map(expected).sum();
-        let usable = engines.iter().filter(|e| e.accepting);
-        let places: u32 = usable.clone().map(|e| e.places).sum();
-        let most = usable.count() as u32;
-        let spare = places.saturating_sub(offers.iter().map(|o| o.least).sum());
-        self.wanted.retain(|weights, _| offers.iter().any(|o| o.weights == *weights));
-        for offer in offers {
-            let part = if total > 0.0 { expected(offer) / total } else { 0.0 };
-            let ideal = f64::from(offer.least) + part * f64::from(spare);
-            let ideal = ideal.min(f64::from(most));
-            let wanted = self.wanted.entry(offer.weights.clone()).or_insert(offer.least.min(most));
-            let change = (ideal - f64::from(*wanted)).abs();
-            if change >= 1.0 && change > HYSTERESIS * f64::from(*wanted) || *wanted > most {
-                *wanted = ideal.round() as u32;
+        let demand = self.weighted_demand(shares);
+        let demand_for = |weights: &W| demand.get(weights).copied().unwrap_or(0.0);
+        let expected = |deployment: &Deployment<W>| {
+            demand_for(&deployment.weights) + deployment.replaces.as_ref().map_or(0.0, demand_for)
+        };
+        let total: f64 = deployments.iter().map(expected).sum();
+        let accepting = engines.iter().filter(|e| e.is_accepting);
+        let weight_slots: u32 = accepting.clone().map(|e| e.weight_slots).sum();
+        let max_replicas = accepting.count() as u32;
+        let spare_slots = weight_slots
+            .saturating_sub(deployments.iter().map(|deployment| deployment.min_replicas).sum());
+        self.wanted_replicas.retain(|weights, _| {
+            deployments.iter().any(|deployment| deployment.weights == *weights)
+        });
+        for deployment in deployments {
+            let fraction = if total > 0.0 { expected(deployment) / total } else { 0.0 };
+            let ideal = f64::from(deployment.min_replicas) + fraction * f64::from(spare_slots);
+            let ideal = ideal.min(f64::from(max_replicas));
+            let wanted_replicas = self
+                .wanted_replicas
+                .entry(deployment.weights.clone())
+                .or_insert(deployment.min_replicas.min(max_replicas));
+            let change = (ideal - f64::from(*wanted_replicas)).abs();
+            if change >= 1.0 && change > HYSTERESIS_FRACTION * f64::from(*wanted_replicas)
+                || *wanted_replicas > max_replicas
+            {
+                *wanted_replicas = ideal.round() as u32;
             }
         }
     }
 
-    /// Replicas that are wanted of some weights.
-    pub fn wanted(&self, weights: &W) -> u32 {
-        self.wanted.get(weights).copied().unwrap_or(0)
+    /// Returns the wanted number of replicas of these weights.
+    pub fn wanted_replicas(&self, weights: &W) -> u32 {
+        self.wanted_replicas.get(weights).copied().unwrap_or(0)
     }
 
-    /// The next changes, with at most `slots` loads; level-triggered, so the
-    /// same state gives the same changes, and a lost one is given again.
-    pub fn changes(
+    /// Returns the next changes, with at most `max_loads` loads. This is level-triggered: the same
+    /// state gives the same changes, so a lost change is returned again.
+    pub fn plan_changes(
         &self,
-        offers: &[Offer<W>],
+        deployments: &[Deployment<W>],
         engines: &[Engine<W>],
-        slots: u32,
+        max_loads: u32,
     ) -> Vec<Change<W>> {
-        let mut after: Vec<Engine<W>> = engines.to_vec();
-        let mut changes = self.unload_unwanted(offers, &mut after);
-        for _ in 0..slots {
-            let Some((engine, weights)) = self.next_load(offers, &after) else { break };
-            let held = Held { ready: false, streams: 0 };
-            if let Some(surplus) = self.make_place(&after[engine], &after) {
-                after[engine].loaded.remove(&surplus);
-                changes.push(Change::Unload(after[engine].target.clone(), surplus));
+        let mut planned: Vec<Engine<W>> = engines.to_vec();
+        let mut changes = self.unload_unwanted(deployments, &mut planned);
+        for _ in 0..max_loads {
+            let Some((engine, weights)) = self.next_load(deployments, &planned) else { break };
+            let residency = Residency { is_ready: false, streams: 0 };
+            if let Some(evicted) = self.choose_eviction(&planned[engine], &planned) {
+                planned[engine].loaded.remove(&evicted);
+                changes.push(Change::Unload(planned[engine].target.clone(), evicted));
             }
-            after[engine].loaded.insert(weights.clone(), held);
-            changes.push(Change::Load(after[engine].target.clone(), weights));
+            planned[engine].loaded.insert(weights.clone(), residency);
+            changes.push(Change::Load(planned[engine].target.clone(), weights));
         }
         changes
     }
 
-    /// Demand by weights; what is above its partner's share counts less.
-    fn weigh(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
-        let total: f64 = self.demand.values().sum();
-        let all: f64 = shares.values().sum();
-        let mut of_partner: BTreeMap<&id::Partner, f64> = BTreeMap::new();
+    /// Returns the demand by weights; demand above the share of its partner counts less.
+    fn weighted_demand(&self, shares: &BTreeMap<id::Partner, f64>) -> BTreeMap<W, f64> {
+        let total_demand: f64 = self.demand.values().sum();
+        let total_shares: f64 = shares.values().sum();
+        let mut partner_demand: BTreeMap<&id::Partner, f64> = BTreeMap::new();
         for ((_, partner), demand) in &self.demand {
-            *of_partner.entry(partner).or_default() += demand;
+            *partner_demand.entry(partner).or_default() += demand;
         }
-        let mut weighed = BTreeMap::new();
+        let mut weighted = BTreeMap::new();
         for ((weights, partner), demand) in &self.demand {
-            let bought =
-                total * shares.get(partner).copied().unwrap_or(0.0) / all.max(f64::EPSILON);
-            let within = (bought / of_partner[partner]).min(1.0);
-            let counted = demand * OVER_SHARE.mul_add(1.0 - within, within);
-            *weighed.entry(weights.clone()).or_default() += counted;
+            let bought_demand = total_demand * shares.get(partner).copied().unwrap_or(0.0)
+                / total_shares.max(f64::EPSILON);
+            let within_share = (bought_demand / partner_demand[partner]).min(1.0);
+            let counted = demand * OVER_SHARE_WEIGHT.mul_add(1.0 - within_share, within_share);
+            *weighted.entry(weights.clone()).or_default() += counted;
         }
-        weighed
+        weighted
     }
 
-    /// Unloads what no offer names any more, once nothing runs on it and
-    /// whatever replaces it is ready.
-    fn unload_unwanted(&self, offers: &[Offer<W>], engines: &mut [Engine<W>]) -> Vec<Change<W>> {
-        let offered: BTreeSet<&W> = offers.iter().map(|offer| &offer.weights).collect();
-        let successor_short = |weights: &W| {
-            let successor = offers.iter().find(|o| o.replaces.as_ref() == Some(weights));
-            successor.is_some_and(|o| {
-                ready(&o.weights, engines) < self.wanted(&o.weights).max(o.least).max(1)
+    /// Unloads weights that are no longer deployed, once no stream runs on them and their
+    /// replacement is ready.
+    fn unload_unwanted(
+        &self,
+        deployments: &[Deployment<W>],
+        engines: &mut [Engine<W>],
+    ) -> Vec<Change<W>> {
+        let deployed: BTreeSet<&W> =
+            deployments.iter().map(|deployment| &deployment.weights).collect();
+        let is_successor_short = |weights: &W| {
+            let successor =
+                deployments.iter().find(|deployment| deployment.replaces.as_ref() == Some(weights));
+            successor.is_some_and(|deployment| {
+                count_ready(&deployment.weights, engines)
+                    < self.wanted_replicas(&deployment.weights).max(deployment.min_replicas).max(1)
             })
         };
-        let mut gone = Vec::new();
+        let mut unloads = Vec::new();
         for engine in engines.iter() {
-            let unwanted = engine.loaded.iter().filter(|(weights, held)| {
-                !offered.contains(weights) && held.streams == 0 && !successor_short(weights)
+            let unwanted = engine.loaded.iter().filter(|(weights, residency)| {
+                !deployed.contains(weights)
+                    && residency.streams == 0
+                    && !is_successor_short(weights)
             });
-            gone.extend(unwanted.map(|(weights, _)| (engine.target.clone(), weights.clone())));
+            unloads.extend(unwanted.map(|(weights, _)| (engine.target.clone(), weights.clone())));
         }
         for engine in engines.iter_mut() {
-            engine.loaded.retain(|w, _| !gone.contains(&(engine.target.clone(), w.clone())));
+            engine.loaded.retain(|w, _| !unloads.contains(&(engine.target.clone(), w.clone())));
         }
-        gone.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
+        unloads.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
     }
 
-    /// The load that is wanted most: of the weights that have the least part
-    /// of their replicas, onto the emptiest engine of the zone that has the
-    /// fewest of them.
-    fn next_load(&self, offers: &[Offer<W>], engines: &[Engine<W>]) -> Option<(usize, W)> {
-        let mut short: Vec<(f64, &W)> = offers
+    /// Returns the most urgent load: the weights with the smallest part of their wanted replicas,
+    /// on the engine with the fewest loaded weights in the zone that has the fewest of these
+    /// replicas.
+    fn next_load(
+        &self,
+        deployments: &[Deployment<W>],
+        engines: &[Engine<W>],
+    ) -> Option<(usize, W)> {
+        let mut missing: Vec<(f64, &W)> = deployments
             .iter()
-            .map(|offer| &offer.weights)
-            .filter(|&w| replicas(w, engines) < self.wanted(w))
-            .map(|w| (f64::from(replicas(w, engines)) / f64::from(self.wanted(w)), w))
+            .map(|deployment| &deployment.weights)
+            .filter(|&w| count_replicas(w, engines) < self.wanted_replicas(w))
+            .map(|w| {
+                (f64::from(count_replicas(w, engines)) / f64::from(self.wanted_replicas(w)), w)
+            })
             .collect();
-        short.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
-        short.into_iter().find_map(|(_, weights)| {
-            let in_zone = |zone: &id::Zone| {
+        missing.sort_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.cmp(y)));
+        missing.into_iter().find_map(|(_, weights)| {
+            let replicas_in_zone = |zone: &id::Zone| {
                 let holds = |e: &&Engine<W>| e.zone == *zone && e.loaded.contains_key(weights);
                 engines.iter().filter(holds).count()
             };
-            let able = engines.iter().enumerate().filter(|(_, engine)| {
-                let place = (engine.loaded.len() as u32) < engine.places;
-                let place = place || self.make_place(engine, engines).is_some();
-                engine.accepting && !engine.loaded.contains_key(weights) && place
+            let eligible = engines.iter().enumerate().filter(|(_, engine)| {
+                let has_slot = (engine.loaded.len() as u32) < engine.weight_slots;
+                let has_slot = has_slot || self.choose_eviction(engine, engines).is_some();
+                engine.is_accepting && !engine.loaded.contains_key(weights) && has_slot
             });
-            let best = able.min_by_key(|(_, e)| (in_zone(&e.zone), e.loaded.len(), &e.target));
+            let best = eligible
+                .min_by_key(|(_, e)| (replicas_in_zone(&e.zone), e.loaded.len(), &e.target));
             best.map(|(index, _)| (index, weights.clone()))
         })
     }
 
-    /// Weights that a full engine can give up: idle there, and with more
-    /// ready replicas than are wanted.
-    fn make_place(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
-        if (engine.loaded.len() as u32) < engine.places {
+    /// Returns weights that a full engine can unload: no stream runs on them, and there are more
+    /// ready replicas than wanted.
+    fn choose_eviction(&self, engine: &Engine<W>, engines: &[Engine<W>]) -> Option<W> {
+        if (engine.loaded.len() as u32) < engine.weight_slots {
             return None;
         }
-        let surplus = engine.loaded.iter().filter(|(weights, held)| {
-            held.ready && held.streams == 0 && ready(*weights, engines) > self.wanted(weights)
+        let evictable = engine.loaded.iter().filter(|(weights, residency)| {
+            residency.is_ready
+                && residency.streams == 0
+                && count_ready(*weights, engines) > self.wanted_replicas(weights)
         });
-        surplus.map(|(weights, _)| weights.clone()).next()
+        evictable.map(|(weights, _)| weights.clone()).next()
     }
 }
 
@@ -241,14 +270,15 @@
     }
 }
 
-/// Replicas on engines that take work, those being loaded included.
-fn replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
-    let holds = |e: &&Engine<W>| e.accepting && e.loaded.contains_key(weights);
+/// Counts replicas on engines that accept work, including those being loaded.
+fn count_replicas<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
+    let holds = |e: &&Engine<W>| e.is_accepting && e.loaded.contains_key(weights);
     engines.iter().filter(holds).count() as u32
 }
 
-/// Replicas that serve.
-fn ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
-    let serves = |e: &&Engine<W>| e.accepting && e.loaded.get(weights).is_some_and(|h| h.ready);
+/// Counts ready replicas on engines that accept work.
+fn count_ready<W: Ord>(weights: &W, engines: &[Engine<W>]) -> u32 {
+    let serves =
+        |e: &&Engine<W>| e.is_accepting && e.loaded.get(weights).is_some_and(|h| h.is_ready);
     engines.iter().filter(serves).count() as u32
 }
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -1,179 +1,171 @@
-//! Which engines a prompt is read on, and when its first token would come.
+//! Placement of prompts on engines, with the expected time to first token.
 //!
-//! Short prompts are packed on few engines while they are predicted to be in time
-//! and no pass grows longer than the streams there bear; a pass with all slots in
-//! use takes little more than one with a single stream. Where all slots are taken,
-//! a short prompt waits for one that comes free in time. Long prompts are split over
-//! the engines that are left, in parts that no stream there feels. Engines read the
-//! parts that others ask them for newest first, so a long prompt waits until enough
-//! engines are idle, and no engine has two parts to choose from.
+//! Short prompts are packed on few engines, as long as they are predicted to meet their goal and no
+//! iteration exceeds the inter-token target of the streams there: an iteration with all slots in
+//! use takes little longer than one with a single stream. If all slots are in use, a short prompt
+//! waits for a slot that is expected to come free in time. Long prompts are split over the
+//! remaining engines in chunks that their streams don't notice. An engine prefills the chunks of
+//! other engines newest first, so a long prompt waits until enough engines are idle and no engine
+//! holds two chunks.
 //!
-//! Load pattern: prompts of a thousand to a million tokens in alternating phases,
-//! some of which take an engine for seconds, in which none of its streams gets an
-//! event.
+//! Load pattern: prompts of a thousand to a million tokens in alternating phases. Some of them
+//! occupy an engine for seconds, during which none of its streams gets an event.
 
 use crate::engine::Profile;
 use crate::queue::Ahead;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// Engines that may help the first one.
-pub const HELPERS_MAX: usize = 15;
+/// Maximum number of engines that prefill chunks beside the primary one.
+pub const MAX_HELPERS: usize = 15;
 
-/// Prompts that are read in less than this on one engine are short: they are
-/// read whole, at once. It is what a short stream beside them bears.
-const SHORT_READ: Duration = Duration::from_millis(100);
+/// Prompts with a shorter prefill on one engine are short: they are prefilled whole and
+/// immediately. Short streams on the same engine tolerate a pause of this length.
+const MAX_SHORT_PREFILL: Duration = Duration::from_millis(100);
 
-/// Goals below this leave no time to wait for idle engines, whatever the
-/// prompt's length.
-const URGENT_GOAL: Duration = Duration::from_millis(600);
+/// Prompts with a goal below this are placed as short ones: they can't wait for idle engines.
+const MAX_URGENT_GOAL: Duration = Duration::from_millis(600);
 
-/// The part of the goal within which a short prompt's first token must be
-/// predicted for it to be packed on an engine, or to wait for a slot. The rest is
-/// for what predictions are off.
-const PACK_AIM: f64 = 0.7;
+/// Fraction of the goal that the predicted first token of a short prompt may take for it to be
+/// packed on an engine or to wait for a slot. The rest allows for prediction errors.
+const PACK_GOAL_FRACTION: f64 = 0.7;
 
-/// The part of an engine's slots that short streams are packed into. With fewer,
-/// more engines have short streams than are left to long prompts; with more,
-/// several prompts that arrive at once find no slot.
-const PACK_SLOTS: f64 = 0.9;
+/// Fraction of an engine's slots that short streams are packed into. With fewer, short streams
+/// occupy more engines and leave fewer to long prompts; with more, prompts that arrive together
+/// find no slot.
+const PACK_SLOT_FRACTION: f64 = 0.9;
 
-/// What a first token takes beside the engine's work: the way there and back,
-/// and the turns of the hosts.
-const REACH: Duration = Duration::from_millis(10);
+/// Time to first token beside the engine's work: network round trip and host scheduling.
+const OVERHEAD: Duration = Duration::from_millis(10);
 
-/// First tokens that differ by less come at the same time for the caller.
-const ALIKE: Duration = Duration::from_millis(20);
+/// First tokens that differ by less than this arrive at the same time for the caller.
+const FIRST_TOKEN_RESOLUTION: Duration = Duration::from_millis(20);
 
-/// What each engine reads of a long prompt, at most where there are engines
-/// enough: half of the shortest pause that long streams are to keep.
-const PART_AIM: Duration = Duration::from_millis(250);
+/// Maximum prefill time of a chunk if there are enough engines: half of the shortest pause that
+/// long streams tolerate.
+const TARGET_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(250);
 
-/// What each engine reads at most where a long prompt does not wait for more
-/// engines to become idle.
-const PART_MOST: Duration = Duration::from_millis(500);
+/// Maximum prefill time of a chunk for which a long prompt doesn't wait for more idle engines.
+const MAX_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(500);
 
-/// The part of the engines without short streams that is enough to begin with,
-/// whatever the parts: waiting for the last ones leaves the others idle.
-const CROWD: f64 = 0.6;
+/// Fraction of the engines without short streams that is enough for any chunk time. Waiting for the
+/// last engines would leave the others idle.
+const MIN_CLEAR_FRACTION: f64 = 0.6;
 
-/// The part of its streams' wanted pause that an engine may read in one pass.
-/// The rest is for what a pass differs from its prediction.
-const PAUSE_PART: f64 = 0.9;
+/// Fraction of the inter-token target that one iteration may take. The rest allows for prediction
+/// errors.
+const MAX_PAUSE_FRACTION: f64 = 0.9;
 
-/// An engine that has less than this to read counts as idle: it is done by the
-/// time that a request reaches it.
-pub(crate) const IDLE: Duration = Duration::from_millis(15);
+/// Engines with a smaller prefill backlog count as idle: they finish before a request reaches them.
+pub(crate) const MAX_IDLE_BACKLOG: Duration = Duration::from_millis(15);
 
-/// The part of the engines without short streams that must be idle before a
-/// prompt which is late in any case is read: what it takes is otherwise taken
-/// from prompts that could be in time.
-const LATE_IDLE: f64 = 0.5;
+/// Fraction of the engines without short streams that must be idle before a prompt that will miss
+/// its goal is placed. Otherwise it would take capacity from prompts that can still meet theirs.
+const MIN_IDLE_FRACTION_FOR_LATE: f64 = 0.5;
 
-/// The part of the time left that reading a late prompt may take.
-const LATE_PART: f64 = 0.6;
+/// Fraction of the remaining time limit that the prefill of a late prompt may take.
+const LATE_PREFILL_FRACTION: f64 = 0.6;
 
-/// The least time after which a prompt that can't be in time should come back:
-/// a phase of long prompts doesn't end sooner.
-const LATE_RETRY: Duration = Duration::from_millis(4_000);
+/// Minimum retry delay of a prompt that can't meet its goal: long phases don't end sooner.
+const MIN_LATE_RETRY: Duration = Duration::from_millis(4_000);
 
-/// Between two looks whether engines are idle, at the longest.
-const LOOK: Duration = Duration::from_millis(20);
+/// Maximum interval between two checks for idle engines.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The part of an engine's memory that prompts may fill. The rest is for the
-/// answers of the streams that are there already.
-const MEMORY_USED: f64 = 0.95;
+/// Fraction of an engine's KV memory for new prompts. The rest is for the answers of running
+/// streams.
+const MAX_KV_FRACTION: f64 = 0.95;
 
-/// What is known of an engine.
+/// Load of an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Time until it has read all that is placed there.
-    pub backlog: Duration,
-    /// Time until it begins to read a further prompt.
-    pub begins: Duration,
-    /// What it reads in its next pass, of what is placed there.
-    pub next: Duration,
+    /// Time until it has prefilled all prompts that are placed there.
+    pub prefill_backlog: Duration,
+    /// Time until it starts to prefill another prompt.
+    pub prefill_start_delay: Duration,
+    /// Prefill time in its next iteration of what is placed there.
+    pub next_iteration_prefill: Duration,
     /// Requests that run or wait there.
     pub requests: u32,
-    /// Requests for which it reads a part.
-    pub helping: u32,
+    /// Requests for which it prefills a chunk as a helper.
+    pub helper_chunks: u32,
     /// Short requests among those that run or wait.
-    pub short: u32,
-    /// Streams that write.
-    pub writers: u32,
-    /// The shortest pause that its requests are to keep.
-    pub gap: Option<Duration>,
-    /// Context of the streams that write.
-    pub context: Tokens,
-    /// Memory taken or promised.
-    pub memory: Tokens,
-    /// Whether it is in the choosing node's zone.
-    pub near: bool,
-    /// The order of the engines for short prompts, the least first.
+    pub short_requests: u32,
+    /// Streams that are decoding.
+    pub decoding_streams: u32,
+    /// Lowest inter-token latency target among its requests.
+    pub inter_token_target: Option<Duration>,
+    /// Context of the decoding streams.
+    pub decode_context: Tokens,
+    /// KV memory in use or reserved.
+    pub kv_used: Tokens,
+    /// Whether it is in the zone of the choosing node.
+    pub is_same_zone: bool,
+    /// Rank of the engine for short prompts; lower ranks come first.
     pub preference: u64,
-    /// What it is expected to cost to try it, since it failed lately.
+    /// Expected cost of a failure, if it failed recently.
     pub penalty: Duration,
-    /// Whether it refused lately to read a part for another engine.
-    pub shut: bool,
+    /// Whether it recently refused to prefill a chunk for another engine.
+    pub is_refusing_chunks: bool,
 }
 
 /// A prompt to place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Query {
-    /// Its tokens.
-    pub prompt: Tokens,
-    /// Tokens of its answer, at a guess.
-    pub answer: Tokens,
-    /// Whether it is placed as a short one, by [`is_short`].
-    pub short: bool,
-    /// What is left of the time within which its first token is wanted.
-    pub goal: Duration,
-    /// The time after which it is of no use.
-    pub limit: Duration,
-    /// What waits and comes before it.
+    /// Prompt tokens.
+    pub prompt_tokens: Tokens,
+    /// Expected answer tokens.
+    pub answer_tokens: Tokens,
+    /// Whether it is placed as a short prompt, by [`is_short`].
+    pub is_short: bool,
+    /// Time left until the first-token goal.
+    pub goal_left: Duration,
+    /// Time left until the caller gives up on a first token.
+    pub limit_left: Duration,
+    /// Prompts that wait and are placed before it.
     pub ahead: Ahead,
-    /// How long a short stream usually takes from its placement to its end.
-    pub usual: Duration,
+    /// Typical time of a short stream from its placement to its end.
+    pub typical_stream_time: Duration,
 }
 
-/// Where a prompt is read; engines by their place in the list of loads.
+/// Placement of a prompt. Engines are indexes into the list of loads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// The engine that is sent the request.
-    pub first: usize,
-    /// Engines that read parts of it.
+    /// Engine that receives the request and decodes the answer.
+    pub primary: usize,
+    /// Other engines that prefill chunks of it.
     pub helpers: Vec<usize>,
-    /// Memory to reserve, by engine; empty where the first holds all.
-    pub memory: Vec<(usize, Tokens)>,
-    /// What each engine reads.
-    pub part: Duration,
-    /// When the first token is expected.
-    pub first_token: Duration,
+    /// KV memory to reserve on each engine; empty if the primary holds all of it.
+    pub kv_reservations: Vec<(usize, Tokens)>,
+    /// Prefill time of the chunk on each engine.
+    pub chunk_time: Duration,
+    /// Expected time to first token.
+    pub time_to_first_token: Duration,
 }
 
-/// What to do with a prompt now.
+/// Decision on a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// Send it.
-    Go(Plan),
-    /// Look again after this time.
+    /// Dispatch it now.
+    Place(Plan),
+    /// Try again after this time.
     Wait(Duration),
 }
 
-/// Why a prompt has no place.
+/// Why a prompt can't be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refused {
-    /// No engine is there.
+    /// There is no engine.
     NoEngine,
-    /// It is greater than the fleet's memory.
+    /// It needs more memory than all engines have.
     TooLong,
-    /// No engine has room; one has, at a guess, after this time.
+    /// No engine has room; one is expected to have room after this time.
     Busy(Duration),
 }
 
-/// Whether a prompt is read at once on one engine.
+/// Whether a prompt is prefilled immediately on one engine.
 pub fn is_short(profile: &Profile, prompt: Tokens, goal: Duration) -> bool {
-    goal < URGENT_GOAL || profile.read_time(prompt) < SHORT_READ
+    goal < MAX_URGENT_GOAL || profile.prefill_time(prompt) < MAX_SHORT_PREFILL
 }
 
 /// Chooses the engines for a prompt.
@@ -185,264 +177,270 @@
     if loads.is_empty() {
         return Err(Refused::NoEngine);
     }
-    let scene = Scene::read(query, profile, loads);
-    if scene.needed.0 > scene.whole.0.saturating_mul(loads.len() as u64) {
+    let planner = Planner::new(query, profile, loads);
+    if planner.kv_needed.0 > planner.kv_usable.0.saturating_mul(loads.len() as u64) {
         return Err(Refused::TooLong);
     }
-    match query.short {
-        true => scene.place_short(),
-        false => scene.place_long(),
+    match query.is_short {
+        true => planner.place_short(),
+        false => planner.place_long(),
     }
 }
 
-/// One choice: a prompt before the engines.
-struct Scene<'a> {
+/// Inputs of one placement decision.
+struct Planner<'a> {
     query: &'a Query,
     profile: &'a Profile,
     loads: &'a [Load],
-    /// The time to read the prompt on one engine.
-    read: Duration,
-    /// The memory that it takes.
-    needed: Tokens,
-    /// The memory of an engine that prompts may fill.
-    whole: Tokens,
+    /// Prefill time on one engine.
+    prefill_time: Duration,
+    /// KV memory of the prompt and its answer.
+    kv_needed: Tokens,
+    /// KV memory of an engine that prompts may use.
+    kv_usable: Tokens,
 }
 
-impl<'a> Scene<'a> {
-    fn read(query: &'a Query, profile: &'a Profile, loads: &'a [Load]) -> Self {
+impl<'a> Planner<'a> {
+    fn new(query: &'a Query, profile: &'a Profile, loads: &'a [Load]) -> Self {
         Self {
             query,
             profile,
             loads,
-            read: profile.read_time(query.prompt),
-            needed: profile.memory_of(query.prompt, query.answer),
-            whole: Tokens((profile.memory.0 as f64 * MEMORY_USED) as u64),
+            prefill_time: profile.prefill_time(query.prompt_tokens),
+            kv_needed: profile.kv_needed(query.prompt_tokens, query.answer_tokens),
+            kv_usable: Tokens((profile.kv_capacity.0 as f64 * MAX_KV_FRACTION) as u64),
         }
     }
 
-    fn has_place(&self, engine: usize) -> bool {
+    fn has_slot(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        load.requests < self.profile.slots && load.helping < self.profile.slots
+        load.requests < self.profile.slots && load.helper_chunks < self.profile.slots
     }
 
-    fn free(&self, engine: usize) -> Tokens {
-        self.whole.saturating_sub(self.loads[engine].memory)
+    fn kv_free(&self, engine: usize) -> Tokens {
+        self.kv_usable.saturating_sub(self.loads[engine].kv_used)
     }
 
-    fn pass(&self, engine: usize) -> Duration {
+    fn iteration_time(&self, engine: usize) -> Duration {
         let load = &self.loads[engine];
-        self.profile.pass_time(load.writers, load.context)
+        self.profile.iteration_time(load.decoding_streams, load.decode_context)
     }
 
-    /// When the first token of a part read here comes: with the end of the
-    /// pass in which the reading ends.
-    fn first_token(&self, engine: usize, part: Duration) -> Duration {
-        self.loads[engine].begins + part + self.pass(engine) + REACH
+    /// Time until the first token of a chunk: it comes at the end of the iteration that ends the
+    /// prefill.
+    fn time_to_first_token(&self, engine: usize, chunk_time: Duration) -> Duration {
+        self.loads[engine].prefill_start_delay + chunk_time + self.iteration_time(engine) + OVERHEAD
     }
 
-    /// Packs a short prompt on the most preferred of the engines that have short
-    /// streams already and on which it is in time; else takes the engine where
-    /// it is first.
+    /// Packs a short prompt on the preferred engine among those that have short streams and can
+    /// meet the goal. Otherwise takes the engine with the earliest first token.
     fn place_short(&self) -> Result<Choice, Refused> {
-        let fits = |&engine: &usize| self.has_place(engine) && self.free(engine) >= self.needed;
-        let aim = self.query.goal.mul_f64(PACK_AIM);
-        let most = (f64::from(self.profile.slots) * PACK_SLOTS) as u32;
-        let first = |engine: usize| self.first_token(engine, self.read);
-        let packs = |&engine: &usize| {
+        let fits = |&index: &usize| self.has_slot(index) && self.kv_free(index) >= self.kv_needed;
+        let latest = self.query.goal_left.mul_f64(PACK_GOAL_FRACTION);
+        let max_packed = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION) as u32;
+        let first_token_on = |engine: usize| self.time_to_first_token(engine, self.prefill_time);
+        let can_pack = |&engine: &usize| {
             let load = &self.loads[engine];
-            load.short > 0
-                && load.requests < most
+            load.short_requests > 0
+                && load.requests < max_packed
                 && load.penalty.is_zero()
-                && first(engine) <= aim
-                && self.bears_in_pass(engine)
+                && first_token_on(engine) <= latest
+                && self.can_add_prompt(engine)
         };
         let rank = |&engine: &usize| {
             let load = &self.loads[engine];
-            let steps = (first(engine) + load.penalty).as_millis() / ALIKE.as_millis();
-            (!self.bears_in_pass(engine), steps, load.preference)
+            let bucket = (first_token_on(engine) + load.penalty).as_millis()
+                / FIRST_TOKEN_RESOLUTION.as_millis();
+            (!self.can_add_prompt(engine), bucket, load.preference)
         };
         let fitting = || (0..self.loads.len()).filter(fits);
-        let packed = fitting().filter(packs).min_by_key(|&engine| self.loads[engine].preference);
+        let packed = fitting().filter(can_pack).min_by_key(|&engine| self.loads[engine].preference);
         let chosen = packed.or_else(|| fitting().min_by_key(rank));
-        let Some(first) = chosen else { return self.wait_for_slot() };
-        let first_token = self.first_token(first, self.read);
-        if first_token >= self.query.limit {
-            return Err(Refused::Busy(first_token.saturating_sub(self.query.limit)));
+        let Some(primary) = chosen else { return self.wait_for_slot() };
+        let first_token = self.time_to_first_token(primary, self.prefill_time);
+        if first_token >= self.query.limit_left {
+            return Err(Refused::Busy(first_token.saturating_sub(self.query.limit_left)));
         }
-        Ok(Choice::Go(Plan {
-            first,
+        Ok(Choice::Place(Plan {
+            primary,
             helpers: Vec::new(),
-            memory: Vec::new(),
-            part: self.read,
-            first_token,
+            kv_reservations: Vec::new(),
+            chunk_time: self.prefill_time,
+            time_to_first_token: first_token,
         }))
     }
 
-    /// Waits for a slot that is expected to come free in time. A prompt that can't
-    /// be in time would make all behind it late as well.
+    /// Waits for a slot that is expected to come free in time. A prompt that can't meet its goal
+    /// would also make the prompts behind it late.
     fn wait_for_slot(&self) -> Result<Choice, Refused> {
         let wait = self.estimate_slot_wait();
-        let passes: Duration = (0..self.loads.len()).map(|engine| self.pass(engine)).sum();
-        // A slot comes free as a pass ends, and the next one begins before the prompt
-        // is there.
-        let pass = passes / self.loads.len() as u32;
-        let first_token = wait + pass + self.read + pass + REACH;
-        match first_token <= self.query.goal.mul_f64(PACK_AIM) {
-            true => Ok(Choice::Wait(LOOK)),
+        let total: Duration = (0..self.loads.len()).map(|engine| self.iteration_time(engine)).sum();
+        // A slot comes free at the end of an iteration; the next one starts before the prompt
+        // arrives.
+        let iteration = total / self.loads.len() as u32;
+        let first_token = wait + iteration + self.prefill_time + iteration + OVERHEAD;
+        match first_token <= self.query.goal_left.mul_f64(PACK_GOAL_FRACTION) {
+            true => Ok(Choice::Wait(MAX_POLL_INTERVAL)),
             false => Err(Refused::Busy(wait)),
         }
     }
 
-    /// Time until enough slots are free for this prompt and the short ones before
-    /// it. Streams that began one by one end one by one.
+    /// Estimates the time until enough slots are free for this prompt and the short ones before it.
+    /// Streams that started one by one also end one by one.
     fn estimate_slot_wait(&self) -> Duration {
         let running: u32 = self.loads.iter().map(|load| load.requests).sum();
-        self.query.usual * (self.query.ahead.short + 1) / running.max(1)
+        self.query.typical_stream_time * (self.query.ahead.short_prompts + 1) / running.max(1)
     }
 
-    /// Splits a long prompt over idle engines, once there are enough of them.
-    /// What can't be in time is read only while half of the engines have
-    /// nothing else to do, and refused otherwise: waiting would not help it,
-    /// and its caller can come back.
+    /// Splits a long prompt over idle engines, once there are enough of them. A prompt that can't
+    /// meet its goal is placed only while half of the engines are idle. Otherwise it is refused,
+    /// since waiting would not help it and its caller can retry.
     fn place_long(&self) -> Result<Choice, Refused> {
-        let takes = |&engine: &usize| self.has_place(engine) && !self.loads[engine].shut;
-        let mut engines: Vec<usize> = (0..self.loads.len()).filter(takes).collect();
+        let is_usable =
+            |&engine: &usize| self.has_slot(engine) && !self.loads[engine].is_refusing_chunks;
+        let mut engines: Vec<usize> = (0..self.loads.len()).filter(is_usable).collect();
         engines.sort_by_key(|&engine| {
             let load = &self.loads[engine];
-            (load.penalty, load.short, !load.near)
+            (load.penalty, load.short_requests, !load.is_same_zone)
         });
-        let clear = engines.iter().filter(|&&engine| self.loads[engine].short == 0).count();
-        let idle: Vec<usize> =
-            engines.iter().copied().filter(|&engine| self.loads[engine].backlog <= IDLE).collect();
+        let clear = engines.iter().filter(|&&index| self.loads[index].short_requests == 0).count();
+        let idle: Vec<usize> = engines
+            .iter()
+            .copied()
+            .filter(|&engine| self.loads[engine].prefill_backlog <= MAX_IDLE_BACKLOG)
+            .collect();
         let wait = self.estimate_wait(&engines[..clear]);
-        let least = self.read / clear.clamp(1, HELPERS_MAX + 1) as u32;
-        if wait + least <= self.query.goal {
+        let own_time = self.prefill_time / clear.clamp(1, MAX_HELPERS + 1) as u32;
+        if wait + own_time <= self.query.goal_left {
             let plan = self.split_in_time(&idle, clear);
-            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Go));
+            return Ok(plan.map_or_else(|| Choice::Wait(self.until_idle(&engines)), Choice::Place));
         }
         let shared = self.split_in_time(&idle, engines.len());
-        if shared.is_none() && self.estimate_cleared(&engines) <= self.query.goal {
+        if shared.is_none() && self.estimate_time_on_cleared(&engines) <= self.query.goal_left {
             return Ok(Choice::Wait(self.until_idle(&engines)));
         }
         let plan = shared.or_else(|| self.split_late(&idle, clear));
-        plan.map(Choice::Go).ok_or(Refused::Busy((wait + least).max(LATE_RETRY)))
+        plan.map(Choice::Place).ok_or(Refused::Busy((wait + own_time).max(MIN_LATE_RETRY)))
     }
 
-    /// When the prompt would be read on engines whose short streams have ended: all
-    /// but those that short prompts need if they are packed.
-    fn estimate_cleared(&self, engines: &[usize]) -> Duration {
-        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short).sum();
-        let packed = (f64::from(self.profile.slots) * PACK_SLOTS).max(1.0);
-        let needed = (f64::from(short) / packed).ceil() as usize;
+    /// Estimates the time to prefill the prompt on the engines whose short streams will have ended:
+    /// all except those that the packed short prompts need.
+    fn estimate_time_on_cleared(&self, engines: &[usize]) -> Duration {
+        let short: u32 = engines.iter().map(|&engine| self.loads[engine].short_requests).sum();
+        let slots_per_engine = (f64::from(self.profile.slots) * PACK_SLOT_FRACTION).max(1.0);
+        let needed = (f64::from(short) / slots_per_engine).ceil() as usize;
         let Some(cleared) = engines.len().checked_sub(needed).filter(|&count| count > 0) else {
             return Duration::MAX;
         };
-        let streams = self.profile.stream_time(short / engines.len().max(1) as u32);
-        let read = self.read / cleared.min(HELPERS_MAX + 1) as u32;
-        streams.max(self.estimate_wait(&engines[..cleared])) + read
+        let stream_time = self.profile.stream_time(short / engines.len().max(1) as u32);
+        let prefill_time = self.prefill_time / cleared.min(MAX_HELPERS + 1) as u32;
+        stream_time.max(self.estimate_wait(&engines[..cleared])) + prefill_time
     }
 
-    /// Time until the engines have read what is placed and what waits before
-    /// this prompt, evenly spread.
+    /// Estimates the time to prefill the placed and the waiting prompts ahead, spread evenly over
+    /// the engines.
     fn estimate_wait(&self, engines: &[usize]) -> Duration {
-        let placed: Duration = engines.iter().map(|&engine| self.loads[engine].backlog).sum();
-        (placed + self.query.ahead.read) / engines.len().max(1) as u32
+        let total: Duration = engines.iter().map(|&index| self.loads[index].prefill_backlog).sum();
+        (total + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
-    /// Splits over as few idle engines as make the parts small; over most of
-    /// the engines where parts can't be small.
+    /// Splits over the fewest idle engines that keep the chunks small, or over most engines where
+    /// chunks can't be small.
     fn split_in_time(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let crowd = ((clear as f64 * CROWD).ceil() as usize).min(HELPERS_MAX + 1);
+        let most_clear = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
         let mut best = None;
-        for count in 1..=idle.len().min(HELPERS_MAX + 1) {
-            let part = self.read / count as u32;
-            let Some(plan) = self.plan_on(idle, count, part) else { continue };
-            if part <= PART_AIM {
+        for count in 1..=idle.len().min(MAX_HELPERS + 1) {
+            let chunk_time = self.prefill_time / count as u32;
+            let Some(plan) = self.plan_on(idle, count, chunk_time) else { continue };
+            if chunk_time <= TARGET_PREFILL_CHUNK_TIME {
                 return Some(plan);
             }
-            let is_enough = part <= PART_MOST || count >= crowd;
-            if is_enough && plan.first_token <= self.query.goal {
+            let is_enough = chunk_time <= MAX_PREFILL_CHUNK_TIME || count >= most_clear;
+            if is_enough && plan.time_to_first_token <= self.query.goal_left {
                 best = Some(plan);
             }
         }
         best
     }
 
-    /// Splits over few idle engines, where many are idle.
+    /// Splits a late prompt over few engines if many are idle.
     fn split_late(&self, idle: &[usize], clear: usize) -> Option<Plan> {
-        let spare = (clear as f64 * LATE_IDLE).ceil() as usize;
-        if idle.len() < spare.max(1) {
+        let min_idle = (clear as f64 * MIN_IDLE_FRACTION_FOR_LATE).ceil() as usize;
+        if idle.len() < min_idle.max(1) {
             return None;
         }
-        let aim = self.query.limit.mul_f64(LATE_PART);
-        let counts = 1..=idle.len().min(HELPERS_MAX + 1);
+        let latest = self.query.limit_left.mul_f64(LATE_PREFILL_FRACTION);
+        let counts = 1..=idle.len().min(MAX_HELPERS + 1);
         let plans = counts.filter_map(|count| {
-            let part = self.read / count as u32;
-            self.plan_on(idle, count, part)
+            let chunk_time = self.prefill_time / count as u32;
+            self.plan_on(idle, count, chunk_time)
         });
-        plans.into_iter().find(|plan| plan.first_token <= aim)
+        plans.into_iter().find(|plan| plan.time_to_first_token <= latest)
     }
 
-    /// A plan on the first of the engines whose streams bear the part.
-    fn plan_on(&self, engines: &[usize], count: usize, part: Duration) -> Option<Plan> {
-        let bearing = engines.iter().copied().filter(|&engine| self.bears(engine, part));
-        let chosen: Vec<usize> = bearing.take(count).collect();
-        (chosen.len() == count).then(|| self.plan(&chosen, part)).flatten()
+    /// Plans on the first `count` engines whose streams tolerate the chunk.
+    fn plan_on(&self, engines: &[usize], count: usize, chunk_time: Duration) -> Option<Plan> {
+        let able = engines.iter().copied().filter(|&engine| self.can_add_chunk(engine, chunk_time));
+        let chosen: Vec<usize> = able.take(count).collect();
+        (chosen.len() == count).then(|| self.build_plan(&chosen, chunk_time)).flatten()
     }
 
     fn until_idle(&self, engines: &[usize]) -> Duration {
-        let busy = engines.iter().map(|&engine| self.loads[engine].backlog);
-        let next = busy.filter(|backlog| *backlog > IDLE).min().unwrap_or(LOOK);
-        next.saturating_sub(IDLE).clamp(Duration::from_millis(2), LOOK)
+        let times = engines.iter().map(|&engine| self.loads[engine].prefill_backlog);
+        let next = times.filter(|time| *time > MAX_IDLE_BACKLOG).min().unwrap_or(MAX_POLL_INTERVAL);
+        next.saturating_sub(MAX_IDLE_BACKLOG).clamp(Duration::from_millis(2), MAX_POLL_INTERVAL)
     }
 
-    /// Whether the streams of an engine bear that it reads this in a pass.
-    fn bears(&self, engine: usize, part: Duration) -> bool {
+    /// Whether the chunk keeps the inter-token target of the engine's streams.
+    fn can_add_chunk(&self, engine: usize, chunk_time: Duration) -> bool {
         let load = &self.loads[engine];
-        match load.gap {
-            Some(gap) => load.backlog + part + self.pass(engine) <= gap.mul_f64(PAUSE_PART),
+        match load.inter_token_target {
+            Some(target) => {
+                load.prefill_backlog + chunk_time + self.iteration_time(engine)
+                    <= target.mul_f64(MAX_PAUSE_FRACTION)
+            }
             None => true,
         }
     }
 
-    /// Whether the streams of an engine bear that it reads the prompt with what it
-    /// reads in its next pass.
-    fn bears_in_pass(&self, engine: usize) -> bool {
+    /// Whether prefilling the prompt in the engine's next iteration keeps the inter-token target.
+    fn can_add_prompt(&self, engine: usize) -> bool {
         let load = &self.loads[engine];
-        let pass = load.next + self.read + self.pass(engine);
-        load.gap.is_none_or(|gap| pass <= gap.mul_f64(PAUSE_PART))
+        let time = load.next_iteration_prefill + self.prefill_time + self.iteration_time(engine);
+        load.inter_token_target.is_none_or(|target| time <= target.mul_f64(MAX_PAUSE_FRACTION))
     }
 
-    fn plan(&self, engines: &[usize], part: Duration) -> Option<Plan> {
-        let memory = self.spread_memory(engines)?;
-        let first = memory.first().map(|(engine, _)| *engine)?;
-        let last = engines.iter().map(|&engine| self.first_token(engine, part)).max()?;
+    fn build_plan(&self, engines: &[usize], chunk_time: Duration) -> Option<Plan> {
+        let reservations = self.reserve_kv(engines)?;
+        let primary = reservations.first().map(|(engine, _)| *engine)?;
+        let last =
+            engines.iter().map(|&index| self.time_to_first_token(index, chunk_time)).max()?;
         Some(Plan {
-            first,
-            helpers: engines.iter().copied().filter(|&engine| engine != first).collect(),
-            memory: if memory.len() > 1 { memory } else { Vec::new() },
-            part,
-            first_token: last,
+            primary,
+            helpers: engines.iter().copied().filter(|&engine| engine != primary).collect(),
+            kv_reservations: if reservations.len() > 1 { reservations } else { Vec::new() },
+            chunk_time,
+            time_to_first_token: last,
         })
     }
 
-    /// Which engines hold the prompt: one if one can, else as few as can, each
-    /// with what it has free.
-    fn spread_memory(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
-        let roomy = |&&engine: &&usize| self.free(engine) >= self.needed;
-        if let Some(&one) = engines.iter().find(roomy) {
-            return Some(vec![(one, self.needed)]);
+    /// Reserves KV memory for the prompt: on one engine if possible, otherwise on as few as
+    /// possible, each with all of its free memory.
+    fn reserve_kv(&self, engines: &[usize]) -> Option<Vec<(usize, Tokens)>> {
+        let has_room = |&&engine: &&usize| self.kv_free(engine) >= self.kv_needed;
+        if let Some(&engine) = engines.iter().find(has_room) {
+            return Some(vec![(engine, self.kv_needed)]);
         }
-        let mut order = engines.to_vec();
-        order.sort_by_key(|&engine| std::cmp::Reverse(self.free(engine)));
-        let mut left = self.needed;
-        let mut memory = Vec::new();
-        for engine in order {
-            let part = self.free(engine).min(left);
-            memory.push((engine, part));
-            left = left.saturating_sub(part);
+        let mut by_free = engines.to_vec();
+        by_free.sort_by_key(|&engine| std::cmp::Reverse(self.kv_free(engine)));
+        let mut left = self.kv_needed;
+        let mut reservations = Vec::new();
+        for engine in by_free {
+            let reserved = self.kv_free(engine).min(left);
+            reservations.push((engine, reserved));
+            left = left.saturating_sub(reserved);
             if left.0 == 0 {
-                return Some(memory);
+                return Some(reservations);
             }
         }
         None
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,51 +1,50 @@
-//! Prompts that wait for engines, and the order in which they choose.
+//! Priority queue of prompts that wait for engines.
 //!
-//! Load pattern: prompts come faster than engines have room for them. Short prompts
-//! need a slot each and choose first, the earliest due before the others. Of the long
-//! ones the smallest chooses first, since it needs the fewest engines for the least
-//! time; a larger one takes what is left. One that is no longer asked for is dropped.
+//! Load pattern: prompts arrive faster than engines have room for them. Short prompts are placed
+//! first, by the due time of their first token, since each needs only a slot. Long prompts follow,
+//! the smallest first, since it needs the fewest engines for the shortest time; larger ones take
+//! the remaining engines. An entry whose node stops refreshing it is dropped.
 
 use std::time::{Duration, Instant};
 
-/// How long a prompt waits without being asked for again: its caller is gone, or
-/// its node died.
-const KEPT: Duration = Duration::from_secs(1);
+/// Time until an entry expires that isn't refreshed: its caller has gone or its node has died.
+const ENTRY_TTL: Duration = Duration::from_secs(1);
 
-/// Prompts that wait at most; the rest is refused.
-const LENGTH_MOST: usize = 1_024;
+/// Maximum number of waiting prompts; further ones are refused.
+const MAX_LENGTH: usize = 1_024;
 
-/// A prompt's turn among those that wait.
+/// Priority of a waiting prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turn {
-    /// A short prompt, by the time at which its first token is due.
+pub enum Priority {
+    /// A short prompt, by the due time of its first token.
     Short(Instant),
-    /// A long prompt, by the time that one engine takes to read it.
+    /// A long prompt, by its prefill time on one engine.
     Long(Duration),
 }
 
-/// What waits before a prompt.
+/// Prompts that are placed before another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ahead {
-    /// Long prompts, by the time that one engine takes to read them.
-    pub read: Duration,
-    /// Short prompts, each of which needs a slot.
-    pub short: u32,
+    /// Sum of the long prompts' prefill times, each on one engine.
+    pub prefill_time: Duration,
+    /// Number of short prompts, each of which needs a slot.
+    pub short_prompts: u32,
 }
 
-/// A prompt that waits.
+/// A waiting prompt.
 #[derive(Clone, Debug)]
 struct Entry<K, T> {
     key: K,
-    turn: Turn,
-    since: Instant,
-    asked: Instant,
+    priority: Priority,
+    queued_at: Instant,
+    refreshed_at: Instant,
     item: T,
 }
 
-/// Prompts that wait.
+/// Prompts that wait for engines.
 #[derive(Clone, Debug)]
 pub struct Queue<K, T> {
-    /// By their turns; of the same turn the one that came first.
+    /// Ordered by priority; equal priorities in the order of arrival.
     entries: Vec<Entry<K, T>>,
 }
 
@@ -56,60 +55,63 @@
 }
 
 impl<K: Clone + PartialEq, T: Clone> Queue<K, T> {
-    /// Puts a prompt into the queue, or takes anew what is asked for again. Whether
-    /// there was room.
-    pub fn put(&mut self, now: Instant, key: K, turn: Turn, item: T) -> bool {
+    /// Inserts a prompt, or refreshes the entry if it is queued already. Returns `false` if the
+    /// queue is full.
+    pub fn insert_or_refresh(&mut self, now: Instant, key: K, priority: Priority, item: T) -> bool {
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.key == key) {
-            entry.asked = now;
+            entry.refreshed_at = now;
             entry.item = item;
             return true;
         }
-        if self.entries.len() >= LENGTH_MOST {
+        if self.entries.len() >= MAX_LENGTH {
             return false;
         }
-        let at = self.entries.partition_point(|entry| entry.turn <= turn);
-        self.entries.insert(at, Entry { key, turn, since: now, asked: now, item });
+        let index = self.entries.partition_point(|entry| entry.priority <= priority);
+        self.entries
+            .insert(index, Entry { key, priority, queued_at: now, refreshed_at: now, item });
         true
     }
 
-    /// Takes a prompt out; how long it waited.
+    /// Removes a prompt and returns the time that it waited.
     pub fn remove(&mut self, now: Instant, key: &K) -> Option<Duration> {
-        let at = self.entries.iter().position(|entry| entry.key == *key)?;
-        let entry = self.entries.remove(at);
-        Some(now.saturating_duration_since(entry.since))
+        let index = self.entries.iter().position(|entry| entry.key == *key)?;
+        let entry = self.entries.remove(index);
+        Some(now.saturating_duration_since(entry.queued_at))
     }
 
-    /// Drops what is no longer asked for.
+    /// Drops entries that weren't refreshed in time.
     pub fn expire(&mut self, now: Instant) {
-        self.entries.retain(|entry| now.saturating_duration_since(entry.asked) < KEPT);
+        self.entries.retain(|entry| now.saturating_duration_since(entry.refreshed_at) < ENTRY_TTL);
     }
 
-    /// What chooses before a prompt with this turn.
-    pub fn ahead(&self, key: &K, turn: Turn) -> Ahead {
-        let before = self.entries.iter().take_while(|entry| entry.turn < turn);
-        let others = before.filter(|entry| entry.key != *key);
-        others.fold(Ahead::default(), |ahead, entry| match entry.turn {
-            Turn::Short(_) => Ahead { short: ahead.short + 1, ..ahead },
-            Turn::Long(read) => Ahead { read: ahead.read + read, ..ahead },
+    /// Returns the prompts that are placed before a prompt with this key and priority.
+    pub fn ahead_of(&self, key: &K, priority: Priority) -> Ahead {
+        let before = self.entries.iter().take_while(|entry| entry.priority < priority);
+        let other_entries = before.filter(|entry| entry.key != *key);
+        other_entries.fold(Ahead::default(), |ahead, entry| match entry.priority {
+            Priority::Short(_) => Ahead { short_prompts: ahead.short_prompts + 1, ..ahead },
+            Priority::Long(prefill_time) => {
+                Ahead { prefill_time: ahead.prefill_time + prefill_time, ..ahead }
+            }
         })
     }
 
     /// Whether a short prompt waits.
     pub fn has_short(&self) -> bool {
-        self.entries.first().is_some_and(|entry| matches!(entry.turn, Turn::Short(_)))
+        self.entries.first().is_some_and(|entry| matches!(entry.priority, Priority::Short(_)))
     }
 
-    /// The prompts in the order in which they choose.
+    /// Returns the prompts in the order of their priorities.
     pub fn in_order(&self) -> Vec<(K, T)> {
         self.entries.iter().map(|entry| (entry.key.clone(), entry.item.clone())).collect()
     }
 
-    /// Whether nothing waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// How many wait.
+    /// Returns the number of waiting prompts.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -1,6 +1,8 @@
-//! Reservations for prompts greater than one engine's memory: all of a prompt's
-//! engines are reserved or none, in the order of their ids, and each answers at
-//! once. Two prompts can't hold half of what both need and wait for each other.
+//! Reservations for prompts that exceed one engine's memory.
+//!
+//! All engines of a prompt are reserved or none. They are requested in the order of their ids, and
+//! each answers immediately, so that two prompts can't each hold a part of what both need and
+//! deadlock.
 //!
 //! Load pattern: prompts of up to twice an engine's memory beside all other work.
 
@@ -10,75 +12,74 @@
 use hickory_unit::{id, size};
 use std::time::Duration;
 
-/// One of this many tokens of an engine's memory is left to short work, as
-/// in [`crate::room`].
-const HEADROOM: u64 = 8;
+/// One of this many tokens of an engine's memory is left to short work, as in [`crate::room`].
+const HEADROOM_DIVISOR: u64 = 8;
 
-/// The first pause after a reservation that failed, and the greatest: less
-/// than the time for which an engine holds room after it refused an urgent
-/// ask ([`crate::limit::CLAIM_LIFE`]).
-const BACK_OFF: Duration = Duration::from_millis(100);
-const BACK_OFF_MOST: Duration = Duration::from_secs(1);
+/// First and maximum delay after a failed reservation. The maximum is less than the time for which
+/// an engine holds capacity after it refused an urgent request ([`crate::limit::CLAIM_LIFE`]).
+const BASE_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// A part of a prompt and the engine that is to hold it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
     /// The engine.
     pub target: id::Target,
-    /// The place among the parts, from 0; the last part generates.
+    /// Index among the parts, from 0. The engine of the last part decodes the answer.
     pub index: u32,
-    /// Prompt tokens before it.
-    pub from: size::Tokens,
-    /// What it weighs on its engine.
+    /// Number of prompt tokens before this part.
+    pub prompt_offset: size::Tokens,
+    /// Cost of the part on its engine.
     pub cost: Cost,
 }
 
-/// Why a prompt can't be cut into parts.
+/// Why a prompt can't be split into parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Impossible {
-    /// All engines together can't hold it.
+    /// It exceeds the memory of all engines together.
     TooLong,
-    /// The prefill takes longer than the time that is left; by how much.
+    /// The prefill exceeds the remaining time by this.
     NoTime(Duration),
     /// Too little memory is free at present.
     NoMemory,
 }
 
-/// Cuts a prompt into parts, on as few engines as hold it, those with the
-/// most free memory first.
+/// Splits a prompt into parts on as few engines as can hold it, those with the most free memory
+/// first.
 pub fn plan_parts(
     cost: Cost,
-    left: Duration,
+    time_left: Duration,
     candidates: &[Candidate],
 ) -> Result<Vec<Part>, Impossible> {
-    let able: u64 = candidates.iter().map(|c| c.kv_capacity.0 - c.kv_capacity.0 / HEADROOM).sum();
-    if able < cost.kv().0 {
+    let total_kv: u64 =
+        candidates.iter().map(|c| c.kv_capacity.0 - c.kv_capacity.0 / HEADROOM_DIVISOR).sum();
+    if total_kv < cost.kv().0 {
         return Err(Impossible::TooLong);
     }
-    let mut free: Vec<(u64, &Candidate)> =
-        candidates.iter().map(|c| (usable(c), c)).filter(|&(tokens, _)| tokens > 0).collect();
-    free.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.target.cmp(&y.target)));
+    let mut by_free_kv: Vec<(u64, &Candidate)> =
+        candidates.iter().map(|c| (usable_kv(c), c)).filter(|&(tokens, _)| tokens > 0).collect();
+    by_free_kv.sort_by(|(a, x), (b, y)| b.cmp(a).then_with(|| x.target.cmp(&y.target)));
     let mut parts = Vec::new();
-    let mut time = Duration::ZERO;
-    let mut from = 0;
-    for (tokens, candidate) in free {
-        let rest = cost.prefill.0 - from;
-        let last = rest + cost.decode.0 <= tokens;
-        // The answer is generated where the last part lies, so no part but
-        // the last may end the prompt.
-        let prefill = if last { rest } else { tokens.min(rest.saturating_sub(1)) };
-        let decode = if last { cost.decode } else { size::Tokens(0) };
-        time += Duration::from_secs_f64(prefill as f64 / candidate.prefill_rate.max(1) as f64);
+    let mut prefill_time = Duration::ZERO;
+    let mut prompt_offset = 0;
+    for (tokens, candidate) in by_free_kv {
+        let prompt_left = cost.prefill.0 - prompt_offset;
+        let is_last = prompt_left + cost.decode.0 <= tokens;
+        // The engine of the last part decodes the answer, so no earlier part may end the prompt.
+        let prefill = if is_last { prompt_left } else { tokens.min(prompt_left.saturating_sub(1)) };
+        let decode = if is_last { cost.decode } else { size::Tokens(0) };
+        prefill_time +=
+            Duration::from_secs_f64(prefill as f64 / candidate.prefill_rate.max(1) as f64);
         parts.push(Part {
             target: candidate.target.clone(),
             index: parts.len() as u32,
-            from: size::Tokens(from),
+            prompt_offset: size::Tokens(prompt_offset),
             cost: Cost { prefill: size::Tokens(prefill), decode },
         });
-        from += prefill;
-        if last {
-            return match time.checked_sub(left).filter(|late| !late.is_zero()) {
-                Some(late) => Err(Impossible::NoTime(late)),
+        prompt_offset += prefill;
+        if is_last {
+            return match prefill_time.checked_sub(time_left).filter(|excess| !excess.is_zero()) {
+                Some(excess) => Err(Impossible::NoTime(excess)),
                 None => Ok(parts),
             };
         }
@@ -86,29 +87,29 @@
     Err(Impossible::NoMemory)
 }
 
-fn usable(candidate: &Candidate) -> u64 {
-    let room = candidate.running < candidate.bound;
-    let bulk = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM;
-    if room { candidate.kv_free.0.min(bulk) } else { 0 }
+fn usable_kv(candidate: &Candidate) -> u64 {
+    let has_slot = candidate.running < candidate.max_streams;
+    let bulk_kv = candidate.kv_capacity.0 - candidate.kv_capacity.0 / HEADROOM_DIVISOR;
+    if has_slot { candidate.kv_free.0.min(bulk_kv) } else { 0 }
 }
 
-/// How long to wait before round `round` (from 1) of a reservation that
-/// failed. The random part keeps two prompts from failing each other again.
-pub fn back_off(round: u32, random: u64) -> Duration {
-    let most = BACK_OFF.saturating_mul(1 << round.min(8)).min(BACK_OFF_MOST);
-    most / 2 + most.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
+/// Returns the delay before retry `round` (from 1) of a failed reservation. The random part keeps
+/// two prompts from blocking each other again.
+pub fn backoff(round: u32, random: u64) -> Duration {
+    let max_delay = BASE_BACKOFF.saturating_mul(1 << round.min(8)).min(MAX_BACKOFF);
+    max_delay / 2 + max_delay.mul_f64((random >> 11) as f64 / (1_u64 << 54) as f64)
 }
 
-/// What a reservation needs next.
+/// Next step of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// An urgent ask for this part, answered by [`Reservation::answer`].
+    /// Send an urgent permit request for this part and pass the result to [`Reservation::answer`].
     Ask(Part),
-    /// Nothing: every part is held. In the order of the prompt.
-    Held(Vec<(Part, Ticket)>),
+    /// All parts are held, in the order of the prompt.
+    Complete(Vec<(Part, Ticket)>),
 }
 
-/// The reservation of all parts of one prompt, or none.
+/// A reservation of all parts of one prompt.
 #[derive(Clone, Debug)]
 pub struct Reservation {
     /// In the order of the engines' ids.
@@ -117,13 +118,13 @@
 }
 
 impl Reservation {
-    /// A reservation that holds nothing yet.
+    /// Creates a reservation that holds no part yet.
     pub fn open(mut parts: Vec<Part>) -> Self {
         parts.sort_by(|a, b| a.target.cmp(&b.target));
         Self { parts, held: Vec::new() }
     }
 
-    /// What to do next.
+    /// Returns the next step.
     pub fn next_step(&self) -> Step {
         if let Some(part) = self.parts.get(self.held.len()) {
             return Step::Ask(part.clone());
@@ -131,11 +132,11 @@
         let held = self.parts.iter().cloned().zip(self.held.iter().copied());
         let mut held: Vec<_> = held.collect();
         held.sort_by_key(|(part, _)| part.index);
-        Step::Held(held)
+        Step::Complete(held)
     }
 
-    /// Takes in the answer to the last ask. A refusal ends the round: what is
-    /// returned is to be given back at once.
+    /// Records the result of the last permit request. A refusal ends the round; the returned
+    /// permits must be released immediately.
     pub fn answer(&mut self, granted: Option<Ticket>) -> Vec<(id::Target, Ticket)> {
         match granted {
             Some(ticket) => {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Gives up all that is held.
+    /// Ends the round and returns all permits that are held.
     pub fn release(&mut self) -> Vec<(id::Target, Ticket)> {
         let targets = self.parts.iter().map(|part| part.target.clone());
         targets.zip(std::mem::take(&mut self.held)).collect()
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,10 +1,11 @@
-//! What one target has room for, and the headroom kept for short work. Bulk work
-//! (long or batch) is let into a part of the slots and the memory only, one long
-//! prefill runs at a time, and short prefill is handed over no faster than the
-//! engine works it off: the queue stands at the owner, where shares are kept.
+//! Accounting of the slots, KV memory and prefill work in use on one target, with headroom for
+//! short interactive requests.
 //!
-//! Load pattern: long prompts, batch work and short interactive asks meet on one
-//! engine.
+//! Bulk requests (long or batch) are admitted to only a part of the slots and memory, only one long
+//! prefill runs at a time, and short prefill work is sent to the engine no faster than it processes
+//! it. Requests therefore queue at the owner, where shares are enforced.
+//!
+//! Load pattern: long prompts, batch work and short interactive requests meet on one engine.
 
 use crate::cost::Cost;
 use crate::fair::Lane;
@@ -12,93 +13,91 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// One of this many stream slots and KV tokens is kept for short interactive
-/// asks. An eighth serves a burst of a third of a second at the rates that
-/// engines reach, and costs bulk work little, since it is bound by prefill.
-const HEADROOM: u32 = 8;
+/// One of this many stream slots and KV tokens is reserved for short interactive requests. An
+/// eighth serves a burst of a third of a second at the rates that engines reach, and costs bulk
+/// work little, since that is limited by prefill.
+const HEADROOM_DIVISOR: u32 = 8;
 
-/// One of this many stream slots may hold long work: its KV memory is used
-/// up before, and slots that decode for long slow each step for all.
-const LONG_SLOTS: u32 = 4;
+/// One of this many stream slots may hold long prompts: KV memory runs out before, and streams with
+/// a long decode slow down each step for all others.
+const LONG_SLOTS_DIVISOR: u32 = 4;
 
-/// Prefill work that is handed to the engine ahead of time. It covers one of
-/// the engine's steps and the way there and back; more would queue in the
-/// engine, out of reach of shares and deadlines, where another engine may be
-/// idle.
-const WINDOW: Duration = Duration::from_millis(60);
+/// Maximum prefill work that is sent to the engine ahead of time. It covers one engine step and the
+/// network round trip. More would queue in the engine, where shares and deadlines aren't enforced,
+/// while another engine may be idle.
+const MAX_PREFILL_IN_FLIGHT: Duration = Duration::from_millis(60);
 
-/// The part of the prefill rate that a long prefill keeps while short work
-/// saturates an engine that honours priorities strictly: long work must
-/// arrive.
-const LONG_FLOOR: f64 = 0.25;
+/// Fraction of the prefill rate that a long prefill gets while short requests saturate an engine
+/// with strict priorities: long prompts must still complete.
+const MIN_LONG_PREFILL_FRACTION: f64 = 0.25;
 
-/// How far a load report may lag behind, with the time between two of them.
-const REPORT_LAG: Duration = Duration::from_millis(500);
+/// Maximum age of a load report, including the interval between two reports.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(500);
 
-/// What is left of a long prefill at least until a report or its first token
-/// says that it is over: a step of the engine. Long prompts slow down as they
-/// go; by estimate alone they ended seconds early, and short prompts were
-/// sent to engines that were still busy with them.
-const UNCONFIRMED: f64 = 2_048.0;
+/// Minimum estimate of the tokens left of a long prefill until a load report or its first token
+/// confirms that it has ended: one engine step. Long prompts slow down as they proceed; without
+/// this, the estimate ended seconds early and short prompts were sent to engines that were still
+/// busy.
+const MIN_UNCONFIRMED_TOKENS: f64 = 2_048.0;
 
-/// Why an ask has no room now.
+/// Why a request doesn't fit now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Full {
-    /// No stream slot.
+    /// There is no free stream slot.
     Slots,
-    /// No KV memory.
+    /// There is not enough KV memory.
     Memory,
-    /// Enough prefill is in flight.
+    /// Enough prefill work is in flight.
     Prefill,
 }
 
-/// What the target bears at present.
+/// Current capacity of the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound {
-    /// Streams.
+    /// Stream slots.
     pub slots: u32,
     /// KV memory.
     pub kv: size::Tokens,
-    /// Prompt tokens a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_rate: u64,
 }
 
-/// Room held for a long ask that has waited too long for it.
+/// Capacity that is kept free for a long request that has waited too long.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Slots.
+    /// Stream slots.
     pub slots: u32,
     /// KV memory.
     pub kv: size::Tokens,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Use {
+struct Usage {
     slots: u32,
     kv: u64,
 }
 
-/// A prefill in flight, by estimate.
+/// A prefill in flight, with its estimated remaining tokens.
 #[derive(Clone, Copy, Debug)]
 struct Prefill {
     ticket: u64,
-    left: f64,
+    tokens_left: f64,
 }
 
-/// What is in use on one target.
+/// Capacity in use on one target.
 #[derive(Clone, Debug, Default)]
 pub struct Room {
-    short: Use,
-    bulk: Use,
-    long: u32,
-    foreign: Use,
-    /// Prefills in flight, short and long, in the order of their grants.
+    short: Usage,
+    bulk: Usage,
+    long_slots: u32,
+    foreign: Usage,
+    /// Short and long prefills in flight, in the order of their grants.
     prefills: [VecDeque<Prefill>; 2],
-    drained: Option<Instant>,
+    prefill_advanced_at: Option<Instant>,
 }
 
 impl Room {
-    /// Whether an ask fits.
+    /// Checks whether a request fits.
     pub fn fits(&self, bound: Bound, lane: Lane, cost: Cost, claim: Claim) -> Result<(), Full> {
         let kv = cost.kv().0;
         if self.slots() >= bound.slots {
@@ -111,140 +110,150 @@
             self.fits_claim(bound, kv, claim)?;
         } else {
             self.fits_bulk(bound, lane, kv)?;
-            if !lane.long {
+            if !lane.is_long {
                 self.fits_claim(bound, kv, claim)?;
             }
         }
         self.fits_prefill(bound, lane, cost)
     }
 
-    /// Bulk work leaves the headroom free, but one piece of it is let in
-    /// where no other runs: an ask as large as the memory would else never
-    /// run, and a target of one slot would take none.
+    /// Bulk requests leave the headroom free, but one is admitted if no other runs: otherwise a
+    /// request as large as the memory could never run, and a target with one slot would accept no
+    /// bulk work.
     fn fits_bulk(&self, bound: Bound, lane: Lane, kv: u64) -> Result<(), Full> {
         if self.bulk.slots == 0 {
             return Ok(());
         }
-        let slots = bound.slots - bound.slots / HEADROOM;
-        if self.bulk.slots >= slots || (lane.long && self.long >= (bound.slots / LONG_SLOTS).max(1))
+        let bulk_slots = bound.slots - bound.slots / HEADROOM_DIVISOR;
+        if self.bulk.slots >= bulk_slots
+            || (lane.is_long && self.long_slots >= (bound.slots / LONG_SLOTS_DIVISOR).max(1))
         {
             return Err(Full::Slots);
         }
-        if self.bulk.kv + kv > bound.kv.0 - bound.kv.0 / u64::from(HEADROOM) {
+        if self.bulk.kv + kv > bound.kv.0 - bound.kv.0 / u64::from(HEADROOM_DIVISOR) {
             return Err(Full::Memory);
         }
         Ok(())
     }
 
-    /// Short work leaves what a long ask has claimed, down to the headroom.
+    /// Short requests leave the claimed capacity free, but may always use the headroom.
     fn fits_claim(&self, bound: Bound, kv: u64, claim: Claim) -> Result<(), Full> {
         if claim == Claim::default() {
             return Ok(());
         }
-        let slots = bound.slots.saturating_sub(self.bulk.slots + claim.slots);
-        if self.short.slots >= slots.max(bound.slots / HEADROOM) {
+        let short_slots = bound.slots.saturating_sub(self.bulk.slots + claim.slots);
+        if self.short.slots >= short_slots.max(bound.slots / HEADROOM_DIVISOR) {
             return Err(Full::Slots);
         }
-        let memory = bound.kv.0.saturating_sub(self.bulk.kv + claim.kv.0);
-        if self.short.kv + kv > memory.max(bound.kv.0 / u64::from(HEADROOM)) {
+        let short_kv = bound.kv.0.saturating_sub(self.bulk.kv + claim.kv.0);
+        if self.short.kv + kv > short_kv.max(bound.kv.0 / u64::from(HEADROOM_DIVISOR)) {
             return Err(Full::Memory);
         }
         Ok(())
     }
 
     fn fits_prefill(&self, bound: Bound, lane: Lane, cost: Cost) -> Result<(), Full> {
-        let in_flight = self.in_flight(lane.long);
+        let in_flight = self.prefill_in_flight(lane.is_long);
         if in_flight == 0.0 {
             return Ok(());
         }
-        let window = bound.prefill_rate as f64 * WINDOW.as_secs_f64();
-        if lane.long || in_flight + cost.prefill.0 as f64 > window {
+        let max_in_flight = bound.prefill_rate as f64 * MAX_PREFILL_IN_FLIGHT.as_secs_f64();
+        if lane.is_long || in_flight + cost.prefill.0 as f64 > max_in_flight {
             return Err(Full::Prefill);
         }
         Ok(())
     }
 
-    /// Takes room.
-    pub fn add(&mut self, ticket: u64, lane: Lane, cost: Cost) {
-        let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
-        used.slots += 1;
-        used.kv += cost.kv().0;
-        self.long += u32::from(lane.long);
+    /// Reserves capacity for a granted request.
+    pub fn acquire(&mut self, ticket: u64, lane: Lane, cost: Cost) {
+        let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
+        usage.slots += 1;
+        usage.kv += cost.kv().0;
+        self.long_slots += u32::from(lane.is_long);
         if cost.prefill.0 > 0 {
-            let prefill = Prefill { ticket, left: cost.prefill.0 as f64 };
-            self.prefills[usize::from(lane.long)].push_back(prefill);
+            let prefill = Prefill { ticket, tokens_left: cost.prefill.0 as f64 };
+            self.prefills[usize::from(lane.is_long)].push_back(prefill);
         }
     }
 
-    /// Gives room back.
-    pub fn remove(&mut self, ticket: u64, lane: Lane, cost: Cost) {
-        let used = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
-        used.slots -= 1;
-        used.kv -= cost.kv().0;
-        self.long -= u32::from(lane.long);
-        self.start(ticket, lane);
+    /// Releases the capacity of a request.
+    pub fn release(&mut self, ticket: u64, lane: Lane, cost: Cost) {
+        let usage = if lane.is_short_interactive() { &mut self.short } else { &mut self.bulk };
+        usage.slots -= 1;
+        usage.kv -= cost.kv().0;
+        self.long_slots -= u32::from(lane.is_long);
+        self.finish_prefill(ticket, lane);
     }
 
-    /// The first token came: the prefill is over.
-    pub fn start(&mut self, ticket: u64, lane: Lane) {
-        self.prefills[usize::from(lane.long)].retain(|p| p.ticket != ticket);
+    /// Ends the prefill of a request, when its first token came.
+    pub fn finish_prefill(&mut self, ticket: u64, lane: Lane) {
+        self.prefills[usize::from(lane.is_long)].retain(|p| p.ticket != ticket);
     }
 
-    /// Works the prefills in flight off by estimate: the short ones first, as
-    /// engines that honour priorities do, but for the floor of the long one.
-    pub fn drain(&mut self, now: Instant, prefill_rate: u64) {
-        let since = self.drained.replace(now).unwrap_or(now);
-        let budget = prefill_rate as f64 * now.saturating_duration_since(since).as_secs_f64();
-        let floor = if self.prefills[1].is_empty() { 0.0 } else { LONG_FLOOR };
-        let rest = work_off(&mut self.prefills[0], budget * (1.0 - floor));
+    /// Advances the estimates of the prefills in flight: the short ones first, as engines with
+    /// priorities do, except for the minimum fraction of the long one.
+    pub fn advance_prefill(&mut self, now: Instant, prefill_rate: u64) {
+        let previous = self.prefill_advanced_at.replace(now).unwrap_or(now);
+        let budget = prefill_rate as f64 * now.saturating_duration_since(previous).as_secs_f64();
+        let long_fraction =
+            if self.prefills[1].is_empty() { 0.0 } else { MIN_LONG_PREFILL_FRACTION };
+        let short_unused = consume_tokens(&mut self.prefills[0], budget * (1.0 - long_fraction));
         if let Some(long) = self.prefills[1].front_mut() {
-            long.left = (long.left - budget * floor - rest).max(UNCONFIRMED.min(long.left));
+            long.tokens_left = (long.tokens_left - budget * long_fraction - short_unused)
+                .max(MIN_UNCONFIRMED_TOKENS.min(long.tokens_left));
         }
     }
 
-    /// Corrects the estimate of one prefill by a load report, which lags: by
-    /// now the engine may have done as much more as it does in that time.
-    pub fn correct(&mut self, ticket: u64, lane: Lane, reported: size::Tokens, rate: u64) {
-        if reported.0 == 0 {
-            return self.start(ticket, lane);
+    /// Corrects the estimate of one prefill by a load report. The report is out of date by up to
+    /// `MAX_REPORT_LAG`, in which the engine may have prefilled more tokens.
+    pub fn correct_prefill(
+        &mut self,
+        ticket: u64,
+        lane: Lane,
+        reported_left: size::Tokens,
+        prefill_rate: u64,
+    ) {
+        if reported_left.0 == 0 {
+            return self.finish_prefill(ticket, lane);
         }
-        let least = reported.0 as f64 - rate as f64 * REPORT_LAG.as_secs_f64();
-        let found = self.prefills[usize::from(lane.long)].iter_mut().find(|p| p.ticket == ticket);
+        let min_left = reported_left.0 as f64 - prefill_rate as f64 * MAX_REPORT_LAG.as_secs_f64();
+        let found =
+            self.prefills[usize::from(lane.is_long)].iter_mut().find(|p| p.ticket == ticket);
         if let Some(prefill) = found {
-            prefill.left = prefill.left.max(least);
+            prefill.tokens_left = prefill.tokens_left.max(min_left);
         }
     }
 
-    /// Sets what runs there that this owner did not grant.
+    /// Sets the usage by streams that this owner didn't grant.
     pub fn set_foreign(&mut self, slots: u32, kv: size::Tokens) {
-        self.foreign = Use { slots, kv: kv.0 };
+        self.foreign = Usage { slots, kv: kv.0 };
     }
 
-    /// Slots in use.
+    /// Returns the slots in use.
     pub fn slots(&self) -> u32 {
         self.short.slots + self.bulk.slots + self.foreign.slots
     }
 
-    /// KV memory in use.
+    /// Returns the KV memory in use.
     pub fn kv(&self) -> u64 {
         self.short.kv + self.bulk.kv + self.foreign.kv
     }
 
-    /// Prompt tokens in flight of one size, by estimate.
-    pub fn in_flight(&self, long: bool) -> f64 {
-        self.prefills[usize::from(long)].iter().map(|p| p.left).sum()
+    /// Returns the estimated prompt tokens in flight of short or long prompts.
+    pub fn prefill_in_flight(&self, is_long: bool) -> f64 {
+        self.prefills[usize::from(is_long)].iter().map(|p| p.tokens_left).sum()
     }
 }
 
-/// Takes `budget` tokens off the queue's front; returns what is left of it.
-fn work_off(prefills: &mut VecDeque<Prefill>, mut budget: f64) -> f64 {
+/// Removes up to `token_budget` tokens from the front of the queue and returns the unused budget.
+fn consume_tokens(prefills: &mut VecDeque<Prefill>, mut token_budget: f64) -> f64 {
     while let Some(first) = prefills.front_mut() {
-        if first.left > budget {
-            first.left -= budget;
+        if first.tokens_left > token_budget {
+            first.tokens_left -= token_budget;
             return 0.0;
         }
-        budget -= first.left;
+        token_budget -= first.tokens_left;
         prefills.pop_front();
     }
-    budget
+    token_budget
 }
--- a/crates/policy/src/survey.rs
+++ b/crates/policy/src/survey.rs
@@ -1,48 +1,48 @@
-//! What a choice of engines rested on, for those who explain it afterwards.
+//! Summary of the engines' state in a placement decision, for the logs.
 
 use crate::engine::Profile;
-use crate::plan::{IDLE, Load};
+use crate::plan::{Load, MAX_IDLE_BACKLOG};
 use crate::queue::Ahead;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The engines as a choice found them.
+/// The engines at the time of a decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Survey {
-    /// Engines that may be chosen.
+    /// Engines that can be chosen.
     pub engines: u32,
-    /// Those that have no slot left.
+    /// Engines without a free slot.
     pub full: u32,
-    /// Those that have nothing to read.
+    /// Engines without prefill backlog.
     pub idle: u32,
-    /// Those without short streams.
-    pub clear: u32,
-    /// Those that failed lately.
+    /// Engines without short streams.
+    pub without_short: u32,
+    /// Engines that failed recently.
     pub penalized: u32,
-    /// What all of them have still to read, added up.
-    pub unread: Duration,
-    /// Long prompts that wait and come first, by the time that one engine takes to
-    /// read them.
-    pub ahead: Duration,
-    /// Short prompts that wait and come first.
-    pub ahead_short: u32,
+    /// Sum of the prefill backlogs of all engines.
+    pub prefill_backlog: Duration,
+    /// Sum of the prefill times of the long prompts ahead, each on one engine.
+    pub ahead_prefill_time: Duration,
+    /// Short prompts ahead.
+    pub ahead_short_prompts: u32,
 }
 
 impl Survey {
-    /// Counts the engines that a prompt meets behind others that wait.
-    pub fn read(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
+    /// Summarizes the engines for a prompt behind the prompts `ahead`.
+    pub fn new(profile: Option<&Profile>, loads: &[Load], ahead: Ahead) -> Self {
         let slots = profile.map_or(u32::MAX, |profile| profile.slots);
-        let count =
-            |is: fn(&Load, u32) -> bool| loads.iter().filter(|load| is(load, slots)).count() as u32;
+        let count = |matches: fn(&Load, u32) -> bool| {
+            loads.iter().filter(|load| matches(load, slots)).count() as u32
+        };
         Self {
             engines: loads.len() as u32,
             full: count(|load, slots| load.requests >= slots),
-            idle: count(|load, _| load.backlog <= IDLE),
-            clear: count(|load, _| load.short == 0),
+            idle: count(|load, _| load.prefill_backlog <= MAX_IDLE_BACKLOG),
+            without_short: count(|load, _| load.short_requests == 0),
             penalized: count(|load, _| !load.penalty.is_zero()),
-            unread: loads.iter().map(|load| load.backlog).sum(),
-            ahead: ahead.read,
-            ahead_short: ahead.short,
+            prefill_backlog: loads.iter().map(|load| load.prefill_backlog).sum(),
+            ahead_prefill_time: ahead.prefill_time,
+            ahead_short_prompts: ahead.short_prompts,
         }
     }
 }
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -1,46 +1,47 @@
-//! Engines by their published cost model, in steps of virtual time: a pass
-//! reads all that is there, the newest part first, and then writes a stride of
-//! tokens for each stream. One event goes out at the end of each pass.
+//! Simulation of engines by their published cost model, in steps of virtual time. An iteration
+//! prefills all pending chunks, the newest first, and then decodes several tokens for each stream.
+//! Each stream gets one event at the end of an iteration.
 
 use hickory_policy::engine::Profile;
 use hickory_policy::plan::Load;
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// A request in the simulation.
+/// A simulated request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub arrival: Duration,
     pub prompt: Tokens,
     pub answer: Tokens,
     pub goal: Duration,
-    pub gap: Duration,
-    /// Engines that have still to read their part.
-    pub unread: u32,
-    pub placed: Option<(usize, Vec<usize>, Duration)>,
+    pub inter_token_target: Duration,
+    /// Engines that still have to prefill their chunk.
+    pub chunks_left: u32,
+    pub placement: Option<(usize, Vec<usize>, Duration)>,
     pub placed_at: Option<Duration>,
-    pub first: Option<Duration>,
-    pub last: Duration,
+    pub first_token_at: Option<Duration>,
+    pub last_event_at: Duration,
     pub longest_pause: Duration,
-    pub written: u64,
-    pub done: bool,
-    pub refused: bool,
+    pub decoded_tokens: u64,
+    pub is_done: bool,
+    pub is_refused: bool,
 }
 
 impl Request {
-    /// Whether its caller got all of it in time.
-    pub fn in_time(&self) -> bool {
-        let first = self.first.is_some_and(|first| first - self.arrival <= self.goal);
-        self.done && first && self.longest_pause <= self.gap
+    /// Whether the caller received the whole answer in time.
+    pub fn is_in_time(&self) -> bool {
+        let is_first_in_time =
+            self.first_token_at.is_some_and(|first| first - self.arrival <= self.goal);
+        self.is_done && is_first_in_time && self.longest_pause <= self.inter_token_target
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    /// Requests and what is left of their parts; the last is read first.
-    parts: Vec<(usize, Duration)>,
-    writers: Vec<usize>,
-    /// When the pass that runs ends.
+    /// Requests and the prefill time of their chunks; the last one is prefilled first.
+    chunks: Vec<(usize, Duration)>,
+    decoding: Vec<usize>,
+    /// End of the running iteration.
     busy_until: Duration,
 }
 
@@ -50,7 +51,7 @@
     pub profile: Profile,
     engines: Vec<Engine>,
     pub requests: Vec<Request>,
-    /// What was placed before is not known.
+    /// Placements before this time are unknown to the owner.
     known_since: Duration,
 }
 
@@ -64,8 +65,8 @@
         self.engines.len()
     }
 
-    /// Forgets what was placed so far: the engines go on with it unseen.
-    pub fn forget(&mut self) {
+    /// Makes the owner forget all placements; the engines continue their work.
+    pub fn forget_placements(&mut self) {
         let placed = self.requests.iter().filter_map(|request| request.placed_at);
         self.known_since = placed.max().unwrap_or_default() + Duration::from_nanos(1);
     }
@@ -74,127 +75,132 @@
         self.requests[request].placed_at.is_some_and(|at| at >= self.known_since)
     }
 
-    /// Places a request: each engine gets its part.
+    /// Places a request: each engine gets its chunk.
     pub fn place(
         &mut self,
         request: usize,
-        first: usize,
+        primary: usize,
         helpers: &[usize],
-        part: Duration,
+        chunk_time: Duration,
         now: Duration,
     ) {
-        let all = std::iter::once(&first).chain(helpers);
-        for &engine in all.clone() {
-            self.engines[engine].parts.push((request, part));
+        let engines = std::iter::once(&primary).chain(helpers);
+        for &engine in engines.clone() {
+            self.engines[engine].chunks.push((request, chunk_time));
         }
-        self.requests[request].unread = all.count() as u32;
-        self.requests[request].placed = Some((first, helpers.to_vec(), part));
+        self.requests[request].chunks_left = engines.count() as u32;
+        self.requests[request].placement = Some((primary, helpers.to_vec(), chunk_time));
         self.requests[request].placed_at = Some(now);
     }
 
-    /// Runs every engine whose pass has ended by `now`.
+    /// Runs every engine whose iteration has ended by `now`.
     pub fn run(&mut self, now: Duration) {
         for engine in 0..self.engines.len() {
-            while self.engines[engine].busy_until <= now && self.pass(engine, now) {}
+            while self.engines[engine].busy_until <= now && self.run_iteration(engine, now) {}
         }
     }
 
-    /// One pass; whether there was anything to do.
-    fn pass(&mut self, engine: usize, now: Duration) -> bool {
+    /// Runs one iteration and returns whether the engine had work.
+    fn run_iteration(&mut self, engine: usize, now: Duration) -> bool {
         let state = &mut self.engines[engine];
-        if state.parts.is_empty() && state.writers.is_empty() {
+        if state.chunks.is_empty() && state.decoding.is_empty() {
             state.busy_until = now;
             return false;
         }
-        let begun = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
-        let context: u64 = state.writers.iter().map(|&w| self.requests[w].prompt.0).sum();
-        let writing = match state.writers.is_empty() {
+        let start = state.busy_until.max(now.saturating_sub(Duration::from_millis(5)));
+        let context: u64 =
+            state.decoding.iter().map(|&stream| self.requests[stream].prompt.0).sum();
+        let decode_time = match state.decoding.is_empty() {
             true => Duration::ZERO,
-            false => self.profile.pass_time(state.writers.len() as u32, Tokens(context)),
+            false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
         };
-        // Without writers a pass is one chunk, so that a newer part comes next;
-        // the newest part read whole is close enough to that.
-        let read: Vec<(usize, Duration)> = match state.writers.is_empty() {
-            true => state.parts.pop().into_iter().collect(),
-            false => std::mem::take(&mut state.parts),
+        // Without decoding streams an iteration is one small chunk, so that a newer request is
+        // prefilled next. Prefilling the newest chunk whole approximates this.
+        let started: Vec<(usize, Duration)> = match state.decoding.is_empty() {
+            true => state.chunks.pop().into_iter().collect(),
+            false => std::mem::take(&mut state.chunks),
         };
-        let reading: Duration = read.iter().map(|(_, part)| *part).sum();
-        let end = begun + writing + reading;
+        let prefill_time: Duration = started.iter().map(|(_, time)| *time).sum();
+        let end = start + decode_time + prefill_time;
         state.busy_until = end;
-        let writers = state.writers.clone();
-        for writer in writers {
-            self.write(engine, writer, end);
+        let streams = state.decoding.clone();
+        for stream in streams {
+            self.decode(engine, stream, end);
         }
-        for (request, _) in read {
-            self.finish_part(request);
+        for (request, _) in started {
+            self.finish_chunk(request);
         }
         true
     }
 
-    fn write(&mut self, engine: usize, writer: usize, at: Duration) {
-        let request = &mut self.requests[writer];
-        match request.first {
-            None => request.first = Some(at),
-            Some(_) => request.longest_pause = request.longest_pause.max(at - request.last),
+    fn decode(&mut self, engine: usize, request_index: usize, now: Duration) {
+        let request = &mut self.requests[request_index];
+        match request.first_token_at {
+            None => request.first_token_at = Some(now),
+            Some(_) => {
+                request.longest_pause = request.longest_pause.max(now - request.last_event_at)
+            }
         }
-        request.last = at;
-        request.written += u64::from(self.profile.stride);
-        if request.written >= request.answer.0 {
-            request.done = true;
-            self.engines[engine].writers.retain(|&other| other != writer);
+        request.last_event_at = now;
+        request.decoded_tokens += u64::from(self.profile.steps_per_iteration);
+        if request.decoded_tokens >= request.answer.0 {
+            request.is_done = true;
+            self.engines[engine].decoding.retain(|&other| other != request_index);
         }
     }
 
-    fn finish_part(&mut self, request: usize) {
-        self.requests[request].unread -= 1;
-        if self.requests[request].unread == 0
-            && let Some((first, ..)) = &self.requests[request].placed
+    fn finish_chunk(&mut self, request: usize) {
+        self.requests[request].chunks_left -= 1;
+        if self.requests[request].chunks_left == 0
+            && let Some((primary, ..)) = &self.requests[request].placement
         {
-            self.engines[*first].writers.push(request);
+            self.engines[*primary].decoding.push(request);
         }
     }
 
-    /// What the ledger of an owner says.
+    /// Returns the loads as the ledger of an owner reports them.
     pub fn loads(&self, now: Duration) -> Vec<Load> {
         let mut loads: Vec<Load> =
             self.engines.iter().map(|engine| self.load(engine, now)).collect();
-        loads.iter_mut().zip(0..).for_each(|(load, place)| load.preference = place);
+        loads.iter_mut().zip(0..).for_each(|(load, index)| load.preference = index);
         let known = (0..self.requests.len()).filter(|&request| self.is_known(request));
-        for request in known.map(|request| &self.requests[request]).filter(|r| !r.done) {
-            let Some((first, helpers, _)) = &request.placed else { continue };
-            let load = &mut loads[*first];
+        for request in known.map(|request| &self.requests[request]).filter(|r| !r.is_done) {
+            let Some((primary, helpers, _)) = &request.placement else { continue };
+            let load = &mut loads[*primary];
             load.requests += 1;
-            load.gap = load.gap.into_iter().chain([request.gap]).min();
-            load.short += u32::from(request.gap <= Duration::from_millis(250));
-            load.memory += request.prompt + request.answer;
-            if request.unread > 0 {
-                helpers.iter().for_each(|&helper| loads[helper].helping += 1);
+            load.inter_token_target =
+                load.inter_token_target.into_iter().chain([request.inter_token_target]).min();
+            load.short_requests +=
+                u32::from(request.inter_token_target <= Duration::from_millis(250));
+            load.kv_used += request.prompt + request.answer;
+            if request.chunks_left > 0 {
+                helpers.iter().for_each(|&helper| loads[helper].helper_chunks += 1);
             }
         }
         loads
     }
 
     fn load(&self, engine: &Engine, now: Duration) -> Load {
-        let parts = engine.parts.iter().filter(|(request, _)| self.is_known(*request));
-        let parts: Duration = parts.map(|(_, part)| *part).sum();
-        let writers: Vec<usize> =
-            engine.writers.iter().copied().filter(|&w| self.is_known(w)).collect();
-        // Of an engine that is taken for empty, no pass is known to run.
-        let running = match parts.is_zero() && writers.is_empty() {
+        let chunks = engine.chunks.iter().filter(|(request, _)| self.is_known(*request));
+        let chunks: Duration = chunks.map(|(_, time)| *time).sum();
+        let decoding: Vec<usize> =
+            engine.decoding.iter().copied().filter(|&stream| self.is_known(stream)).collect();
+        // If the owner takes the engine for empty, it knows of no running iteration.
+        let iteration_left = match chunks.is_zero() && decoding.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
             true => Duration::ZERO,
             false => engine.busy_until.saturating_sub(now),
         };
-        let reading = match writers.is_empty() {
-            true => running,
-            false => running.saturating_sub(Duration::from_millis(60)),
+        let prefill_left = match decoding.is_empty() {
+            true => iteration_left,
+            false => iteration_left.saturating_sub(Duration::from_millis(60)),
         };
         Load {
-            backlog: parts + reading,
-            begins: parts + running,
-            next: parts,
-            writers: writers.len() as u32,
-            context: writers.iter().map(|&w| self.requests[w].prompt).sum(),
+            prefill_backlog: chunks + prefill_left,
+            prefill_start_delay: chunks + iteration_left,
+            next_iteration_prefill: chunks,
+            decoding_streams: decoding.len() as u32,
+            decode_context: decoding.iter().map(|&stream| self.requests[stream].prompt).sum(),
             ..Load::default()
         }
     }
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -1,4 +1,4 @@
-//! Replays a load against engines, with one choice for all prompts.
+//! Replays a load against simulated engines with one placement policy.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use crate::engines::{Fleet, Request};
@@ -9,132 +9,138 @@
 use hickory_unit::size::Tokens;
 use std::time::Duration;
 
-/// Between two looks of prompts that wait.
-const STEP: Duration = Duration::from_millis(5);
+/// Interval between two placement attempts for waiting prompts.
+const TIME_STEP: Duration = Duration::from_millis(5);
 
-/// When the last answers have ended.
-const END: Duration = Duration::from_secs(45);
+/// Length of the simulation, by which the last answers have ended.
+const SIMULATION_TIME: Duration = Duration::from_secs(45);
 
-/// The part of its credit that an answer gets which is late.
-const LATE: f64 = 0.25;
+/// Fraction of its credit that a late answer earns.
+const LATE_CREDIT_FRACTION: f64 = 0.25;
 
-/// What chooses for a request, by its number.
-pub type Chooser = fn(&Fleet, usize, Duration) -> Result<Choice, Refused>;
+/// Chooses the engines for a request, by its index.
+pub type Policy = fn(&Fleet, usize, Duration) -> Result<Choice, Refused>;
 
 /// The engines of a replay.
 #[derive(Clone, Copy, Debug)]
-pub struct Scene {
+pub struct Setup {
     pub engines: usize,
-    /// When all that was known of the engines is forgotten.
-    pub forget: Option<Duration>,
+    /// When the owner forgets all placements.
+    pub forget_at: Option<Duration>,
 }
 
-impl Scene {
+impl Setup {
     pub fn new(engines: usize) -> Self {
-        Self { engines, forget: None }
+        Self { engines, forget_at: None }
     }
 }
 
-/// The requests as they ended.
+/// The requests at the end of a replay.
 pub struct Outcome {
     pub requests: Vec<Request>,
 }
 
 impl Outcome {
-    /// The parts of the short, middle and long requests that were in time.
+    /// Returns the fractions of short, middle and long requests that were answered in time.
     pub fn in_time(&self) -> [f64; 3] {
         [250, 600, 1_000].map(|gap| {
-            let is_kind = |r: &&Request| r.gap == Duration::from_millis(gap);
-            let kind: Vec<&Request> = self.requests.iter().filter(is_kind).collect();
-            let served = kind.iter().filter(|r| r.in_time()).count();
-            served as f64 / kind.len().max(1) as f64
+            let is_kind = |r: &&Request| r.inter_token_target == Duration::from_millis(gap);
+            let requests: Vec<&Request> = self.requests.iter().filter(is_kind).collect();
+            let in_time = requests.iter().filter(|r| r.is_in_time()).count();
+            in_time as f64 / requests.len().max(1) as f64
         })
     }
 
-    /// The part of all credit that was earned.
+    /// Returns the fraction of the total credit that was earned.
     pub fn credit(&self, mix: &Mix) -> f64 {
-        let owed: f64 = self.requests.iter().map(|r| phases::worth(mix, r)).sum();
-        let earned = self.requests.iter().map(|r| match (r.in_time(), r.done) {
-            (true, _) => phases::worth(mix, r),
-            (false, true) => phases::worth(mix, r) * LATE,
+        let total: f64 = self.requests.iter().map(|r| phases::credit_of(mix, r)).sum();
+        let earned = self.requests.iter().map(|r| match (r.is_in_time(), r.is_done) {
+            (true, _) => phases::credit_of(mix, r),
+            (false, true) => phases::credit_of(mix, r) * LATE_CREDIT_FRACTION,
             (false, false) => 0.0,
         });
-        earned.sum::<f64>() / owed
+        earned.sum::<f64>() / total
     }
 }
 
-/// Plays requests, by arrival, with this choice.
-pub fn play(scene: &Scene, profile: &Profile, requests: Vec<Request>, chooser: Chooser) -> Outcome {
-    let mut fleet = Fleet::open(profile.clone(), scene.engines, requests);
+/// Replays requests, ordered by arrival, with this policy.
+pub fn run(setup: &Setup, profile: &Profile, requests: Vec<Request>, policy: Policy) -> Outcome {
+    let mut fleet = Fleet::open(profile.clone(), setup.engines, requests);
     let mut now = Duration::ZERO;
-    while now < END {
-        if scene.forget.is_some_and(|at| at == now) {
-            fleet.forget();
+    while now < SIMULATION_TIME {
+        if setup.forget_at.is_some_and(|at| at == now) {
+            fleet.forget_placements();
         }
         fleet.run(now);
-        for request in waiting(&fleet, now) {
-            match chooser(&fleet, request, now) {
-                Ok(Choice::Go(plan)) => {
-                    fleet.place(request, plan.first, &plan.helpers, plan.part, now)
+        for request in waiting_requests(&fleet, now) {
+            match policy(&fleet, request, now) {
+                Ok(Choice::Place(plan)) => {
+                    fleet.place(request, plan.primary, &plan.helpers, plan.chunk_time, now)
                 }
                 Ok(Choice::Wait(_)) => {}
-                Err(_) => fleet.requests[request].refused = true,
+                Err(_) => fleet.requests[request].is_refused = true,
             }
         }
-        now += STEP;
+        now += TIME_STEP;
     }
     Outcome { requests: fleet.requests }
 }
 
-/// Requests that wait: the short ones as they came, then the smallest first.
-fn waiting(fleet: &Fleet, now: Duration) -> Vec<usize> {
-    let waits = |&request: &usize| {
-        let r = &fleet.requests[request];
-        r.arrival <= now && r.placed.is_none() && !r.refused
+/// Returns the waiting requests: the short ones in the order of arrival, then the long ones by
+/// size.
+fn waiting_requests(fleet: &Fleet, now: Duration) -> Vec<usize> {
+    let is_waiting = |&request: &usize| {
+        let request_state = &fleet.requests[request];
+        request_state.arrival <= now
+            && request_state.placement.is_none()
+            && !request_state.is_refused
     };
-    let mut waiting: Vec<usize> = (0..fleet.requests.len()).filter(waits).collect();
+    let mut waiting: Vec<usize> = (0..fleet.requests.len()).filter(is_waiting).collect();
     waiting.sort_by_key(|&request| {
-        let r = &fleet.requests[request];
-        match plan::is_short(&fleet.profile, r.prompt, r.goal) {
-            true => (false, r.arrival, Tokens(0)),
-            false => (true, Duration::ZERO, r.prompt),
+        let request_state = &fleet.requests[request];
+        match plan::is_short(&fleet.profile, request_state.prompt, request_state.goal) {
+            true => (false, request_state.arrival, Tokens(0)),
+            false => (true, Duration::ZERO, request_state.prompt),
         }
     });
     waiting
 }
 
-/// What a request asks of the plan.
+/// Returns the placement query of a request.
 fn query(fleet: &Fleet, request: usize, now: Duration) -> Query {
-    let r = &fleet.requests[request];
-    let read = fleet.profile.read_time(r.prompt);
+    let own = &fleet.requests[request];
+    let prefill_time = fleet.profile.prefill_time(own.prompt);
     let waiting = fleet
         .requests
         .iter()
-        .filter(|other| other.arrival <= now && other.placed.is_none() && !other.refused);
+        .filter(|other| other.arrival <= now && other.placement.is_none() && !other.is_refused);
     let is_short = |r: &Request| plan::is_short(&fleet.profile, r.prompt, r.goal);
     let (short, long): (Vec<&Request>, Vec<&Request>) = waiting.partition(|other| is_short(other));
-    let reads = long.iter().map(|other| fleet.profile.read_time(other.prompt));
-    let before = short.iter().filter(|other| other.arrival < r.arrival);
+    let prefill_times = long.iter().map(|other| fleet.profile.prefill_time(other.prompt));
+    let short_before = short.iter().filter(|other| other.arrival < own.arrival);
     Query {
-        prompt: r.prompt,
-        answer: r.answer,
-        short: is_short(r),
-        goal: (r.arrival + r.goal).saturating_sub(now),
-        limit: (r.arrival + r.goal * 4).saturating_sub(now),
+        prompt_tokens: own.prompt,
+        answer_tokens: own.answer,
+        is_short: is_short(own),
+        goal_left: (own.arrival + own.goal).saturating_sub(now),
+        limit_left: (own.arrival + own.goal * 4).saturating_sub(now),
         ahead: Ahead {
-            read: reads.filter(|other| *other < read).sum(),
-            short: before.count() as u32,
+            prefill_time: prefill_times.filter(|other| *other < prefill_time).sum(),
+            short_prompts: short_before.count() as u32,
         },
-        usual: usual_stream(fleet),
+        typical_stream_time: typical_stream_time(fleet),
     }
 }
 
-/// What short streams took that ended last.
-fn usual_stream(fleet: &Fleet) -> Duration {
+/// Returns the mean time of the last short streams that ended.
+fn typical_stream_time(fleet: &Fleet) -> Duration {
     const LAST: usize = 16;
-    let ended =
-        fleet.requests.iter().rev().filter(|r| r.done && r.gap < Duration::from_millis(500));
-    let times = ended.filter_map(|r| r.last.checked_sub(r.placed_at?)).take(LAST);
+    let finished = fleet
+        .requests
+        .iter()
+        .rev()
+        .filter(|r| r.is_done && r.inter_token_target < Duration::from_millis(500));
+    let times = finished.filter_map(|r| r.last_event_at.checked_sub(r.placed_at?)).take(LAST);
     let times: Vec<Duration> = times.collect();
     match times.len() {
         0 => fleet.profile.stream_time(fleet.profile.slots),
@@ -142,34 +148,48 @@
     }
 }
 
-/// What nodes do.
-pub fn choose(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+/// The placement policy of the nodes.
+pub fn choose_by_plan(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
     plan::choose_engines(&query(fleet, request, now), &fleet.profile, &fleet.loads(now))
 }
 
-/// The same, where short prompts that find no slot are refused.
-pub fn choose_refusing(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+/// As [`choose_by_plan`], but short prompts that find no slot are refused.
+pub fn choose_without_waiting(
+    fleet: &Fleet,
+    request: usize,
+    now: Duration,
+) -> Result<Choice, Refused> {
     let query = query(fleet, request, now);
     match plan::choose_engines(&query, &fleet.profile, &fleet.loads(now)) {
-        Ok(Choice::Wait(time)) if query.short => Err(Refused::Busy(time)),
+        Ok(Choice::Wait(time)) if query.is_short => Err(Refused::Busy(time)),
         choice => choice,
     }
 }
 
-/// Each prompt whole to the engine with the least to read.
-pub fn choose_least(fleet: &Fleet, request: usize, now: Duration) -> Result<Choice, Refused> {
+/// Places each prompt whole on the engine with the smallest prefill backlog.
+pub fn choose_least_loaded(
+    fleet: &Fleet,
+    request: usize,
+    now: Duration,
+) -> Result<Choice, Refused> {
     let loads = fleet.loads(now);
-    let first = (0..loads.len()).min_by_key(|&i| (loads[i].backlog, loads[i].requests));
-    Ok(whole(fleet, request, first.unwrap_or_default()))
+    let first = (0..loads.len()).min_by_key(|&i| (loads[i].prefill_backlog, loads[i].requests));
+    Ok(place_whole(fleet, request, first.unwrap_or_default()))
 }
 
-/// Each prompt whole to the next engine in a circle, as it comes.
-pub fn choose_fifo(fleet: &Fleet, request: usize, _: Duration) -> Result<Choice, Refused> {
-    Ok(whole(fleet, request, request % fleet.engines()))
+/// Places each prompt whole on the next engine in turn.
+pub fn choose_round_robin(fleet: &Fleet, request: usize, _: Duration) -> Result<Choice, Refused> {
+    Ok(place_whole(fleet, request, request % fleet.engines()))
 }
 
-fn whole(fleet: &Fleet, request: usize, first: usize) -> Choice {
-    let part = fleet.profile.read_time(fleet.requests[request].prompt);
-    let (helpers, memory) = (Vec::new(), Vec::new());
-    Choice::Go(Plan { first, helpers, memory, part, first_token: part })
+fn place_whole(fleet: &Fleet, request: usize, primary: usize) -> Choice {
+    let chunk_time = fleet.profile.prefill_time(fleet.requests[request].prompt);
+    let (helpers, kv_reservations) = (Vec::new(), Vec::new());
+    Choice::Place(Plan {
+        primary,
+        helpers,
+        kv_reservations,
+        chunk_time,
+        time_to_first_token: chunk_time,
+    })
 }
