--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -9,7 +9,7 @@
 use crate::view::Need;
 use bytes::Bytes;
 use hickory_policy::cost::Class;
-use hickory_policy::refuse::{Ran, Reason, Refusal, Retry};
+use hickory_policy::refuse::{Ran, Reason, Refusal, RetryReason};
 use hickory_state::claim::{self, Claim, Outcome};
 use hickory_target::Error;
 use hickory_target::service::{self, Reply, Services};
@@ -169,8 +169,8 @@
         let leave = obtained.map_err(|refusal| Failure { refusal: Refusal { ran, ..refusal } })?;
         let retry = match send(core, call, claim, &leave).await {
             Ok(reply) => return Ok(reply),
-            Err(Error::NotSent(_)) => Retry::NotSent,
-            Err(Error::Refused(_)) => Retry::Refused,
+            Err(Error::NotSent(_)) => RetryReason::NotSent,
+            Err(Error::Refused(_)) => RetryReason::Refused,
             Err(error) => {
                 ran = Ran::Unknown;
                 if call.once {
@@ -179,7 +179,7 @@
                     record::log_refusal(request, &call.caller.account, &refusal);
                     return Err(Failure { refusal });
                 }
-                Retry::TargetFailed
+                RetryReason::TargetFailed
             }
         };
         record::log_retry(core, &call.caller.account, &leave, retry);
--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -14,8 +14,8 @@
 use crate::suspect;
 use crate::view::Need;
 use compact_str::CompactString;
-use hickory_policy::poison::DEATHS;
-use hickory_policy::refuse::{Ran, Reason, Refusal, Retry};
+use hickory_policy::poison::QUARANTINE_DEATHS;
+use hickory_policy::refuse::{Ran, Reason, Refusal, RetryReason};
 use hickory_target::Error;
 use hickory_target::engine::{Engines, Generate, Handle, Priority};
 use hickory_telemetry::label::{Direction, Work};
@@ -81,7 +81,7 @@
     /// The answer is whole.
     Whole(u64),
     /// Another target may do it.
-    Again(Retry),
+    Again(RetryReason),
     /// The target died while it ran.
     Died,
     /// The caller is gone; nothing is left to do.
@@ -92,10 +92,10 @@
 
 impl Attempt {
     /// Why there is to be a further attempt, if so.
-    fn retry(&self) -> Option<Retry> {
+    fn retry(&self) -> Option<RetryReason> {
         match self {
             Self::Again(reason) => Some(*reason),
-            Self::Died => Some(Retry::TargetFailed),
+            Self::Died => Some(RetryReason::TargetFailed),
             Self::Whole(_) | Self::Gone | Self::Refused(_) => None,
         }
     }
@@ -129,11 +129,13 @@
                 }
                 Attempt::Died => {
                     self.deaths += 1;
-                    if self.deaths >= DEATHS {
+                    if self.deaths >= QUARANTINE_DEATHS {
                         let refusal = suspect::condemn(core, fingerprint).await;
                         return self.refuse(refusal).await;
                     }
-                    if let Err(refusal) = suspect::spend_retry(core, account, Retry::TargetFailed) {
+                    if let Err(refusal) =
+                        suspect::spend_retry(core, account, RetryReason::TargetFailed)
+                    {
                         return self.refuse(refusal).await;
                     }
                 }
@@ -309,10 +311,10 @@
         End::Deadline => {
             Attempt::Refused(refuse(Reason::Deadline, "the deadline passed while it ran"))
         }
-        End::Stalled => Attempt::Again(Retry::Stalled),
+        End::Stalled => Attempt::Again(RetryReason::Stalled),
         End::Died => Attempt::Died,
-        End::Failed(Error::NotSent(_)) => Attempt::Again(Retry::NotSent),
-        End::Failed(Error::Refused(_)) => Attempt::Again(Retry::Refused),
-        End::Failed(_) => Attempt::Again(Retry::TargetFailed),
+        End::Failed(Error::NotSent(_)) => Attempt::Again(RetryReason::NotSent),
+        End::Failed(Error::Refused(_)) => Attempt::Again(RetryReason::Refused),
+        End::Failed(_) => Attempt::Again(RetryReason::TargetFailed),
     }
 }
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -7,7 +7,7 @@
 use crate::view::{Need, View};
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{ASKS_AT_ONCE, Prefix, Query, asks_at_once, choose_target, counts};
-use hickory_policy::refuse::{Reason, Refusal, Retry};
+use hickory_policy::refuse::{Reason, Refusal, RetryReason};
 use hickory_target::engine;
 use hickory_unit::clock::Clock;
 use hickory_unit::{id, size};
@@ -95,18 +95,18 @@
 
 impl Tried {
     /// Notes an attempt that ended so.
-    pub(crate) fn note(&mut self, target: id::Target, retry: Retry) {
+    pub(crate) fn note(&mut self, target: id::Target, retry: RetryReason) {
         match retry {
-            Retry::Refused => self.refused.push(target),
+            RetryReason::Refused => self.refused.push(target),
             _ => self.failed.push(target),
         }
         self.count(retry);
     }
 
     /// Counts an attempt that is not one target's.
-    pub(crate) fn count(&mut self, retry: Retry) {
+    pub(crate) fn count(&mut self, retry: RetryReason) {
         match retry {
-            Retry::Refused | Retry::NotSent => self.unbegun += 1,
+            RetryReason::Refused | RetryReason::NotSent => self.unbegun += 1,
             _ => self.runs += 1,
         }
     }
@@ -184,7 +184,7 @@
                 return Ok(Leave { target, address, permit, stream, expected });
             }
             Err(Some(refused)) => {
-                core.metrics.retried(Retry::QueueLong);
+                core.metrics.retried(RetryReason::QueueLong);
                 let is_full = counts(refused.reason);
                 asked += usize::from(is_full);
                 if at_once && is_full {
@@ -235,7 +235,7 @@
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
-                core.metrics.retried(Retry::OwnerSilent);
+                core.metrics.retried(RetryReason::OwnerSilent);
                 return Err(None);
             }
         };
@@ -245,12 +245,12 @@
                 return Ok(permit);
             }
             Ok(permit) => {
-                core.metrics.retried(Retry::StalePermit);
+                core.metrics.retried(RetryReason::StalePermit);
                 give_back(core, target, &permit, want.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED => {}
             Err(refused) if refused.not_owner => {
-                core.metrics.retried(Retry::NotOwner);
+                core.metrics.retried(RetryReason::NotOwner);
                 return Err(None);
             }
             Err(refused) => {
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -3,13 +3,13 @@
 
 use crate::core::Core;
 use crate::permit::Leave;
-use hickory_policy::refuse::{Ran, Refusal, Retry};
+use hickory_policy::refuse::{Ran, Refusal, RetryReason};
 use hickory_telemetry::logs::Subject;
 use hickory_unit::id;
 use log::Level;
 
 /// An attempt failed, and another one follows.
-pub(crate) fn log_retry(core: &Core, account: &id::Account, leave: &Leave, reason: Retry) {
+pub(crate) fn log_retry(core: &Core, account: &id::Account, leave: &Leave, reason: RetryReason) {
     if Level::Warn > log::max_level() {
         return;
     }
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -4,8 +4,8 @@
 use crate::core::Core;
 use crate::parse::{Completion, hash_parts, refuse};
 use crate::peers;
-use hickory_policy::poison::{DEATHS, Suspect, Suspects, Verdict};
-use hickory_policy::refuse::{Reason, Refusal, Retry};
+use hickory_policy::poison::{QUARANTINE_DEATHS, Suspect, Suspects, Verdict};
+use hickory_policy::refuse::{Reason, Refusal, RetryReason};
 use hickory_policy::retry::Budget;
 use hickory_unit::id;
 use hickory_wire::message;
@@ -49,12 +49,12 @@
 
     /// Notes a request, which earns its account part of a retry.
     pub(crate) fn earn(&self, account: &id::Account) {
-        self.budget(account).earn(account);
+        self.budget(account).record_request(account);
     }
 
     /// Takes one retry out of the account's budget.
     pub(crate) fn spend(&self, account: &id::Account) -> Result<(), Refusal> {
-        match self.budget(account).spend(account) {
+        match self.budget(account).try_spend(account) {
             true => Ok(()),
             false => Err(Refusal {
                 retry_after: Some(Duration::from_secs(1)),
@@ -65,18 +65,18 @@
 
     /// A target died, and these ran on it.
     pub(crate) fn note_death(&self, now: Instant, ran: Vec<u64>) {
-        lock(&self.suspects).note_death(now, ran);
+        lock(&self.suspects).record_death(now, ran);
     }
 
     /// Contents under suspicion or in quarantine; those that were cleared are
     /// only kept to be told.
     pub(crate) fn suspects(&self, now: Instant) -> usize {
-        lock(&self.suspects).tell(now).iter().filter(|suspect| suspect.deaths > 0).count()
+        lock(&self.suspects).snapshot(now).iter().filter(|suspect| suspect.deaths > 0).count()
     }
 
     /// A request ran to its end.
     pub(crate) fn note_success(&self, now: Instant, fingerprint: u64) {
-        lock(&self.suspects).note_success(now, fingerprint);
+        lock(&self.suspects).record_success(now, fingerprint);
     }
 
     /// Takes in what a peer knows.
@@ -92,7 +92,7 @@
     /// What a peer is told; one that knows nothing of this node yet gets what
     /// is old as well.
     pub(crate) fn tell(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
-        let mut told = lock(&self.suspects).tell(now);
+        let mut told = lock(&self.suspects).snapshot(now);
         told.retain(|suspect| is_new || suspect.age < TOLD_FOR);
         told.sort_unstable_by_key(|suspect| suspect.age);
         told.truncate(TOLD_MAX);
@@ -116,9 +116,9 @@
         }
         {
             let mut suspects = lock(&core.record.suspects);
-            match suspects.judge(now, fingerprint) {
+            match suspects.verdict(now, fingerprint) {
                 Verdict::Clear => return Ok(false),
-                Verdict::Alone => {
+                Verdict::RunAlone => {
                     suspects.begin_trial(fingerprint, completion.deadline);
                     return Ok(true);
                 }
@@ -146,7 +146,7 @@
 /// a third target.
 pub(crate) async fn condemn(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
-    let condemned = Suspect { fingerprint, deaths: DEATHS, age: Duration::ZERO };
+    let condemned = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
     lock(&core.record.suspects).merge(now, [condemned]);
     core.metrics.quarantined();
     peers::tell_all(core).await;
@@ -155,7 +155,7 @@
 
 /// Ends the trial of a suspect that said nothing about it.
 pub(crate) fn drop_trial(core: &Core, fingerprint: u64) {
-    lock(&core.record.suspects).drop_trial(fingerprint);
+    lock(&core.record.suspects).cancel_trial(fingerprint);
 }
 
 /// Notes why an attempt is made again. It counts against the account's budget
@@ -163,11 +163,11 @@
 pub(crate) fn spend_retry(
     core: &Core,
     account: &id::Account,
-    reason: Retry,
+    reason: RetryReason,
 ) -> Result<(), Refusal> {
     core.metrics.retried(reason);
     match reason {
-        Retry::NotSent | Retry::Refused => Ok(()),
+        RetryReason::NotSent | RetryReason::Refused => Ok(()),
         _ => core.record.spend(account),
     }
 }
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use derive_more::Display;
 use hickory_client::{Error, Exchange, Reuse};
-use hickory_policy::refuse::Retry;
+use hickory_policy::refuse::RetryReason;
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -77,12 +77,12 @@
 
 impl Failure {
     /// What it is counted as.
-    pub(crate) fn reason(&self) -> Retry {
+    pub(crate) fn reason(&self) -> RetryReason {
         match self {
-            Self::Down | Self::NotSent(_) | Self::NotReserved { .. } => Retry::NotSent,
-            Self::NotRun { .. } => Retry::Refused,
-            Self::Unknown(_) | Self::Spoiled(_) => Retry::TargetFailed,
-            Self::Late | Self::Stalled => Retry::Stalled,
+            Self::Down | Self::NotSent(_) | Self::NotReserved { .. } => RetryReason::NotSent,
+            Self::NotRun { .. } => RetryReason::Refused,
+            Self::Unknown(_) | Self::Spoiled(_) => RetryReason::TargetFailed,
+            Self::Late | Self::Stalled => RetryReason::Stalled,
         }
     }
 }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -283,8 +283,10 @@
         let (now, bounds) = (self.now(), self.bounds());
         let mut budgets = lock(&self.budgets);
         match budgets.get_mut(service) {
-            Some(budget) => budget.earn(now, &bounds.repeats),
-            None => budgets.entry(service.clone()).or_default().earn(now, &bounds.repeats),
+            Some(budget) => budget.record_request(now, &bounds.repeats),
+            None => {
+                budgets.entry(service.clone()).or_default().record_request(now, &bounds.repeats)
+            }
         }
     }
 
@@ -293,7 +295,7 @@
         let (now, bounds) = (self.now(), self.bounds());
         let nodes = self.count_nodes();
         let mut budgets = lock(&self.budgets);
-        budgets.entry(service.clone()).or_default().spend(now, &bounds.repeats, nodes)
+        budgets.entry(service.clone()).or_default().try_spend(now, &bounds.repeats, nodes)
     }
 
     pub(crate) fn silences(&self) -> MutexGuard<'_, HashMap<id::Node, Silence>> {
@@ -336,19 +338,19 @@
 
 fn open_membership(settings: &Settings, incarnation: id::Incarnation, now: Instant) -> Membership {
     let contact = Contact {
-        peers: settings.peers,
-        callers: settings.callers,
-        sync: settings.sync,
-        ready: false,
-        settled: false,
-        store_away: false,
+        peer_address: settings.peers,
+        caller_address: settings.callers,
+        sync_address: settings.sync,
+        is_ready: false,
+        is_synced: false,
+        is_store_unreachable: false,
         capacity: settings.capacity,
     };
     let node = settings.node.clone();
     let own = Record { node, incarnation, version: 0, state: State::Alive, contact };
     let seeds = settings.seeds.iter();
     let seeds = seeds.map(|seed| SocketAddr::new(seed.ip(), settings.peers.port()));
-    Membership::open(now, own, seeds.collect(), rand::random())
+    Membership::new(now, own, seeds.collect(), rand::random())
 }
 
 /// Counts a request as under way while it lives.
--- a/crates/path/src/death.rs
+++ b/crates/path/src/death.rs
@@ -50,8 +50,8 @@
 ) {
     let told = {
         let mut suspects = core.suspects();
-        suspects.note_death(now, [fingerprint]);
-        suspects.tell(now).into_iter().find(|suspect| suspect.fingerprint == fingerprint)
+        suspects.record_death(now, [fingerprint]);
+        suspects.snapshot(now).into_iter().find(|suspect| suspect.fingerprint == fingerprint)
     };
     if let Some(suspect) = told {
         log::warn!(fingerprint, deaths = suspect.deaths; "a target died under a request");
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use hickory_client::{Call, Exchange, Reuse};
 use hickory_policy::member::State;
-use hickory_policy::spread::{ANSWER_MOST, Busy, Choice, Givers, SILENCE};
+use hickory_policy::spread::{Busy, Choice, MAX_SILENCE, MAX_TRANSFER_TIME, Sources};
 use hickory_store::store::{Revision, Store};
 use hickory_telemetry::label::{Fetch, Way};
 use hickory_unit::clock::Clock;
@@ -73,7 +73,7 @@
     part: Part,
     /// Since when some peer has known more.
     behind_since: Option<Instant>,
-    givers: Givers<SocketAddr>,
+    givers: Sources<SocketAddr>,
     /// Pieces of a value that could not be completed yet.
     kept: Option<(CompactString, Gathering)>,
 }
@@ -86,7 +86,7 @@
             core: core.clone(),
             part,
             behind_since: None,
-            givers: Givers::default(),
+            givers: Sources::default(),
             kept: None,
         };
         tokio::spawn(async move { follow.run().await });
@@ -101,7 +101,7 @@
             let ahead = self.find_ahead(self.known());
             if ahead.is_empty() {
                 self.behind_since = None;
-                self.givers = Givers::default();
+                self.givers = Sources::default();
                 continue;
             }
             let since = *self.behind_since.get_or_insert(now);
@@ -124,21 +124,21 @@
         let membership = self.core.membership();
         let records = ahead.iter().filter_map(|node| membership.get(node));
         let alive = records.filter(|record| record.state == State::Alive);
-        alive.map(|record| record.contact.sync).collect()
+        alive.map(|record| record.contact.sync_address).collect()
     }
 
     /// Asks one of those that are ahead for its words, and takes them.
     async fn ask_words(&mut self, ahead: &[SocketAddr]) {
         let now = self.core.now();
         let peer = match self.givers.choose(now, ahead, rand::random()) {
-            Choice::Ask(peer) => peer,
-            Choice::Wait(_) | Choice::Nobody => return,
+            Choice::Fetch(peer) => peer,
+            Choice::Wait(_) | Choice::NoSource => return,
         };
         let path = self.part.name_words(self.known());
-        let patience = self.givers.patience(peer, ahead);
+        let patience = self.givers.response_timeout(peer, ahead);
         match fetch_words(&self.core, peer, &path, patience).await {
             Answer::Whole(words) => {
-                self.givers.note_answered();
+                self.givers.record_response();
                 let may_lapse = self.is_store_away(peer);
                 self.take_words(words, may_lapse).await;
             }
@@ -150,7 +150,7 @@
     /// Whether entries may have lapsed in the outage of a peer's store.
     fn is_store_away(&self, at: SocketAddr) -> bool {
         let membership = self.core.membership();
-        membership.alive().any(|r| r.contact.sync == at && r.contact.store_away)
+        membership.alive().any(|r| r.contact.sync_address == at && r.contact.is_store_unreachable)
     }
 
     /// Takes words, the oldest first. Those behind a value that can't be had yet
@@ -200,14 +200,14 @@
             let now = self.core.now();
             let holders = self.find_ahead(Revision(revision.0.saturating_sub(1)));
             match self.givers.choose(now, &holders, rand::random()) {
-                Choice::Ask(peer) => {
-                    let patience = self.givers.patience(peer, &holders);
+                Choice::Fetch(peer) => {
+                    let patience = self.givers.response_timeout(peer, &holders);
                     if !self.ask_pieces(peer, key, &mut gathering, patience).await {
                         break;
                     }
                 }
                 Choice::Wait(time) => tokio::time::sleep(time.min(LOOK)).await,
-                Choice::Nobody => break,
+                Choice::NoSource => break,
             }
         }
         self.kept = Some((key.clone(), gathering));
@@ -257,7 +257,7 @@
         let now = self.core.now();
         match fetch_pieces(&self.core, peer, key, gathering, patience).await {
             Answer::Whole(taken) => {
-                self.givers.note_answered();
+                self.givers.record_response();
                 taken > 0
             }
             Answer::Busy(busy, others) => {
@@ -275,7 +275,7 @@
         self.core.metrics.fetch(Fetch::Busy);
         let others: Vec<SocketAddr> =
             others.iter().filter(|other| **other != self.core.settings.sync).copied().collect();
-        self.givers.note_busy(self.core.now(), peer, busy, &others, rand::random());
+        self.givers.record_busy(self.core.now(), peer, busy, &others, rand::random());
     }
 
     fn note_failed(&mut self, peer: SocketAddr, began: Instant, error: &str) {
@@ -284,7 +284,7 @@
         let behind_ms = self.core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
         log::warn!(peer:%, took_ms, behind_ms; "peer gave no items: {error}");
         self.core.metrics.fetch(Fetch::Failed);
-        self.givers.note_failed(now, peer);
+        self.givers.record_failure(now, peer);
     }
 }
 
@@ -356,7 +356,7 @@
 }
 
 async fn read_refusal(mut exchange: Exchange) -> Answer<usize> {
-    match timeout(SILENCE, (&mut exchange.body).collect()).await {
+    match timeout(MAX_SILENCE, (&mut exchange.body).collect()).await {
         Ok(Ok(body)) => {
             exchange.keep(None);
             read_busy(&body.to_bytes())
@@ -374,9 +374,9 @@
     let mut codec = LengthDelimitedCodec::new();
     let mut buffer = BytesMut::new();
     let mut taken = 0;
-    let until = core.now() + ANSWER_MOST;
+    let until = core.now() + MAX_TRANSFER_TIME;
     while core.now() < until {
-        let frame = match timeout(SILENCE, exchange.body.frame()).await {
+        let frame = match timeout(MAX_SILENCE, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Answer::Failed(error.to_string()),
             Ok(None) => {
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -61,8 +61,8 @@
     /// Where callers may connect besides this node.
     pub(crate) fn callers(&self) -> Vec<SocketAddr> {
         let membership = self.membership();
-        let ready = membership.alive().filter(|record| record.contact.ready);
-        ready.map(|record| record.contact.callers).collect()
+        let ready = membership.alive().filter(|record| record.contact.is_ready);
+        ready.map(|record| record.contact.caller_address).collect()
     }
 
     /// Notes that this node runs; one that was held up was told nothing meanwhile.
@@ -84,14 +84,19 @@
         let (ready, settled, store_away) =
             (self.is_ready(), self.is_settled(), self.is_store_away());
         let mut membership = self.membership();
-        let contact = membership.own().contact.clone();
-        membership.set_contact(Contact { ready, settled, store_away, ..contact });
+        let contact = membership.own_record().contact.clone();
+        membership.set_contact(Contact {
+            is_ready: ready,
+            is_synced: settled,
+            is_store_unreachable: store_away,
+            ..contact
+        });
         drop(membership);
         self.note_members();
     }
 
     fn note_members(&self) {
-        if self.membership().has_untold() {
+        if self.membership().has_unsent_news() {
             self.members_due.notify_one();
         }
     }
@@ -117,20 +122,20 @@
     /// Tells all other nodes.
     pub(crate) fn send_to_all(&self, event: &Event) {
         let membership = self.membership();
-        let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peers).collect();
+        let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peer_address).collect();
         drop(membership);
         peers.into_iter().for_each(|peer| self.send(peer, event.clone()));
     }
 
     /// Where a node receives datagrams.
     pub(crate) fn find_peer(&self, node: &id::Node) -> Option<SocketAddr> {
-        self.membership().get(node).map(|record| record.contact.peers)
+        self.membership().get(node).map(|record| record.contact.peer_address)
     }
 
     /// The nodes that decide on a group, the owner first.
     fn owners(&self, group: &Group) -> Vec<id::Node> {
         let membership = self.membership();
-        let records = membership.alive().chain([membership.own()]);
+        let records = membership.alive().chain([membership.own_record()]);
         let nodes = records.map(|Record { node, contact, .. }| (node, contact));
         group::rank_owners(group, nodes).into_iter().cloned().collect()
     }
--- a/crates/path/src/give.rs
+++ b/crates/path/src/give.rs
@@ -6,7 +6,7 @@
 use crate::items::Word;
 use crate::piece::{self, Cut};
 use crate::reply::{self, Pieces, Reply};
-use hickory_policy::spread::{Busy, Given, Meter, Ticket};
+use hickory_policy::spread::{Busy, Recipients, Ticket, UploadMeter};
 use hickory_store::store::{Revision, Store};
 use hickory_telemetry::label::{Fetch, Way};
 use hickory_unit::clock::Clock;
@@ -38,10 +38,10 @@
 /// What this node gives, and gave.
 #[derive(Debug, Default)]
 pub(crate) struct Giving {
-    meter: Meter,
+    meter: UploadMeter,
     /// Those that were given all pieces of a value of this revision.
     revision: Revision,
-    given: Given<SocketAddr>,
+    given: Recipients<SocketAddr>,
 }
 
 /// The answer to a peer that is turned away.
@@ -133,7 +133,7 @@
         giving.given.clear();
     }
     let admitted = giving.meter.admit(now, size, core.settings.link());
-    admitted.map_err(|busy| (busy, giving.given.name(now)))
+    admitted.map_err(|busy| (busy, giving.given.recent(now)))
 }
 
 /// An answer with pieces, on its way.
@@ -154,14 +154,14 @@
     let began = core.now();
     while unsent.changed().await.is_ok() {
         let left = *unsent.borrow_and_update();
-        core.giving().meter.note_left(core.now(), transfer.ticket, left);
+        core.giving().meter.record_remaining(core.now(), transfer.ticket, left);
     }
     let now = core.now();
     let left = *unsent.borrow();
     let mut giving = core.giving();
-    giving.meter.end(transfer.ticket);
+    giving.meter.finish(transfer.ticket);
     if left == size::Bytes(0) && giving.revision == transfer.revision {
-        giving.given.note(now + LAST_BYTES, transfer.to);
+        giving.given.record(now + LAST_BYTES, transfer.to);
     }
     drop(giving);
     log::info!(
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -13,7 +13,7 @@
 use crate::placement::{Answer, Request};
 use crate::view::Tag;
 use hickory_policy::gossip::Message;
-use hickory_policy::membership::{Count, TICK};
+use hickory_policy::membership::{StateCounts, TICK_INTERVAL};
 use hickory_policy::poison::Suspect;
 use hickory_store::store::{Revision, Store};
 use hickory_unit::clock::Clock;
@@ -259,9 +259,9 @@
             core.owner().withdraw(now, &ticket(number));
             core.queue_due.notify_one();
         }
-        Event::Outcome { target, served } => core.ejection().note(now, target, served),
-        Event::Down(target) => core.ejection().note_down(now, target),
-        Event::Shut(target) => core.ejection().note_shut(now, target),
+        Event::Outcome { target, served } => core.ejection().record_outcome(now, target, served),
+        Event::Down(target) => core.ejection().record_unreachable(now, target),
+        Event::Shut(target) => core.ejection().record_part_refusal(now, target),
         Event::Suspect { fingerprint, deaths } => {
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
@@ -279,7 +279,7 @@
     core.hear(operator);
     let (own, _) = core.revisions();
     if core.peer_states().note_holder(node, operator, own) {
-        let peers = core.membership().pick(REVISION_FANOUT);
+        let peers = core.membership().pick_alive(REVISION_FANOUT);
         for peer in peers {
             core.send(peer, Event::Holder { node: node.clone(), operator });
         }
@@ -299,7 +299,7 @@
         core.owner().expire(now);
         core.peer_states().expire(now);
         told.log(&core, now);
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -307,7 +307,7 @@
 #[derive(Debug, Default)]
 struct Told {
     at: Option<Instant>,
-    count: Count,
+    count: StateCounts,
     owned: Vec<Group>,
 }
 
@@ -320,10 +320,10 @@
         self.at = Some(now);
         let (count, silent) = {
             let mut membership = core.membership();
-            (membership.count(), membership.take_silent())
+            (membership.count(), membership.take_new_suspects())
         };
         if count != self.count {
-            let Count { alive, suspect, dead } = count;
+            let StateCounts { alive, suspect, dead } = count;
             let silent: Vec<&str> = silent.iter().map(id::Node::as_str).collect();
             log::info!(alive, suspect, dead, silent:% = silent.join(","); "members changed");
             self.count = count;
@@ -342,7 +342,7 @@
     while core.stage() != Stage::Closed {
         core.members_due.notified().await;
         tokio::time::sleep(GATHER).await;
-        let out = core.membership().push();
+        let out = core.membership().push_news();
         core.send_members(out);
     }
 }
@@ -352,7 +352,7 @@
 async fn tell_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.revisions_due.notified().await;
-        let peers = core.membership().pick(REVISION_FANOUT);
+        let peers = core.membership().pick_alive(REVISION_FANOUT);
         peers.into_iter().for_each(|peer| core.send_revisions(peer));
         tokio::time::sleep(REVISION_EVERY).await;
     }
@@ -363,7 +363,7 @@
 async fn tell_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     let mut told: HashMap<id::Node, Instant> = HashMap::new();
     while core.stage() != Stage::Closed {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let now = core.now();
         let mut by_node: HashMap<id::Node, Vec<Event>> = HashMap::new();
         for (number, allocation) in core.tell_own(now) {
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -52,9 +52,9 @@
     group: &Group,
     nodes: impl Iterator<Item = (&'a id::Node, &'a Contact)>,
 ) -> Vec<&'a id::Node> {
-    let ready: Vec<_> = nodes.filter(|(_, contact)| contact.ready).collect();
-    let is_settled = ready.iter().any(|(_, contact)| contact.settled);
-    let able = || ready.iter().filter(|(_, contact)| contact.settled || !is_settled);
+    let ready: Vec<_> = nodes.filter(|(_, contact)| contact.is_ready).collect();
+    let is_settled = ready.iter().any(|(_, contact)| contact.is_synced);
+    let able = || ready.iter().filter(|(_, contact)| contact.is_synced || !is_settled);
     let most = able().map(|(_, contact)| u32::from(contact.capacity.0)).max().unwrap_or_default();
     let strong = able()
         .filter(|(_, contact)| u32::from(contact.capacity.0) * CAPACITY_PART >= most)
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -110,20 +110,20 @@
     /// Notes how the request ended at its target.
     pub(crate) fn note_outcome(&self, served: bool) {
         let target = self.target.tag;
-        self.core.ejection().note(self.core.now(), target, served);
+        self.core.ejection().record_outcome(self.core.now(), target, served);
         self.tell(&Event::Outcome { target, served });
     }
 
     /// Notes that nothing listens at the target.
     pub(crate) fn note_down(&self) {
         let target = self.target.tag;
-        self.core.ejection().note_down(self.core.now(), target);
+        self.core.ejection().record_unreachable(self.core.now(), target);
         self.tell(&Event::Down(target));
     }
 
     /// Notes that a target refused to read a part of the prompt.
     pub(crate) fn note_shut(&self, target: Tag) {
-        self.core.ejection().note_shut(self.core.now(), target);
+        self.core.ejection().record_part_refusal(self.core.now(), target);
         self.tell(&Event::Shut(target));
     }
 }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -337,7 +337,7 @@
     scope: Scope,
 ) {
     let ejection = core.ejection();
-    let costs = ejection.costs(now, targets.iter().map(|target| target.tag));
+    let costs = ejection.expected_costs(now, targets.iter().map(|target| target.tag));
     // Nodes that decide alone, as many may just after a start, must not all
     // prefer the same target.
     let is_common = matches!(scope, Scope::Group(_)) && core.is_settled();
@@ -347,6 +347,6 @@
             false => group::own_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
-        load.shut = ejection.is_shut(now, target.tag);
+        load.shut = ejection.refuses_parts(now, target.tag);
     }
 }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -79,7 +79,7 @@
     let service = job.route.pick_service(rand::random());
     let service = service.ok_or_else(|| Refusal::new(Reason::NoTarget, "the route has none"))?;
     let (service, fingerprint) = (service.clone(), read_fingerprint(&job));
-    let verdict = core.suspects().judge(core.now(), fingerprint);
+    let verdict = core.suspects().verdict(core.now(), fingerprint);
     if verdict == Verdict::Quarantined {
         // It has not run this time, and a caller who comes back is told again.
         let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
@@ -213,7 +213,9 @@
     /// When its next token is wanted.
     pub(crate) fn due(&self) -> Instant {
         match self.first_event {
-            Some(_) => resume::due(self.core.now(), self.job.route.gap, self.job.deadline),
+            Some(_) => {
+                resume::resume_deadline(self.core.now(), self.job.route.gap, self.job.deadline)
+            }
             None => self.job.arrived + self.job.route.goal,
         }
     }
@@ -327,7 +329,7 @@
             return Ok(());
         }
         place.note_down();
-        if self.core.suspects().judge(self.core.now(), self.fingerprint) == Verdict::Quarantined {
+        if self.core.suspects().verdict(self.core.now(), self.fingerprint) == Verdict::Quarantined {
             let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
         }
@@ -371,7 +373,7 @@
     /// Notes that a target answered with this status.
     pub(crate) fn note_answer(&self, place: &Place<D, S, C>, status: StatusCode) {
         place.note_outcome(!status.is_server_error());
-        self.core.suspects().note_success(self.core.now(), self.fingerprint);
+        self.core.suspects().record_success(self.core.now(), self.fingerprint);
     }
 
     async fn read_whole(
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -47,7 +47,7 @@
     /// How long callers may keep an answer to where to connect.
     pub keep: Duration,
     /// Requests sent beyond the first of each.
-    pub repeats: share::Bound,
+    pub repeats: share::Limit,
     /// How long memory may be reserved at a time.
     pub hold: Duration,
 }
--- a/crates/path/src/sync.rs
+++ b/crates/path/src/sync.rs
@@ -173,7 +173,8 @@
     let own = Candidate { node: me, store_away: core.is_store_away() };
     let membership = core.membership();
     let peers = membership.alive();
-    let peers = peers.map(|r| Candidate { node: &r.node, store_away: r.contact.store_away });
+    let peers =
+        peers.map(|r| Candidate { node: &r.node, store_away: r.contact.is_store_unreachable });
     let nodes: Vec<Candidate<'_>> = peers.chain([own]).collect();
     decide(me, &nodes)
 }
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -73,7 +73,7 @@
 
 impl<K: Copy + Eq + Hash> Ejection<K> {
     /// Notes how a request ended at a target.
-    pub fn note(&mut self, now: Instant, target: K, served: bool) {
+    pub fn record_outcome(&mut self, now: Instant, target: K, served: bool) {
         let before = self.rate(now, target);
         let failures = before + WEIGHT * (f64::from(u8::from(!served)) - before);
         if failures < RATE_LEAST {
@@ -87,7 +87,7 @@
     }
 
     /// Notes that nothing listens at a target: no chance brings that about.
-    pub fn note_down(&mut self, now: Instant, target: K) {
+    pub fn record_unreachable(&mut self, now: Instant, target: K) {
         self.rates.insert(target, Rate { failures: 1.0, at: now });
     }
 
@@ -97,7 +97,7 @@
 
     /// What it is expected to cost to try each of a service's targets, beyond
     /// what it costs to try any of them.
-    pub fn costs(&self, now: Instant, targets: impl Iterator<Item = K>) -> Vec<Duration> {
+    pub fn expected_costs(&self, now: Instant, targets: impl Iterator<Item = K>) -> Vec<Duration> {
         let rates: Vec<f64> = targets.map(|target| self.rate(now, target)).collect();
         let mut sorted = rates.clone();
         sorted.sort_unstable_by(f64::total_cmp);
@@ -107,7 +107,7 @@
 
     /// Notes that a target refused to read a part for another one. Several prompts
     /// that are refused at the same moment count once.
-    pub fn note_shut(&mut self, now: Instant, target: K) {
+    pub fn record_part_refusal(&mut self, now: Instant, target: K) {
         let known = self.shut.get(&target);
         if known.is_some_and(|shut| now < shut.until) {
             return;
@@ -119,7 +119,7 @@
     }
 
     /// Whether a target is given no parts.
-    pub fn is_shut(&self, now: Instant, target: K) -> bool {
+    pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
         self.shut.get(&target).is_some_and(|shut| now < shut.until)
     }
 }
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -12,7 +12,7 @@
     /// Answers a ping.
     Ack(Exchange),
     /// Asks to ping a node, and to pass its answer on.
-    Relay {
+    IndirectPing {
         /// Of the probe that the answer is for.
         sequence: u32,
         /// Where the node receives datagrams.
@@ -23,7 +23,7 @@
     /// Asks for all records, and tells who asks.
     Pull(Record),
     /// Answers that.
-    List(Vec<Record>),
+    Members(Vec<Record>),
 }
 
 /// What goes with a probe and its answer.
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -22,7 +22,7 @@
 
 impl Capacity {
     /// The capacity of a part of a core, rounded up.
-    pub fn of_cores(cores: f64) -> Self {
+    pub fn from_cores(cores: f64) -> Self {
         Self((cores * 10.0).ceil().clamp(0.0, f64::from(u8::MAX)) as u8)
     }
 }
@@ -31,17 +31,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
     /// Where it receives datagrams.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where peers fetch what they miss.
-    pub sync: SocketAddr,
+    pub sync_address: SocketAddr,
     /// Whether callers should be sent to it.
-    pub ready: bool,
+    pub is_ready: bool,
     /// Whether it has run long enough to have been told what runs where.
-    pub settled: bool,
+    pub is_synced: bool,
     /// Whether the store is out of its reach.
-    pub store_away: bool,
+    pub is_store_unreachable: bool,
     /// What it can do for others.
     pub capacity: Capacity,
 }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -12,7 +12,7 @@
 use crate::gossip::{Exchange, Message, Outgoing};
 use crate::member::{Contact, Record, State};
 use crate::probe::Probes;
-pub use crate::roster::Count;
+pub use crate::roster::StateCounts;
 use crate::roster::{Peer, Roster};
 use crate::rumor::{RECORDS_MOST, Rumors};
 use hickory_unit::id;
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant};
 
 /// Between two calls of [`Membership::tick`].
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Between two probes.
 const PROBE_EVERY: Duration = Duration::from_millis(200);
@@ -92,9 +92,9 @@
 
 impl Membership {
     /// Opens the table of a node that knows where some others may be.
-    pub fn open(now: Instant, own: Record, seeds: Vec<SocketAddr>, seed: u64) -> Self {
+    pub fn new(now: Instant, own: Record, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         Self {
-            roster: Roster::open(own),
+            roster: Roster::new(own),
             rumors: Rumors::default(),
             probes: Probes::default(),
             round: Vec::new(),
@@ -111,7 +111,7 @@
     }
 
     /// This node's record.
-    pub fn own(&self) -> &Record {
+    pub fn own_record(&self) -> &Record {
         &self.roster.own
     }
 
@@ -151,33 +151,33 @@
     }
 
     /// How many other nodes are in each state.
-    pub fn count(&self) -> Count {
+    pub fn count(&self) -> StateCounts {
         self.roster.count()
     }
 
     /// The nodes that this one itself found silent since it was last asked.
-    pub fn take_silent(&mut self) -> Vec<id::Node> {
+    pub fn take_new_suspects(&mut self) -> Vec<id::Node> {
         std::mem::take(&mut self.silent)
     }
 
     /// Some nodes that are alive, chosen at random.
-    pub fn pick(&mut self, count: usize) -> Vec<SocketAddr> {
+    pub fn pick_alive(&mut self, count: usize) -> Vec<SocketAddr> {
         let alive = self.roster.with_state(|state| state == State::Alive);
-        let addresses = alive.map(|record| record.contact.peers);
+        let addresses = alive.map(|record| record.contact.peer_address);
         addresses.choose_multiple(&mut self.random, count)
     }
 
     /// Whether there is news that was told to nobody yet.
-    pub fn has_untold(&self) -> bool {
-        self.rumors.has_untold()
+    pub fn has_unsent_news(&self) -> bool {
+        self.rumors.has_unsent_news()
     }
 
     /// Tells news to a few others at once.
-    pub fn push(&mut self) -> Vec<Outgoing> {
-        if !self.has_untold() {
+    pub fn push_news(&mut self) -> Vec<Outgoing> {
+        if !self.has_unsent_news() {
             return Vec::new();
         }
-        let targets = self.pick(FANOUT);
+        let targets = self.pick_alive(FANOUT);
         let send = |to| (to, Message::Rumor(self.take_news()));
         targets.into_iter().map(send).collect()
     }
@@ -228,7 +228,7 @@
                 out.extend(self.pull(now, from, digest));
                 out
             }
-            Message::Relay { sequence, to } => {
+            Message::IndirectPing { sequence, to } => {
                 let sequence = self.probes.begin_for(now, from, sequence);
                 vec![(to, self.ping(sequence))]
             }
@@ -237,17 +237,17 @@
                 let is_false = |r: &Record| r.node == *own && r.state != State::Alive;
                 let is_denied = records.iter().any(is_false);
                 self.take_all(now, records);
-                let own = || Message::Rumor(vec![self.own().clone()]);
+                let own = || Message::Rumor(vec![self.own_record().clone()]);
                 is_denied.then(|| (from, own())).into_iter().collect()
             }
-            Message::List(records) => {
+            Message::Members(records) => {
                 for record in records {
                     self.take_quietly(now, record);
                 }
                 Vec::new()
             }
             Message::Pull(own) => {
-                let to = own.contact.peers;
+                let to = own.contact.peer_address;
                 self.take(now, own);
                 self.tell_all(to)
             }
@@ -256,7 +256,7 @@
 
     fn tell_all(&self, to: SocketAddr) -> Vec<Outgoing> {
         let records = self.roster.present();
-        let list = |records: &[Record]| (to, Message::List(records.to_vec()));
+        let list = |records: &[Record]| (to, Message::Members(records.to_vec()));
         records.chunks(RECORDS_MOST).map(list).collect()
     }
 
@@ -272,7 +272,7 @@
             return None;
         }
         self.pulled = Some(now);
-        Some((from, Message::Pull(self.own().clone())))
+        Some((from, Message::Pull(self.own_record().clone())))
     }
 
     fn take_all(&mut self, now: Instant, records: Vec<Record>) {
@@ -288,7 +288,7 @@
 
     /// Takes a record that needn't be told; whether it was news.
     fn take_quietly(&mut self, now: Instant, record: Record) -> bool {
-        if record.node == self.own().node {
+        if record.node == self.own_record().node {
             self.refute(&record);
             return false;
         }
@@ -310,14 +310,14 @@
     /// Answers a statement about this node that is later than its own, or that
     /// doesn't hold.
     fn refute(&mut self, record: &Record) {
-        if record.rank() > self.own().rank() {
+        if record.rank() > self.own_record().rank() {
             self.raise_own(record.incarnation, record.version);
         }
     }
 
     fn raise_own(&mut self, incarnation: id::Incarnation, version: u32) {
         self.roster.raise_own(incarnation, version);
-        self.enqueue(self.own().node.clone());
+        self.enqueue(self.own_record().node.clone());
     }
 
     fn enqueue(&mut self, node: id::Node) {
@@ -355,10 +355,10 @@
             self.suspect(now, &node, out);
         }
         for (sequence, node) in self.probes.take_silent(now) {
-            let Some(to) = self.get(&node).map(|record| record.contact.peers) else { continue };
+            let Some(to) = self.get(&node).map(|r| r.contact.peer_address) else { continue };
             out.push((to, self.ping(sequence)));
-            let helpers = self.pick(HELPERS).into_iter().filter(|helper| *helper != to);
-            out.extend(helpers.map(|helper| (helper, Message::Relay { sequence, to })));
+            let helpers = self.pick_alive(HELPERS).into_iter().filter(|helper| *helper != to);
+            out.extend(helpers.map(|helper| (helper, Message::IndirectPing { sequence, to })));
         }
     }
 
@@ -367,7 +367,7 @@
         let Some(record) = known.cloned() else { return };
         let record = Record { state: State::Suspect, ..record };
         // The suspect hears of it and can refute it at once.
-        out.push((record.contact.peers, Message::Rumor(vec![record.clone()])));
+        out.push((record.contact.peer_address, Message::Rumor(vec![record.clone()])));
         self.silent.push(record.node.clone());
         self.change(now, record);
     }
@@ -379,7 +379,10 @@
         {
             if now.saturating_duration_since(peer.pressed) >= PRESS_EVERY {
                 peer.pressed = now;
-                out.push((peer.record.contact.peers, Message::Rumor(vec![peer.record.clone()])));
+                out.push((
+                    peer.record.contact.peer_address,
+                    Message::Rumor(vec![peer.record.clone()]),
+                ));
             }
         }
     }
@@ -407,9 +410,9 @@
             return;
         }
         self.joined = Some(now);
-        let own = self.own().contact.peers;
+        let own = self.own_record().contact.peer_address;
         let seeds = self.seeds.iter().filter(|seed| **seed != own);
-        out.extend(seeds.map(|seed| (*seed, Message::Pull(self.own().clone()))));
+        out.extend(seeds.map(|seed| (*seed, Message::Pull(self.own_record().clone()))));
     }
 
     fn reconnect(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
@@ -420,8 +423,8 @@
         let dead = self.roster.with_state(|state| state == State::Dead);
         let dead: Vec<Record> = dead.cloned().collect();
         if let Some(record) = dead.choose(&mut self.random) {
-            let to = record.contact.peers;
-            out.push((to, Message::Rumor(vec![record.clone(), self.own().clone()])));
+            let to = record.contact.peer_address;
+            out.push((to, Message::Rumor(vec![record.clone(), self.own_record().clone()])));
         }
     }
 
@@ -432,7 +435,7 @@
         }
         while let Some(node) = self.round.pop() {
             let Some(record) = self.get(&node).filter(|r| r.state != State::Dead) else { continue };
-            let to = record.contact.peers;
+            let to = record.contact.peer_address;
             let sequence = self.probes.begin(now, node);
             return Some((to, self.ping(sequence)));
         }
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -11,14 +11,14 @@
 /// How long a suspicion or a quarantine lasts without another death: long
 /// enough for a caller that sends again all day, short enough that a mended
 /// engine gets its requests back.
-pub const KEPT: Duration = Duration::from_secs(3_600);
+pub const RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Deaths after which a fingerprint is quarantined.
-pub const DEATHS: u32 = 2;
+pub const QUARANTINE_DEATHS: u32 = 2;
 
 /// Fingerprints kept at most, some 200 KB: the death of an engine marks at
 /// most as many as it runs, about a hundred.
-pub const CAPACITY: usize = 4_096;
+pub const MAX_FINGERPRINTS: usize = 4_096;
 
 /// What is to be done with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
     /// Nothing is known against it.
     Clear,
     /// It runs alone.
-    Alone,
+    RunAlone,
     /// It is already being run alone; this one waits for how that ends.
     Wait,
     /// It is not run.
@@ -60,18 +60,18 @@
 
 impl Suspects {
     /// None yet.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
     /// What is to be done with a request.
-    pub fn judge(&mut self, now: Instant, fingerprint: u64) -> Verdict {
+    pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> Verdict {
         self.expire(now, fingerprint);
         match self.records.get(&fingerprint) {
             None | Some(Record { deaths: 0, .. }) => Verdict::Clear,
-            Some(record) if record.deaths >= DEATHS => Verdict::Quarantined,
+            Some(record) if record.deaths >= QUARANTINE_DEATHS => Verdict::Quarantined,
             Some(Record { trial: Some(_), .. }) => Verdict::Wait,
-            Some(_) => Verdict::Alone,
+            Some(_) => Verdict::RunAlone,
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Notes that a trial ended without a word on the suspect: cancelled, or
     /// never begun.
-    pub fn drop_trial(&mut self, fingerprint: u64) {
+    pub fn cancel_trial(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trial = None;
         }
@@ -95,7 +95,7 @@
     /// Where a suspect ran alone, nothing else can be to blame. Where several
     /// ran, those that were suspects before are blamed again, and the others
     /// become suspects.
-    pub fn note_death(&mut self, now: Instant, ran: impl IntoIterator<Item = u64>) {
+    pub fn record_death(&mut self, now: Instant, ran: impl IntoIterator<Item = u64>) {
         for fingerprint in ran {
             self.expire(now, fingerprint);
             let record = self.records.entry(fingerprint).or_insert(Record {
@@ -110,9 +110,9 @@
 
     /// Notes that a request ran to its end: it is innocent. What is
     /// quarantined stays so.
-    pub fn note_success(&mut self, now: Instant, fingerprint: u64) {
+    pub fn record_success(&mut self, now: Instant, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
-            && record.deaths < DEATHS
+            && record.deaths < QUARANTINE_DEATHS
         {
             *record = Record { deaths: 0, at: now, trial: None };
         }
@@ -121,12 +121,12 @@
     /// Takes in what another node knows. The later word wins, but a
     /// quarantine is never lifted by a clearing.
     pub fn merge(&mut self, now: Instant, suspects: impl IntoIterator<Item = Suspect>) {
-        for suspect in suspects.into_iter().filter(|s| s.age < KEPT) {
+        for suspect in suspects.into_iter().filter(|s| s.age < RETENTION) {
             let at = now.checked_sub(suspect.age).unwrap_or(now);
             let known = self.records.get(&suspect.fingerprint).copied();
             let newer = known.is_none_or(|known| {
-                suspect.deaths > known.deaths && suspect.deaths >= DEATHS
-                    || at > known.at && known.deaths < DEATHS
+                suspect.deaths > known.deaths && suspect.deaths >= QUARANTINE_DEATHS
+                    || at > known.at && known.deaths < QUARANTINE_DEATHS
             });
             if newer {
                 let trial = known.and_then(|known| known.trial).filter(|_| suspect.deaths == 1);
@@ -138,13 +138,13 @@
     }
 
     /// What other nodes should know.
-    pub fn tell(&self, now: Instant) -> Vec<Suspect> {
+    pub fn snapshot(&self, now: Instant) -> Vec<Suspect> {
         let told = self.records.iter().map(|(&fingerprint, record)| Suspect {
             fingerprint,
             deaths: record.deaths,
             age: now.saturating_duration_since(record.at),
         });
-        told.filter(|suspect| suspect.age < KEPT).collect()
+        told.filter(|suspect| suspect.age < RETENTION).collect()
     }
 
     /// Fingerprints kept.
@@ -159,7 +159,7 @@
 
     fn expire(&mut self, now: Instant, fingerprint: u64) {
         let Some(record) = self.records.get_mut(&fingerprint) else { return };
-        if now.saturating_duration_since(record.at) >= KEPT {
+        if now.saturating_duration_since(record.at) >= RETENTION {
             self.records.remove(&fingerprint);
         } else if record.trial.is_some_and(|deadline| deadline <= now) {
             record.trial = None;
@@ -170,12 +170,12 @@
     /// and quarantined ones last; an eighth at once, so that the sort is paid
     /// for by many insertions.
     fn shrink(&mut self) {
-        if self.records.len() <= CAPACITY {
+        if self.records.len() <= MAX_FINGERPRINTS {
             return;
         }
         let mut order: Vec<_> = self.records.iter().map(|(&f, r)| (r.deaths, r.at, f)).collect();
         order.sort_unstable();
-        let over = self.records.len() - CAPACITY / 8 * 7;
+        let over = self.records.len() - MAX_FINGERPRINTS / 8 * 7;
         for (_, _, fingerprint) in order.into_iter().take(over) {
             self.records.remove(&fingerprint);
         }
--- a/crates/policy/src/refuse.rs
+++ b/crates/policy/src/refuse.rs
@@ -95,7 +95,7 @@
 
 /// Why an attempt is made again.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Retry {
+pub enum RetryReason {
     /// No byte reached the target.
     #[display("not_sent")]
     NotSent,
@@ -122,7 +122,7 @@
     QueueLong,
 }
 
-impl Retry {
+impl RetryReason {
     /// All reasons, for the counters.
     pub const ALL: &[Self] = &[
         Self::NotSent,
--- a/crates/policy/src/resume.rs
+++ b/crates/policy/src/resume.rs
@@ -16,7 +16,7 @@
 
 /// When a stream that breaks off now is to go on, where its caller wants pauses no
 /// longer than `gap`.
-pub fn due(now: Instant, gap: Option<Duration>, deadline: Instant) -> Instant {
+pub fn resume_deadline(now: Instant, gap: Option<Duration>, deadline: Instant) -> Instant {
     let most = deadline.saturating_duration_since(now) / PART_OF_TIME;
     now + gap.map_or(most, |gap| most.min(gap * PAUSES))
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -4,21 +4,21 @@
 //!
 //! Load pattern: targets fail while accounts send at full rate.
 
-use crate::refuse::{Ran, Retry};
+use crate::refuse::{Ran, RetryReason};
 use hickory_unit::id;
 use std::collections::HashMap;
 
 /// Retries earned by each request: with one for five, a fleet whose every
 /// attempt fails gets at most a fifth more load.
-pub const EARNED: f64 = 0.2;
+pub const RETRIES_PER_REQUEST: f64 = 0.2;
 
 /// Retries that an account may save up: enough for all that one engine's
 /// death throws back at a large account.
-pub const SAVED: f64 = 20.0;
+pub const MAX_SAVED_RETRIES: f64 = 20.0;
 
 /// Attempts of one request at most. After three targets have failed it the
 /// request is more likely to blame than they are.
-pub const ATTEMPTS: u32 = 3;
+pub const MAX_ATTEMPTS: u32 = 3;
 
 /// How an attempt failed, by what the target can have seen of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Try another target.
-    Again(Retry),
+    Again(RetryReason),
     /// Refuse; whether it ran is as said.
     Stop(Ran),
 }
@@ -51,21 +51,21 @@
 
 impl Budget {
     /// Full budgets for all accounts.
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes a request of an account, which earns part of a retry.
-    pub fn earn(&mut self, account: &id::Account) {
+    pub fn record_request(&mut self, account: &id::Account) {
         if let Some(saved) = self.saved.get_mut(account) {
-            *saved = (*saved + EARNED).min(SAVED);
+            *saved = (*saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
         }
     }
 
     /// Takes one retry out of an account's budget, if there is one.
-    pub fn spend(&mut self, account: &id::Account) -> bool {
+    pub fn try_spend(&mut self, account: &id::Account) -> bool {
         if !self.saved.contains_key(account) {
-            self.saved.insert(account.clone(), SAVED);
+            self.saved.insert(account.clone(), MAX_SAVED_RETRIES);
         }
         let saved = self.saved.get_mut(account).filter(|saved| **saved >= 1.0);
         saved.map(|saved| *saved -= 1.0).is_some()
@@ -83,17 +83,17 @@
 /// certainly never began it; everything else also where it may have. A stream
 /// of which the caller has seen tokens goes on from there on another target,
 /// since its tokens follow from the prompt.
-pub fn judge(failure: Failure, idempotent: bool, attempt: u32) -> Verdict {
+pub fn decide(failure: Failure, idempotent: bool, attempt: u32) -> Verdict {
     let never_ran = matches!(failure, Failure::NotSent | Failure::NeverBegun);
     let ran = if never_ran { Ran::No } else { Ran::Unknown };
-    if attempt + 1 >= ATTEMPTS || !(never_ran || idempotent) {
+    if attempt + 1 >= MAX_ATTEMPTS || !(never_ran || idempotent) {
         return Verdict::Stop(ran);
     }
     Verdict::Again(match failure {
-        Failure::NotSent => Retry::NotSent,
-        Failure::NeverBegun => Retry::Refused,
-        Failure::Unknown => Retry::TargetFailed,
-        Failure::Stalled => Retry::Stalled,
+        Failure::NotSent => RetryReason::NotSent,
+        Failure::NeverBegun => RetryReason::Refused,
+        Failure::Unknown => RetryReason::TargetFailed,
+        Failure::Stalled => RetryReason::Stalled,
     })
 }
 
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -17,7 +17,7 @@
 
 /// How many other nodes are in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Count {
+pub struct StateCounts {
     /// That are alive.
     pub alive: usize,
     /// That are suspected.
@@ -37,7 +37,7 @@
 }
 
 impl Roster {
-    pub(crate) fn open(own: Record) -> Self {
+    pub(crate) fn new(own: Record) -> Self {
         let digest = own.digest();
         Self { own, peers: BTreeMap::new(), digest }
     }
@@ -72,8 +72,8 @@
         }
     }
 
-    pub(crate) fn count(&self) -> Count {
-        let mut count = Count::default();
+    pub(crate) fn count(&self) -> StateCounts {
+        let mut count = StateCounts::default();
         for peer in self.peers.values() {
             match peer.record.state {
                 State::Alive => count.alive += 1,
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -42,7 +42,7 @@
     }
 
     /// Whether there is news that was told to nobody yet.
-    pub(crate) fn has_untold(&self) -> bool {
+    pub(crate) fn has_unsent_news(&self) -> bool {
         self.news.iter().any(|news| !news.told)
     }
 
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -17,7 +17,7 @@
 
 /// A bound on repeats: so many for each request, and so many besides.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct Limit {
     /// Repeats for each request.
     pub ratio: f64,
     /// Repeats besides, of all nodes together.
@@ -35,13 +35,13 @@
 
 impl Budget {
     /// Notes a request.
-    pub fn earn(&mut self, now: Instant, bound: &Bound) {
+    pub fn record_request(&mut self, now: Instant, bound: &Limit) {
         self.expire(now, bound.window);
         self.requests.push_back(now);
     }
 
     /// Takes one repeat, if this node's share has one left.
-    pub fn spend(&mut self, now: Instant, bound: &Bound, nodes: usize) -> bool {
+    pub fn try_spend(&mut self, now: Instant, bound: &Limit, nodes: usize) -> bool {
         self.expire(now, bound.window);
         let earned = self.requests.len() as f64 * bound.ratio * EARNED;
         let besides = bound.extra * USED / nodes.max(1) as f64;
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -53,7 +53,7 @@
 /// answers, would be promised to many at once, and none would get its document
 /// in time.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct UploadMeter {
     open: Vec<Open>,
     last: u32,
 }
@@ -82,7 +82,7 @@
     pub wait: Duration,
 }
 
-impl Meter {
+impl UploadMeter {
     /// Takes on an answer of this size, if the link can begin it soon.
     ///
     /// Whoever is turned away waits until the link is idle, and not just until
@@ -110,7 +110,7 @@
     }
 
     /// Notes what is left of an answer.
-    pub fn note_left(&mut self, now: Instant, ticket: Ticket, left: Bytes) {
+    pub fn record_remaining(&mut self, now: Instant, ticket: Ticket, left: Bytes) {
         let open = self.open.iter_mut().find(|open| open.ticket == ticket);
         if let Some(open) = open.filter(|open| open.left != left) {
             (open.left, open.moved) = (left, now);
@@ -122,7 +122,7 @@
     }
 
     /// Notes that an answer has ended.
-    pub fn end(&mut self, ticket: Ticket) {
+    pub fn finish(&mut self, ticket: Ticket) {
         self.open.retain(|open| open.ticket != ticket);
     }
 
@@ -130,7 +130,8 @@
     /// reading, or reads for longer than takers do, holds no place.
     fn backlog(&mut self, now: Instant, link: rate::BytesPerSecond) -> Duration {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.open.retain(|open| age(open.begun) < ANSWER_MOST && age(open.moved) < SILENCE);
+        self.open
+            .retain(|open| age(open.begun) < MAX_TRANSFER_TIME && age(open.moved) < MAX_SILENCE);
         let left = self.open.iter().map(|open| open.left.0).fold(0, u64::saturating_add);
         let time = link.time_for(Bytes(left)).min(SEND_MOST);
         time.mul_f64(self.slowdown(now, link)).min(SEND_MOST)
@@ -166,22 +167,22 @@
 
 /// The nodes that were given a document lately, which can give it on.
 #[derive(Clone, Debug)]
-pub struct Given<K> {
+pub struct Recipients<K> {
     /// With the time at which each has it, the oldest first.
     nodes: VecDeque<(Instant, K)>,
 }
 
-impl<K> Default for Given<K> {
+impl<K> Default for Recipients<K> {
     fn default() -> Self {
         Self { nodes: VecDeque::new() }
     }
 }
 
-impl<K: Clone + PartialEq> Given<K> {
+impl<K: Clone + PartialEq> Recipients<K> {
     /// Notes a node once the whole was sent to it: one that died, was cut off or
     /// stopped reading is never named. It has the document at `at`, a moment
     /// later, as the end may still be in buffers.
-    pub fn note(&mut self, at: Instant, node: K) {
+    pub fn record(&mut self, at: Instant, node: K) {
         self.nodes.retain(|(_, known)| *known != node);
         self.nodes.push_back((at, node));
         if self.nodes.len() > NAMED * 2 {
@@ -190,7 +191,7 @@
     }
 
     /// The latest of those that have it by now.
-    pub fn name(&self, now: Instant) -> Vec<K> {
+    pub fn recent(&self, now: Instant) -> Vec<K> {
         let done = self.nodes.iter().rev().filter(|(at, _)| *at <= now);
         done.take(NAMED).map(|(_, node)| node.clone()).collect()
     }
@@ -205,23 +206,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice<K> {
     /// Asks this node.
-    Ask(K),
+    Fetch(K),
     /// All that are known to have it are busy: looks again after this time.
     Wait(Duration),
     /// None is known to have it.
-    Nobody,
+    NoSource,
 }
 
 /// Who can give a document, as one who wants it knows them.
 #[derive(Clone, Debug)]
-pub struct Givers<K> {
+pub struct Sources<K> {
     named: Vec<K>,
     busy_until: HashMap<K, Instant>,
     /// Failures without an answer between them.
     failures: u32,
 }
 
-impl<K> Default for Givers<K> {
+impl<K> Default for Sources<K> {
     fn default() -> Self {
         Self { named: Vec::new(), busy_until: HashMap::new(), failures: 0 }
     }
@@ -242,21 +243,21 @@
 
 /// The same where no other is known, and how long an answer that has begun may
 /// be silent: a host that was short of its processor goes on after that.
-pub const SILENCE: Duration = Duration::from_millis(700);
+pub const MAX_SILENCE: Duration = Duration::from_millis(700);
 
 /// How long a taker reads one answer. It keeps what came and asks for the rest
 /// anew, of one that sends faster if there is any: a giver whose link is nearly
 /// cut would hold it for as long as it sends a byte now and then.
-pub const ANSWER_MOST: Duration = Duration::from_secs(2);
+pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(2);
 
 /// Named givers that are remembered; more are as good as these.
 const REMEMBERED: usize = 64;
 
-impl<K: Copy + Eq + Hash> Givers<K> {
+impl<K: Copy + Eq + Hash> Sources<K> {
     /// Notes that a giver is busy and whom it named in its place. `random` is
     /// from 0 to 1: those who were turned away together come back apart.
-    pub fn note_busy(&mut self, now: Instant, giver: K, busy: Busy, others: &[K], random: f64) {
-        self.note_answered();
+    pub fn record_busy(&mut self, now: Instant, giver: K, busy: Busy, others: &[K], random: f64) {
+        self.record_response();
         self.busy_until.insert(giver, now + busy.wait.mul_f64(1.0 + random));
         for other in others {
             if self.named.len() < REMEMBERED && !self.named.contains(other) {
@@ -266,21 +267,21 @@
     }
 
     /// Notes that a giver answered.
-    pub fn note_answered(&mut self) {
+    pub fn record_response(&mut self) {
         self.failures = 0;
     }
 
     /// Notes a giver that gave no answer, or broke off.
-    pub fn note_failed(&mut self, now: Instant, giver: K) {
+    pub fn record_failure(&mut self, now: Instant, giver: K) {
         self.failures += 1;
         self.busy_until.insert(giver, now + FAILED_FOR);
     }
 
     /// How long one that is asked may take to begin its answer.
-    pub fn patience(&self, asked: K, heard: &[K]) -> Duration {
+    pub fn response_timeout(&self, asked: K, heard: &[K]) -> Duration {
         let others = heard.iter().chain(&self.named).any(|node| *node != asked);
         let is_patient = !others || self.failures >= FAILURES_OF_OTHERS;
-        if is_patient { SILENCE } else { BEGIN_WITHIN }
+        if is_patient { MAX_SILENCE } else { BEGIN_WITHIN }
     }
 
     /// Whom to ask next, of those that are `heard` to have the document and
@@ -295,8 +296,8 @@
         let free: Vec<K> = all.iter().copied().filter(|node| wait(node).is_zero()).collect();
         if !free.is_empty() {
             let place = (random * free.len() as f64) as usize;
-            return Choice::Ask(free[place.min(free.len() - 1)]);
+            return Choice::Fetch(free[place.min(free.len() - 1)]);
         }
-        all.iter().map(wait).min().map_or(Choice::Nobody, Choice::Wait)
+        all.iter().map(wait).min().map_or(Choice::NoSource, Choice::Wait)
     }
 }
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -19,8 +19,8 @@
     for _ in 0..requests {
         now += Duration::from_secs(1) / per_second as u32;
         let target = random.random_range(0..rates.len());
-        ejection.note(now, target, !random.random_bool(rates[target]));
-        let costs = ejection.costs(now, 0..rates.len());
+        ejection.record_outcome(now, target, !random.random_bool(rates[target]));
+        let costs = ejection.expected_costs(now, 0..rates.len());
         for (count, cost) in avoided.iter_mut().zip(costs) {
             *count += u32::from(cost >= ms(300));
         }
@@ -57,14 +57,14 @@
 fn at_most_half_are_avoided() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
     for target in 0..7 {
-        (0..3).for_each(|_| ejection.note(now, target, false));
+        (0..3).for_each(|_| ejection.record_outcome(now, target, false));
     }
     let avoided = |ejection: &Ejection<u32>| {
-        ejection.costs(now, 0..10).into_iter().filter(|cost| !cost.is_zero()).count()
+        ejection.expected_costs(now, 0..10).into_iter().filter(|cost| !cost.is_zero()).count()
     };
     assert_eq!(avoided(&ejection), 0, "seven of ten fail alike");
     let mut ejection = Ejection::default();
-    (0..3).for_each(|_| ejection.note(now, 1, false));
+    (0..3).for_each(|_| ejection.record_outcome(now, 1, false));
     assert_eq!(avoided(&ejection), 1);
 }
 
@@ -72,11 +72,11 @@
 #[test]
 fn what_failed_is_tried_again() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
-    (0..8).for_each(|_| ejection.note(now, 1, false));
-    let cost = |ejection: &Ejection<u32>, at| ejection.costs(now + ms(at), 0..4)[1];
+    (0..8).for_each(|_| ejection.record_outcome(now, 1, false));
+    let cost = |ejection: &Ejection<u32>, at| ejection.expected_costs(now + ms(at), 0..4)[1];
     assert!(cost(&ejection, 0) > ms(2_000));
     assert!(cost(&ejection, 12_000) < ms(60), "by time alone");
-    (0..4).for_each(|_| ejection.note(now, 1, true));
+    (0..4).for_each(|_| ejection.record_outcome(now, 1, true));
     assert!(cost(&ejection, 0) < ms(100), "by its answers");
 }
 
@@ -85,25 +85,26 @@
 #[test]
 fn an_engine_that_refuses_parts_is_given_none_for_a_time() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
-    ejection.note_shut(now, 1);
-    ejection.note_shut(now + ms(5), 1);
-    assert!(ejection.is_shut(now + ms(2_900), 1) && !ejection.is_shut(now, 2));
-    assert!(!ejection.is_shut(now + ms(3_100), 1), "refusals of one moment count once");
-    ejection.note_shut(now + ms(3_100), 1);
-    assert!(ejection.is_shut(now + ms(9_000), 1), "longer after a further one");
+    ejection.record_part_refusal(now, 1);
+    ejection.record_part_refusal(now + ms(5), 1);
+    assert!(ejection.refuses_parts(now + ms(2_900), 1) && !ejection.refuses_parts(now, 2));
+    assert!(!ejection.refuses_parts(now + ms(3_100), 1), "refusals of one moment count once");
+    ejection.record_part_refusal(now + ms(3_100), 1);
+    assert!(ejection.refuses_parts(now + ms(9_000), 1), "longer after a further one");
 }
 
 /// Guards against requests that try one target after the other of a zone that is down.
 #[test]
 fn a_target_at_which_nothing_listens_is_avoided_at_once() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
-    let cost = |ejection: &Ejection<usize>, after| ejection.costs(now + ms(after), 0..5)[2];
-    ejection.note(now, 2, false);
+    let cost =
+        |ejection: &Ejection<usize>, after| ejection.expected_costs(now + ms(after), 0..5)[2];
+    ejection.record_outcome(now, 2, false);
     let failed = cost(&ejection, 0);
-    ejection.note_down(now, 2);
+    ejection.record_unreachable(now, 2);
     assert!(cost(&ejection, 0) > failed * 4, "{:?}, {failed:?}", cost(&ejection, 0));
     // It is tried again when it may be back.
     assert!(cost(&ejection, 4_000) < ms(300), "{:?}", cost(&ejection, 4_000));
-    ejection.note(now + ms(4_000), 2, true);
+    ejection.record_outcome(now + ms(4_000), 2, true);
     assert!(cost(&ejection, 4_000) < ms(100));
 }
--- a/crates/policy/tests/network/mod.rs
+++ b/crates/policy/tests/network/mod.rs
@@ -2,7 +2,7 @@
 
 use hickory_policy::gossip::{Message, Outgoing};
 use hickory_policy::member::{Capacity, Contact, Record, State};
-use hickory_policy::membership::{Membership, TICK};
+use hickory_policy::membership::{Membership, TICK_INTERVAL};
 use hickory_unit::id;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -109,19 +109,19 @@
     fn open(&mut self, node: usize, incarnation: u64) -> Membership {
         let at = address(node);
         let contact = Contact {
-            peers: at,
-            callers: at,
-            sync: at,
-            ready: true,
-            settled: false,
-            store_away: false,
+            peer_address: at,
+            caller_address: at,
+            sync_address: at,
+            is_ready: true,
+            is_synced: false,
+            is_store_unreachable: false,
             capacity: Capacity(1),
         };
         let (version, state) = (0, State::Alive);
         let incarnation = id::Incarnation(incarnation);
         let own = Record { node: name(node), incarnation, version, state, contact };
         let seeds = (0..SEEDS).map(address).collect();
-        Membership::open(self.origin + self.now, own, seeds, self.random.random())
+        Membership::new(self.origin + self.now, own, seeds, self.random.random())
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
@@ -171,12 +171,12 @@
         let now = self.origin + self.now;
         let out = match event {
             Event::Tick(node) => {
-                self.schedule(self.now + TICK, Event::Tick(node));
+                self.schedule(self.now + TICK_INTERVAL, Event::Tick(node));
                 self.nodes[node].membership.tick(now)
             }
             Event::Push(node) => {
                 self.nodes[node].is_push_due = false;
-                self.nodes[node].membership.push()
+                self.nodes[node].membership.push_news()
             }
             Event::Deliver(letter) => {
                 let Some(Letter { to, from, message }) = self.letters[letter].take() else {
@@ -186,7 +186,7 @@
             }
         };
         self.send(node, out);
-        if self.nodes[node].membership.has_untold() && !self.nodes[node].is_push_due {
+        if self.nodes[node].membership.has_unsent_news() && !self.nodes[node].is_push_due {
             self.nodes[node].is_push_due = true;
             self.schedule(self.now + GATHER, Event::Push(node));
         }
@@ -216,21 +216,23 @@
     /// Pairs of running nodes of which the first doesn't hold the second for alive.
     pub fn unknown(&self) -> usize {
         let running = self.running().count();
-        let is_running = |record: &&Record| self.nodes[number(record.contact.peers)].is_running;
+        let is_running =
+            |record: &&Record| self.nodes[number(record.contact.peer_address)].is_running;
         let known = |node: &Node| node.membership.alive().filter(is_running).count();
         running * (running - 1) - self.running().map(known).sum::<usize>()
     }
 
     /// Pairs of which the first is running and holds the second for alive, which is not.
     pub fn mistaken(&self) -> usize {
-        let is_wrong = |record: &&Record| !self.nodes[number(record.contact.peers)].is_running;
+        let is_wrong =
+            |record: &&Record| !self.nodes[number(record.contact.peer_address)].is_running;
         self.running().map(|node| node.membership.alive().filter(is_wrong).count()).sum()
     }
 
     /// Pairs of running nodes of which the first holds the second for dead.
     pub fn lost(&self) -> usize {
         let is_lost = |by: &&Node, node: &Node| {
-            let record = by.membership.get(&node.membership.own().node);
+            let record = by.membership.get(&node.membership.own_record().node);
             record.is_some_and(|record| record.state == State::Dead)
         };
         let lost = |by: &Node| self.running().filter(|node| is_lost(&by, node)).count();
@@ -257,8 +259,8 @@
 fn count_records(message: &Message) -> u64 {
     match message {
         Message::Ping(exchange) | Message::Ack(exchange) => exchange.records.len() as u64,
-        Message::Rumor(records) | Message::List(records) => records.len() as u64,
+        Message::Rumor(records) | Message::Members(records) => records.len() as u64,
         Message::Pull(_) => 1,
-        Message::Relay { .. } => 0,
+        Message::IndirectPing { .. } => 0,
     }
 }
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::ms;
-use hickory_policy::poison::{CAPACITY, KEPT, Suspect, Suspects, Verdict};
+use hickory_policy::poison::{MAX_FINGERPRINTS, RETENTION, Suspect, Suspects, Verdict};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -16,23 +16,23 @@
 #[test]
 fn poison_kills_two_engines_and_no_innocent_request() {
     let mut now = Instant::now();
-    let mut suspects = Suspects::open();
-    suspects.note_death(now, 0..31);
+    let mut suspects = Suspects::new();
+    suspects.record_death(now, 0..31);
     let mut deaths = 1;
     for _ in 0..100 {
         for fingerprint in 0..31 {
             now += ms(10);
-            match suspects.judge(now, fingerprint) {
+            match suspects.verdict(now, fingerprint) {
                 Verdict::Clear => assert_ne!(fingerprint, POISON, "it ran beside others"),
-                Verdict::Alone if fingerprint == POISON => {
+                Verdict::RunAlone if fingerprint == POISON => {
                     suspects.begin_trial(fingerprint, now + ms(60_000));
-                    assert_eq!(suspects.judge(now, fingerprint), Verdict::Wait, "a second copy");
-                    suspects.note_death(now, [fingerprint]);
+                    assert_eq!(suspects.verdict(now, fingerprint), Verdict::Wait, "a second copy");
+                    suspects.record_death(now, [fingerprint]);
                     deaths += 1;
                 }
-                Verdict::Alone => {
+                Verdict::RunAlone => {
                     suspects.begin_trial(fingerprint, now + ms(60_000));
-                    suspects.note_success(now, fingerprint);
+                    suspects.record_success(now, fingerprint);
                 }
                 Verdict::Wait => panic!("no trial runs"),
                 Verdict::Quarantined => assert_eq!(fingerprint, POISON),
@@ -40,8 +40,8 @@
         }
     }
     assert_eq!(deaths, 2);
-    assert_eq!(suspects.judge(now, POISON), Verdict::Quarantined);
-    assert_eq!(suspects.judge(now + KEPT, POISON), Verdict::Clear, "it expires");
+    assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
+    assert_eq!(suspects.verdict(now + RETENTION, POISON), Verdict::Clear, "it expires");
 }
 
 /// The node that ran the trial dies with it: the suspect isn't held for ever,
@@ -49,14 +49,14 @@
 #[test]
 fn lost_trial_ends_at_its_deadline() {
     let now = Instant::now();
-    let mut suspects = Suspects::open();
-    suspects.note_death(now, [POISON]);
+    let mut suspects = Suspects::new();
+    suspects.record_death(now, [POISON]);
     suspects.begin_trial(POISON, now + ms(500));
-    assert_eq!(suspects.judge(now + ms(499), POISON), Verdict::Wait);
-    assert_eq!(suspects.judge(now + ms(500), POISON), Verdict::Alone);
+    assert_eq!(suspects.verdict(now + ms(499), POISON), Verdict::Wait);
+    assert_eq!(suspects.verdict(now + ms(500), POISON), Verdict::RunAlone);
     suspects.begin_trial(POISON, now + ms(9_000));
-    suspects.drop_trial(POISON);
-    assert_eq!(suspects.judge(now + ms(600), POISON), Verdict::Alone);
+    suspects.cancel_trial(POISON);
+    assert_eq!(suspects.verdict(now + ms(600), POISON), Verdict::RunAlone);
 }
 
 /// Words of other nodes come late and in any order: a clearing does not lift
@@ -66,17 +66,17 @@
 fn words_of_other_nodes() {
     let now = Instant::now() + ms(10_000_000);
     let word = |deaths, age| [Suspect { fingerprint: POISON, deaths, age: ms(age) }];
-    let mut suspects = Suspects::open();
+    let mut suspects = Suspects::new();
     suspects.merge(now, word(1, 5_000));
-    assert_eq!(suspects.judge(now, POISON), Verdict::Alone);
-    suspects.note_success(now, POISON);
+    assert_eq!(suspects.verdict(now, POISON), Verdict::RunAlone);
+    suspects.record_success(now, POISON);
     suspects.merge(now, word(1, 4_000));
-    assert_eq!(suspects.judge(now, POISON), Verdict::Clear);
+    assert_eq!(suspects.verdict(now, POISON), Verdict::Clear);
     suspects.merge(now, word(2, 3_000));
-    assert_eq!(suspects.judge(now, POISON), Verdict::Quarantined);
+    assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
     suspects.merge(now, word(0, 0));
-    assert_eq!(suspects.judge(now, POISON), Verdict::Quarantined);
-    assert_eq!(suspects.tell(now), word(2, 3_000));
+    assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
+    assert_eq!(suspects.snapshot(now), word(2, 3_000));
 }
 
 /// Many engines die of other causes: memory stays bounded, and quarantines
@@ -84,16 +84,16 @@
 #[test]
 fn memory_is_bounded() {
     let mut now = Instant::now();
-    let mut suspects = Suspects::open();
-    suspects.note_death(now, [POISON]);
-    suspects.note_death(now, [POISON]);
+    let mut suspects = Suspects::new();
+    suspects.record_death(now, [POISON]);
+    suspects.record_death(now, [POISON]);
     for fingerprint in 100..20_000 {
         now += ms(1);
-        suspects.note_death(now, [fingerprint]);
-        assert!(suspects.len() <= CAPACITY);
+        suspects.record_death(now, [fingerprint]);
+        assert!(suspects.len() <= MAX_FINGERPRINTS);
     }
-    assert_eq!(suspects.judge(now, POISON), Verdict::Quarantined);
-    assert_eq!(suspects.judge(now, 19_999), Verdict::Alone);
+    assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
+    assert_eq!(suspects.verdict(now, 19_999), Verdict::RunAlone);
 }
 
 proptest! {
@@ -102,28 +102,28 @@
     #[test]
     fn exchanges_agree(ops in prop::collection::vec((0usize..3, 0u64..4, 0u8..4), 1..60)) {
         let mut now = Instant::now();
-        let mut nodes = [Suspects::open(), Suspects::open(), Suspects::open()];
+        let mut nodes = [Suspects::new(), Suspects::new(), Suspects::new()];
         let mut quarantined = BTreeSet::new();
         for (node, fingerprint, op) in ops {
             now += ms(10);
             match op {
-                0 => nodes[node].note_death(now, [fingerprint]),
-                1 => nodes[node].note_success(now, fingerprint),
+                0 => nodes[node].record_death(now, [fingerprint]),
+                1 => nodes[node].record_success(now, fingerprint),
                 _ => {
-                    let told = nodes[node].tell(now);
+                    let told = nodes[node].snapshot(now);
                     nodes[(node + 1) % 3].merge(now, told);
                 }
             }
-            if nodes[node].judge(now, fingerprint) == Verdict::Quarantined {
+            if nodes[node].verdict(now, fingerprint) == Verdict::Quarantined {
                 quarantined.insert(fingerprint);
             }
         }
         for round in 0..6 {
-            let told = nodes[round % 3].tell(now);
+            let told = nodes[round % 3].snapshot(now);
             nodes[(round + 1) % 3].merge(now, told);
         }
         for fingerprint in 0..4 {
-            let verdicts = nodes.each_mut().map(|node| node.judge(now, fingerprint));
+            let verdicts = nodes.each_mut().map(|node| node.verdict(now, fingerprint));
             prop_assert!(verdicts.iter().all(|v| *v == verdicts[0]), "{:?}", verdicts);
             prop_assert!(!quarantined.contains(&fingerprint) || verdicts[0] == Verdict::Quarantined);
         }
--- a/crates/policy/tests/resume.rs
+++ b/crates/policy/tests/resume.rs
@@ -31,7 +31,7 @@
 fn streams_that_broke_off_wait_for_busy_engines() {
     let profile = profile();
     let now = Instant::now();
-    let due = |gap| resume::due(now, Some(gap), now + ms(8_000)) - now;
+    let due = |gap| resume::resume_deadline(now, Some(gap), now + ms(8_000)) - now;
     let full = Load { begins: ms(60), requests: profile.slots, ..Load::default() };
     let reading = Load { backlog: ms(400), begins: ms(400), requests: 1, ..Load::default() };
     for (prompt, gap, load) in [(5_000, ms(250), full), (154_000, ms(1_000), reading)] {
@@ -46,7 +46,7 @@
 #[test]
 fn a_stream_is_resumed_before_its_caller_gives_up() {
     let now = Instant::now();
-    let due = |gap, left| resume::due(now, gap, now + left) - now;
+    let due = |gap, left| resume::resume_deadline(now, gap, now + left) - now;
     assert_eq!(due(Some(ms(250)), ms(8_000)), ms(1_000));
     assert_eq!(due(Some(ms(1_000)), ms(3_000)), ms(1_500));
     assert_eq!(due(None, ms(3_000)), ms(1_500));
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,7 +1,10 @@
 //! Retries and their budget.
 
-use hickory_policy::refuse::{Ran, Retry};
-use hickory_policy::retry::{ATTEMPTS, Budget, EARNED, Excluded, Failure, SAVED, Verdict, judge};
+use hickory_policy::refuse::{Ran, RetryReason};
+use hickory_policy::retry::{
+    Budget, Excluded, Failure, MAX_ATTEMPTS, MAX_SAVED_RETRIES, RETRIES_PER_REQUEST, Verdict,
+    decide,
+};
 
 /// Each way to fail against work that may and may not be repeated: an order
 /// is never sent again once a byte of it may have been seen, and the refusal
@@ -10,19 +13,19 @@
 fn what_may_be_repeated() {
     use Failure::{NeverBegun, NotSent, Stalled, Unknown};
     let table = [
-        (NotSent, false, Verdict::Again(Retry::NotSent)),
-        (NotSent, true, Verdict::Again(Retry::NotSent)),
-        (NeverBegun, false, Verdict::Again(Retry::Refused)),
-        (Unknown, true, Verdict::Again(Retry::TargetFailed)),
+        (NotSent, false, Verdict::Again(RetryReason::NotSent)),
+        (NotSent, true, Verdict::Again(RetryReason::NotSent)),
+        (NeverBegun, false, Verdict::Again(RetryReason::Refused)),
+        (Unknown, true, Verdict::Again(RetryReason::TargetFailed)),
         (Unknown, false, Verdict::Stop(Ran::Unknown)),
-        (Stalled, true, Verdict::Again(Retry::Stalled)),
+        (Stalled, true, Verdict::Again(RetryReason::Stalled)),
         (Stalled, false, Verdict::Stop(Ran::Unknown)),
     ];
     for (failure, idempotent, verdict) in table {
-        assert_eq!(judge(failure, idempotent, 0), verdict, "{failure:?} {idempotent}");
+        assert_eq!(decide(failure, idempotent, 0), verdict, "{failure:?} {idempotent}");
     }
-    assert_eq!(judge(NotSent, true, ATTEMPTS - 1), Verdict::Stop(Ran::No));
-    assert_eq!(judge(Unknown, true, ATTEMPTS - 1), Verdict::Stop(Ran::Unknown));
+    assert_eq!(decide(NotSent, true, MAX_ATTEMPTS - 1), Verdict::Stop(Ran::No));
+    assert_eq!(decide(Unknown, true, MAX_ATTEMPTS - 1), Verdict::Stop(Ran::Unknown));
 }
 
 /// Every attempt of an account fails for a while: the load stays under one
@@ -30,17 +33,17 @@
 /// account's budget is untouched.
 #[test]
 fn failing_account_adds_a_fifth_at_most() {
-    let mut budget = Budget::open();
+    let mut budget = Budget::new();
     let (shop, school) = ("shop".into(), "school".into());
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn(&shop);
-        retries += u32::from(budget.spend(&shop)) + u32::from(budget.spend(&shop));
+        budget.record_request(&shop);
+        retries += u32::from(budget.try_spend(&shop)) + u32::from(budget.try_spend(&shop));
     }
-    assert!(f64::from(retries) <= 10_000.0 * EARNED + SAVED);
-    assert!(budget.spend(&school));
+    assert!(f64::from(retries) <= 10_000.0 * RETRIES_PER_REQUEST + MAX_SAVED_RETRIES);
+    assert!(budget.try_spend(&school));
     budget.retain(|account| *account == school);
-    assert!(budget.spend(&shop), "an account that comes back starts anew");
+    assert!(budget.try_spend(&shop), "an account that comes back starts anew");
 }
 
 #[test]
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -1,9 +1,9 @@
 //! The shares of common bounds.
 
-use hickory_policy::share::{Bound, Budget};
+use hickory_policy::share::{Budget, Limit};
 use std::time::{Duration, Instant};
 
-const BOUND: Bound = Bound { ratio: 0.2, extra: 106.0, window: Duration::from_secs(10) };
+const BOUND: Limit = Limit { ratio: 0.2, extra: 106.0, window: Duration::from_secs(10) };
 
 /// Half of all requests fail at their targets, on nine nodes at once, for
 /// half a minute. Callers see retries multiply the load unless all nodes
@@ -16,9 +16,9 @@
     for tick in 0..3_000_u32 {
         let now = start + Duration::from_millis(10) * tick;
         let node = &mut nodes[tick as usize % 9];
-        node.earn(now, &BOUND);
+        node.record_request(now, &BOUND);
         requests.push(now);
-        if tick % 2 == 0 && node.spend(now, &BOUND, 9) {
+        if tick % 2 == 0 && node.try_spend(now, &BOUND, 9) {
             repeats.push(now);
         }
     }
@@ -34,9 +34,9 @@
 #[test]
 fn a_budget_comes_back_with_time() {
     let now = Instant::now();
-    let bound = Bound { ratio: 0.0, extra: 2.0, window: Duration::from_secs(10) };
+    let bound = Limit { ratio: 0.0, extra: 2.0, window: Duration::from_secs(10) };
     let mut budget = Budget::default();
-    assert!(budget.spend(now, &bound, 1));
-    assert!(!budget.spend(now, &bound, 1));
-    assert!(budget.spend(now + Duration::from_secs(11), &bound, 1));
+    assert!(budget.try_spend(now, &bound, 1));
+    assert!(!budget.try_spend(now, &bound, 1));
+    assert!(budget.try_spend(now + Duration::from_secs(11), &bound, 1));
 }
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -1,7 +1,7 @@
 //! Giving a large document on: what a giver takes on, whom it names, and whom
 //! those who want it ask.
 
-use hickory_policy::spread::{Busy, Choice, Given, Givers, Meter};
+use hickory_policy::spread::{Busy, Choice, Recipients, Sources, UploadMeter};
 use hickory_unit::rate::BytesPerSecond;
 use hickory_unit::size::Bytes;
 use std::time::{Duration, Instant};
@@ -21,7 +21,7 @@
 #[test]
 fn an_idle_giver_takes_on_any_size() {
     for size in [0, 1, 250_000, 50_000_000, u64::MAX] {
-        let taken = Meter::default().admit(Instant::now(), Bytes(size), LINK);
+        let taken = UploadMeter::default().admit(Instant::now(), Bytes(size), LINK);
         assert!(taken.is_ok(), "{size} bytes: {taken:?}");
     }
 }
@@ -31,18 +31,18 @@
 /// with that, and then takes on another one.
 #[test]
 fn a_giver_turns_away_what_its_link_cannot_begin_soon() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in [0, 1, 20] {
-        meter.note_left(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 2_500));
+        meter.record_remaining(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 2_500));
         let busy = meter.admit(begin + ms(after), DOCUMENT, LINK).unwrap_err();
         assert!(busy.wait > Duration::ZERO, "after {after} ms");
     }
-    meter.note_left(begin + ms(90), taken, Bytes(25_000));
+    meter.record_remaining(begin + ms(90), taken, Bytes(25_000));
     let next = meter.admit(begin + ms(90), DOCUMENT, LINK).unwrap();
-    meter.end(taken);
+    meter.finish(taken);
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_err());
-    meter.end(next);
+    meter.finish(next);
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_ok(), "those turned away left nothing");
 }
 
@@ -51,15 +51,15 @@
 /// and none ends in time. It must go by what the link has taken.
 #[test]
 fn a_link_that_carries_less_than_it_is_said_to_is_not_promised_twice() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (50..=900).step_by(50) {
-        meter.note_left(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 250));
+        meter.record_remaining(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 250));
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_err(), "after {after} ms: {next:?}");
     }
     // What is left takes this link 40 ms.
-    meter.note_left(begin + ms(960), taken, Bytes(10_000));
+    meter.record_remaining(begin + ms(960), taken, Bytes(10_000));
     assert!(meter.admit(begin + ms(960), DOCUMENT, LINK).is_ok());
 }
 
@@ -67,11 +67,11 @@
 #[test]
 fn what_connections_buffer_is_not_taken_for_sent() {
     const BUFFERED: u64 = 60_000;
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (0..500).step_by(50) {
         let left = Bytes(DOCUMENT.0 - BUFFERED - after * 250);
-        meter.note_left(begin + ms(after), taken, left);
+        meter.record_remaining(begin + ms(after), taken, left);
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_err(), "after {after} ms: {next:?}");
     }
@@ -81,7 +81,7 @@
 /// other, until it has enough for its link.
 #[test]
 fn a_giver_takes_on_several_small_ones() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     let count = (0..1_000).map_while(|_| meter.admit(now, Bytes(2_500), LINK).ok()).count();
     assert!(count > 10 && count < 200, "{count} at once");
 }
@@ -89,7 +89,7 @@
 /// The word that a target leaves must not wait behind a document.
 #[test]
 fn the_smallest_answers_are_always_taken_on() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     meter.admit(now, Bytes(50_000_000), LINK).unwrap();
     assert!(meter.admit(now, Bytes(1_000), LINK).is_ok());
     assert!(meter.admit(now, DOCUMENT, LINK).is_err());
@@ -102,7 +102,7 @@
 #[test]
 fn whoever_is_turned_away_waits_a_while() {
     for size in [DOCUMENT, Bytes(130_000), Bytes(50_000_000)] {
-        let (now, mut meter) = (Instant::now(), Meter::default());
+        let (now, mut meter) = (Instant::now(), UploadMeter::default());
         meter.admit(now, size, LINK).unwrap();
         let busy = meter.admit(now, size, LINK).unwrap_err();
         assert!(busy.wait >= ms(50) && busy.wait <= ms(500), "{size}: {busy:?}");
@@ -113,14 +113,14 @@
 /// turned away for a moment, and not for as long as it goes on.
 #[test]
 fn a_taker_that_stops_reading_holds_its_place_for_a_while_only() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     meter.admit(begin, DOCUMENT, LINK).unwrap();
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_err());
     assert!(meter.admit(begin + ms(1_000), DOCUMENT, LINK).is_ok());
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     let slow = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (100..10_000).step_by(100) {
-        meter.note_left(begin + ms(after), slow, Bytes(DOCUMENT.0 - after));
+        meter.record_remaining(begin + ms(after), slow, Bytes(DOCUMENT.0 - after));
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_ok() || after < 3_000, "after {after} ms");
         if next.is_ok() {
@@ -133,46 +133,46 @@
 /// names those alone that have it by now, the latest first, and few of them.
 #[test]
 fn a_giver_names_only_those_that_have_it() {
-    let (begin, mut given) = (Instant::now(), Given::default());
-    assert!(given.name(begin).is_empty());
-    given.note(begin + ms(100), 1);
-    given.note(begin + ms(200), 2);
-    assert!(given.name(begin + ms(99)).is_empty());
-    assert_eq!(given.name(begin + ms(100)), [1]);
-    assert_eq!(given.name(begin + ms(200)), [2, 1]);
+    let (begin, mut given) = (Instant::now(), Recipients::default());
+    assert!(given.recent(begin).is_empty());
+    given.record(begin + ms(100), 1);
+    given.record(begin + ms(200), 2);
+    assert!(given.recent(begin + ms(99)).is_empty());
+    assert_eq!(given.recent(begin + ms(100)), [1]);
+    assert_eq!(given.recent(begin + ms(200)), [2, 1]);
     for node in 3..100 {
-        given.note(begin + ms(300), node);
+        given.record(begin + ms(300), node);
     }
-    let named = given.name(begin + ms(300));
+    let named = given.recent(begin + ms(300));
     assert!(named.len() > 1 && named.len() < 20, "{named:?}");
     assert_eq!(named[0], 99);
     given.clear();
-    assert!(given.name(begin + ms(300)).is_empty(), "of another document they have nothing");
+    assert!(given.recent(begin + ms(300)).is_empty(), "of another document they have nothing");
 }
 
 /// A node that was given the document twice, as after a broken answer, is named
 /// once, and not before it has it.
 #[test]
 fn a_node_that_was_given_it_twice_is_named_once() {
-    let (begin, mut given) = (Instant::now(), Given::default());
-    given.note(begin, 1);
-    given.note(begin + ms(100), 1);
-    assert!(given.name(begin).is_empty());
-    assert_eq!(given.name(begin + ms(100)), [1]);
+    let (begin, mut given) = (Instant::now(), Recipients::default());
+    given.record(begin, 1);
+    given.record(begin + ms(100), 1);
+    assert!(given.recent(begin).is_empty());
+    assert_eq!(given.recent(begin + ms(100)), [1]);
 }
 
 /// A taker that asks busy givers again and again fills their links. It asks the
 /// one that is free, whichever chance would have it, be that one heard or named.
 #[test]
 fn a_busy_giver_is_not_asked_while_another_is_free() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
+    let (now, mut givers) = (Instant::now(), Sources::default());
     let busy = Busy { wait: ms(100) };
-    givers.note_busy(now, 1, busy, &[], 0.5);
-    givers.note_busy(now, 2, busy, &[4], 0.5);
-    givers.note_failed(now, 3);
+    givers.record_busy(now, 1, busy, &[], 0.5);
+    givers.record_busy(now, 2, busy, &[4], 0.5);
+    givers.record_failure(now, 3);
     for chance in [0.0, 0.3, 0.6, 0.99, 1.0] {
-        assert_eq!(givers.choose(now, &[1, 2, 3], chance), Choice::Ask(4), "it was named");
-        assert_eq!(givers.choose(now, &[1, 2, 3, 4], chance), Choice::Ask(4));
+        assert_eq!(givers.choose(now, &[1, 2, 3], chance), Choice::Fetch(4), "it was named");
+        assert_eq!(givers.choose(now, &[1, 2, 3, 4], chance), Choice::Fetch(4));
     }
 }
 
@@ -182,11 +182,11 @@
 fn a_taker_asks_again_after_the_wait() {
     let now = Instant::now();
     let waits = [0.0, 0.5].map(|chance| {
-        let mut givers = Givers::default();
-        givers.note_busy(now, 1, Busy { wait: ms(100) }, &[], chance);
+        let mut givers = Sources::default();
+        givers.record_busy(now, 1, Busy { wait: ms(100) }, &[], chance);
         let Choice::Wait(wait) = givers.choose(now, &[1], 0.0) else { panic!("asks a busy one") };
         assert!(wait >= ms(100) && wait <= ms(200), "{wait:?}");
-        assert_eq!(givers.choose(now + wait, &[1], 0.0), Choice::Ask(1));
+        assert_eq!(givers.choose(now + wait, &[1], 0.0), Choice::Fetch(1));
         wait
     });
     assert_ne!(waits[0], waits[1]);
@@ -196,7 +196,7 @@
 /// node, nor hold back documents for ever once it is set right.
 #[test]
 fn a_link_without_rate_is_survived() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     for rate in [0.0, -1.0, f64::NAN, f64::MIN_POSITIVE] {
         let _ = meter.admit(now, DOCUMENT, BytesPerSecond(rate));
     }
@@ -206,12 +206,12 @@
 /// A giver that failed is left alone, but not for ever: it may be the only one.
 #[test]
 fn a_giver_that_failed_is_asked_again_later() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
-    assert_eq!(givers.choose(now, &[], 0.5), Choice::Nobody);
-    givers.note_failed(now, 1);
+    let (now, mut givers) = (Instant::now(), Sources::default());
+    assert_eq!(givers.choose(now, &[], 0.5), Choice::NoSource);
+    givers.record_failure(now, 1);
     let Choice::Wait(wait) = givers.choose(now, &[1], 0.5) else { panic!("asks at once") };
     assert!(wait <= Duration::from_secs(5), "{wait:?}");
-    assert_eq!(givers.choose(now + wait, &[1], 0.5), Choice::Ask(1));
+    assert_eq!(givers.choose(now + wait, &[1], 0.5), Choice::Fetch(1));
 }
 
 /// A taker whose own link is full never gets an answer: it leaves each giver
@@ -219,14 +219,14 @@
 /// failures it waits as long as for a giver that is the only one.
 #[test]
 fn a_taker_that_all_givers_fail_grows_patient() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
+    let (now, mut givers) = (Instant::now(), Sources::default());
     let heard = [1, 2, 3, 4, 5];
-    let hasty = givers.patience(1, &heard);
-    assert!(hasty < givers.patience(1, &[1]), "another one is known");
+    let hasty = givers.response_timeout(1, &heard);
+    assert!(hasty < givers.response_timeout(1, &[1]), "another one is known");
     for giver in heard {
-        givers.note_failed(now, giver);
+        givers.record_failure(now, giver);
     }
-    assert_eq!(givers.patience(1, &heard), givers.patience(1, &[1]));
-    givers.note_answered();
-    assert_eq!(givers.patience(1, &heard), hasty);
+    assert_eq!(givers.response_timeout(1, &heard), givers.response_timeout(1, &[1]));
+    givers.record_response();
+    assert_eq!(givers.response_timeout(1, &heard), hasty);
 }
--- a/crates/policy/tests/spread/mod.rs
+++ b/crates/policy/tests/spread/mod.rs
@@ -10,7 +10,7 @@
 mod queue;
 
 use case::{Case, Outcome, Policy};
-use hickory_policy::spread::{Busy, Choice, SILENCE, Ticket};
+use hickory_policy::spread::{Busy, Choice, MAX_SILENCE, Ticket};
 use hickory_unit::rate::BytesPerSecond;
 use hickory_unit::size::Bytes;
 use link::Answer;
@@ -154,12 +154,12 @@
             return;
         }
         match node.givers.choose(self.begin + self.now, &heard, random) {
-            Choice::Ask(giver) => self.ask(giver, me),
+            Choice::Fetch(giver) => self.ask(giver, me),
             Choice::Wait(wait) if node.wake <= self.now && wait < LOOK => {
                 node.wake = self.now + wait;
                 self.queue.push(node.wake, Event::Wake(me));
             }
-            Choice::Wait(_) | Choice::Nobody => {}
+            Choice::Wait(_) | Choice::NoSource => {}
         }
     }
 
@@ -178,7 +178,7 @@
             Policy::AtOnce => TIMEOUT,
             Policy::ByTurns => {
                 let node = &self.nodes[taker];
-                node.givers.patience(giver, &node.heard())
+                node.givers.response_timeout(giver, &node.heard())
             }
         }
     }
@@ -215,7 +215,7 @@
         node.link.run(self.now);
         for answer in &node.link.answers {
             if let Some(ticket) = answer.ticket {
-                node.meter.note_left(now, ticket, Bytes(answer.left.ceil() as u64));
+                node.meter.record_remaining(now, ticket, Bytes(answer.left.ceil() as u64));
             }
         }
         node.meter.admit(now, Bytes(left.ceil() as u64), BytesPerSecond(node.link.rate))
@@ -225,7 +225,7 @@
     fn refuse(&mut self, giver: usize, taker: usize, number: u64, busy: Option<Busy>) {
         self.busy += 1;
         let node = &mut self.nodes[giver];
-        let mut named = node.given.name(self.begin + self.now);
+        let mut named = node.given.recent(self.begin + self.now);
         named.retain(|other| *other != taker);
         let after = node.link.add_short(self.now, BUSY_BYTES);
         let wait = busy.map(|busy| busy.wait);
@@ -239,8 +239,8 @@
         let node = &mut self.nodes[me];
         let Some(ask) = node.ask.take_if(|ask| ask.number == number) else { return };
         match wait {
-            Some(wait) => node.givers.note_busy(now, ask.giver, Busy { wait }, named, random),
-            None => node.givers.note_failed(now, ask.giver),
+            Some(wait) => node.givers.record_busy(now, ask.giver, Busy { wait }, named, random),
+            None => node.givers.record_failure(now, ask.giver),
         }
         self.seek(me);
     }
@@ -254,10 +254,10 @@
             let Answer { taker, number, version, ticket, .. } = answer;
             let node = &mut self.nodes[giver];
             if let Some(ticket) = ticket {
-                node.meter.end(ticket);
+                node.meter.finish(ticket);
             }
             if node.has == version {
-                node.given.note(self.begin + self.now, taker);
+                node.given.record(self.begin + self.now, taker);
             }
             if let Some(ask) = self.nodes[taker].ask.as_mut().filter(|ask| ask.number == number) {
                 ask.last = self.now;
@@ -288,7 +288,7 @@
         let answer = link.answers.iter().find(|answer| answer.number == number);
         if self.policy == Policy::ByTurns {
             let until = match answer {
-                Some(answer) => answer.silent.unwrap_or(self.now) + SILENCE,
+                Some(answer) => answer.silent.unwrap_or(self.now) + MAX_SILENCE,
                 None => ask.last + self.patience(taker, ask.giver),
             };
             if self.now < until {
@@ -299,13 +299,13 @@
         let link = &mut self.nodes[ask.giver].link;
         let answer = link.remove(self.now, number);
         if let Some(ticket) = answer.as_ref().and_then(|answer| answer.ticket) {
-            self.nodes[ask.giver].meter.end(ticket);
+            self.nodes[ask.giver].meter.finish(ticket);
         }
         self.foretell(ask.giver);
         let node = &mut self.nodes[taker];
         node.ask = None;
         if self.policy == Policy::ByTurns {
-            node.givers.note_failed(self.begin + self.now, ask.giver);
+            node.givers.record_failure(self.begin + self.now, ask.giver);
             if let Some(answer) = answer {
                 node.pieces = (answer.version, self.case.size as f64 - answer.left);
             }
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -2,7 +2,7 @@
 
 use super::case::{Case, FAST_LINK_BYTES_PER_SECOND, Fault, LINK_BYTES_PER_SECOND};
 use super::link::Link;
-use hickory_policy::spread::{Given, Givers, Meter};
+use hickory_policy::spread::{Recipients, Sources, UploadMeter};
 use rand::rngs::StdRng;
 use rand::seq::{SliceRandom, index};
 use std::time::Duration;
@@ -31,9 +31,9 @@
     pub ask: Option<Ask>,
     /// When it looks again out of turn.
     pub wake: Duration,
-    pub givers: Givers<usize>,
-    pub meter: Meter,
-    pub given: Given<usize>,
+    pub givers: Sources<usize>,
+    pub meter: UploadMeter,
+    pub given: Recipients<usize>,
     /// The versions that it has heard others to have.
     versions: Vec<u32>,
     pub alive: bool,
@@ -54,9 +54,9 @@
             pieces: (0, 0.0),
             ask: None,
             wake: Duration::ZERO,
-            givers: Givers::default(),
-            meter: Meter::default(),
-            given: Given::default(),
+            givers: Sources::default(),
+            meter: UploadMeter::default(),
+            given: Recipients::default(),
             versions: vec![0; nodes],
             alive: true,
             spared,
@@ -80,7 +80,7 @@
         self.versions[from] = self.versions[from].max(version);
         if version > self.want {
             self.want = version;
-            self.givers = Givers::default();
+            self.givers = Sources::default();
         }
     }
 
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -8,7 +8,7 @@
     Work,
 };
 use derive_more::Display;
-use hickory_policy::refuse::{Ran, Reason, Retry};
+use hickory_policy::refuse::{Ran, Reason, RetryReason};
 use hickory_unit::{id, size};
 use prometheus::{
     Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
@@ -87,7 +87,7 @@
                 "retries_total",
                 "Attempts made again",
                 "reason",
-                Retry::ALL,
+                RetryReason::ALL,
             )?,
             admitted: open_counters(r, "requests_total", "Requests admitted", "work", Work::ALL)?,
             in_flight: open_gauges(
@@ -222,7 +222,7 @@
     }
 
     /// Counts an attempt made again.
-    pub fn retried(&self, reason: Retry) {
+    pub fn retried(&self, reason: RetryReason) {
         self.retries[reason as usize].inc();
     }
 
--- a/crates/telemetry/tests/docs.rs
+++ b/crates/telemetry/tests/docs.rs
@@ -1,6 +1,6 @@
 //! The operators' page names every metric and every reason.
 
-use hickory_policy::refuse::{Reason, Retry};
+use hickory_policy::refuse::{Reason, RetryReason};
 use hickory_telemetry::metrics::Metrics;
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
@@ -21,7 +21,7 @@
 #[test]
 fn every_reason_is_explained() {
     let reasons = Reason::ALL.iter().map(|reason| reason.to_string());
-    let retries = Retry::ALL.iter().map(|reason| reason.to_string());
+    let retries = RetryReason::ALL.iter().map(|reason| reason.to_string());
     for reason in reasons.chain(retries) {
         let row = PAGE.lines().any(|l| l.starts_with("| `") && l.contains(&format!("`{reason}`")));
         assert!(row, "{reason} has no row");
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,6 +1,6 @@
 //! What the metrics show, and to whom they cost what.
 
-use hickory_policy::refuse::{Ran, Reason, Retry};
+use hickory_policy::refuse::{Ran, Reason, RetryReason};
 use hickory_telemetry::label::{Call, Length, Outcome, Work};
 use hickory_telemetry::metrics::Metrics;
 use hickory_unit::size;
@@ -19,7 +19,7 @@
             assert_eq!(value(&text, &series), Some(0.0), "{series}");
         }
     }
-    for reason in Retry::ALL {
+    for reason in RetryReason::ALL {
         let series = format!(r#"hickory_retries_total{{reason="{reason}"}}"#);
         assert_eq!(value(&text, &series), Some(0.0), "{series}");
     }
@@ -38,7 +38,7 @@
         let expected = format!(r#"hickory_refusals_total{{ran="unknown",reason="{reason}"}} 1"#);
         assert_eq!(counted, [expected], "reason {index}");
     }
-    for reason in Retry::ALL {
+    for reason in RetryReason::ALL {
         let metrics = Metrics::open().unwrap();
         metrics.retried(*reason);
         let series = format!(r#"hickory_retries_total{{reason="{reason}"}}"#);
