--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -97,7 +97,7 @@
             kv_used: size::Tokens(0),
             kv_capacity: size::Tokens(0),
             incarnation: None,
-            limiter: Limiter::open(capacity),
+            limiter: Limiter::new(capacity),
             permits: HashMap::new(),
             tickets: HashMap::new(),
             waiting: HashMap::new(),
@@ -118,7 +118,7 @@
     pub(crate) fn set_capacity(&mut self, capacity: Capacity) {
         if self.capacity != capacity && self.permits.is_empty() && self.waiting.is_empty() {
             self.capacity = capacity;
-            self.limiter = Limiter::open(capacity);
+            self.limiter = Limiter::new(capacity);
             self.release = id::Release(0);
         }
     }
@@ -140,7 +140,7 @@
     /// once, to go elsewhere while there is time.
     pub(crate) fn set_terms(&mut self, now: Instant, accepting: bool, confirmed: bool) {
         self.accepting = accepting;
-        self.limiter.set_confirmed(now, confirmed);
+        self.limiter.set_lease_confirmed(now, confirmed);
         for (ticket, reason) in self.limiter.set_accepting(now, accepting) {
             self.answer(now, ticket, Err(refuse(reason, RETRY_ELSEWHERE)));
         }
@@ -155,17 +155,17 @@
             return Begun::Answered(Err(refuse(Reason::NoTarget, RETRY_ELSEWHERE)));
         }
         let until = now + ask.time_left;
-        let wanted = limit::Ask {
+        let wanted = limit::PermitRequest {
             partner: ask.partner.clone(),
             account: ask.account.clone(),
             class: if ask.batch { Class::Batch } else { Class::Interactive },
             cost: Cost { prefill: ask.cost.prefill, decode: ask.cost.decode },
             deadline: until,
-            alone: ask.alone,
-            urgent: ask.urgent,
+            is_exclusive: ask.alone,
+            is_urgent: ask.urgent,
         };
         let priority = priority_of(wanted.lane());
-        match self.limiter.ask(now, wanted) {
+        match self.limiter.request_permit(now, wanted) {
             Answer::Granted(ticket) => {
                 let granted = Granted::to(ask.stream.clone(), until, priority);
                 let (fingerprint, kv) = (ask.fingerprint, ask.cost.kv);
@@ -222,7 +222,7 @@
         if let Some(ticket) = waits.copied() {
             self.tickets.remove(stream);
             self.waiting.remove(&ticket);
-            self.limiter.finish(ticket);
+            self.limiter.cancel(ticket);
         }
     }
 
@@ -320,10 +320,10 @@
                 }
             }
             Ending::Finished => {
-                self.give_back(now, outcome.permit, limit::Outcome::Whole(outcome.first_token));
+                self.give_back(now, outcome.permit, limit::Outcome::Completed(outcome.first_token));
             }
             Ending::Cancelled | Ending::NotSent => {
-                self.give_back(now, outcome.permit, limit::Outcome::Dropped);
+                self.give_back(now, outcome.permit, limit::Outcome::Abandoned);
             }
             Ending::TargetDied => {
                 // The owner may have seen the death before its node told of it:
@@ -353,7 +353,7 @@
     }
 
     pub(crate) fn give_back(&mut self, now: Instant, ticket: Ticket, outcome: limit::Outcome) {
-        self.limiter.settle(now, ticket, outcome);
+        self.limiter.complete(now, ticket, outcome);
         if let Some(granted) = self.permits.remove(&ticket) {
             self.tickets.remove(&granted.stream);
             self.ended.insert(granted.stream, now);
@@ -380,7 +380,7 @@
             kv_free: self.kv_capacity.saturating_sub(used),
             kv_capacity: self.kv_capacity,
             prefill_rate: self.limiter.prefill_rate(),
-            bound: self.limiter.bound(),
+            bound: self.limiter.stream_limit(),
             running: self.limiter.running() as u32,
             waiting: self.limiter.waiting() as u32,
             incarnation: self.incarnation.unwrap_or_default(),
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -47,7 +47,7 @@
         let untold = self.permits.iter().filter(|(_, granted)| granted.untold.is_some_and(old));
         let untold: Vec<Ticket> = untold.map(|(ticket, _)| *ticket).collect();
         for ticket in untold {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+            self.give_back(now, ticket, limit::Outcome::Abandoned);
         }
         let overdue = self.permits.values().filter(|granted| granted.is_overdue(now, resume));
         self.cancels.extend(overdue.map(|granted| granted.stream.clone()));
@@ -110,7 +110,7 @@
                 cache_hits: report.cache_hits,
                 cache_misses: report.cache_misses,
             },
-            foreign: foreign.count() as u32,
+            foreign_streams: foreign.count() as u32,
             foreign_kv: report.kv_used.saturating_sub(owned_kv),
             prefill_left: left.collect(),
         }
@@ -186,7 +186,7 @@
     /// The target confirmed that a stream is gone.
     pub(crate) fn cancelled(&mut self, now: Instant, stream: &id::Stream) {
         if let Some(ticket) = self.tickets.get(stream).copied() {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+            self.give_back(now, ticket, limit::Outcome::Abandoned);
         }
         if self.foreign.remove(stream).is_some() {
             self.ended.insert(stream.clone(), now);
@@ -217,7 +217,7 @@
     pub(crate) fn restarted(&mut self, now: Instant) {
         let tickets: Vec<Ticket> = self.permits.keys().copied().collect();
         for ticket in tickets {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+            self.give_back(now, ticket, limit::Outcome::Abandoned);
         }
         self.cancels.clear();
         self.foreign.clear();
--- a/crates/policy/benches/common/mod.rs
+++ b/crates/policy/benches/common/mod.rs
@@ -2,7 +2,7 @@
 //! queue, the same in each run.
 
 use hickory_policy::cost::{Class, Cost};
-use hickory_policy::limit::{Answer, Ask, Capacity, Limiter, Observed, Ticket};
+use hickory_policy::limit::{Answer, Capacity, Limiter, Observed, PermitRequest, Ticket};
 use hickory_policy::place::{Candidate, Prefix, Query, hash_target};
 use hickory_policy::ramp::Sample;
 use hickory_unit::{id, size};
@@ -53,38 +53,39 @@
     Query { cost, class: Class::Interactive, prefix: Some(prefix), random }
 }
 
-pub fn ask(now: Instant, query: &Query) -> Ask {
+pub fn ask(now: Instant, query: &Query) -> PermitRequest {
     let account = query.random % ACCOUNTS;
-    Ask {
+    PermitRequest {
         partner: format!("partner-{}", account % PARTNERS).as_str().into(),
         account: format!("account-{account}").as_str().into(),
         class: if query.random.is_multiple_of(3) { Class::Batch } else { Class::Interactive },
         cost: query.cost,
         deadline: now + Duration::from_secs(36_000),
-        alone: false,
-        urgent: false,
+        is_exclusive: false,
+        is_urgent: false,
     }
 }
 
 /// A warm, full limiter with asks queued, and the permits that run.
 pub fn limiter(start: Instant) -> (Instant, Limiter, Vec<Ticket>) {
     let capacity = Capacity { streams: 64, kv: size::Tokens(450_000_000), prefill_rate: 4_000_000 };
-    let mut limiter = Limiter::open(capacity);
-    limiter.set_queue_bound(2 * QUEUED);
+    let mut limiter = Limiter::new(capacity);
+    limiter.set_max_queue_length(2 * QUEUED);
     let mut now = start;
-    while limiter.bound() < capacity.streams {
+    while limiter.stream_limit() < capacity.streams {
         let incarnation = id::Incarnation(1);
         let sample = Sample { incarnation, warmth: 100, cache_hits: 0, cache_misses: 0 };
         let (foreign, foreign_kv) = (0, size::Tokens(0));
         let prefill_left = Vec::new();
-        limiter.observe(now, &Observed { sample, foreign, foreign_kv, prefill_left });
+        limiter
+            .observe(now, &Observed { sample, foreign_streams: foreign, foreign_kv, prefill_left });
         now += Duration::from_secs(1);
     }
     let mut running = Vec::new();
     let mut index = 0;
     while limiter.waiting() < QUEUED {
         index += 1;
-        if let Answer::Granted(ticket) = limiter.ask(now, ask(now, &query(index))) {
+        if let Answer::Granted(ticket) = limiter.request_permit(now, ask(now, &query(index))) {
             running.push(ticket);
         }
         now += Duration::from_micros(100);
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -31,8 +31,10 @@
                 (now, ask(now, &query(index)))
             },
             |(now, ask)| {
-                if let Answer::Granted(ticket) | Answer::Queued(ticket) = limiter.ask(now, ask) {
-                    limiter.finish(ticket);
+                if let Answer::Granted(ticket) | Answer::Queued(ticket) =
+                    limiter.request_permit(now, ask)
+                {
+                    limiter.cancel(ticket);
                 }
             },
             BatchSize::SmallInput,
@@ -48,9 +50,9 @@
             index += 1;
             now += Duration::from_micros(50);
             let ended = running.swap_remove(index as usize % running.len());
-            limiter.settle(now, ended, Outcome::Whole(None));
+            limiter.complete(now, ended, Outcome::Completed(None));
             running.extend(limiter.poll(now).into_iter().map(|(ticket, _)| ticket));
-            black_box(limiter.ask(now, ask(now, &query(index))));
+            black_box(limiter.request_permit(now, ask(now, &query(index))));
         });
     });
 }
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -24,7 +24,7 @@
         let began = Instant::now();
         black_box(choose_target(&query, &candidates).map(|c| c.key));
         let chosen = began.elapsed();
-        let answer = limiter.ask(now, wanted);
+        let answer = limiter.request_permit(now, wanted);
         let answered = began.elapsed();
         choices.push(chosen);
         asks.push(answered - chosen);
@@ -34,7 +34,7 @@
         }
         if !running.is_empty() {
             let ended = running.swap_remove(index as usize % running.len());
-            limiter.settle(now, ended, Outcome::Whole(None));
+            limiter.complete(now, ended, Outcome::Completed(None));
         }
         let began = Instant::now();
         running.extend(limiter.poll(now).into_iter().filter(|(_, a)| a.is_ok()).map(|(t, _)| t));
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -92,7 +92,7 @@
         let (options, start) = (options(), Instant::now());
         let shares: Vec<_> = shares.iter().map(|&(name, share)| (name.into(), share)).collect();
         let target = |index: usize| {
-            let mut limit = L::open(capacity(&options));
+            let mut limit = L::new(capacity(&options));
             limit.set_shares(&shares);
             Target {
                 id: format!("engine-{index}").as_str().into(),
@@ -231,7 +231,7 @@
             kv_free: self.options.kv_capacity.saturating_sub(state.kv_used),
             kv_capacity: self.options.kv_capacity,
             prefill_rate: state.prefill_rate.unwrap_or(self.options.prefill_rate),
-            bound: state.bound,
+            bound: state.stream_limit,
             running: state.running,
             waiting: state.waiting,
         };
@@ -278,7 +278,7 @@
                 flight.record.ended = Some(since);
                 t.running.remove(&index);
                 t.tickets.remove(&flight.ticket);
-                t.limit.settle(now, flight.ticket, Outcome::Whole(flight.first));
+                t.limit.complete(now, flight.ticket, Outcome::Completed(flight.first));
                 let request = &flight.record.request;
                 self.deadlines.remove(&(request.at + request.left, index));
             }
@@ -293,7 +293,7 @@
         for &index in &running {
             let ticket = self.flights[index].ticket;
             self.targets[target].tickets.remove(&ticket);
-            self.targets[target].limit.settle(now, ticket, Outcome::Failed);
+            self.targets[target].limit.complete(now, ticket, Outcome::Failed);
         }
         self.stop(target);
         for index in running {
@@ -326,7 +326,7 @@
                 cache_hits: report.cache_hits,
                 cache_misses: report.cache_misses,
             },
-            foreign: 0,
+            foreign_streams: 0,
             foreign_kv: size::Tokens(0),
             prefill_left: report.streams.iter().filter_map(left).collect(),
         };
@@ -359,7 +359,7 @@
                 t.engine.cancel(now, &stream_of(index, attempt));
                 t.running.remove(&index);
                 t.tickets.remove(&ticket);
-                t.limit.settle(now, ticket, Outcome::Dropped);
+                t.limit.complete(now, ticket, Outcome::Abandoned);
             }
             self.refuse(index, Reason::Deadline);
         }
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -5,7 +5,7 @@
 use crate::load::Request;
 use hickory_model::job::Job;
 use hickory_policy::baseline::{Limit, Place};
-use hickory_policy::limit::{Answer, Ask, Ticket};
+use hickory_policy::limit::{Answer, PermitRequest, Ticket};
 use hickory_policy::place::{ASKS_AT_ONCE, Candidate, Query, asks_at_once, counts};
 use hickory_policy::refuse::Reason;
 use hickory_target::engine::Priority;
@@ -42,8 +42,8 @@
             }
             let Some((target, at_once)) = self.choose(index, asked, &full) else { break };
             let now = self.now();
-            let wanted = Ask { urgent: at_once, ..self.ask_of(index) };
-            match self.targets[target].limit.ask(now, wanted) {
+            let wanted = PermitRequest { is_urgent: at_once, ..self.ask_of(index) };
+            match self.targets[target].limit.request_permit(now, wanted) {
                 Answer::Granted(ticket) => {
                     self.flights[index].tried.push(target);
                     self.targets[target].tickets.insert(ticket, index);
@@ -94,16 +94,16 @@
         Some((chosen, asks_at_once(request.cost, ask, able.len())))
     }
 
-    fn ask_of(&self, index: usize) -> Ask {
+    fn ask_of(&self, index: usize) -> PermitRequest {
         let request = &self.flights[index].record.request;
-        Ask {
+        PermitRequest {
             partner: request.partner.into(),
             account: format!("{}-{}", request.partner, index % 10).as_str().into(),
             class: request.class,
             cost: request.cost,
             deadline: self.start + request.at + request.left,
-            alone: false,
-            urgent: false,
+            is_exclusive: false,
+            is_urgent: false,
         }
     }
 
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -6,7 +6,9 @@
 //! report shows the fewest streams, and queues in the engine.
 
 use crate::fair::Lane;
-use crate::limit::{Answer, Ask, Capacity, Limiter, Observed, Outcome, Ticket, priority_of};
+use crate::limit::{
+    Answer, Capacity, Limiter, Observed, Outcome, PermitRequest, Ticket, priority_of,
+};
 use crate::place::{Candidate, Query, choose_target};
 use crate::refuse::Reason;
 use hickory_unit::size;
@@ -25,7 +27,7 @@
     /// Prompt tokens a second at present, where it is known.
     pub prefill_rate: Option<u64>,
     /// Streams that the target bears.
-    pub bound: u32,
+    pub stream_limit: u32,
     /// Streams granted.
     pub running: u32,
     /// Asks that wait.
@@ -35,15 +37,15 @@
 /// The limit on one target.
 pub trait Limit {
     /// A limit for a target that has just been found.
-    fn open(capacity: Capacity) -> Self;
+    fn new(capacity: Capacity) -> Self;
     /// Asks for a permit.
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer;
+    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer;
     /// Grants and gives up.
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)>;
     /// Takes in a load report, with the number of streams it shows.
     fn observe(&mut self, now: Instant, observed: &Observed, streams: u32);
     /// Takes back a permit.
-    fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome);
+    fn complete(&mut self, now: Instant, ticket: Ticket, outcome: Outcome);
     /// Says whether the target takes new work.
     fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)>;
     /// Replaces the partners' shares.
@@ -61,12 +63,12 @@
 }
 
 impl Limit for Limiter {
-    fn open(capacity: Capacity) -> Self {
-        Self::open(capacity)
+    fn new(capacity: Capacity) -> Self {
+        Self::new(capacity)
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
-        self.ask(now, ask)
+    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
+        self.request_permit(now, ask)
     }
 
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
@@ -77,8 +79,8 @@
         self.observe(now, observed);
     }
 
-    fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) {
-        self.settle(now, ticket, outcome);
+    fn complete(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) {
+        self.complete(now, ticket, outcome);
     }
 
     fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
@@ -95,7 +97,7 @@
             queued_long: self.prefill_queued_of(true),
             kv_used: self.kv_used(),
             prefill_rate: Some(self.prefill_rate()),
-            bound: self.bound(),
+            stream_limit: self.stream_limit(),
             running: self.running() as u32,
             waiting: self.waiting() as u32,
         }
@@ -118,7 +120,12 @@
 }
 
 /// Why an ask can't be taken at all, whatever else runs or waits.
-fn find_refusal(now: Instant, ask: &Ask, accepting: bool, capacity: Capacity) -> Option<Reason> {
+fn find_refusal(
+    now: Instant,
+    ask: &PermitRequest,
+    accepting: bool,
+    capacity: Capacity,
+) -> Option<Reason> {
     if !accepting {
         return Some(Reason::NoTarget);
     }
@@ -132,32 +139,32 @@
 #[derive(Clone, Debug)]
 pub struct Fifo {
     capacity: Capacity,
-    granted: BTreeMap<Ticket, Ask>,
-    queue: VecDeque<(Ticket, Ask)>,
+    granted: BTreeMap<Ticket, PermitRequest>,
+    queue: VecDeque<(Ticket, PermitRequest)>,
     kv: size::Tokens,
     accepting: bool,
     next: Ticket,
 }
 
 impl Fifo {
-    fn fits(&self, ask: &Ask) -> bool {
+    fn fits(&self, ask: &PermitRequest) -> bool {
         self.granted.len() < self.capacity.streams as usize
             && self.kv + ask.cost.kv() <= self.capacity.kv
     }
 
-    fn grant(&mut self, ticket: Ticket, ask: Ask) {
+    fn grant(&mut self, ticket: Ticket, ask: PermitRequest) {
         self.kv += ask.cost.kv();
         self.granted.insert(ticket, ask);
     }
 }
 
 impl Limit for Fifo {
-    fn open(capacity: Capacity) -> Self {
+    fn new(capacity: Capacity) -> Self {
         let (granted, queue) = (BTreeMap::new(), VecDeque::new());
         Self { capacity, granted, queue, kv: size::Tokens(0), accepting: true, next: 1 }
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
+    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
         if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
@@ -191,7 +198,7 @@
 
     fn observe(&mut self, _now: Instant, _observed: &Observed, _streams: u32) {}
 
-    fn settle(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
+    fn complete(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
         if let Some(ask) = self.granted.remove(&ticket) {
             self.kv -= ask.cost.kv();
         }
@@ -215,7 +222,7 @@
             queued_long: size::Tokens(0),
             kv_used: self.kv,
             prefill_rate: None,
-            bound: self.capacity.streams,
+            stream_limit: self.capacity.streams,
             running: self.granted.len() as u32,
             waiting: self.queue.len() as u32,
         }
@@ -245,18 +252,18 @@
 #[derive(Clone, Debug)]
 pub struct Unbounded {
     capacity: Capacity,
-    running: BTreeMap<Ticket, Ask>,
+    running: BTreeMap<Ticket, PermitRequest>,
     reported: u32,
     accepting: bool,
     next: Ticket,
 }
 
 impl Limit for Unbounded {
-    fn open(capacity: Capacity) -> Self {
+    fn new(capacity: Capacity) -> Self {
         Self { capacity, running: BTreeMap::new(), reported: 0, accepting: true, next: 1 }
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
+    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
         if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
@@ -274,7 +281,7 @@
         self.reported = streams;
     }
 
-    fn settle(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
+    fn complete(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
         self.running.remove(&ticket);
     }
 
@@ -286,7 +293,7 @@
     fn set_shares(&mut self, _shares: &[(hickory_unit::id::Partner, f64)]) {}
 
     fn state(&self) -> State {
-        State { running: self.reported, bound: self.capacity.streams, ..State::default() }
+        State { running: self.reported, stream_limit: self.capacity.streams, ..State::default() }
     }
 
     fn priority(_lane: Lane) -> u8 {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,7 +10,6 @@
 //! [`survey`] is what logs say of a choice. [`baseline`] is what all this is
 //! measured against.
 
-pub mod ask;
 pub mod baseline;
 pub mod cost;
 pub mod ejection;
@@ -27,6 +26,7 @@
 pub mod membership;
 pub mod pace;
 pub mod pass;
+pub mod permit;
 pub mod place;
 pub mod plan;
 pub mod poison;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -5,10 +5,10 @@
 //! Load pattern: all nodes ask for the same target at once, short and long work
 //! mixed, while the target warms up, changes owner or leaves.
 
-pub use crate::ask::{Answer, Ask, Capacity, Observed, Outcome, Ticket, priority_of};
 use crate::fair::Queue;
 use crate::pace::Pace;
-use crate::ramp::{Cold, Ramp};
+pub use crate::permit::{Answer, Capacity, Observed, Outcome, PermitRequest, Ticket, priority_of};
+use crate::ramp::{ColdCause, Ramp};
 use crate::refuse::Reason;
 use crate::room::{Bound, Claim, Room};
 use hickory_unit::{id, size};
@@ -18,40 +18,40 @@
 /// A permit's life, counted by the asker from the moment it sent the ask. A
 /// new owner waits this long before its first grant, so that no permit of the
 /// former owner that it knows nothing of can still be used.
-pub const PERMIT_LIFE: Duration = Duration::from_secs(2);
+pub const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// How long after its deadline a permit's room is kept: the sender cancels at
 /// the deadline, and the cancel takes this long at most where it gets through
 /// at all. Without an end, an owner that never hears of the outcome would
 /// lose the room for good.
-pub const GRACE: Duration = Duration::from_secs(2);
+pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
 
 /// Asks that wait at most. At the least work of an ask, about 10 ms of an
 /// engine, more could not start within the greatest usual deadline.
-pub const QUEUE_BOUND: usize = 4_096;
+pub const MAX_QUEUE_LENGTH: usize = 4_096;
 
 /// How long room is held for an urgent long ask that was refused, or whose
 /// permit came back unused. Such an ask is one part of a prompt that needs
 /// several engines at once and can't queue at any; without held room short
 /// work would take each slot as it comes free and the prompt never start. Its
 /// node tries again within a second.
-pub const CLAIM_LIFE: Duration = Duration::from_secs(3);
+pub const CLAIM_LIFETIME: Duration = Duration::from_secs(3);
 
 /// The least time that a refused caller is told to stay away.
-pub(crate) const RETRY_LEAST: Duration = Duration::from_millis(500);
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+    pub(crate) request: PermitRequest,
     /// The time that it came with.
-    pub(crate) came_with: Duration,
+    pub(crate) initial_time_left: Duration,
     /// The last moment at which a start is in time, by the pace when it came.
-    pub(crate) latest: Instant,
+    pub(crate) latest_start: Instant,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
-    pub(crate) ask: Ask,
+    pub(crate) request: PermitRequest,
     pub(crate) at: Instant,
     /// The time to the first token that was to be expected.
     pub(crate) expected: Duration,
@@ -65,66 +65,66 @@
     pub(crate) room: Room,
     pub(crate) pace: Pace,
     pub(crate) queue: Queue,
-    pub(crate) asks: HashMap<Ticket, Waiting>,
-    pub(crate) alone: VecDeque<(Ticket, Instant)>,
+    pub(crate) waiting: HashMap<Ticket, Waiting>,
+    pub(crate) exclusive_queue: VecDeque<(Ticket, Instant)>,
     pub(crate) granted: HashMap<Ticket, Grant>,
     pub(crate) expiry: BTreeSet<(Instant, Ticket)>,
-    latest: BTreeSet<(Instant, Ticket)>,
+    latest_starts: BTreeSet<(Instant, Ticket)>,
     now: Option<Instant>,
-    pub(crate) hold: Option<Instant>,
+    pub(crate) grants_held_until: Option<Instant>,
     /// Room held for urgent long asks, and until when.
-    pub(crate) claimed: Option<(Claim, Instant)>,
-    confirmed: bool,
-    pub(crate) accepting: bool,
+    pub(crate) held_claim: Option<(Claim, Instant)>,
+    is_lease_confirmed: bool,
+    pub(crate) is_accepting: bool,
     /// Whether work failed on the target and no load report has come since.
     pub(crate) may_be_dead: bool,
-    pub(crate) queue_bound: usize,
-    pub(crate) shed: Option<Instant>,
-    next: Ticket,
+    pub(crate) max_queue_length: usize,
+    pub(crate) last_shed: Option<Instant>,
+    next_ticket: Ticket,
 }
 
 impl Limiter {
     /// A limiter for a cold target, with nothing granted.
-    pub fn open(capacity: Capacity) -> Self {
+    pub fn new(capacity: Capacity) -> Self {
         Self {
-            ramp: Ramp::open(capacity.streams),
+            ramp: Ramp::new(capacity.streams),
             pace: Pace::open(capacity.prefill_rate, capacity.streams),
             capacity,
             room: Room::default(),
             queue: Queue::open(),
-            asks: HashMap::new(),
-            alone: VecDeque::new(),
+            waiting: HashMap::new(),
+            exclusive_queue: VecDeque::new(),
             granted: HashMap::new(),
             expiry: BTreeSet::new(),
-            latest: BTreeSet::new(),
+            latest_starts: BTreeSet::new(),
             now: None,
-            hold: None,
-            claimed: None,
-            confirmed: true,
-            accepting: true,
+            grants_held_until: None,
+            held_claim: None,
+            is_lease_confirmed: true,
+            is_accepting: true,
             may_be_dead: false,
-            queue_bound: QUEUE_BOUND,
-            shed: None,
-            next: 1,
+            max_queue_length: MAX_QUEUE_LENGTH,
+            last_shed: None,
+            next_ticket: 1,
         }
     }
 
     /// As `open`, for an owner that takes the target over: nothing is granted
     /// within one permit life.
-    pub fn open_after_owner(now: Instant, capacity: Capacity) -> Self {
-        let hold = Some(now + PERMIT_LIFE);
-        Self { hold, ..Self::open(capacity) }
+    pub fn new_after_takeover(now: Instant, capacity: Capacity) -> Self {
+        let hold = Some(now + PERMIT_LIFETIME);
+        Self { grants_held_until: hold, ..Self::new(capacity) }
     }
 
     /// Sets how many asks may wait.
-    pub fn set_queue_bound(&mut self, bound: usize) {
-        self.queue_bound = bound;
+    pub fn set_max_queue_length(&mut self, bound: usize) {
+        self.max_queue_length = bound;
     }
 
     /// Replaces the partners' shares.
     pub fn set_shares(&mut self, shares: impl IntoIterator<Item = (id::Partner, f64)>) {
         self.queue.set_shares(shares);
-        self.shed = None;
+        self.last_shed = None;
     }
 
     /// Replaces the accounts' weights within their partners.
@@ -135,9 +135,9 @@
     /// Says whether the owner's lease is confirmed. While it is not, another
     /// owner may grant too: each keeps to half, so that both together stay
     /// within the bound.
-    pub fn set_confirmed(&mut self, now: Instant, confirmed: bool) {
+    pub fn set_lease_confirmed(&mut self, now: Instant, confirmed: bool) {
         self.advance(now);
-        self.confirmed = confirmed;
+        self.is_lease_confirmed = confirmed;
     }
 
     /// Says whether the target takes new work. Where its zone is out, it
@@ -145,27 +145,27 @@
     /// that their nodes can go elsewhere while there is time.
     pub fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
         self.advance(now);
-        self.accepting = accepting;
+        self.is_accepting = accepting;
         if accepting {
             return Vec::new();
         }
-        let mut tickets: Vec<Ticket> = self.asks.keys().copied().collect();
+        let mut tickets: Vec<Ticket> = self.waiting.keys().copied().collect();
         tickets.sort_unstable();
         for &ticket in &tickets {
-            self.forget(ticket);
+            self.dequeue(ticket);
         }
         tickets.into_iter().map(|ticket| (ticket, Reason::NoTarget)).collect()
     }
 
     /// Takes in a load report, which shows that the target lives; says why the
     /// target ramps anew, if it does.
-    pub fn observe(&mut self, now: Instant, observed: &Observed) -> Option<Cold> {
+    pub fn observe(&mut self, now: Instant, observed: &Observed) -> Option<ColdCause> {
         self.advance(now);
         self.may_be_dead = false;
-        self.room.set_foreign(observed.foreign, observed.foreign_kv);
+        self.room.set_foreign(observed.foreign_streams, observed.foreign_kv);
         for (ticket, left) in &observed.prefill_left {
             if let Some(grant) = self.granted.get(ticket) {
-                self.room.correct(*ticket, grant.ask.lane(), *left, self.capacity.prefill_rate);
+                self.room.correct(*ticket, grant.request.lane(), *left, self.capacity.prefill_rate);
             }
         }
         self.pace.set_warmth(observed.sample.warmth);
@@ -177,7 +177,7 @@
     /// Refused at once is what can't end before its deadline by what stands
     /// before it: the caller can use its time elsewhere, and the queue holds
     /// only work that will be of use.
-    pub fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
+    pub fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
         self.advance(now);
         if ask.deadline <= now {
             return Answer::Refused(Reason::Deadline, Duration::ZERO);
@@ -185,25 +185,25 @@
         if ask.cost.kv() > self.capacity.kv {
             return Answer::Refused(Reason::TooLong, Duration::ZERO);
         }
-        if !self.accepting || self.may_be_dead {
+        if !self.is_accepting || self.may_be_dead {
             return Answer::Refused(Reason::NoTarget, Duration::ZERO);
         }
         if let Some(refusal) = self.refuse_late(now, &ask) {
             return refusal;
         }
-        let ticket = self.next;
-        let urgent = ask.urgent;
-        self.next += 1;
+        let ticket = self.next_ticket;
+        let urgent = ask.is_urgent;
+        self.next_ticket += 1;
         self.enqueue(now, ticket, ask);
         if self.next_grant(now) == Some(ticket) || urgent && self.fits_claimed(now, ticket) {
             self.grant(now, ticket);
             return Answer::Granted(ticket);
         }
         if urgent {
-            if let Some(ask) = self.forget(ticket) {
+            if let Some(ask) = self.dequeue(ticket) {
                 self.keep_claim(now, &ask);
             }
-            return Answer::Refused(Reason::Overloaded, RETRY_LEAST);
+            return Answer::Refused(Reason::Overloaded, MIN_RETRY_AFTER);
         }
         Answer::Queued(ticket)
     }
@@ -212,16 +212,16 @@
     pub fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         self.advance(now);
         let mut answers = Vec::new();
-        while let Some(&(latest, ticket)) = self.latest.first() {
+        while let Some(&(latest, ticket)) = self.latest_starts.first() {
             if latest > now {
                 break;
             }
-            self.forget(ticket);
+            self.dequeue(ticket);
             answers.push((ticket, Err(Reason::Deadline)));
         }
         while let Some(ticket) = self.next_grant(now) {
             if self.is_late(now, ticket) {
-                self.forget(ticket);
+                self.dequeue(ticket);
                 answers.push((ticket, Err(Reason::Overloaded)));
                 continue;
             }
@@ -235,30 +235,30 @@
     /// When [`Self::poll`] may have something new to say, if nothing else
     /// happens before.
     pub fn next_poll(&self, now: Instant) -> Option<Instant> {
-        if self.asks.is_empty() {
+        if self.waiting.is_empty() {
             return self.expiry.first().map(|&(at, _)| at);
         }
-        let latest = self.latest.first().map(|&(at, _)| at);
+        let latest = self.latest_starts.first().map(|&(at, _)| at);
         let tick = now + Duration::from_millis(5);
-        latest.into_iter().chain([tick.max(self.hold.unwrap_or(tick))]).min()
+        latest.into_iter().chain([tick.max(self.grants_held_until.unwrap_or(tick))]).min()
     }
 
     /// Notes that the first token of a permit's work came.
-    pub fn start(&mut self, now: Instant, ticket: Ticket) {
+    pub fn record_first_token(&mut self, now: Instant, ticket: Ticket) {
         self.advance(now);
         if let Some(grant) = self.granted.get(&ticket) {
-            self.room.start(ticket, grant.ask.lane());
+            self.room.start(ticket, grant.request.lane());
         }
     }
 
     /// Takes back a permit, or takes an ask out of the queue, where nothing
     /// is known of how it went.
-    pub fn finish(&mut self, ticket: Ticket) {
-        self.forget(ticket);
-        if let (Some(grant), Some(now)) = (self.release(ticket), self.now)
-            && grant.ask.urgent
+    pub fn cancel(&mut self, ticket: Ticket) {
+        self.dequeue(ticket);
+        if let (Some(grant), Some(now)) = (self.remove_grant(ticket), self.now)
+            && grant.request.is_urgent
         {
-            self.keep_claim(now, &grant.ask);
+            self.keep_claim(now, &grant.request);
         }
     }
 
@@ -268,22 +268,27 @@
     /// After a failure nothing is granted until the next load report: a permit
     /// for a dead target costs an attempt, and a suspect that waited behind
     /// the request that killed the target would be blamed for the death.
-    pub fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) -> Option<Cold> {
+    pub fn complete(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        outcome: Outcome,
+    ) -> Option<ColdCause> {
         self.advance(now);
-        self.forget(ticket);
-        let grant = self.release(ticket)?;
+        self.dequeue(ticket);
+        let grant = self.remove_grant(ticket)?;
         match outcome {
-            Outcome::Dropped => None,
+            Outcome::Abandoned => None,
             Outcome::Failed => {
                 self.may_be_dead = true;
-                self.ramp.fail(now);
+                self.ramp.record_failure(now);
                 None
             }
-            Outcome::Whole(first_token) => {
+            Outcome::Completed(first_token) => {
                 let first = first_token.unwrap_or(grant.expected);
                 let decode = now.saturating_duration_since(grant.at).saturating_sub(first);
-                self.pace.learn_decode(grant.ask.cost.decode, decode);
-                self.ramp.succeed(now, first_token.map(|took| (took, grant.expected)))
+                self.pace.learn_decode(grant.request.cost.decode, decode);
+                self.ramp.record_success(now, first_token.map(|took| (took, grant.expected)))
             }
         }
     }
@@ -295,12 +300,12 @@
 
     /// Asks that wait.
     pub fn waiting(&self) -> usize {
-        self.asks.len()
+        self.waiting.len()
     }
 
     /// KV cache granted.
     pub fn kv_granted(&self) -> size::Tokens {
-        self.granted.values().map(|grant| grant.ask.cost.kv()).sum()
+        self.granted.values().map(|grant| grant.request.cost.kv()).sum()
     }
 
     /// KV cache in use, what others granted with it.
@@ -320,8 +325,8 @@
     }
 
     /// Streams that the target may hold at present.
-    pub fn bound(&self) -> u32 {
-        self.present_bound().slots
+    pub fn stream_limit(&self) -> u32 {
+        self.current_bound().slots
     }
 
     /// Prompt tokens a second at the target's present warmth.
@@ -330,19 +335,19 @@
     }
 
     /// The part of the full bound that the ramp has opened, from 0 to 1.
-    pub fn level(&self) -> f64 {
-        self.ramp.level()
+    pub fn ramp_fraction(&self) -> f64 {
+        self.ramp.ramp_fraction()
     }
 
     /// Whether the target takes new work.
-    pub fn accepting(&self) -> bool {
-        self.accepting
+    pub fn is_accepting(&self) -> bool {
+        self.is_accepting
     }
 
-    pub(crate) fn present_bound(&self) -> Bound {
-        let halves = if self.confirmed { 1 } else { 2 };
+    pub(crate) fn current_bound(&self) -> Bound {
+        let halves = if self.is_lease_confirmed { 1 } else { 2 };
         Bound {
-            slots: self.ramp.bound() / halves,
+            slots: self.ramp.stream_limit() / halves,
             kv: size::Tokens(self.capacity.kv.0 / u64::from(halves)),
             prefill_rate: self.pace.prefill_rate(),
         }
@@ -357,40 +362,43 @@
             if at > now {
                 break;
             }
-            self.release(ticket);
+            self.remove_grant(ticket);
         }
     }
 
-    fn enqueue(&mut self, now: Instant, ticket: Ticket, ask: Ask) {
+    fn enqueue(&mut self, now: Instant, ticket: Ticket, ask: PermitRequest) {
         let came_with = ask.deadline.saturating_duration_since(now);
         let time = self.pace.time_of(ask.cost, came_with);
         let latest = ask.deadline.checked_sub(time).unwrap_or(now).max(now);
-        self.latest.insert((latest, ticket));
-        if ask.alone {
-            self.alone.push_back((ticket, now));
+        self.latest_starts.insert((latest, ticket));
+        if ask.is_exclusive {
+            self.exclusive_queue.push_back((ticket, now));
         } else {
             let flow = (&ask.partner, &ask.account);
             self.queue.push(now, flow, ask.lane(), ask.cost.work(), ticket);
         }
-        self.asks.insert(ticket, Waiting { ask, came_with, latest });
+        self.waiting.insert(
+            ticket,
+            Waiting { request: ask, initial_time_left: came_with, latest_start: latest },
+        );
     }
 
     /// Takes an ask out of the queue.
-    pub(crate) fn forget(&mut self, ticket: Ticket) -> Option<Ask> {
-        let Waiting { ask, latest, .. } = self.asks.remove(&ticket)?;
+    pub(crate) fn dequeue(&mut self, ticket: Ticket) -> Option<PermitRequest> {
+        let Waiting { request: ask, latest_start: latest, .. } = self.waiting.remove(&ticket)?;
         self.queue.remove(ticket);
-        if ask.alone {
-            self.alone.retain(|&(queued, _)| queued != ticket);
+        if ask.is_exclusive {
+            self.exclusive_queue.retain(|&(queued, _)| queued != ticket);
         }
-        self.latest.remove(&(latest, ticket));
+        self.latest_starts.remove(&(latest, ticket));
         Some(ask)
     }
 
     /// Takes a permit back.
-    fn release(&mut self, ticket: Ticket) -> Option<Grant> {
+    fn remove_grant(&mut self, ticket: Ticket) -> Option<Grant> {
         let grant = self.granted.remove(&ticket)?;
-        self.room.remove(ticket, grant.ask.lane(), grant.ask.cost);
-        self.expiry.remove(&(grant.ask.deadline + GRACE, ticket));
+        self.room.remove(ticket, grant.request.lane(), grant.request.cost);
+        self.expiry.remove(&(grant.request.deadline + CANCEL_GRACE, ticket));
         Some(grant)
     }
 }
--- a/crates/policy/src/ask.rs
+++ b/crates/policy/src/permit.rs
@@ -20,7 +20,7 @@
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// The partner whose share pays.
     pub partner: id::Partner,
     /// The account.
@@ -32,12 +32,12 @@
     /// When the request must have ended.
     pub deadline: Instant,
     /// Runs beside no other request.
-    pub alone: bool,
+    pub is_exclusive: bool,
     /// Answer at once, never queue.
-    pub urgent: bool,
+    pub is_urgent: bool,
 }
 
-impl Ask {
+impl PermitRequest {
     /// The lane that the ask waits in.
     pub fn lane(&self) -> Lane {
         Lane { class: self.class, long: self.cost.is_long() }
@@ -72,7 +72,7 @@
     pub sample: Sample,
     /// Streams that this owner neither granted nor had granted within the
     /// lag of the report: a former owner's, or orphans.
-    pub foreign: u32,
+    pub foreign_streams: u32,
     /// KV cache that they and held handles use.
     pub foreign_kv: size::Tokens,
     /// Prompt tokens not prefilled yet, of granted tickets.
@@ -83,9 +83,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It is whole; the time to its first token, where one was measured.
-    Whole(Option<Duration>),
+    Completed(Option<Duration>),
     /// It was given up by its caller or its node; tells nothing of the target.
-    Dropped,
+    Abandoned,
     /// The target refused it, failed or stalled.
     Failed,
 }
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -10,7 +10,7 @@
 
 /// Streams that a cold target is given: one would tell nothing of how it
 /// bears work side by side, and a cold target can take a little.
-pub const COLD_BOUND: u32 = 2;
+pub const COLD_STREAM_LIMIT: u32 = 2;
 
 /// The least time between two doublings. Work that was let in by the last
 /// one needs this long to show in latency and failures.
@@ -52,7 +52,7 @@
 
 /// Why a target ramps anew.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Hash)]
-pub enum Cold {
+pub enum ColdCause {
     /// The process is another one.
     #[display("restarted")]
     Restarted,
@@ -81,10 +81,10 @@
 
 impl Ramp {
     /// A cold target that bears `full` streams when warm.
-    pub fn open(full: u32) -> Self {
+    pub fn new(full: u32) -> Self {
         Self {
             full,
-            grown: COLD_BOUND.min(full),
+            grown: COLD_STREAM_LIMIT.min(full),
             last: None,
             hit_rate: None,
             successes: 0,
@@ -94,14 +94,14 @@
     }
 
     /// Streams that the target may be given now.
-    pub fn bound(&self) -> u32 {
+    pub fn stream_limit(&self) -> u32 {
         let warm = self.last.map_or(self.full, |sample| warm_part(self.full, sample.warmth));
         self.grown.min(warm)
     }
 
     /// The part of the full bound that is open, from 0 to 1.
-    pub fn level(&self) -> f64 {
-        f64::from(self.bound()) / f64::from(self.full.max(1))
+    pub fn ramp_fraction(&self) -> f64 {
+        f64::from(self.stream_limit()) / f64::from(self.full.max(1))
     }
 
     /// Takes in a load report; says why the target ramps anew, if it does.
@@ -109,7 +109,7 @@
     /// The first report of a target that was warm before this owner came
     /// opens half of what it says at once: the other half waits for the
     /// owner's own experience.
-    pub fn observe(&mut self, now: Instant, sample: Sample) -> Option<Cold> {
+    pub fn observe(&mut self, now: Instant, sample: Sample) -> Option<ColdCause> {
         let Some(last) = self.last.replace(sample) else {
             self.grown = self.grown.max(warm_part(self.full, sample.warmth) / 2);
             self.stepped = Some(now);
@@ -117,7 +117,9 @@
         };
         let cold = self.find_cold(last, sample);
         match cold {
-            Some(Cold::Restarted | Cold::WarmthFell) => self.restart(now, COLD_BOUND),
+            Some(ColdCause::Restarted | ColdCause::WarmthFell) => {
+                self.restart(now, COLD_STREAM_LIMIT)
+            }
             Some(_) => self.restart(now, self.full / 4),
             None => self.grow_on_report(now, sample),
         }
@@ -126,18 +128,18 @@
 
     /// Work ended well; `first_token` is what it took and what it should
     /// have taken.
-    pub fn succeed(
+    pub fn record_success(
         &mut self,
         now: Instant,
         first_token: Option<(Duration, Duration)>,
-    ) -> Option<Cold> {
+    ) -> Option<ColdCause> {
         if let Some((took, expected)) = first_token {
             let late = took > (expected * LATE_FACTOR).max(LATE_LEAST);
             self.late = if late { self.late + 1 } else { 0 };
         }
         if self.late >= LATE_IN_A_ROW {
-            self.restart(now, (self.grown / 4).max(COLD_BOUND));
-            return Some(Cold::LatencyLeapt);
+            self.restart(now, (self.grown / 4).max(COLD_STREAM_LIMIT));
+            return Some(ColdCause::LatencyLeapt);
         }
         self.successes += 1;
         if self.successes >= self.grown && self.may_step(now, STEP) {
@@ -148,19 +150,19 @@
 
     /// The target failed or refused: half of the bound, and no growth before
     /// new successes.
-    pub fn fail(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.restart(now, self.grown / 2);
     }
 
-    fn find_cold(&mut self, last: Sample, sample: Sample) -> Option<Cold> {
+    fn find_cold(&mut self, last: Sample, sample: Sample) -> Option<ColdCause> {
         if last.incarnation != sample.incarnation {
             self.hit_rate = None;
-            return Some(Cold::Restarted);
+            return Some(ColdCause::Restarted);
         }
         if sample.warmth.saturating_add(WARMTH_FALL) <= last.warmth {
-            return Some(Cold::WarmthFell);
+            return Some(ColdCause::WarmthFell);
         }
-        self.cache_emptied(last, sample).then_some(Cold::CacheEmptied)
+        self.cache_emptied(last, sample).then_some(ColdCause::CacheEmptied)
     }
 
     fn cache_emptied(&mut self, last: Sample, sample: Sample) -> bool {
@@ -207,5 +209,5 @@
 /// The part of `full` that a target of this warmth bears, at least one.
 fn warm_part(full: u32, warmth: u8) -> u32 {
     let part = u64::from(full) * u64::from(warmth.min(100)) / 100;
-    (part as u32).max(COLD_BOUND).min(full)
+    (part as u32).max(COLD_STREAM_LIMIT).min(full)
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Try another target.
-    Again(RetryReason),
+    Retry(RetryReason),
     /// Refuse; whether it ran is as said.
     Stop(Ran),
 }
@@ -89,7 +89,7 @@
     if attempt + 1 >= MAX_ATTEMPTS || !(never_ran || idempotent) {
         return Verdict::Stop(ran);
     }
-    Verdict::Again(match failure {
+    Verdict::Retry(match failure {
         Failure::NotSent => RetryReason::NotSent,
         Failure::NeverBegun => RetryReason::Refused,
         Failure::Unknown => RetryReason::TargetFailed,
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -5,7 +5,7 @@
 use common::{ask, batch, cost, granted, ms, observed, ticket, warm};
 use hickory_policy::cost::Class;
 use hickory_policy::fair::BATCH_AGE;
-use hickory_policy::limit::{Answer, Ask, Capacity, GRACE, Limiter, Outcome};
+use hickory_policy::limit::{Answer, CANCEL_GRACE, Capacity, Limiter, Outcome, PermitRequest};
 use hickory_unit::size;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -25,26 +25,26 @@
     fn limiter_never_exceeds_its_bound(ops in prop::collection::vec((0u8..10, 0usize..8, 1u64..90_000), 1..300)) {
         let capacity = Capacity { streams: 6, kv: size::Tokens(100_000), prefill_rate: 40_000 };
         let mut now = Instant::now();
-        let mut limiter = Limiter::open(capacity);
-        let mut queued: BTreeMap<u64, Ask> = BTreeMap::new();
-        let mut running: BTreeMap<u64, Ask> = BTreeMap::new();
+        let mut limiter = Limiter::new(capacity);
+        let mut queued: BTreeMap<u64, PermitRequest> = BTreeMap::new();
+        let mut running: BTreeMap<u64, PermitRequest> = BTreeMap::new();
         for (op, which, size) in ops {
             now += ms(size % 900);
-            running.retain(|_, ask| ask.deadline + GRACE > now);
+            running.retain(|_, ask| ask.deadline + CANCEL_GRACE > now);
             let before = running.len();
             match op {
                 0..=4 => {
-                    let ask = Ask {
+                    let ask = PermitRequest {
                         cost: cost(size, size % 100),
                         class: if which % 2 == 0 { Class::Interactive } else { Class::Batch },
-                        alone: which == 7,
-                        urgent: which == 6,
+                        is_exclusive: which == 7,
+                        is_urgent: which == 6,
                         deadline: now + ms(size % 40_000),
                         ..ask(now, ["a", "b", "c"][which % 3], 0)
                     };
-                    match limiter.ask(now, ask.clone()) {
+                    match limiter.request_permit(now, ask.clone()) {
                         Answer::Granted(t) => prop_assert!(running.insert(t, ask).is_none()),
-                        Answer::Queued(t) => prop_assert!(!ask.urgent && queued.insert(t, ask).is_none()),
+                        Answer::Queued(t) => prop_assert!(!ask.is_urgent && queued.insert(t, ask).is_none()),
                         Answer::Refused(..) => {}
                     }
                 }
@@ -52,17 +52,17 @@
                     let key = running.keys().nth(which).copied();
                     if let Some(t) = key {
                         running.remove(&t);
-                        limiter.settle(now, t, Outcome::Whole(None));
+                        limiter.complete(now, t, Outcome::Completed(None));
                     }
                 }
                 6 => {
                     if let Some(t) = queued.keys().nth(which).copied() {
                         queued.remove(&t);
-                        limiter.finish(t);
+                        limiter.cancel(t);
                     }
                 }
                 7 => drop(limiter.observe(now, &observed(which as u64 / 7, (size % 101) as u8))),
-                8 => limiter.set_confirmed(now, which % 2 == 0),
+                8 => limiter.set_lease_confirmed(now, which % 2 == 0),
                 _ => {
                     for (t, _) in limiter.set_accepting(now, which % 4 != 0) {
                         prop_assert!(queued.remove(&t).is_some());
@@ -77,10 +77,10 @@
                 }
             }
             prop_assert_eq!((limiter.running(), limiter.waiting()), (running.len(), queued.len()));
-            prop_assert!(running.len() <= before.max(limiter.bound() as usize));
+            prop_assert!(running.len() <= before.max(limiter.stream_limit() as usize));
             let kv: size::Tokens = running.values().map(|ask| ask.cost.kv()).sum();
             prop_assert!(kv <= capacity.kv);
-            prop_assert!(running.len() <= 1 || running.values().all(|ask| !ask.alone));
+            prop_assert!(running.len() <= 1 || running.values().all(|ask| !ask.is_exclusive));
         }
         now += Duration::from_secs(50);
         limiter.poll(now);
@@ -94,21 +94,21 @@
     fn batch_starts_by_its_age(load in 1usize..6, size in 100u64..4_000) {
         let (mut now, mut limiter) = warm(Instant::now(), NARROW);
         let mut running = std::collections::VecDeque::new();
-        let mut ask_for = |limiter: &mut Limiter, now, ask| match limiter.ask(now, ask) {
+        let mut ask_for = |limiter: &mut Limiter, now, ask| match limiter.request_permit(now, ask) {
             Answer::Granted(t) => running.push_back(t),
             Answer::Queued(_) | Answer::Refused(..) => {}
         };
         (0..8).for_each(|_| ask_for(&mut limiter, now, ask(now, "mawe", size)));
         let asked = now;
-        let waits = ticket(limiter.ask(now, batch(now, "mawe", size)));
+        let waits = ticket(limiter.request_permit(now, batch(now, "mawe", size)));
         loop {
             now += ms(100);
             prop_assert!(now <= asked + BATCH_AGE + ms(1_000), "the batch ask starved");
             for _ in 0..load {
-                limiter.ask(now, ask(now, "mawe", size));
+                limiter.request_permit(now, ask(now, "mawe", size));
             }
             if let Some(t) = running.pop_front() {
-                limiter.settle(now, t, Outcome::Whole(None));
+                limiter.complete(now, t, Outcome::Completed(None));
             }
             let got = granted(&mut limiter, now);
             if got.contains(&waits) {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 use hickory_policy::cost::{Class, Cost};
-use hickory_policy::limit::{Answer, Ask, Capacity, Limiter, Observed, Ticket};
+use hickory_policy::limit::{Answer, Capacity, Limiter, Observed, PermitRequest, Ticket};
 use hickory_policy::ramp::Sample;
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
@@ -19,20 +19,20 @@
 }
 
 /// An interactive ask with a minute of time.
-pub fn ask(now: Instant, partner: &str, prefill: u64) -> Ask {
-    Ask {
+pub fn ask(now: Instant, partner: &str, prefill: u64) -> PermitRequest {
+    PermitRequest {
         partner: partner.into(),
         account: format!("{partner}-account").as_str().into(),
         class: Class::Interactive,
         cost: cost(prefill, 32),
         deadline: now + Duration::from_secs(60),
-        alone: false,
-        urgent: false,
+        is_exclusive: false,
+        is_urgent: false,
     }
 }
 
-pub fn batch(now: Instant, partner: &str, prefill: u64) -> Ask {
-    Ask { class: Class::Batch, ..ask(now, partner, prefill) }
+pub fn batch(now: Instant, partner: &str, prefill: u64) -> PermitRequest {
+    PermitRequest { class: Class::Batch, ..ask(now, partner, prefill) }
 }
 
 pub fn sample(incarnation: u64, warmth: u8) -> Sample {
@@ -42,7 +42,7 @@
 pub fn observed(incarnation: u64, warmth: u8) -> Observed {
     Observed {
         sample: sample(incarnation, warmth),
-        foreign: 0,
+        foreign_streams: 0,
         foreign_kv: size::Tokens(0),
         prefill_left: Vec::new(),
     }
@@ -50,9 +50,9 @@
 
 /// A limiter of a target whose ramp is over.
 pub fn warm(now: Instant, capacity: Capacity) -> (Instant, Limiter) {
-    let mut limiter = Limiter::open(capacity);
+    let mut limiter = Limiter::new(capacity);
     let mut now = now;
-    while limiter.bound() < capacity.streams {
+    while limiter.stream_limit() < capacity.streams {
         limiter.observe(now, &observed(1, 100));
         now += Duration::from_secs(1);
     }
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -4,7 +4,7 @@
 
 use common::{CAPACITY, ask, batch, cost, granted, ms, observed, ticket, warm};
 use hickory_policy::limit::{
-    Answer, Ask, Capacity, GRACE, Limiter, Observed, Outcome, PERMIT_LIFE,
+    Answer, CANCEL_GRACE, Capacity, Limiter, Observed, Outcome, PERMIT_LIFETIME, PermitRequest,
 };
 use hickory_policy::refuse::Reason;
 use hickory_unit::size;
@@ -26,9 +26,9 @@
         let mut total = 0;
         for _ in 0..2 {
             let (now, mut owner) = warm(start, capacity);
-            owner.set_confirmed(now, false);
+            owner.set_lease_confirmed(now, false);
             for _ in 0..100 {
-                owner.ask(now, ask(now, "mawe", 10));
+                owner.request_permit(now, ask(now, "mawe", 10));
             }
             total += owner.running();
         }
@@ -43,10 +43,10 @@
 #[test]
 fn new_owner_waits_one_permit_life() {
     let now = Instant::now();
-    let mut limiter = Limiter::open_after_owner(now, CAPACITY);
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 500)));
-    assert_eq!(granted(&mut limiter, now + PERMIT_LIFE - ms(1)), []);
-    assert_eq!(granted(&mut limiter, now + PERMIT_LIFE), [waits]);
+    let mut limiter = Limiter::new_after_takeover(now, CAPACITY);
+    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME - ms(1)), []);
+    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waits]);
 }
 
 /// The load report shows streams that a former owner granted. They run on,
@@ -54,10 +54,11 @@
 #[test]
 fn streams_of_a_former_owner_count() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let foreign = Observed { foreign: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
+    let foreign =
+        Observed { foreign_streams: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
     limiter.observe(now, &foreign);
-    limiter.ask(now, ask(now, "mawe", 10));
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 10)));
+    limiter.request_permit(now, ask(now, "mawe", 10));
+    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
     assert_eq!((limiter.running(), limiter.waiting()), (1, 1));
     limiter.observe(now + ms(10), &observed(1, 100));
     assert_eq!(granted(&mut limiter, now + ms(10)), [waits]);
@@ -68,13 +69,13 @@
 #[test]
 fn permit_without_outcome_expires() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let short = Ask { deadline: now + ms(3_000), ..ask(now, "mawe", 10) };
+    let short = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 10) };
     for _ in 0..4 {
-        limiter.ask(now, short.clone());
+        limiter.request_permit(now, short.clone());
     }
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 10)));
-    assert_eq!(granted(&mut limiter, now + ms(2_999) + GRACE), []);
-    assert_eq!(granted(&mut limiter, now + ms(3_000) + GRACE), [waits]);
+    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    assert_eq!(granted(&mut limiter, now + ms(2_999) + CANCEL_GRACE), []);
+    assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waits]);
 }
 
 /// A suspect of a crash asks to run alone beside a busy target. It must run
@@ -83,15 +84,17 @@
 #[test]
 fn alone_runs_beside_no_other() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let before = ticket(limiter.ask(now, ask(now, "mawe", 10)));
-    let suspect = ticket(limiter.ask(now, Ask { alone: true, ..ask(now, "mawe", 10) }));
+    let before = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let suspect = ticket(
+        limiter.request_permit(now, PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) }),
+    );
     let now = now + ms(1_500);
-    let behind = ticket(limiter.ask(now, ask(now, "caucao", 10)));
+    let behind = ticket(limiter.request_permit(now, ask(now, "caucao", 10)));
     assert_eq!(granted(&mut limiter, now), [], "the suspect has waited long enough");
-    limiter.finish(before);
+    limiter.cancel(before);
     assert_eq!(granted(&mut limiter, now), [suspect]);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
-    limiter.finish(suspect);
+    limiter.cancel(suspect);
     assert_eq!(granted(&mut limiter, now + ms(100)), [behind]);
 }
 
@@ -102,14 +105,14 @@
 #[test]
 fn nothing_is_granted_after_a_death_until_the_target_reports() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let suspect = |now| Ask { alone: true, ..ask(now, "mawe", 10) };
-    let crashing = ticket(limiter.ask(now, suspect(now)));
-    let innocent = ticket(limiter.ask(now, suspect(now)));
-    limiter.settle(now, crashing, Outcome::Failed);
+    let suspect = |now| PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) };
+    let crashing = ticket(limiter.request_permit(now, suspect(now)));
+    let innocent = ticket(limiter.request_permit(now, suspect(now)));
+    limiter.complete(now, crashing, Outcome::Failed);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
     for urgent in [false, true] {
-        let elsewhere = Ask { urgent, ..ask(now, "caucao", 10) };
-        let answer = limiter.ask(now + ms(100), elsewhere);
+        let elsewhere = PermitRequest { is_urgent: urgent, ..ask(now, "caucao", 10) };
+        let answer = limiter.request_permit(now + ms(100), elsewhere);
         assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     }
     assert_eq!((limiter.running(), limiter.waiting()), (0, 1));
@@ -123,16 +126,17 @@
 #[test]
 fn target_that_stops_accepting_answers_its_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let tickets: Vec<_> = (0..9).map(|_| ticket(limiter.ask(now, ask(now, "mawe", 10)))).collect();
+    let tickets: Vec<_> =
+        (0..9).map(|_| ticket(limiter.request_permit(now, ask(now, "mawe", 10)))).collect();
     let refused = limiter.set_accepting(now, false);
     assert_eq!(refused, tickets[4..].iter().map(|&t| (t, Reason::NoTarget)).collect::<Vec<_>>());
-    let answer = limiter.ask(now, ask(now, "mawe", 10));
+    let answer = limiter.request_permit(now, ask(now, "mawe", 10));
     assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     assert_eq!(limiter.running(), 4, "what runs is not cut");
-    tickets[..4].iter().for_each(|&t| limiter.finish(t));
+    tickets[..4].iter().for_each(|&t| limiter.cancel(t));
     assert_eq!(granted(&mut limiter, now), []);
     limiter.set_accepting(now, true);
-    assert!(matches!(limiter.ask(now, ask(now, "mawe", 10)), Answer::Granted(_)));
+    assert!(matches!(limiter.request_permit(now, ask(now, "mawe", 10)), Answer::Granted(_)));
 }
 
 /// At about twice the load the target bears, callers with 3 s of time are
@@ -146,8 +150,8 @@
     for _ in 0..4_000 {
         now += ms(5);
         // 60,000 prompt tokens a second, where the engine has 30,000.
-        let ask = Ask { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
-        match limiter.ask(now, ask) {
+        let ask = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
+        match limiter.request_permit(now, ask) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(reason, wait) => {
@@ -164,7 +168,7 @@
         }
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(480)).count();
         for (_, t) in running.drain(..ended) {
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
             whole += 1;
         }
     }
@@ -191,8 +195,8 @@
         for partner in ["mawe", "caucao"] {
             let size = if partner == "mawe" { 1_000 } else { 1_000 + step * 7_919 % 4_000 };
             let deadline = now + ms(30_000);
-            let ask = Ask { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
-            match limiter.ask(now, ask.clone()) {
+            let ask = PermitRequest { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
+            match limiter.request_permit(now, ask.clone()) {
                 Answer::Granted(t) => {
                     asks.insert(t, ask);
                     running.push((now, t));
@@ -214,7 +218,7 @@
         for (at, t) in running.extract_if(.., |(at, _)| now >= *at + ms(5_000)) {
             let ask = &asks[&t];
             assert!(step < 3_000 || at + ms(5_000) <= ask.deadline, "cut off half done");
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
             if step > 8_000 {
                 *whole.entry(ask.partner.to_string()).or_default() += ask.cost.work() as f64;
             }
@@ -231,13 +235,16 @@
 #[test]
 fn ask_that_a_slower_pace_makes_late_is_not_begun() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let slow = Ask { cost: cost(10, 64), ..ask(now, "mawe", 0) };
-    let running: Vec<_> = (0..4).map(|_| ticket(limiter.ask(now, slow.clone()))).collect();
-    let waits = Ask { deadline: now + ms(6_000), ..slow };
-    let Answer::Queued(waits) = limiter.ask(now, waits) else { panic!("no slot is free") };
+    let slow = PermitRequest { cost: cost(10, 64), ..ask(now, "mawe", 0) };
+    let running: Vec<_> =
+        (0..4).map(|_| ticket(limiter.request_permit(now, slow.clone()))).collect();
+    let waits = PermitRequest { deadline: now + ms(6_000), ..slow };
+    let Answer::Queued(waits) = limiter.request_permit(now, waits) else {
+        panic!("no slot is free")
+    };
     let now = now + ms(4_800);
     for t in running {
-        limiter.settle(now, t, Outcome::Whole(None));
+        limiter.complete(now, t, Outcome::Completed(None));
     }
     assert_eq!(limiter.poll(now), [(waits, Err(Reason::Overloaded))]);
 }
@@ -247,13 +254,13 @@
 #[test]
 fn flooding_partner_does_not_shut_out_the_other() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    limiter.set_queue_bound(100);
-    let flood = (0..300).map(|_| limiter.ask(now, ask(now, "mawe", 10)));
+    limiter.set_max_queue_length(100);
+    let flood = (0..300).map(|_| limiter.request_permit(now, ask(now, "mawe", 10)));
     let refused = flood.filter(|a| matches!(a, Answer::Refused(Reason::Overloaded, _))).count();
     assert_eq!((refused, limiter.waiting()), (196, 100));
-    assert!(matches!(limiter.ask(now, ask(now, "caucao", 10)), Answer::Queued(_)));
-    let urgent = Ask { urgent: true, ..ask(now, "caucao", 10) };
-    assert!(matches!(limiter.ask(now, urgent), Answer::Refused(Reason::Overloaded, _)));
+    assert!(matches!(limiter.request_permit(now, ask(now, "caucao", 10)), Answer::Queued(_)));
+    let urgent = PermitRequest { is_urgent: true, ..ask(now, "caucao", 10) };
+    assert!(matches!(limiter.request_permit(now, urgent), Answer::Refused(Reason::Overloaded, _)));
     assert_eq!(limiter.waiting(), 101);
 }
 
@@ -266,9 +273,10 @@
         let (start, mut limiter) = warm(Instant::now(), CAPACITY);
         let deadline = start + Duration::from_secs(3_600);
         let mut now = start;
-        let first = limiter.ask(start, Ask { deadline, ..batch(start, "mawe", size) });
+        let first =
+            limiter.request_permit(start, PermitRequest { deadline, ..batch(start, "mawe", size) });
         for _ in 1..100 {
-            limiter.ask(start, Ask { deadline, ..batch(start, "mawe", size) });
+            limiter.request_permit(start, PermitRequest { deadline, ..batch(start, "mawe", size) });
         }
         // A long prefill takes 3 s here, and ends when its first token comes.
         let mut prefills = vec![(start + ms(3_000), ticket(first))];
@@ -276,11 +284,11 @@
             now += ms(50);
             prefills.extend(granted(&mut limiter, now).into_iter().map(|t| (now + ms(3_000), t)));
             let over = prefills.extract_if(.., |(at, _)| *at <= now);
-            over.for_each(|(_, t)| limiter.start(now, t));
+            over.for_each(|(_, t)| limiter.record_first_token(now, t));
         }
         assert_eq!(limiter.running(), running);
         let question = ask(now, "caucao", 1_000);
-        assert!(matches!(limiter.ask(now, question), Answer::Granted(_)));
+        assert!(matches!(limiter.request_permit(now, question), Answer::Granted(_)));
     }
 }
 
@@ -293,8 +301,8 @@
     let (mut now, mut limiter) = warm(Instant::now(), capacity);
     let short = |now| ask(now, "caucao", 2_400);
     let mut running: std::collections::VecDeque<_> =
-        (0..41).map(|_| ticket(limiter.ask(now, short(now)))).collect();
-    let Answer::Queued(long) = limiter.ask(now, ask(now, "mawe", 60_000)) else {
+        (0..41).map(|_| ticket(limiter.request_permit(now, short(now)))).collect();
+    let Answer::Queued(long) = limiter.request_permit(now, ask(now, "mawe", 60_000)) else {
         panic!("the memory is full")
     };
     let asked = now;
@@ -302,7 +310,7 @@
     loop {
         now += ms(25);
         assert!(now < asked + ms(5_000), "the long ask starved");
-        limiter.ask(now, short(now));
+        limiter.request_permit(now, short(now));
         let got = granted(&mut limiter, now);
         if got.contains(&long) {
             break;
@@ -310,7 +318,7 @@
         short_runs += got.len();
         running.extend(got);
         if let Some(t) = running.pop_front() {
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
         }
     }
     assert!(short_runs > 30);
@@ -326,8 +334,8 @@
     let mut refused = 0;
     for _ in 0..4_000 {
         now += ms(10);
-        let ask = Ask { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
-        match limiter.ask(now, ask) {
+        let ask = PermitRequest { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
+        match limiter.request_permit(now, ask) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(..) => refused += 1,
@@ -341,7 +349,7 @@
         // 64 slots of 2 s each: 32 a second where 100 arrive.
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(2_000)).count();
         for (_, t) in running.drain(..ended) {
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
         }
     }
     assert!(refused > 0 && late * 10 <= refused, "{late} late beside {refused} refused");
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -4,7 +4,7 @@
 
 use common::{ask, granted, ms, observed, sample, ticket, warm};
 use hickory_policy::limit::{Answer, Limiter, Outcome};
-use hickory_policy::ramp::{COLD_BOUND, Cold, Ramp};
+use hickory_policy::ramp::{COLD_STREAM_LIMIT, ColdCause, Ramp};
 use std::time::{Duration, Instant};
 
 /// Callers of all nodes send 200 requests at a target that has just started.
@@ -14,11 +14,11 @@
 #[test]
 fn burst_on_cold_target_stays_under_its_warmth() {
     let mut now = Instant::now();
-    let mut limiter = Limiter::open(common::CAPACITY);
+    let mut limiter = Limiter::new(common::CAPACITY);
     let mut running: Vec<(Instant, u64)> = Vec::new();
     let mut started = 0;
     for _ in 0..200 {
-        if let Answer::Granted(t) = limiter.ask(now, ask(now, "mawe", 500)) {
+        if let Answer::Granted(t) = limiter.request_permit(now, ask(now, "mawe", 500)) {
             running.push((now, t));
         }
     }
@@ -28,7 +28,7 @@
             limiter.observe(now, &observed(1, warmth));
         }
         running.extend(granted(&mut limiter, now).into_iter().map(|t| (now, t)));
-        let bears = (64 * usize::from(warmth) / 100).max(COLD_BOUND as usize);
+        let bears = (64 * usize::from(warmth) / 100).max(COLD_STREAM_LIMIT as usize);
         assert!(running.len() <= bears, "{} streams at warmth {warmth}", running.len());
         now += ms(20);
         let (ended, rest): (Vec<_>, Vec<_>) =
@@ -36,7 +36,7 @@
         running = rest;
         started += ended.len();
         for (_, t) in ended {
-            limiter.settle(now, t, Outcome::Whole(Some(ms(30))));
+            limiter.complete(now, t, Outcome::Completed(Some(ms(30))));
         }
     }
     assert_eq!((started, limiter.waiting()), (200, 0));
@@ -48,24 +48,26 @@
 #[test]
 fn new_owner_of_warm_target_opens_half() {
     let now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
-    assert_eq!(ramp.bound(), 32);
+    assert_eq!(ramp.stream_limit(), 32);
     ramp.observe(now + ms(1_000), sample(1, 100));
-    assert_eq!(ramp.bound(), 64);
+    assert_eq!(ramp.stream_limit(), 64);
 }
 
 /// A warm target restarts between two reports, or loses its warmth within
 /// the same incarnation: callers must not meet it with the full bound.
 #[test]
 fn restart_and_fall_of_warmth_ramp_anew() {
-    for (next, cold) in [(sample(2, 10), Cold::Restarted), (sample(1, 40), Cold::WarmthFell)] {
+    for (next, cold) in
+        [(sample(2, 10), ColdCause::Restarted), (sample(1, 40), ColdCause::WarmthFell)]
+    {
         let now = Instant::now();
-        let mut ramp = Ramp::open(64);
+        let mut ramp = Ramp::new(64);
         ramp.observe(now, sample(1, 100));
         ramp.observe(now + ms(1_000), sample(1, 100));
         assert_eq!(ramp.observe(now + ms(2_000), next), Some(cold));
-        assert_eq!(ramp.bound(), COLD_BOUND);
+        assert_eq!(ramp.stream_limit(), COLD_STREAM_LIMIT);
     }
 }
 
@@ -74,13 +76,13 @@
 #[test]
 fn leap_of_first_token_ramps_anew() {
     let now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
     let late = Some((ms(900), ms(90)));
     let fine = Some((ms(90), ms(90)));
-    let seen = [late, fine, late, late, late].map(|first| ramp.succeed(now, first));
-    assert_eq!(seen, [None, None, None, None, Some(Cold::LatencyLeapt)]);
-    assert_eq!(ramp.bound(), 8);
+    let seen = [late, fine, late, late, late].map(|first| ramp.record_success(now, first));
+    assert_eq!(seen, [None, None, None, None, Some(ColdCause::LatencyLeapt)]);
+    assert_eq!(ramp.stream_limit(), 8);
 }
 
 /// The prefix cache served half of the tokens and now serves none: the
@@ -88,7 +90,7 @@
 #[test]
 fn vanished_cache_hits_ramp_anew() {
     let mut now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     let mut last = sample(1, 100);
     for _ in 0..4 {
         ramp.observe(now, last);
@@ -100,8 +102,8 @@
     last.cache_misses -= 40_000;
     assert_eq!(ramp.observe(now, last), None, "10,000 tokens are too few to judge");
     last.cache_misses += 60_000;
-    assert_eq!(ramp.observe(now, last), Some(Cold::CacheEmptied));
-    assert_eq!(ramp.bound(), 16);
+    assert_eq!(ramp.observe(now, last), Some(ColdCause::CacheEmptied));
+    assert_eq!(ramp.stream_limit(), 16);
 }
 
 /// A failure halves the bound. The target then reports that it is cold: the
@@ -109,13 +111,13 @@
 #[test]
 fn failure_halves_the_bound() {
     let (now, mut limiter) = warm(Instant::now(), common::CAPACITY);
-    let t = ticket(limiter.ask(now, ask(now, "mawe", 500)));
-    limiter.settle(now, t, Outcome::Failed);
-    assert_eq!(limiter.bound(), 32);
+    let t = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    limiter.complete(now, t, Outcome::Failed);
+    assert_eq!(limiter.stream_limit(), 32);
     limiter.observe(now, &observed(1, 30));
-    assert_eq!(limiter.bound(), COLD_BOUND);
+    assert_eq!(limiter.stream_limit(), COLD_STREAM_LIMIT);
     for second in 1..60 {
         limiter.observe(now + Duration::from_secs(second), &observed(1, 30));
     }
-    assert_eq!(limiter.bound(), 64 * 30 / 100);
+    assert_eq!(limiter.stream_limit(), 64 * 30 / 100);
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CAPACITY, ask, batch, cost, ms, warm};
-use hickory_policy::limit::{Answer, Ask, Limiter, Outcome, Ticket};
+use hickory_policy::limit::{Answer, Limiter, Outcome, PermitRequest, Ticket};
 use hickory_policy::place::{Candidate, hash_target};
 use hickory_policy::reserve::{Impossible, Part, Reservation, Step, back_off, plan_parts};
 use hickory_unit::{id, size};
@@ -96,14 +96,14 @@
         Step::Ask(part) => part,
     };
     let limiter = limiters.get_mut(&part.target).expect("known");
-    let wanted = Ask { cost: part.cost, urgent: true, ..batch(now, "mawe", 0) };
-    let granted = match limiter.ask(now, wanted) {
+    let wanted = PermitRequest { cost: part.cost, is_urgent: true, ..batch(now, "mawe", 0) };
+    let granted = match limiter.request_permit(now, wanted) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
         Answer::Queued(_) => panic!("an urgent ask was queued"),
     };
     for (target, ticket) in reservation.answer(granted) {
-        limiters.get_mut(&target).expect("known").finish(ticket);
+        limiters.get_mut(&target).expect("known").cancel(ticket);
     }
     None
 }
@@ -137,7 +137,7 @@
             prop_assert!(turns < 5_000, "a reservation starved");
             now += ms(20);
             limiters.values_mut().for_each(|limiter| {
-                limiter.ask(now, Ask { deadline: now + ms(400), ..ask(now, "caucao", 500) });
+                limiter.request_permit(now, PermitRequest { deadline: now + ms(400), ..ask(now, "caucao", 500) });
                 limiter.poll(now);
             });
             let Some(reservation) = open[who].as_mut().filter(|_| wake[who] <= now) else { continue };
@@ -145,7 +145,7 @@
                 prop_assert_eq!(held.len(), 3);
                 for (part, ticket) in held {
                     let limiter = limiters.get_mut(&part.target).expect("known");
-                    limiter.settle(now, ticket, Outcome::Whole(None));
+                    limiter.complete(now, ticket, Outcome::Completed(None));
                 }
                 open[who] = None;
             } else if reservation.next_step() == Step::Ask(parts_by_target(&parts)) {
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -13,12 +13,12 @@
 fn what_may_be_repeated() {
     use Failure::{NeverBegun, NotSent, Stalled, Unknown};
     let table = [
-        (NotSent, false, Verdict::Again(RetryReason::NotSent)),
-        (NotSent, true, Verdict::Again(RetryReason::NotSent)),
-        (NeverBegun, false, Verdict::Again(RetryReason::Refused)),
-        (Unknown, true, Verdict::Again(RetryReason::TargetFailed)),
+        (NotSent, false, Verdict::Retry(RetryReason::NotSent)),
+        (NotSent, true, Verdict::Retry(RetryReason::NotSent)),
+        (NeverBegun, false, Verdict::Retry(RetryReason::Refused)),
+        (Unknown, true, Verdict::Retry(RetryReason::TargetFailed)),
         (Unknown, false, Verdict::Stop(Ran::Unknown)),
-        (Stalled, true, Verdict::Again(RetryReason::Stalled)),
+        (Stalled, true, Verdict::Retry(RetryReason::Stalled)),
         (Stalled, false, Verdict::Stop(Ran::Unknown)),
     ];
     for (failure, idempotent, verdict) in table {
