--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -39,7 +39,7 @@
     /// A limit for a target that has just been found.
     fn new(capacity: Capacity) -> Self;
     /// Asks for a permit.
-    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer;
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer;
     /// Grants and gives up.
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)>;
     /// Takes in a load report, with the number of streams it shows.
@@ -67,8 +67,8 @@
         Self::new(capacity)
     }
 
-    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
-        self.request_permit(now, ask)
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        self.request_permit(now, request)
     }
 
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
@@ -122,17 +122,17 @@
 /// Why an ask can't be taken at all, whatever else runs or waits.
 fn find_refusal(
     now: Instant,
-    ask: &PermitRequest,
+    request: &PermitRequest,
     accepting: bool,
     capacity: Capacity,
 ) -> Option<Reason> {
     if !accepting {
         return Some(Reason::NoTarget);
     }
-    if ask.deadline <= now {
+    if request.deadline <= now {
         return Some(Reason::Deadline);
     }
-    (ask.cost.kv() > capacity.kv).then_some(Reason::TooLong)
+    (request.cost.kv() > capacity.kv).then_some(Reason::TooLong)
 }
 
 /// Slots and memory in the order of arrival.
@@ -147,14 +147,14 @@
 }
 
 impl Fifo {
-    fn fits(&self, ask: &PermitRequest) -> bool {
+    fn fits(&self, request: &PermitRequest) -> bool {
         self.granted.len() < self.capacity.streams as usize
-            && self.kv + ask.cost.kv() <= self.capacity.kv
+            && self.kv + request.cost.kv() <= self.capacity.kv
     }
 
-    fn grant(&mut self, ticket: Ticket, ask: PermitRequest) {
-        self.kv += ask.cost.kv();
-        self.granted.insert(ticket, ask);
+    fn grant(&mut self, ticket: Ticket, request: PermitRequest) {
+        self.kv += request.cost.kv();
+        self.granted.insert(ticket, request);
     }
 }
 
@@ -164,32 +164,32 @@
         Self { capacity, granted, queue, kv: size::Tokens(0), accepting: true, next: 1 }
     }
 
-    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
-        if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        if let Some(reason) = find_refusal(now, &request, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
         let ticket = self.next;
         self.next += 1;
-        if self.queue.is_empty() && self.fits(&ask) {
-            self.grant(ticket, ask);
+        if self.queue.is_empty() && self.fits(&request) {
+            self.grant(ticket, request);
             return Answer::Granted(ticket);
         }
-        self.queue.push_back((ticket, ask));
+        self.queue.push_back((ticket, request));
         Answer::Queued(ticket)
     }
 
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         let mut answers = Vec::new();
-        while let Some((_, ask)) = self.queue.front() {
-            let late = ask.deadline <= now;
-            if !late && !self.fits(ask) {
+        while let Some((_, request)) = self.queue.front() {
+            let is_late = request.deadline <= now;
+            if !is_late && !self.fits(request) {
                 break;
             }
-            let Some((ticket, ask)) = self.queue.pop_front() else { break };
-            if late {
+            let Some((ticket, request)) = self.queue.pop_front() else { break };
+            if is_late {
                 answers.push((ticket, Err(Reason::Deadline)));
             } else {
-                self.grant(ticket, ask);
+                self.grant(ticket, request);
                 answers.push((ticket, Ok(())));
             }
         }
@@ -199,8 +199,8 @@
     fn observe(&mut self, _now: Instant, _observed: &Observed, _streams: u32) {}
 
     fn complete(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
-        if let Some(ask) = self.granted.remove(&ticket) {
-            self.kv -= ask.cost.kv();
+        if let Some(request) = self.granted.remove(&ticket) {
+            self.kv -= request.cost.kv();
         }
         self.queue.retain(|(queued, _)| *queued != ticket);
     }
@@ -216,9 +216,9 @@
     fn set_shares(&mut self, _shares: &[(hickory_unit::id::Partner, f64)]) {}
 
     fn state(&self) -> State {
-        let asks = self.granted.values().chain(self.queue.iter().map(|(_, ask)| ask));
+        let requests = self.granted.values().chain(self.queue.iter().map(|(_, request)| request));
         State {
-            queued_prefill: asks.map(|ask| ask.cost.prefill).sum(),
+            queued_prefill: requests.map(|request| request.cost.prefill).sum(),
             queued_long: size::Tokens(0),
             kv_used: self.kv,
             prefill_rate: None,
@@ -263,13 +263,13 @@
         Self { capacity, running: BTreeMap::new(), reported: 0, accepting: true, next: 1 }
     }
 
-    fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
-        if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        if let Some(reason) = find_refusal(now, &request, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
         let ticket = self.next;
         self.next += 1;
-        self.running.insert(ticket, ask);
+        self.running.insert(ticket, request);
         Answer::Granted(ticket)
     }
 
@@ -307,9 +307,9 @@
 
 impl Place for LeastLoaded {
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize> {
-        let able = candidates.iter().enumerate();
-        let able = able.filter(|(_, c)| c.kv_capacity >= query.cost.kv());
-        let least = able.min_by_key(|(_, c)| (c.running + c.waiting, c.key ^ query.random));
-        least.map(|(index, _)| index)
+        let capable = candidates.iter().enumerate();
+        let capable = capable.filter(|(_, c)| c.kv_capacity >= query.cost.kv());
+        let fewest = capable.min_by_key(|(_, c)| (c.running + c.waiting, c.key ^ query.random));
+        fewest.map(|(index, _)| index)
     }
 }
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -16,28 +16,28 @@
 use std::time::{Duration, Instant};
 
 /// The weight of the last outcome in a target's rate.
-const WEIGHT: f64 = 0.4;
+const OUTCOME_WEIGHT: f64 = 0.4;
 
 /// Half-life of a rate without outcomes, after which a target is tried again.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// What a failed attempt costs its caller.
-const COST: Duration = Duration::from_millis(450);
+const FAILED_ATTEMPT_COST: Duration = Duration::from_millis(450);
 
 /// A lower expected cost is not told from chance.
-const COST_LEAST: Duration = Duration::from_millis(60);
+const MIN_COST: Duration = Duration::from_millis(60);
 
 /// The greatest expected cost.
-const COST_MOST: Duration = Duration::from_secs(4);
+const MAX_COST: Duration = Duration::from_secs(4);
 
 /// Rates below this are forgotten.
-const RATE_LEAST: f64 = 0.01;
+const MIN_RATE: f64 = 0.01;
 
 /// How long a target is given no parts, doubled by each further refusal.
-const SHUT: Duration = Duration::from_secs(3);
+const PART_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
 /// Doublings of that at most.
-const SHUT_DOUBLINGS: u32 = 2;
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Rate {
@@ -46,15 +46,15 @@
 }
 
 impl Rate {
-    fn now(&self, now: Instant) -> f64 {
+    fn decayed(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         self.failures * (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Shut {
-    refusals: u32,
+struct PartRefusals {
+    count: u32,
     until: Instant,
 }
 
@@ -62,27 +62,27 @@
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
-    shut: HashMap<K, Shut>,
+    part_refusals: HashMap<K, PartRefusals>,
 }
 
 impl<K> Default for Ejection<K> {
     fn default() -> Self {
-        Self { rates: HashMap::new(), shut: HashMap::new() }
+        Self { rates: HashMap::new(), part_refusals: HashMap::new() }
     }
 }
 
 impl<K: Copy + Eq + Hash> Ejection<K> {
     /// Notes how a request ended at a target.
-    pub fn record_outcome(&mut self, now: Instant, target: K, served: bool) {
-        let before = self.rate(now, target);
-        let failures = before + WEIGHT * (f64::from(u8::from(!served)) - before);
-        if failures < RATE_LEAST {
+    pub fn record_outcome(&mut self, now: Instant, target: K, is_success: bool) {
+        let previous = self.rate(now, target);
+        let failures = previous + OUTCOME_WEIGHT * (f64::from(u8::from(!is_success)) - previous);
+        if failures < MIN_RATE {
             self.rates.remove(&target);
             return;
         }
         self.rates.insert(target, Rate { failures, at: now });
-        if !served {
-            self.rates.retain(|_, rate| rate.now(now) >= RATE_LEAST);
+        if !is_success {
+            self.rates.retain(|_, rate| rate.decayed(now) >= MIN_RATE);
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     fn rate(&self, now: Instant, target: K) -> f64 {
-        self.rates.get(&target).map_or(0.0, |rate| rate.now(now))
+        self.rates.get(&target).map_or(0.0, |rate| rate.decayed(now))
     }
 
     /// What it is expected to cost to try each of a service's targets, beyond
@@ -108,27 +108,28 @@
     /// Notes that a target refused to read a part for another one. Several prompts
     /// that are refused at the same moment count once.
     pub fn record_part_refusal(&mut self, now: Instant, target: K) {
-        let known = self.shut.get(&target);
-        if known.is_some_and(|shut| now < shut.until) {
+        let known = self.part_refusals.get(&target);
+        if known.is_some_and(|part_refusals| now < part_refusals.until) {
             return;
         }
-        let refusals = known.map_or(0, |shut| shut.refusals + 1);
-        let until = now + SHUT * 2_u32.pow(refusals.min(SHUT_DOUBLINGS));
-        self.shut.insert(target, Shut { refusals, until });
-        self.shut.retain(|_, shut| shut.until + SHUT * 4 > now);
+        let count = known.map_or(0, |part_refusals| part_refusals.count + 1);
+        let until = now + PART_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
+        self.part_refusals.insert(target, PartRefusals { count, until });
+        self.part_refusals
+            .retain(|_, part_refusals| part_refusals.until + PART_REFUSAL_BACKOFF * 4 > now);
     }
 
     /// Whether a target is given no parts.
     pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
-        self.shut.get(&target).is_some_and(|shut| now < shut.until)
+        self.part_refusals.get(&target).is_some_and(|part_refusals| now < part_refusals.until)
     }
 }
 
 /// The cost of the failures that come before a success, where each attempt
 /// fails by the rate beyond the median.
 fn cost(rate: f64, median: f64) -> Duration {
-    let excess = (rate - median).max(0.0) / (1.0 - median).max(RATE_LEAST);
-    let odds = excess / (1.0 - excess).max(RATE_LEAST);
-    let cost = COST.mul_f64(odds).min(COST_MOST);
-    if cost < COST_LEAST { Duration::ZERO } else { cost }
+    let excess = (rate - median).max(0.0) / (1.0 - median).max(MIN_RATE);
+    let odds = excess / (1.0 - excess).max(MIN_RATE);
+    let cost = FAILED_ATTEMPT_COST.mul_f64(odds).min(MAX_COST);
+    if cost < MIN_COST { Duration::ZERO } else { cost }
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -184,7 +184,7 @@
     /// that wait and itself.
     pub fn part_of(&self, partner: &id::Partner) -> f64 {
         let own = weight_of(&self.shares, partner);
-        let others = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let others = self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
         let waits = self.waiting_of(partner) > 0;
         own / (others.sum::<f64>() + if waits { 0.0 } else { own })
     }
@@ -238,7 +238,7 @@
 
     /// The part of the whole of a partner that waits.
     fn part(&self, flow: &Flow) -> f64 {
-        let all = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let all = self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
         flow.weight / all.sum::<f64>().max(flow.weight)
     }
 
@@ -249,7 +249,7 @@
         {
             return index;
         }
-        let flow = Flow::open(weight_of(&self.weights, account));
+        let flow = Flow::new(weight_of(&self.weights, account));
         let index = self.accounts.len() as u32;
         self.accounts.push(AccountFlow { partner: owner, flow, queues: Default::default() });
         self.account_index.insert(account.clone(), index);
@@ -260,7 +260,7 @@
         if let Some(&index) = self.partner_index.get(partner) {
             return index;
         }
-        let flow = Flow::open(weight_of(&self.shares, partner));
+        let flow = Flow::new(weight_of(&self.shares, partner));
         let index = self.partners.len() as u32;
         self.partners.push(PartnerFlow { flow, accounts: Level::default() });
         self.partner_index.insert(partner.clone(), index);
--- a/crates/policy/src/flow.rs
+++ b/crates/policy/src/flow.rs
@@ -20,7 +20,7 @@
 }
 
 impl Flow {
-    pub(crate) fn open(weight: f64) -> Self {
+    pub(crate) fn new(weight: f64) -> Self {
         Self { weight, tag: 0, debt: 0, waiting: [0; LANES], queued_work: [0; 2] }
     }
 
@@ -28,11 +28,11 @@
         if lane < 2 { self.tag } else { self.tag.saturating_add(self.debt) }
     }
 
-    fn waits_short(&self) -> bool {
+    fn has_short_waiting(&self) -> bool {
         self.waiting[0] + self.waiting[1] > 0
     }
 
-    pub(crate) fn waits(&self) -> bool {
+    pub(crate) fn has_waiting(&self) -> bool {
         self.waiting.iter().any(|&n| n > 0)
     }
 
@@ -64,8 +64,8 @@
 
 impl Level {
     pub(crate) fn enter(&mut self, flow: &mut Flow, index: u32, lane: usize) {
-        let joins = if lane < 2 { !flow.waits_short() } else { !flow.waits() };
-        if joins {
+        let is_joining = if lane < 2 { !flow.has_short_waiting() } else { !flow.has_waiting() };
+        if is_joining {
             self.withdraw(flow, index);
             flow.catch_up(self.virtual_time);
         }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -70,7 +70,7 @@
     pub(crate) granted: HashMap<Ticket, Grant>,
     pub(crate) expiry: BTreeSet<(Instant, Ticket)>,
     latest_starts: BTreeSet<(Instant, Ticket)>,
-    now: Option<Instant>,
+    last_advanced: Option<Instant>,
     pub(crate) grants_held_until: Option<Instant>,
     /// Room held for urgent long asks, and until when.
     pub(crate) held_claim: Option<(Claim, Instant)>,
@@ -97,7 +97,7 @@
             granted: HashMap::new(),
             expiry: BTreeSet::new(),
             latest_starts: BTreeSet::new(),
-            now: None,
+            last_advanced: None,
             grants_held_until: None,
             held_claim: None,
             is_lease_confirmed: true,
@@ -117,8 +117,8 @@
     }
 
     /// Sets how many asks may wait.
-    pub fn set_max_queue_length(&mut self, bound: usize) {
-        self.max_queue_length = bound;
+    pub fn set_max_queue_length(&mut self, length: usize) {
+        self.max_queue_length = length;
     }
 
     /// Replaces the partners' shares.
@@ -135,9 +135,9 @@
     /// Says whether the owner's lease is confirmed. While it is not, another
     /// owner may grant too: each keeps to half, so that both together stay
     /// within the bound.
-    pub fn set_lease_confirmed(&mut self, now: Instant, confirmed: bool) {
+    pub fn set_lease_confirmed(&mut self, now: Instant, is_confirmed: bool) {
         self.advance(now);
-        self.is_lease_confirmed = confirmed;
+        self.is_lease_confirmed = is_confirmed;
     }
 
     /// Says whether the target takes new work. Where its zone is out, it
@@ -177,31 +177,31 @@
     /// Refused at once is what can't end before its deadline by what stands
     /// before it: the caller can use its time elsewhere, and the queue holds
     /// only work that will be of use.
-    pub fn request_permit(&mut self, now: Instant, ask: PermitRequest) -> Answer {
+    pub fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
         self.advance(now);
-        if ask.deadline <= now {
+        if request.deadline <= now {
             return Answer::Refused(Reason::Deadline, Duration::ZERO);
         }
-        if ask.cost.kv() > self.capacity.kv {
+        if request.cost.kv() > self.capacity.kv {
             return Answer::Refused(Reason::TooLong, Duration::ZERO);
         }
         if !self.is_accepting || self.may_be_dead {
             return Answer::Refused(Reason::NoTarget, Duration::ZERO);
         }
-        if let Some(refusal) = self.refuse_late(now, &ask) {
+        if let Some(refusal) = self.refuse_late(now, &request) {
             return refusal;
         }
         let ticket = self.next_ticket;
-        let urgent = ask.is_urgent;
+        let is_urgent = request.is_urgent;
         self.next_ticket += 1;
-        self.enqueue(now, ticket, ask);
-        if self.next_grant(now) == Some(ticket) || urgent && self.fits_claimed(now, ticket) {
+        self.enqueue(now, ticket, request);
+        if self.next_grant(now) == Some(ticket) || is_urgent && self.fits_claimed(now, ticket) {
             self.grant(now, ticket);
             return Answer::Granted(ticket);
         }
-        if urgent {
-            if let Some(ask) = self.dequeue(ticket) {
-                self.keep_claim(now, &ask);
+        if is_urgent {
+            if let Some(request) = self.dequeue(ticket) {
+                self.keep_claim(now, &request);
             }
             return Answer::Refused(Reason::Overloaded, MIN_RETRY_AFTER);
         }
@@ -212,8 +212,8 @@
     pub fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         self.advance(now);
         let mut answers = Vec::new();
-        while let Some(&(latest, ticket)) = self.latest_starts.first() {
-            if latest > now {
+        while let Some(&(latest_start, ticket)) = self.latest_starts.first() {
+            if latest_start > now {
                 break;
             }
             self.dequeue(ticket);
@@ -238,9 +238,9 @@
         if self.waiting.is_empty() {
             return self.expiry.first().map(|&(at, _)| at);
         }
-        let latest = self.latest_starts.first().map(|&(at, _)| at);
+        let latest_start = self.latest_starts.first().map(|&(at, _)| at);
         let tick = now + Duration::from_millis(5);
-        latest.into_iter().chain([tick.max(self.grants_held_until.unwrap_or(tick))]).min()
+        latest_start.into_iter().chain([tick.max(self.grants_held_until.unwrap_or(tick))]).min()
     }
 
     /// Notes that the first token of a permit's work came.
@@ -255,7 +255,7 @@
     /// is known of how it went.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.dequeue(ticket);
-        if let (Some(grant), Some(now)) = (self.remove_grant(ticket), self.now)
+        if let (Some(grant), Some(now)) = (self.remove_grant(ticket), self.last_advanced)
             && grant.request.is_urgent
         {
             self.keep_claim(now, &grant.request);
@@ -319,9 +319,9 @@
     }
 
     /// As [`Self::prefill_queued`], of short or of long work only.
-    pub fn prefill_queued_of(&self, long: bool) -> size::Tokens {
-        let queued = self.queue.queued_work(long);
-        size::Tokens(self.room.in_flight(long) as u64 + queued)
+    pub fn prefill_queued_of(&self, is_long: bool) -> size::Tokens {
+        let queued = self.queue.queued_work(is_long);
+        size::Tokens(self.room.in_flight(is_long) as u64 + queued)
     }
 
     /// Streams that the target may hold at present.
@@ -345,18 +345,18 @@
     }
 
     pub(crate) fn current_bound(&self) -> Bound {
-        let halves = if self.is_lease_confirmed { 1 } else { 2 };
+        let parts = if self.is_lease_confirmed { 1 } else { 2 };
         Bound {
-            slots: self.ramp.stream_limit() / halves,
-            kv: size::Tokens(self.capacity.kv.0 / u64::from(halves)),
+            slots: self.ramp.stream_limit() / parts,
+            kv: size::Tokens(self.capacity.kv.0 / u64::from(parts)),
             prefill_rate: self.pace.prefill_rate(),
         }
     }
 
     fn advance(&mut self, now: Instant) {
-        self.now = Some(now);
+        self.last_advanced = Some(now);
         self.room.drain(now, self.pace.prefill_rate());
-        let waits = [false, true].map(|long| self.queue.queued_work(long) > 0);
+        let waits = [false, true].map(|is_long| self.queue.queued_work(is_long) > 0);
         self.pace.advance(now, waits);
         while let Some(&(at, ticket)) = self.expiry.first() {
             if at > now {
@@ -366,32 +366,29 @@
         }
     }
 
-    fn enqueue(&mut self, now: Instant, ticket: Ticket, ask: PermitRequest) {
-        let came_with = ask.deadline.saturating_duration_since(now);
-        let time = self.pace.time_of(ask.cost, came_with);
-        let latest = ask.deadline.checked_sub(time).unwrap_or(now).max(now);
-        self.latest_starts.insert((latest, ticket));
-        if ask.is_exclusive {
+    fn enqueue(&mut self, now: Instant, ticket: Ticket, request: PermitRequest) {
+        let initial_time_left = request.deadline.saturating_duration_since(now);
+        let time = self.pace.time_of(request.cost, initial_time_left);
+        let latest_start = request.deadline.checked_sub(time).unwrap_or(now).max(now);
+        self.latest_starts.insert((latest_start, ticket));
+        if request.is_exclusive {
             self.exclusive_queue.push_back((ticket, now));
         } else {
-            let flow = (&ask.partner, &ask.account);
-            self.queue.push(now, flow, ask.lane(), ask.cost.work(), ticket);
+            let flow = (&request.partner, &request.account);
+            self.queue.push(now, flow, request.lane(), request.cost.work(), ticket);
         }
-        self.waiting.insert(
-            ticket,
-            Waiting { request: ask, initial_time_left: came_with, latest_start: latest },
-        );
+        self.waiting.insert(ticket, Waiting { request, initial_time_left, latest_start });
     }
 
     /// Takes an ask out of the queue.
     pub(crate) fn dequeue(&mut self, ticket: Ticket) -> Option<PermitRequest> {
-        let Waiting { request: ask, latest_start: latest, .. } = self.waiting.remove(&ticket)?;
+        let Waiting { request, latest_start, .. } = self.waiting.remove(&ticket)?;
         self.queue.remove(ticket);
-        if ask.is_exclusive {
+        if request.is_exclusive {
             self.exclusive_queue.retain(|&(queued, _)| queued != ticket);
         }
-        self.latest_starts.remove(&(latest, ticket));
-        Some(ask)
+        self.latest_starts.remove(&(latest_start, ticket));
+        Some(request)
     }
 
     /// Takes a permit back.
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::probe::Probes;
 pub use crate::roster::StateCounts;
 use crate::roster::{Peer, Roster};
-use crate::rumor::{RECORDS_MOST, Rumors};
+use crate::rumor::{MAX_RECORDS, Rumors};
 use hickory_unit::id;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -26,49 +26,49 @@
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Between two probes.
-const PROBE_EVERY: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a node is suspected before it counts as dead.
-const DEAD_AFTER: Duration = Duration::from_secs(3);
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Between two attempts to have a suspect refute.
-const PRESS_EVERY: Duration = Duration::from_millis(500);
+const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long the dead are remembered, so that late statements don't revive them.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
 /// Between two attempts to reach a dead node: the ends of a partition find each
 /// other again by it.
-const RECONNECT_EVERY: Duration = Duration::from_secs(1);
+const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Between two requests for all records, which a node makes where its table
 /// differs from a peer's.
-const PULL_EVERY: Duration = Duration::from_secs(2);
+const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The same while news is under way, which explains most differences.
-const PULL_EVERY_IN_CHURN: Duration = Duration::from_secs(3);
+const PULL_INTERVAL_IN_CHURN: Duration = Duration::from_secs(3);
 
 /// The same in the first seconds, in which the table fills.
-const PULL_EVERY_YOUNG: Duration = Duration::from_millis(500);
+const PULL_INTERVAL_AT_START: Duration = Duration::from_millis(500);
 
 /// How long a table counts as young.
-const YOUNG: Duration = Duration::from_secs(3);
+const START_PHASE: Duration = Duration::from_secs(3);
 
 /// Peers below which a node that has just started asks its seeds again.
-const JOINED: usize = 3;
+const MIN_PEERS_AT_START: usize = 3;
 
 /// Between two calls of a node that found nobody yet.
-const JOIN_EVERY: Duration = Duration::from_millis(300);
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Nodes that are asked to probe a silent one.
-const HELPERS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
 
 /// Nodes that news is pushed to.
-const FANOUT: usize = 3;
+const PUSH_FANOUT: usize = 3;
 
 /// A call to [`Membership::tick`] that comes so late was held up: the host was
 /// suspended or had no processor time, and silence of others proves nothing.
-const HELD_UP: Duration = Duration::from_millis(400);
+const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
 /// A node's table of all nodes.
 #[derive(Clone, Debug)]
@@ -77,16 +77,16 @@
     rumors: Rumors,
     probes: Probes,
     /// Nodes that are still to be probed in this round.
-    round: Vec<id::Node>,
+    probe_round: Vec<id::Node>,
     seeds: Vec<SocketAddr>,
-    began: Instant,
-    ticked: Instant,
-    probed: Option<Instant>,
-    joined: Option<Instant>,
-    reconnected: Instant,
-    pulled: Option<Instant>,
+    started: Instant,
+    last_tick: Instant,
+    last_probe: Option<Instant>,
+    last_join: Option<Instant>,
+    last_reconnect: Instant,
+    last_pull: Option<Instant>,
     /// Nodes that this one found silent, for its log.
-    silent: Vec<id::Node>,
+    new_suspects: Vec<id::Node>,
     random: SmallRng,
 }
 
@@ -97,15 +97,15 @@
             roster: Roster::new(own),
             rumors: Rumors::default(),
             probes: Probes::default(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             seeds,
-            began: now,
-            ticked: now,
-            probed: None,
-            joined: None,
-            reconnected: now,
-            pulled: None,
-            silent: Vec::new(),
+            started: now,
+            last_tick: now,
+            last_probe: None,
+            last_join: None,
+            last_reconnect: now,
+            last_pull: None,
+            new_suspects: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -122,7 +122,7 @@
             // The digest is of versions, not of contacts.
             own.contact = contact;
             let (incarnation, version) = (own.incarnation, own.version);
-            self.raise_own(incarnation, version);
+            self.raise_own_version(incarnation, version);
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// The nodes that this one itself found silent since it was last asked.
     pub fn take_new_suspects(&mut self) -> Vec<id::Node> {
-        std::mem::take(&mut self.silent)
+        std::mem::take(&mut self.new_suspects)
     }
 
     /// Some nodes that are alive, chosen at random.
@@ -177,26 +177,26 @@
         if !self.has_unsent_news() {
             return Vec::new();
         }
-        let targets = self.pick_alive(FANOUT);
+        let targets = self.pick_alive(PUSH_FANOUT);
         let send = |to| (to, Message::Rumor(self.take_news()));
         targets.into_iter().map(send).collect()
     }
 
     /// Does what is due; called every [`TICK`].
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
-        let since_last = now.saturating_duration_since(self.ticked);
-        self.ticked = now;
-        if since_last > HELD_UP {
-            self.forgive(now);
+        let since_last = now.saturating_duration_since(self.last_tick);
+        self.last_tick = now;
+        if since_last > MAX_TICK_DELAY {
+            self.reset_suspicions(now);
         }
         let mut out = Vec::new();
         self.check_probes(now, &mut out);
-        self.press_suspects(now, &mut out);
+        self.remind_suspects(now, &mut out);
         self.expire(now);
         self.join(now, &mut out);
         self.reconnect(now, &mut out);
-        if is_due(self.probed, now, PROBE_EVERY) {
-            self.probed = Some(now);
+        if is_due(self.last_probe, now, PROBE_INTERVAL) {
+            self.last_probe = Some(now);
             out.extend(self.probe_next(now));
         }
         out
@@ -212,82 +212,82 @@
     ) -> Vec<Outgoing> {
         match message {
             Message::Ping(Exchange { sequence, digest, records }) => {
-                self.take_all(now, records);
-                let mut records = self.answer_news(digest);
-                records.extend(self.roster.find_false(node));
+                self.apply_all(now, records);
+                let mut records = self.news_for(digest);
+                records.extend(self.roster.find_refutable(node));
                 let own = Exchange { sequence, digest: self.roster.digest, records };
                 let mut out = vec![(from, Message::Ack(own))];
                 out.extend(self.pull(now, from, digest));
                 out
             }
             Message::Ack(Exchange { sequence, digest, records }) => {
-                self.take_all(now, records);
-                self.note_alike(digest);
+                self.apply_all(now, records);
+                self.note_equal_digest(digest);
                 let mut out: Vec<Outgoing> =
-                    self.probes.answer(sequence, digest).into_iter().collect();
+                    self.probes.acknowledge(sequence, digest).into_iter().collect();
                 out.extend(self.pull(now, from, digest));
                 out
             }
             Message::IndirectPing { sequence, to } => {
-                let sequence = self.probes.begin_for(now, from, sequence);
+                let sequence = self.probes.begin_relayed(now, from, sequence);
                 vec![(to, self.ping(sequence))]
             }
             Message::Rumor(records) => {
                 let own = &self.roster.own.node;
-                let is_false = |r: &Record| r.node == *own && r.state != State::Alive;
-                let is_denied = records.iter().any(is_false);
-                self.take_all(now, records);
+                let is_about_own = |r: &Record| r.node == *own && r.state != State::Alive;
+                let is_refutable = records.iter().any(is_about_own);
+                self.apply_all(now, records);
                 let own = || Message::Rumor(vec![self.own_record().clone()]);
-                is_denied.then(|| (from, own())).into_iter().collect()
+                is_refutable.then(|| (from, own())).into_iter().collect()
             }
             Message::Members(records) => {
                 for record in records {
-                    self.take_quietly(now, record);
+                    self.apply_without_gossip(now, record);
                 }
                 Vec::new()
             }
             Message::Pull(own) => {
                 let to = own.contact.peer_address;
-                self.take(now, own);
-                self.tell_all(to)
+                self.apply(now, own);
+                self.send_members(to)
             }
         }
     }
 
-    fn tell_all(&self, to: SocketAddr) -> Vec<Outgoing> {
+    fn send_members(&self, to: SocketAddr) -> Vec<Outgoing> {
         let records = self.roster.present();
         let list = |records: &[Record]| (to, Message::Members(records.to_vec()));
-        records.chunks(RECORDS_MOST).map(list).collect()
+        records.chunks(MAX_RECORDS).map(list).collect()
     }
 
     /// Asks for all records where the tables differ.
     fn pull(&mut self, now: Instant, from: SocketAddr, digest: u64) -> Option<Outgoing> {
-        let is_young = now.saturating_duration_since(self.began) < YOUNG;
-        let every = match (is_young, self.rumors.is_empty()) {
-            (true, _) => PULL_EVERY_YOUNG,
-            (false, true) => PULL_EVERY,
-            (false, false) => PULL_EVERY_IN_CHURN,
+        let is_starting = now.saturating_duration_since(self.started) < START_PHASE;
+        let interval = match (is_starting, self.rumors.is_empty()) {
+            (true, _) => PULL_INTERVAL_AT_START,
+            (false, true) => PULL_INTERVAL,
+            (false, false) => PULL_INTERVAL_IN_CHURN,
         };
-        if digest == self.roster.digest || !is_due(self.pulled, now, every) {
+        if digest == self.roster.digest || !is_due(self.last_pull, now, interval) {
             return None;
         }
-        self.pulled = Some(now);
+        self.last_pull = Some(now);
         Some((from, Message::Pull(self.own_record().clone())))
     }
 
-    fn take_all(&mut self, now: Instant, records: Vec<Record>) {
-        records.into_iter().for_each(|record| self.take(now, record));
+    fn apply_all(&mut self, now: Instant, records: Vec<Record>) {
+        records.into_iter().for_each(|record| self.apply(now, record));
     }
 
-    fn take(&mut self, now: Instant, record: Record) {
+    fn apply(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
-        if self.take_quietly(now, record) {
-            self.enqueue(node);
+        if self.apply_without_gossip(now, record) {
+            self.enqueue_news(node);
         }
     }
 
     /// Takes a record that needn't be told; whether it was news.
-    fn take_quietly(&mut self, now: Instant, record: Record) -> bool {
+    fn apply_without_gossip(&mut self, now: Instant, record: Record) -> bool {
         if record.node == self.own_record().node {
             self.refute(&record);
             return false;
@@ -301,26 +301,26 @@
     }
 
     /// Changes what this node holds of another one, and tells it.
-    fn change(&mut self, now: Instant, record: Record) {
+    fn apply_own_finding(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
         self.roster.insert(now, record);
-        self.enqueue(node);
+        self.enqueue_news(node);
     }
 
     /// Answers a statement about this node that is later than its own, or that
     /// doesn't hold.
     fn refute(&mut self, record: &Record) {
         if record.rank() > self.own_record().rank() {
-            self.raise_own(record.incarnation, record.version);
+            self.raise_own_version(record.incarnation, record.version);
         }
     }
 
-    fn raise_own(&mut self, incarnation: id::Incarnation, version: u32) {
-        self.roster.raise_own(incarnation, version);
-        self.enqueue(self.own_record().node.clone());
+    fn raise_own_version(&mut self, incarnation: id::Incarnation, version: u32) {
+        self.roster.raise_own_version(incarnation, version);
+        self.enqueue_news(self.own_record().node.clone());
     }
 
-    fn enqueue(&mut self, node: id::Node) {
+    fn enqueue_news(&mut self, node: id::Node) {
         self.rumors.add(node, self.roster.peers.len() + 1);
     }
 
@@ -329,24 +329,24 @@
     }
 
     /// News for a node whose table has this digest.
-    fn answer_news(&mut self, digest: u64) -> Vec<Record> {
-        self.note_alike(digest);
+    fn news_for(&mut self, digest: u64) -> Vec<Record> {
+        self.note_equal_digest(digest);
         if digest == self.roster.digest { Vec::new() } else { self.take_news() }
     }
 
-    fn note_alike(&mut self, digest: u64) {
+    fn note_equal_digest(&mut self, digest: u64) {
         if digest == self.roster.digest {
-            self.rumors.note_alike();
+            self.rumors.note_equal_digest();
         }
     }
 
     /// Drops what this node would conclude from silence while it was held up.
-    fn forgive(&mut self, now: Instant) {
-        self.probes.forget();
+    fn reset_suspicions(&mut self, now: Instant) {
+        self.probes.clear();
         for peer in
             self.roster.peers.values_mut().filter(|peer| peer.record.state == State::Suspect)
         {
-            peer.since = now;
+            peer.state_since = now;
         }
     }
 
@@ -354,11 +354,11 @@
         for node in self.probes.take_failed(now) {
             self.suspect(now, &node, out);
         }
-        for (sequence, node) in self.probes.take_silent(now) {
+        for (sequence, node) in self.probes.take_unanswered(now) {
             let Some(to) = self.get(&node).map(|r| r.contact.peer_address) else { continue };
             out.push((to, self.ping(sequence)));
-            let helpers = self.pick_alive(HELPERS).into_iter().filter(|helper| *helper != to);
-            out.extend(helpers.map(|helper| (helper, Message::IndirectPing { sequence, to })));
+            let relays = self.pick_alive(INDIRECT_PROBES).into_iter().filter(|relay| *relay != to);
+            out.extend(relays.map(|relay| (relay, Message::IndirectPing { sequence, to })));
         }
     }
 
@@ -368,17 +368,17 @@
         let record = Record { state: State::Suspect, ..record };
         // The suspect hears of it and can refute it at once.
         out.push((record.contact.peer_address, Message::Rumor(vec![record.clone()])));
-        self.silent.push(record.node.clone());
-        self.change(now, record);
+        self.new_suspects.push(record.node.clone());
+        self.apply_own_finding(now, record);
     }
 
     /// Tells suspects again that they are suspected: a refutation may have been lost.
-    fn press_suspects(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    fn remind_suspects(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         for peer in
             self.roster.peers.values_mut().filter(|peer| peer.record.state == State::Suspect)
         {
-            if now.saturating_duration_since(peer.pressed) >= PRESS_EVERY {
-                peer.pressed = now;
+            if now.saturating_duration_since(peer.last_reminder) >= REMINDER_INTERVAL {
+                peer.last_reminder = now;
                 out.push((
                     peer.record.contact.peer_address,
                     Message::Rumor(vec![peer.record.clone()]),
@@ -389,37 +389,42 @@
 
     fn expire(&mut self, now: Instant) {
         let is_over = |peer: &Peer, state, time| {
-            peer.record.state == state && now.saturating_duration_since(peer.since) >= time
+            peer.record.state == state && now.saturating_duration_since(peer.state_since) >= time
         };
-        let over =
-            self.roster.peers.values().filter(|peer| is_over(peer, State::Suspect, DEAD_AFTER));
+        let over = self
+            .roster
+            .peers
+            .values()
+            .filter(|peer| is_over(peer, State::Suspect, SUSPICION_TIMEOUT));
         let dead: Vec<Record> =
             over.map(|peer| Record { state: State::Dead, ..peer.record.clone() }).collect();
         for record in dead {
-            self.change(now, record);
+            self.apply_own_finding(now, record);
         }
-        self.roster.peers.retain(|_, peer| !is_over(peer, State::Dead, FORGOTTEN_AFTER));
+        self.roster.peers.retain(|_, peer| !is_over(peer, State::Dead, DEAD_RETENTION));
     }
 
     fn join(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        if self.present().count() >= JOINED || !is_due(self.joined, now, JOIN_EVERY) {
+        if self.present().count() >= MIN_PEERS_AT_START
+            || !is_due(self.last_join, now, JOIN_INTERVAL)
+        {
             return;
         }
-        let is_late = now.saturating_duration_since(self.began) > YOUNG;
+        let is_late = now.saturating_duration_since(self.started) > START_PHASE;
         if is_late && self.alive().next().is_some() {
             return;
         }
-        self.joined = Some(now);
+        self.last_join = Some(now);
         let own = self.own_record().contact.peer_address;
         let seeds = self.seeds.iter().filter(|seed| **seed != own);
         out.extend(seeds.map(|seed| (*seed, Message::Pull(self.own_record().clone()))));
     }
 
     fn reconnect(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        if now.saturating_duration_since(self.reconnected) < RECONNECT_EVERY {
+        if now.saturating_duration_since(self.last_reconnect) < RECONNECT_INTERVAL {
             return;
         }
-        self.reconnected = now;
+        self.last_reconnect = now;
         let dead = self.roster.with_state(|state| state == State::Dead);
         let dead: Vec<Record> = dead.cloned().collect();
         if let Some(record) = dead.choose(&mut self.random) {
@@ -429,11 +434,11 @@
     }
 
     fn probe_next(&mut self, now: Instant) -> Option<Outgoing> {
-        if self.round.is_empty() {
-            self.round = self.present().map(|record| record.node.clone()).collect();
-            self.round.shuffle(&mut self.random);
+        if self.probe_round.is_empty() {
+            self.probe_round = self.present().map(|record| record.node.clone()).collect();
+            self.probe_round.shuffle(&mut self.random);
         }
-        while let Some(node) = self.round.pop() {
+        while let Some(node) = self.probe_round.pop() {
             let Some(record) = self.get(&node).filter(|r| r.state != State::Dead) else { continue };
             let to = record.contact.peer_address;
             let sequence = self.probes.begin(now, node);
@@ -447,6 +452,6 @@
     }
 }
 
-fn is_due(last: Option<Instant>, now: Instant, every: Duration) -> bool {
-    last.is_none_or(|last| now.saturating_duration_since(last) >= every)
+fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
+    last.is_none_or(|last| now.saturating_duration_since(last) >= interval)
 }
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -47,8 +47,8 @@
 /// The priority at which an engine is to run the work of a lane: short before
 /// long, interactive before batch.
 pub fn priority_of(lane: Lane) -> u8 {
-    let short = if lane.long { 0 } else { 2 };
-    short + u8::from(lane.class == Class::Interactive)
+    let base = if lane.long { 0 } else { 2 };
+    base + u8::from(lane.class == Class::Interactive)
 }
 
 /// Names an ask or the permit it became.
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -49,7 +49,7 @@
     deaths: u32,
     /// Of the last death, or of the clearing.
     at: Instant,
-    trial: Option<Instant>,
+    trial_deadline: Option<Instant>,
 }
 
 /// The suspects that a node knows of.
@@ -70,7 +70,7 @@
         match self.records.get(&fingerprint) {
             None | Some(Record { deaths: 0, .. }) => Verdict::Clear,
             Some(record) if record.deaths >= QUARANTINE_DEATHS => Verdict::Quarantined,
-            Some(Record { trial: Some(_), .. }) => Verdict::Wait,
+            Some(Record { trial_deadline: Some(_), .. }) => Verdict::Wait,
             Some(_) => Verdict::RunAlone,
         }
     }
@@ -78,7 +78,7 @@
     /// Notes that a suspect is now run alone, until `deadline` at most.
     pub fn begin_trial(&mut self, fingerprint: u64, deadline: Instant) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.trial = Some(deadline);
+            record.trial_deadline = Some(deadline);
         }
     }
 
@@ -86,7 +86,7 @@
     /// never begun.
     pub fn cancel_trial(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.trial = None;
+            record.trial_deadline = None;
         }
     }
 
@@ -101,11 +101,11 @@
             let record = self.records.entry(fingerprint).or_insert(Record {
                 deaths: 0,
                 at: now,
-                trial: None,
+                trial_deadline: None,
             });
-            *record = Record { deaths: record.deaths + 1, at: now, trial: None };
+            *record = Record { deaths: record.deaths + 1, at: now, trial_deadline: None };
         }
-        self.shrink();
+        self.evict_oldest();
     }
 
     /// Notes that a request ran to its end: it is innocent. What is
@@ -114,7 +114,7 @@
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.deaths < QUARANTINE_DEATHS
         {
-            *record = Record { deaths: 0, at: now, trial: None };
+            *record = Record { deaths: 0, at: now, trial_deadline: None };
         }
     }
 
@@ -124,27 +124,28 @@
         for suspect in suspects.into_iter().filter(|s| s.age < RETENTION) {
             let at = now.checked_sub(suspect.age).unwrap_or(now);
             let known = self.records.get(&suspect.fingerprint).copied();
-            let newer = known.is_none_or(|known| {
+            let is_newer = known.is_none_or(|known| {
                 suspect.deaths > known.deaths && suspect.deaths >= QUARANTINE_DEATHS
                     || at > known.at && known.deaths < QUARANTINE_DEATHS
             });
-            if newer {
-                let trial = known.and_then(|known| known.trial).filter(|_| suspect.deaths == 1);
-                let record = Record { deaths: suspect.deaths, at, trial };
+            if is_newer {
+                let trial_deadline =
+                    known.and_then(|known| known.trial_deadline).filter(|_| suspect.deaths == 1);
+                let record = Record { deaths: suspect.deaths, at, trial_deadline };
                 self.records.insert(suspect.fingerprint, record);
             }
         }
-        self.shrink();
+        self.evict_oldest();
     }
 
     /// What other nodes should know.
     pub fn snapshot(&self, now: Instant) -> Vec<Suspect> {
-        let told = self.records.iter().map(|(&fingerprint, record)| Suspect {
+        let suspects = self.records.iter().map(|(&fingerprint, record)| Suspect {
             fingerprint,
             deaths: record.deaths,
             age: now.saturating_duration_since(record.at),
         });
-        told.filter(|suspect| suspect.age < RETENTION).collect()
+        suspects.filter(|suspect| suspect.age < RETENTION).collect()
     }
 
     /// Fingerprints kept.
@@ -161,22 +162,22 @@
         let Some(record) = self.records.get_mut(&fingerprint) else { return };
         if now.saturating_duration_since(record.at) >= RETENTION {
             self.records.remove(&fingerprint);
-        } else if record.trial.is_some_and(|deadline| deadline <= now) {
-            record.trial = None;
+        } else if record.trial_deadline.is_some_and(|deadline| deadline <= now) {
+            record.trial_deadline = None;
         }
     }
 
     /// Drops the oldest records where there are too many, cleared ones first
     /// and quarantined ones last; an eighth at once, so that the sort is paid
     /// for by many insertions.
-    fn shrink(&mut self) {
+    fn evict_oldest(&mut self) {
         if self.records.len() <= MAX_FINGERPRINTS {
             return;
         }
         let mut order: Vec<_> = self.records.iter().map(|(&f, r)| (r.deaths, r.at, f)).collect();
         order.sort_unstable();
-        let over = self.records.len() - MAX_FINGERPRINTS / 8 * 7;
-        for (_, _, fingerprint) in order.into_iter().take(over) {
+        let excess = self.records.len() - MAX_FINGERPRINTS / 8 * 7;
+        for (_, _, fingerprint) in order.into_iter().take(excess) {
             self.records.remove(&fingerprint);
         }
     }
--- a/crates/policy/src/probe.rs
+++ b/crates/policy/src/probe.rs
@@ -17,15 +17,15 @@
     sequence: u32,
     node: id::Node,
     sent: Instant,
-    helped: bool,
+    is_relayed: bool,
 }
 
 /// A probe made for another node.
 #[derive(Clone, Copy, Debug)]
-struct Relayed {
+struct RelayedProbe {
     sequence: u32,
-    for_sequence: u32,
-    asker: SocketAddr,
+    requester_sequence: u32,
+    requester: SocketAddr,
     sent: Instant,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
     own: Vec<Probe>,
-    relayed: Vec<Relayed>,
+    relayed: Vec<RelayedProbe>,
     sequence: u32,
 }
 
@@ -41,24 +41,29 @@
     /// Notes a probe of a node; its number.
     pub(crate) fn begin(&mut self, now: Instant, node: id::Node) -> u32 {
         let sequence = self.next_sequence();
-        self.own.push(Probe { sequence, node, sent: now, helped: false });
+        self.own.push(Probe { sequence, node, sent: now, is_relayed: false });
         sequence
     }
 
     /// Notes a probe that another node asked for; its number.
-    pub(crate) fn begin_for(&mut self, now: Instant, asker: SocketAddr, for_sequence: u32) -> u32 {
+    pub(crate) fn begin_relayed(
+        &mut self,
+        now: Instant,
+        requester: SocketAddr,
+        requester_sequence: u32,
+    ) -> u32 {
         let sequence = self.next_sequence();
-        self.relayed.push(Relayed { sequence, for_sequence, asker, sent: now });
+        self.relayed.push(RelayedProbe { sequence, requester_sequence, requester, sent: now });
         sequence
     }
 
     /// Notes an answer; what is passed on to the node that had asked for the probe.
-    pub(crate) fn answer(&mut self, sequence: u32, digest: u64) -> Option<Outgoing> {
+    pub(crate) fn acknowledge(&mut self, sequence: u32, digest: u64) -> Option<Outgoing> {
         self.own.retain(|probe| probe.sequence != sequence);
         let answered = self.relayed.iter().position(|relayed| relayed.sequence == sequence)?;
-        let Relayed { for_sequence, asker, .. } = self.relayed.swap_remove(answered);
-        let exchange = Exchange { sequence: for_sequence, digest, records: Vec::new() };
-        Some((asker, Message::Ack(exchange)))
+        let RelayedProbe { requester_sequence, requester, .. } = self.relayed.swap_remove(answered);
+        let exchange = Exchange { sequence: requester_sequence, digest, records: Vec::new() };
+        Some((requester, Message::Ack(exchange)))
     }
 
     /// The nodes that were silent for too long, once each.
@@ -70,21 +75,21 @@
     }
 
     /// The nodes that others should probe, too, with the numbers of their probes.
-    pub(crate) fn take_silent(&mut self, now: Instant) -> Vec<(u32, id::Node)> {
-        let is_silent = |probe: &&mut Probe| {
-            !probe.helped && now.saturating_duration_since(probe.sent) >= INDIRECT_AFTER
+    pub(crate) fn take_unanswered(&mut self, now: Instant) -> Vec<(u32, id::Node)> {
+        let is_unanswered = |probe: &&mut Probe| {
+            !probe.is_relayed && now.saturating_duration_since(probe.sent) >= INDIRECT_AFTER
         };
-        let silent = self.own.iter_mut().filter(is_silent);
+        let silent = self.own.iter_mut().filter(is_unanswered);
         silent
             .map(|probe| {
-                probe.helped = true;
+                probe.is_relayed = true;
                 (probe.sequence, probe.node.clone())
             })
             .collect()
     }
 
     /// Forgets all of this node's own.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.own.clear();
     }
 
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -10,9 +10,9 @@
 pub(crate) struct Peer {
     pub(crate) record: Record,
     /// When its state was learned.
-    pub(crate) since: Instant,
+    pub(crate) state_since: Instant,
     /// When it was last asked to refute a suspicion.
-    pub(crate) pressed: Instant,
+    pub(crate) last_reminder: Instant,
 }
 
 /// How many other nodes are in each state.
@@ -45,10 +45,10 @@
     /// Other nodes in a state that passes.
     pub(crate) fn with_state(
         &self,
-        passes: impl Fn(State) -> bool,
+        is_wanted: impl Fn(State) -> bool,
     ) -> impl Iterator<Item = &Record> {
         let records = self.peers.values().map(|peer| &peer.record);
-        records.filter(move |record| passes(record.state))
+        records.filter(move |record| is_wanted(record.state))
     }
 
     /// The records of all that are not dead.
@@ -59,7 +59,7 @@
 
     /// What is held of a node that is heard, where that is not that it is alive: it
     /// refutes that.
-    pub(crate) fn find_false(&self, node: &id::Node) -> Option<Record> {
+    pub(crate) fn find_refutable(&self, node: &id::Node) -> Option<Record> {
         let record = self.peers.get(node).map(|peer| &peer.record)?;
         (record.state != State::Alive).then(|| record.clone())
     }
@@ -90,7 +90,7 @@
         if is_present(&record) {
             self.digest ^= record.digest();
         }
-        let peer = Peer { record, since: now, pressed: now };
+        let peer = Peer { record, state_since: now, last_reminder: now };
         let before = self.peers.insert(peer.record.node.clone(), peer);
         if let Some(before) = before.filter(|before| is_present(&before.record)) {
             self.digest ^= before.record.digest();
@@ -98,7 +98,7 @@
     }
 
     /// Raises this node's own record above a version.
-    pub(crate) fn raise_own(&mut self, incarnation: id::Incarnation, version: u32) {
+    pub(crate) fn raise_own_version(&mut self, incarnation: id::Incarnation, version: u32) {
         self.digest ^= self.own.digest();
         self.own.incarnation = incarnation;
         self.own.version = version + 1;
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -5,21 +5,21 @@
 use hickory_unit::id;
 
 /// Records in one message: a datagram must go through all links unfragmented.
-pub(crate) const RECORDS_MOST: usize = 12;
+pub(crate) const MAX_RECORDS: usize = 12;
 
 /// How often a record is sent on, besides a logarithm of the nodes.
-const SENT_LEAST: u32 = 8;
+const BASE_SENDS: u32 = 8;
 
 /// By how much less often a record is sent on after a peer was met that has it.
-const ALIKE: u32 = 3;
+const EQUAL_DIGEST_SENDS: u32 = 3;
 
 /// A record that is still to be sent on.
 #[derive(Clone, Debug)]
 struct News {
     node: id::Node,
-    left: u32,
+    sends_left: u32,
     /// Whether it was sent on at all.
-    told: bool,
+    is_sent: bool,
 }
 
 /// Records to be sent on, each a bounded number of times.
@@ -33,7 +33,7 @@
     pub(crate) fn add(&mut self, node: id::Node, nodes: usize) {
         self.news.retain(|news| news.node != node);
         let logarithm = u32::BITS - (nodes as u32).leading_zeros();
-        self.news.push(News { node, left: SENT_LEAST + logarithm, told: false });
+        self.news.push(News { node, sends_left: BASE_SENDS + logarithm, is_sent: false });
     }
 
     /// Whether nothing is to be sent on.
@@ -43,25 +43,27 @@
 
     /// Whether there is news that was told to nobody yet.
     pub(crate) fn has_unsent_news(&self) -> bool {
-        self.news.iter().any(|news| !news.told)
+        self.news.iter().any(|news| !news.is_sent)
     }
 
     /// The records that were sent on least, which count as sent.
     pub(crate) fn take(&mut self, roster: &Roster) -> Vec<Record> {
-        self.news.sort_by_key(|news| std::cmp::Reverse(news.left));
+        self.news.sort_by_key(|news| std::cmp::Reverse(news.sends_left));
         let mut records = Vec::new();
-        for news in self.news.iter_mut().take(RECORDS_MOST) {
+        for news in self.news.iter_mut().take(MAX_RECORDS) {
             records.extend(roster.get(&news.node).cloned());
-            news.left -= 1;
-            news.told = true;
+            news.sends_left -= 1;
+            news.is_sent = true;
         }
-        self.news.retain(|news| news.left > 0);
+        self.news.retain(|news| news.sends_left > 0);
         records
     }
 
     /// Notes that a peer holds the same: it needs no news, and neither do many others.
-    pub(crate) fn note_alike(&mut self) {
-        self.news.iter_mut().for_each(|news| news.left = news.left.saturating_sub(ALIKE));
-        self.news.retain(|news| news.left > 0);
+    pub(crate) fn note_equal_digest(&mut self) {
+        self.news
+            .iter_mut()
+            .for_each(|news| news.sends_left = news.sends_left.saturating_sub(EQUAL_DIGEST_SENDS));
+        self.news.retain(|news| news.sends_left > 0);
     }
 }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -9,11 +9,11 @@
 /// The part of a common bound that the nodes use between them. The rest is for
 /// nodes that count fewer peers than there are, for a second or so after a
 /// partition.
-const USED: f64 = 0.7;
+const USED_EXTRA_PART: f64 = 0.7;
 
 /// The part of the per-request allowance that is used: the window of whoever
 /// judges may begin anywhere, also just after a burst of requests.
-const EARNED: f64 = 0.6;
+const USED_RATIO_PART: f64 = 0.6;
 
 /// A bound on repeats: so many for each request, and so many besides.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -43,13 +43,13 @@
     /// Takes one repeat, if this node's share has one left.
     pub fn try_spend(&mut self, now: Instant, bound: &Limit, nodes: usize) -> bool {
         self.expire(now, bound.window);
-        let earned = self.requests.len() as f64 * bound.ratio * EARNED;
-        let besides = bound.extra * USED / nodes.max(1) as f64;
-        let allowed = (self.repeats.len() as f64) + 1.0 <= earned + besides;
-        if allowed {
+        let earned = self.requests.len() as f64 * bound.ratio * USED_RATIO_PART;
+        let extra = bound.extra * USED_EXTRA_PART / nodes.max(1) as f64;
+        let is_allowed = (self.repeats.len() as f64) + 1.0 <= earned + extra;
+        if is_allowed {
             self.repeats.push_back(now);
         }
-        allowed
+        is_allowed
     }
 
     fn expire(&mut self, now: Instant, window: Duration) {
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -15,36 +15,36 @@
 
 /// Answers up to this size are always taken on: the word that a target leaves
 /// must not wait behind a document.
-const SMALL: Bytes = Bytes(2 << 10);
+const SMALL_ANSWER: Bytes = Bytes(2 << 10);
 
 /// How long what was taken on may keep the link busy before one more is turned
 /// away. Whoever is admitted waits this long for its first byte, which has to
 /// be far below the time after which it would take the giver for silent.
-const BACKLOG_MOST: Duration = Duration::from_millis(50);
+const MAX_BACKLOG: Duration = Duration::from_millis(50);
 
 /// The longest that one is told to wait before it asks the same giver again:
 /// others have the document by then.
-const WAIT_MOST: Duration = Duration::from_millis(400);
+const MAX_WAIT: Duration = Duration::from_millis(400);
 
 /// A longer time isn't foretold: the rate of the link is not what it was taken
 /// for.
-const SEND_MOST: Duration = Duration::from_secs(60);
+const MAX_SEND_TIME: Duration = Duration::from_secs(60);
 
 /// How long bytes are counted before they tell the rate of a link.
-const SEEN_AFTER: Duration = Duration::from_millis(25);
+const MIN_RATE_SAMPLE_TIME: Duration = Duration::from_millis(25);
 
 /// A link counts as slower than it is said to be from this on: takers differ in what
 /// they take as well.
-const SLOWDOWN_LEAST: f64 = 2.0;
+const MIN_SLOWDOWN: f64 = 2.0;
 
 /// A link that takes this many times longer than it is said to is as good as cut.
-const SLOWDOWN_MOST: f64 = 1_000.0;
+const MAX_SLOWDOWN: f64 = 1_000.0;
 
 /// Nodes named to one that is turned away.
-const NAMED: usize = 6;
+const MAX_REFERRALS: usize = 6;
 
 /// What a connection takes of an answer before its link has sent any of it.
-const BUFFERED: u64 = 64 << 10;
+const CONNECTION_BUFFER_BYTES: u64 = 64 << 10;
 
 /// What a node is sending.
 ///
@@ -54,21 +54,21 @@
 /// in time.
 #[derive(Clone, Debug, Default)]
 pub struct UploadMeter {
-    open: Vec<Open>,
-    last: u32,
+    transfers: Vec<Transfer>,
+    last_ticket: u32,
 }
 
 /// An answer that is being sent.
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct Transfer {
     ticket: Ticket,
     size: Bytes,
-    left: Bytes,
-    begun: Instant,
+    remaining: Bytes,
+    started: Instant,
     /// When the link last took some of it.
-    moved: Instant,
+    last_progress: Instant,
     /// When its connection's buffers were full, and what was taken of it then.
-    filled: Option<(Instant, u64)>,
+    buffers_full: Option<(Instant, u64)>,
 }
 
 /// Names an answer that was taken on.
@@ -95,71 +95,81 @@
         link: rate::BytesPerSecond,
     ) -> Result<Ticket, Busy> {
         let backlog = self.backlog(now, link);
-        if size > SMALL && backlog > BACKLOG_MOST {
-            return Err(Busy { wait: backlog.min(WAIT_MOST) });
+        if size > SMALL_ANSWER && backlog > MAX_BACKLOG {
+            return Err(Busy { wait: backlog.min(MAX_WAIT) });
         }
-        self.last = self.last.wrapping_add(1);
-        let ticket = Ticket(self.last);
-        self.open.push(Open { ticket, size, left: size, begun: now, moved: now, filled: None });
+        self.last_ticket = self.last_ticket.wrapping_add(1);
+        let ticket = Ticket(self.last_ticket);
+        self.transfers.push(Transfer {
+            ticket,
+            size,
+            remaining: size,
+            started: now,
+            last_progress: now,
+            buffers_full: None,
+        });
         Ok(ticket)
     }
 
     /// Whether the link is too busy for more than the smallest answers.
     pub fn is_busy(&mut self, now: Instant, link: rate::BytesPerSecond) -> bool {
-        self.backlog(now, link) > BACKLOG_MOST
+        self.backlog(now, link) > MAX_BACKLOG
     }
 
     /// Notes what is left of an answer.
-    pub fn record_remaining(&mut self, now: Instant, ticket: Ticket, left: Bytes) {
-        let open = self.open.iter_mut().find(|open| open.ticket == ticket);
-        if let Some(open) = open.filter(|open| open.left != left) {
-            (open.left, open.moved) = (left, now);
-            let taken = open.size.0.saturating_sub(left.0);
-            if taken >= BUFFERED {
-                open.filled.get_or_insert((now, taken));
+    pub fn record_remaining(&mut self, now: Instant, ticket: Ticket, remaining: Bytes) {
+        let transfer = self.transfers.iter_mut().find(|transfer| transfer.ticket == ticket);
+        if let Some(transfer) = transfer.filter(|transfer| transfer.remaining != remaining) {
+            (transfer.remaining, transfer.last_progress) = (remaining, now);
+            let taken = transfer.size.0.saturating_sub(remaining.0);
+            if taken >= CONNECTION_BUFFER_BYTES {
+                transfer.buffers_full.get_or_insert((now, taken));
             }
         }
     }
 
     /// Notes that an answer has ended.
     pub fn finish(&mut self, ticket: Ticket) {
-        self.open.retain(|open| open.ticket != ticket);
+        self.transfers.retain(|transfer| transfer.ticket != ticket);
     }
 
     /// How long the link is busy with what was taken on. One who stopped
     /// reading, or reads for longer than takers do, holds no place.
     fn backlog(&mut self, now: Instant, link: rate::BytesPerSecond) -> Duration {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.open
-            .retain(|open| age(open.begun) < MAX_TRANSFER_TIME && age(open.moved) < MAX_SILENCE);
-        let left = self.open.iter().map(|open| open.left.0).fold(0, u64::saturating_add);
-        let time = link.time_for(Bytes(left)).min(SEND_MOST);
-        time.mul_f64(self.slowdown(now, link)).min(SEND_MOST)
+        self.transfers.retain(|transfer| {
+            age(transfer.started) < MAX_TRANSFER_TIME && age(transfer.last_progress) < MAX_SILENCE
+        });
+        let remaining =
+            self.transfers.iter().map(|transfer| transfer.remaining.0).fold(0, u64::saturating_add);
+        let time = link.time_for(Bytes(remaining)).min(MAX_SEND_TIME);
+        time.mul_f64(self.slowdown(now, link)).min(MAX_SEND_TIME)
     }
 
     /// How many times longer the link takes than it is said to, as far as it shows.
     fn slowdown(&self, now: Instant, link: rate::BytesPerSecond) -> f64 {
-        let is_seen = self.open.iter().any(|open| open.is_seen(now));
-        let rate: f64 = self.open.iter().map(|open| open.rate(now)).sum();
+        let is_rate_known = self.transfers.iter().any(|transfer| transfer.is_rate_known(now));
+        let rate: f64 = self.transfers.iter().map(|transfer| transfer.rate(now)).sum();
         let slowdown = if link.0.is_finite() { link.0 / rate.max(1.0) } else { 1.0 };
-        match is_seen && slowdown >= SLOWDOWN_LEAST {
-            true => slowdown.min(SLOWDOWN_MOST),
+        match is_rate_known && slowdown >= MIN_SLOWDOWN {
+            true => slowdown.min(MAX_SLOWDOWN),
             false => 1.0,
         }
     }
 }
 
-impl Open {
+impl Transfer {
     /// Whether the rate at which it is sent shows.
-    fn is_seen(&self, now: Instant) -> bool {
-        self.filled.is_some_and(|(at, _)| now.saturating_duration_since(at) >= SEEN_AFTER)
+    fn is_rate_known(&self, now: Instant) -> bool {
+        self.buffers_full
+            .is_some_and(|(at, _)| now.saturating_duration_since(at) >= MIN_RATE_SAMPLE_TIME)
     }
 
     /// Bytes a second that the link has sent of it: since its connection's buffers were
     /// full, if they are.
     fn rate(&self, now: Instant) -> f64 {
-        let (since, before) = self.filled.unwrap_or((self.begun, 0));
-        let sent = self.size.0 - self.left.0.min(self.size.0) - before;
+        let (since, before) = self.buffers_full.unwrap_or((self.started, 0));
+        let sent = self.size.0 - self.remaining.0.min(self.size.0) - before;
         let time = now.saturating_duration_since(since).as_secs_f64();
         if time > 0.0 { sent as f64 / time } else { 0.0 }
     }
@@ -185,7 +195,7 @@
     pub fn record(&mut self, at: Instant, node: K) {
         self.nodes.retain(|(_, known)| *known != node);
         self.nodes.push_back((at, node));
-        if self.nodes.len() > NAMED * 2 {
+        if self.nodes.len() > MAX_REFERRALS * 2 {
             self.nodes.pop_front();
         }
     }
@@ -193,7 +203,7 @@
     /// The latest of those that have it by now.
     pub fn recent(&self, now: Instant) -> Vec<K> {
         let done = self.nodes.iter().rev().filter(|(at, _)| *at <= now);
-        done.take(NAMED).map(|(_, node)| node.clone()).collect()
+        done.take(MAX_REFERRALS).map(|(_, node)| node.clone()).collect()
     }
 
     /// Forgets all: the document has changed.
@@ -216,30 +226,30 @@
 /// Who can give a document, as one who wants it knows them.
 #[derive(Clone, Debug)]
 pub struct Sources<K> {
-    named: Vec<K>,
+    referrals: Vec<K>,
     busy_until: HashMap<K, Instant>,
     /// Failures without an answer between them.
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl<K> Default for Sources<K> {
     fn default() -> Self {
-        Self { named: Vec::new(), busy_until: HashMap::new(), failures: 0 }
+        Self { referrals: Vec::new(), busy_until: HashMap::new(), consecutive_failures: 0 }
     }
 }
 
 /// How long a giver that failed is left alone.
-const FAILED_FOR: Duration = Duration::from_secs(1);
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// How long a giver may take to begin its answer where others have the document
 /// as well. It takes on only what it can begin at once, so one that says nothing
 /// has most likely died or is cut off, and each moment spent on it is one that
 /// every node behind this one waits for.
-const BEGIN_WITHIN: Duration = Duration::from_millis(250);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Failures in a row after which a taker is patient: not the givers are silent
 /// then, but its own link or host is slow.
-const FAILURES_OF_OTHERS: u32 = 3;
+const FAILURES_BEFORE_LONG_TIMEOUT: u32 = 3;
 
 /// The same where no other is known, and how long an answer that has begun may
 /// be silent: a host that was short of its processor goes on after that.
@@ -251,44 +261,44 @@
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(2);
 
 /// Named givers that are remembered; more are as good as these.
-const REMEMBERED: usize = 64;
+const MAX_REMEMBERED_SOURCES: usize = 64;
 
 impl<K: Copy + Eq + Hash> Sources<K> {
     /// Notes that a giver is busy and whom it named in its place. `random` is
     /// from 0 to 1: those who were turned away together come back apart.
-    pub fn record_busy(&mut self, now: Instant, giver: K, busy: Busy, others: &[K], random: f64) {
+    pub fn record_busy(&mut self, now: Instant, source: K, busy: Busy, others: &[K], random: f64) {
         self.record_response();
-        self.busy_until.insert(giver, now + busy.wait.mul_f64(1.0 + random));
+        self.busy_until.insert(source, now + busy.wait.mul_f64(1.0 + random));
         for other in others {
-            if self.named.len() < REMEMBERED && !self.named.contains(other) {
-                self.named.push(*other);
+            if self.referrals.len() < MAX_REMEMBERED_SOURCES && !self.referrals.contains(other) {
+                self.referrals.push(*other);
             }
         }
     }
 
     /// Notes that a giver answered.
     pub fn record_response(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
     /// Notes a giver that gave no answer, or broke off.
-    pub fn record_failure(&mut self, now: Instant, giver: K) {
-        self.failures += 1;
-        self.busy_until.insert(giver, now + FAILED_FOR);
+    pub fn record_failure(&mut self, now: Instant, source: K) {
+        self.consecutive_failures += 1;
+        self.busy_until.insert(source, now + FAILURE_BACKOFF);
     }
 
     /// How long one that is asked may take to begin its answer.
-    pub fn response_timeout(&self, asked: K, heard: &[K]) -> Duration {
-        let others = heard.iter().chain(&self.named).any(|node| *node != asked);
-        let is_patient = !others || self.failures >= FAILURES_OF_OTHERS;
-        if is_patient { MAX_SILENCE } else { BEGIN_WITHIN }
+    pub fn response_timeout(&self, source: K, holders: &[K]) -> Duration {
+        let others = holders.iter().chain(&self.referrals).any(|node| *node != source);
+        let has_long_timeout = !others || self.consecutive_failures >= FAILURES_BEFORE_LONG_TIMEOUT;
+        if has_long_timeout { MAX_SILENCE } else { RESPONSE_TIMEOUT }
     }
 
     /// Whom to ask next, of those that are `heard` to have the document and
     /// those that were named. `random` is from 0 to 1.
-    pub fn choose(&self, now: Instant, heard: &[K], random: f64) -> Choice<K> {
-        let named = self.named.iter().filter(|node| !heard.contains(node));
-        let all: Vec<K> = heard.iter().chain(named).copied().collect();
+    pub fn choose(&self, now: Instant, holders: &[K], random: f64) -> Choice<K> {
+        let named = self.referrals.iter().filter(|node| !holders.contains(node));
+        let all: Vec<K> = holders.iter().chain(named).copied().collect();
         let wait = |node: &K| {
             let until = self.busy_until.get(node);
             until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
