--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -1,9 +1,9 @@
-//! What the decisions are measured against, behind the same traits.
+//! Baseline policies that the decisions are compared with, behind the same traits.
 //!
-//! [`Fifo`] with [`RoundRobin`]: each target takes what its slots and memory
-//! hold, in the order of arrival, and targets take turns. [`Unbounded`] with
-//! [`LeastLoaded`]: everything is sent at once to the target whose lagging
-//! report shows the fewest streams, and queues in the engine.
+//! [`Fifo`] with [`RoundRobin`]: each target admits requests in the order of arrival while it has
+//! free slots and memory, and targets are chosen in rotation. [`Unbounded`] with [`LeastLoaded`]:
+//! each request is sent immediately to the target whose latest (delayed) report shows the fewest
+//! streams, and queues inside the engine.
 
 use crate::fair::Lane;
 use crate::limit::{
@@ -15,50 +15,50 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// What is told of a target to the nodes that choose.
+/// State of a target as published to the nodes that choose targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct State {
     /// Prompt tokens granted or queued.
     pub queued_prefill: size::Tokens,
-    /// Of these, tokens of long prompts.
+    /// The part of them that belongs to long prompts.
     pub queued_long: size::Tokens,
     /// KV cache in use.
     pub kv_used: size::Tokens,
-    /// Prompt tokens a second at present, where it is known.
+    /// Current prefill rate in prompt tokens per second, if known.
     pub prefill_rate: Option<u64>,
-    /// Streams that the target bears.
+    /// Maximum number of concurrent streams.
     pub stream_limit: u32,
     /// Streams granted.
     pub running: u32,
-    /// Asks that wait.
+    /// Requests queued.
     pub waiting: u32,
 }
 
-/// The limit on one target.
+/// Admission control of one target.
 pub trait Limit {
-    /// A limit for a target that has just been found.
+    /// Creates a limit for a newly discovered target.
     fn new(capacity: Capacity) -> Self;
-    /// Asks for a permit.
+    /// Requests a permit.
     fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer;
-    /// Grants and gives up.
+    /// Grants queued requests and refuses those that have expired.
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)>;
-    /// Takes in a load report, with the number of streams it shows.
+    /// Processes a load report; `streams` is the number of streams that it shows.
     fn observe(&mut self, now: Instant, observed: &Observed, streams: u32);
-    /// Takes back a permit.
+    /// Releases a permit.
     fn complete(&mut self, now: Instant, ticket: Ticket, outcome: Outcome);
-    /// Says whether the target takes new work.
+    /// Sets whether the target accepts new work; returns the queued requests that are refused.
     fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)>;
     /// Replaces the partners' shares.
     fn set_shares(&mut self, shares: &[(hickory_unit::id::Partner, f64)]);
-    /// What nodes are told.
+    /// Returns the state that is published to the nodes.
     fn state(&self) -> State;
-    /// The priority at which an engine runs the work.
+    /// Returns the priority at which an engine runs the work of a lane.
     fn priority(lane: Lane) -> u8;
 }
 
-/// The choice of a target.
+/// A policy that chooses a target.
 pub trait Place {
-    /// Chooses one of the candidates, all of which may be used.
+    /// Chooses one of the candidates; returns its index.
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize>;
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-/// The placement that is measured: [`choose_target`].
+/// The policy in production use: [`choose_target`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimate;
 
@@ -119,7 +119,7 @@
     }
 }
 
-/// Why an ask can't be taken at all, whatever else runs or waits.
+/// Returns why a request can't be admitted regardless of the load, if so.
 fn find_refusal(
     now: Instant,
     request: &PermitRequest,
@@ -135,7 +135,7 @@
     (request.cost.kv() > capacity.kv).then_some(Reason::TooLong)
 }
 
-/// Slots and memory in the order of arrival.
+/// Admission by free slots and memory, in the order of arrival.
 #[derive(Clone, Debug)]
 pub struct Fifo {
     capacity: Capacity,
@@ -233,7 +233,7 @@
     }
 }
 
-/// Targets take turns.
+/// Chooses targets in rotation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -248,7 +248,7 @@
     }
 }
 
-/// No limit: everything is sent at once.
+/// No limit: every request is granted immediately.
 #[derive(Clone, Debug)]
 pub struct Unbounded {
     capacity: Capacity,
@@ -301,7 +301,7 @@
     }
 }
 
-/// The fewest streams by the report, with what this node sent since.
+/// Chooses the target with the fewest streams, by its report and what this node has sent since.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -1,42 +1,41 @@
-//! Outlier ejection: which targets are avoided since they fail more than their
-//! fellows.
+//! Outlier ejection: avoids targets whose failure rate is higher than that of the other targets of
+//! the service.
 //!
-//! What counts is the rate of failures, over the requests of all nodes. A count
-//! of failures would grow with the fleet, and a service whose application fails
-//! one request in ten would have most of its replicas ejected at any moment. A
-//! rate is compared with the median of the service, so that at most half of the
-//! targets are avoided, whatever they all suffer from.
+//! The failure rate is taken over the requests of all nodes. An absolute count of failures would
+//! grow with the size of the fleet, and a service whose application fails one request in ten would
+//! have most of its replicas ejected at any time. Each rate is compared with the median rate of the
+//! service, so at most half of the targets are avoided, even if all of them fail.
 //!
-//! A target that refuses to read parts of prompts for other engines is given no
-//! part for a time, whatever its own streams come to: it is leaving unheard, and
-//! looks idle since all that is sent there is refused.
+//! A target that refuses to prefill parts of prompts for other engines receives no parts for a
+//! backoff period, whatever the outcomes of its own streams. Such a target is shutting down without
+//! having announced it, and it looks idle because it refuses everything sent to it.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// The weight of the last outcome in a target's rate.
+/// Weight of the newest outcome in the exponential moving average of a target's failure rate.
 const OUTCOME_WEIGHT: f64 = 0.4;
 
-/// Half-life of a rate without outcomes, after which a target is tried again.
+/// Half-life of a failure rate without new outcomes; it lets an avoided target be tried again.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// What a failed attempt costs its caller.
+/// Latency that one failed attempt adds to a request.
 const FAILED_ATTEMPT_COST: Duration = Duration::from_millis(450);
 
-/// A lower expected cost is not told from chance.
+/// Expected costs below this are treated as zero: they are within the noise.
 const MIN_COST: Duration = Duration::from_millis(60);
 
-/// The greatest expected cost.
+/// Upper bound of the expected cost.
 const MAX_COST: Duration = Duration::from_secs(4);
 
-/// Rates below this are forgotten.
+/// Failure rates below this are dropped.
 const MIN_RATE: f64 = 0.01;
 
-/// How long a target is given no parts, doubled by each further refusal.
+/// Backoff after a refused part; each further refusal doubles it.
 const PART_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Doublings of that at most.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +57,7 @@
     until: Instant,
 }
 
-/// The targets that failed lately.
+/// Failure rates and part refusals of the targets.
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
@@ -72,7 +71,7 @@
 }
 
 impl<K: Copy + Eq + Hash> Ejection<K> {
-    /// Notes how a request ended at a target.
+    /// Records the outcome of a request at a target.
     pub fn record_outcome(&mut self, now: Instant, target: K, is_success: bool) {
         let previous = self.rate(now, target);
         let failures = previous + OUTCOME_WEIGHT * (f64::from(u8::from(!is_success)) - previous);
@@ -86,7 +85,8 @@
         }
     }
 
-    /// Notes that nothing listens at a target: no chance brings that about.
+    /// Records that connections to a target are refused. One such event sets the failure rate to 1,
+    /// since it never happens by chance.
     pub fn record_unreachable(&mut self, now: Instant, target: K) {
         self.rates.insert(target, Rate { failures: 1.0, at: now });
     }
@@ -95,8 +95,8 @@
         self.rates.get(&target).map_or(0.0, |rate| rate.decayed(now))
     }
 
-    /// What it is expected to cost to try each of a service's targets, beyond
-    /// what it costs to try any of them.
+    /// Returns the expected latency cost of failures at each of a service's targets, beyond the
+    /// cost at the median target.
     pub fn expected_costs(&self, now: Instant, targets: impl Iterator<Item = K>) -> Vec<Duration> {
         let rates: Vec<f64> = targets.map(|target| self.rate(now, target)).collect();
         let mut sorted = rates.clone();
@@ -105,8 +105,8 @@
         rates.into_iter().map(|rate| cost(rate, median)).collect()
     }
 
-    /// Notes that a target refused to read a part for another one. Several prompts
-    /// that are refused at the same moment count once.
+    /// Records that a target refused to prefill a part for another engine. Refusals during a
+    /// backoff are ignored, so several prompts refused at the same moment count once.
     pub fn record_part_refusal(&mut self, now: Instant, target: K) {
         let known = self.part_refusals.get(&target);
         if known.is_some_and(|part_refusals| now < part_refusals.until) {
@@ -119,14 +119,14 @@
             .retain(|_, part_refusals| part_refusals.until + PART_REFUSAL_BACKOFF * 4 > now);
     }
 
-    /// Whether a target is given no parts.
+    /// Returns whether a target is in backoff and receives no parts.
     pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
         self.part_refusals.get(&target).is_some_and(|part_refusals| now < part_refusals.until)
     }
 }
 
-/// The cost of the failures that come before a success, where each attempt
-/// fails by the rate beyond the median.
+/// Returns the expected cost of the failures before the first success, if each attempt fails with
+/// the probability by which `rate` exceeds the median.
 fn cost(rate: f64, median: f64) -> Duration {
     let excess = (rate - median).max(0.0) / (1.0 - median).max(MIN_RATE);
     let odds = excess / (1.0 - excess).max(MIN_RATE);
--- a/crates/policy/src/flow.rs
+++ b/crates/policy/src/flow.rs
@@ -1,4 +1,5 @@
-//! One level of the fair queue: what each flow has used, and whose turn it is.
+//! One level of the hierarchical fair queue: start-time fair queueing with separate tags for short
+//! and long work.
 
 use crate::lane::{LANES, Lanes};
 use std::collections::BTreeSet;
@@ -6,16 +7,16 @@
 /// Fixed-point scale of the tags.
 const SCALE: f64 = 65_536.0;
 
-/// What a partner or an account has used, and what waits.
+/// Usage and queued work of a partner or an account.
 #[derive(Clone, Debug)]
 pub(crate) struct Flow {
     pub(crate) weight: f64,
-    /// Start tag: the work received, over the weight.
+    /// Start tag: the work received, divided by the weight.
     tag: u64,
-    /// Long work received that the tag does not hold yet, over the weight.
+    /// Long work received that is not included in the tag yet, divided by the weight.
     debt: u64,
     pub(crate) waiting: [u32; LANES],
-    /// Work that waits, short and long.
+    /// Queued work, short and long.
     pub(crate) queued_work: [u64; 2],
 }
 
@@ -36,7 +37,7 @@
         self.waiting.iter().any(|&n| n > 0)
     }
 
-    /// Moves the tag up to the virtual time; the debt shrinks by as much.
+    /// Advances the tag to the virtual time and reduces the debt by the same amount.
     fn catch_up(&mut self, virtual_time: u64) {
         let total = self.tag.saturating_add(self.debt);
         self.tag = self.tag.max(virtual_time);
@@ -55,7 +56,7 @@
     }
 }
 
-/// One level of the hierarchy: flows that wait, by lane and key.
+/// One level of the hierarchy: the flows with queued requests, ordered by key in each lane.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Level {
     pub(crate) order: [BTreeSet<(u64, u32)>; LANES],
@@ -103,10 +104,9 @@
         }
     }
 
-    /// The flow with the least key over `lanes`, and whether its turn is one
-    /// for long work. Long goes first where both are equal: a flow's short
-    /// key is never above its long one, so that its long work would else
-    /// wait as long as any of its short work does.
+    /// Returns the flow with the smallest key over `lanes`, and whether its next request is long.
+    /// Long work wins ties: the key of a flow's short work is never above that of its long work, so
+    /// its long work would otherwise wait until all of its short work is done.
     pub(crate) fn first(&self, lanes: Lanes) -> Option<(u32, bool)> {
         let firsts = (0..LANES).filter(|&l| lanes.has(l));
         let firsts = firsts.filter_map(|l| self.order[l].first().map(|&(key, i)| (key, l < 2, i)));
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -1,41 +1,41 @@
-//! What nodes send each other about members.
+//! Messages of the membership gossip protocol.
 
 use crate::member::Record;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What nodes send each other.
+/// A gossip message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for an [`Message::Ack`].
+    /// Probes the receiver, which answers with [`Message::Ack`].
     Ping(Exchange),
     /// Answers a ping.
     Ack(Exchange),
-    /// Asks to ping a node, and to pass its answer on.
+    /// Asks the receiver to ping another node and to forward its ack.
     IndirectPing {
-        /// Of the probe that the answer is for.
+        /// Sequence number of the requester's probe.
         sequence: u32,
-        /// Where the node receives datagrams.
+        /// Datagram address of the node to ping.
         to: SocketAddr,
     },
-    /// Tells of changes.
+    /// Disseminates changed records.
     Rumor(Vec<Record>),
-    /// Asks for all records, and tells who asks.
+    /// Asks for all records; holds the requester's own record.
     Pull(Record),
-    /// Answers that.
+    /// Answers a pull.
     Members(Vec<Record>),
 }
 
-/// What goes with a probe and its answer.
+/// Content of a ping or an ack.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exchange {
-    /// Of the probe.
+    /// Sequence number of the probe.
     pub sequence: u32,
-    /// Of the sender's table: equal ones hold the same.
+    /// Digest of the sender's table; equal digests mean equal tables.
     pub digest: u64,
-    /// News that travels along.
+    /// Piggybacked changes.
     pub records: Vec<Record>,
 }
 
-/// A message and where it goes.
+/// A message and its destination.
 pub type Outgoing = (SocketAddr, Message);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,14 +1,13 @@
-//! The decisions of hickoryrun under load: no input or output, no threads,
-//! and the time passed in.
+//! The load management decisions of hickoryrun. The crate does no input or output and starts no
+//! threads, and callers pass the time in.
 //!
-//! A request meets [`cost`], [`place`], [`limit`] (with [`fair`], [`room`],
-//! [`ramp`] and [`pace`] behind it), then [`retry`] and [`poison`];
-//! [`reserve`] and [`preempt`] serve the long prompts, [`layout`] the weights
-//! on engines. [`spread`] is how a large document goes from node to node.
-//! [`membership`] is which nodes are alive, [`queue`] the order of prompts that
-//! wait, [`replica`] the choice for a plain service, [`ejection`] what is avoided.
-//! [`survey`] is what logs say of a choice. [`baseline`] is what all this is
-//! measured against.
+//! A request passes through [`cost`], [`place`], [`limit`] (which uses [`fair`], [`room`], [`ramp`]
+//! and [`pace`]), then [`retry`] and [`poison`]. [`reserve`] and [`preempt`] handle long prompts,
+//! [`layout`] the placement of weights on engines. [`spread`] distributes large documents between
+//! nodes, [`membership`] tracks which nodes are alive, [`queue`] orders waiting prompts,
+//! [`replica`] chooses a replica of a plain service, and [`ejection`] avoids failing targets.
+//! [`survey`] summarizes a choice for the logs. [`baseline`] holds the simpler policies that the
+//! others are compared with.
 
 pub mod baseline;
 pub mod cost;
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,9 +1,9 @@
-//! The limit that a target's owner keeps on it: who may send now, who waits, and
-//! who is refused. Room is granted by [`crate::room`] under the bound of
-//! [`crate::ramp`], in the order of [`crate::fair`]; `crate::grant` joins them.
+//! Admission control of one target, run by its owner: decides which requests are granted, queued or
+//! refused. [`crate::room`] checks free capacity under the limit of [`crate::ramp`],
+//! [`crate::fair`] defines the order, and `crate::grant` combines them.
 //!
-//! Load pattern: all nodes ask for the same target at once, short and long work
-//! mixed, while the target warms up, changes owner or leaves.
+//! Load pattern: all nodes request permits for the same target at the same time, with short and
+//! long work mixed, while the target warms up, changes owner or leaves.
 
 use crate::fair::Queue;
 use crate::pace::Pace;
@@ -15,37 +15,35 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A permit's life, counted by the asker from the moment it sent the ask. A
-/// new owner waits this long before its first grant, so that no permit of the
-/// former owner that it knows nothing of can still be used.
+/// Validity of a permit, counted by the requester from the moment it sent the request. A new owner
+/// waits this long before its first grant, so that unknown permits of the former owner have
+/// expired.
 pub const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// How long after its deadline a permit's room is kept: the sender cancels at
-/// the deadline, and the cancel takes this long at most where it gets through
-/// at all. Without an end, an owner that never hears of the outcome would
-/// lose the room for good.
+/// Time after the deadline for which a permit keeps its capacity. The sender cancels at the
+/// deadline, and a cancel that arrives at all does so within this time. Without an end, an owner
+/// that never receives the outcome would lose the capacity forever.
 pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
 
-/// Asks that wait at most. At the least work of an ask, about 10 ms of an
-/// engine, more could not start within the greatest usual deadline.
+/// Maximum number of queued requests. Even with the shortest requests, about 10 ms of an engine's
+/// time each, more could not start within the longest usual deadline.
 pub const MAX_QUEUE_LENGTH: usize = 4_096;
 
-/// How long room is held for an urgent long ask that was refused, or whose
-/// permit came back unused. Such an ask is one part of a prompt that needs
-/// several engines at once and can't queue at any; without held room short
-/// work would take each slot as it comes free and the prompt never start. Its
-/// node tries again within a second.
+/// How long capacity is held for an urgent long request that was refused or whose permit was
+/// returned unused. Such a request is one part of a prompt that needs several engines at the same
+/// time and can't queue at any of them. Without held capacity, short work would take each slot as
+/// it becomes free and the prompt would never start. Its node retries within a second.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(3);
 
-/// The least time that a refused caller is told to stay away.
+/// Minimum retry delay sent with a refusal.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
     pub(crate) request: PermitRequest,
-    /// The time that it came with.
+    /// Time left until the deadline when the request arrived.
     pub(crate) initial_time_left: Duration,
-    /// The last moment at which a start is in time, by the pace when it came.
+    /// Latest start that still meets the deadline, by the pace at arrival.
     pub(crate) latest_start: Instant,
 }
 
@@ -53,11 +51,11 @@
 pub(crate) struct Grant {
     pub(crate) request: PermitRequest,
     pub(crate) at: Instant,
-    /// The time to the first token that was to be expected.
+    /// Predicted time to first token.
     pub(crate) expected: Duration,
 }
 
-/// The permits and the queue of one target.
+/// Permits and queue of one target.
 #[derive(Debug)]
 pub struct Limiter {
     capacity: Capacity,
@@ -72,11 +70,11 @@
     latest_starts: BTreeSet<(Instant, Ticket)>,
     last_advanced: Option<Instant>,
     pub(crate) grants_held_until: Option<Instant>,
-    /// Room held for urgent long asks, and until when.
+    /// Capacity held for urgent long requests, and the end of the hold.
     pub(crate) held_claim: Option<(Claim, Instant)>,
     is_lease_confirmed: bool,
     pub(crate) is_accepting: bool,
-    /// Whether work failed on the target and no load report has come since.
+    /// Whether work failed on the target and no load report has arrived since.
     pub(crate) may_be_dead: bool,
     pub(crate) max_queue_length: usize,
     pub(crate) last_shed: Option<Instant>,
@@ -84,7 +82,7 @@
 }
 
 impl Limiter {
-    /// A limiter for a cold target, with nothing granted.
+    /// Creates the limiter of a cold target without permits.
     pub fn new(capacity: Capacity) -> Self {
         Self {
             ramp: Ramp::new(capacity.streams),
@@ -109,14 +107,14 @@
         }
     }
 
-    /// As `open`, for an owner that takes the target over: nothing is granted
-    /// within one permit life.
+    /// Like `new`, for an owner that takes over the target: it grants nothing for one permit
+    /// lifetime.
     pub fn new_after_takeover(now: Instant, capacity: Capacity) -> Self {
         let hold = Some(now + PERMIT_LIFETIME);
         Self { grants_held_until: hold, ..Self::new(capacity) }
     }
 
-    /// Sets how many asks may wait.
+    /// Sets the maximum number of queued requests.
     pub fn set_max_queue_length(&mut self, length: usize) {
         self.max_queue_length = length;
     }
@@ -132,17 +130,17 @@
         self.queue.set_weights(weights);
     }
 
-    /// Says whether the owner's lease is confirmed. While it is not, another
-    /// owner may grant too: each keeps to half, so that both together stay
-    /// within the bound.
+    /// Sets whether the owner's lease is confirmed. Without a confirmed lease another owner may
+    /// grant at the same time; each then uses half of the limit, so that both together stay within
+    /// it.
     pub fn set_lease_confirmed(&mut self, now: Instant, is_confirmed: bool) {
         self.advance(now);
         self.is_lease_confirmed = is_confirmed;
     }
 
-    /// Says whether the target takes new work. Where its zone is out, it
-    /// leaves or its owner drains, the asks that wait are refused at once, so
-    /// that their nodes can go elsewhere while there is time.
+    /// Sets whether the target accepts new work. When it stops accepting because its zone is out,
+    /// it leaves or its owner drains, queued requests are refused immediately, so that their nodes
+    /// can still use another target before the deadline.
     pub fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
         self.advance(now);
         self.is_accepting = accepting;
@@ -157,8 +155,8 @@
         tickets.into_iter().map(|ticket| (ticket, Reason::NoTarget)).collect()
     }
 
-    /// Takes in a load report, which shows that the target lives; says why the
-    /// target ramps anew, if it does.
+    /// Processes a load report, which proves that the target is alive. Returns the cause if the
+    /// target restarts its slow start.
     pub fn observe(&mut self, now: Instant, observed: &Observed) -> Option<ColdCause> {
         self.advance(now);
         self.may_be_dead = false;
@@ -172,11 +170,11 @@
         self.ramp.observe(now, observed.sample)
     }
 
-    /// Asks for a permit.
+    /// Requests a permit.
     ///
-    /// Refused at once is what can't end before its deadline by what stands
-    /// before it: the caller can use its time elsewhere, and the queue holds
-    /// only work that will be of use.
+    /// Requests that can't finish before their deadline, given the work queued ahead, are refused
+    /// immediately: the caller can use the time elsewhere, and the queue holds only work that can
+    /// still succeed.
     pub fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
         self.advance(now);
         if request.deadline <= now {
@@ -208,7 +206,7 @@
         Answer::Queued(ticket)
     }
 
-    /// Grants what fits now, and gives up on what can't be in time.
+    /// Grants the requests that fit now, and refuses those that can't meet their deadline.
     pub fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         self.advance(now);
         let mut answers = Vec::new();
@@ -232,8 +230,7 @@
         answers
     }
 
-    /// When [`Self::poll`] may have something new to say, if nothing else
-    /// happens before.
+    /// Returns when [`Self::poll`] should be called next if no other event occurs.
     pub fn next_poll(&self, now: Instant) -> Option<Instant> {
         if self.waiting.is_empty() {
             return self.expiry.first().map(|&(at, _)| at);
@@ -243,7 +240,7 @@
         latest_start.into_iter().chain([tick.max(self.grants_held_until.unwrap_or(tick))]).min()
     }
 
-    /// Notes that the first token of a permit's work came.
+    /// Records that the first token of a permit's work arrived.
     pub fn record_first_token(&mut self, now: Instant, ticket: Ticket) {
         self.advance(now);
         if let Some(grant) = self.granted.get(&ticket) {
@@ -251,8 +248,7 @@
         }
     }
 
-    /// Takes back a permit, or takes an ask out of the queue, where nothing
-    /// is known of how it went.
+    /// Releases a permit, or removes a request from the queue, when the outcome is unknown.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.dequeue(ticket);
         if let (Some(grant), Some(now)) = (self.remove_grant(ticket), self.last_advanced)
@@ -262,12 +258,12 @@
         }
     }
 
-    /// Takes back a permit and learns from how its work went; says why the
-    /// target ramps anew, if it does.
+    /// Releases a permit and learns from its outcome. Returns the cause if the target restarts its
+    /// slow start.
     ///
-    /// After a failure nothing is granted until the next load report: a permit
-    /// for a dead target costs an attempt, and a suspect that waited behind
-    /// the request that killed the target would be blamed for the death.
+    /// After a failure nothing is granted until the next load report. A permit for a dead target
+    /// would waste an attempt, and a suspect queued behind the request that killed the target would
+    /// be blamed for the death.
     pub fn complete(
         &mut self,
         now: Instant,
@@ -293,53 +289,53 @@
         }
     }
 
-    /// Streams granted.
+    /// Returns the number of granted streams.
     pub fn running(&self) -> usize {
         self.granted.len()
     }
 
-    /// Asks that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// KV cache granted.
+    /// Returns the KV cache granted.
     pub fn kv_granted(&self) -> size::Tokens {
         self.granted.values().map(|grant| grant.request.cost.kv()).sum()
     }
 
-    /// KV cache in use, what others granted with it.
+    /// Returns the KV cache in use, including streams granted by others.
     pub fn kv_used(&self) -> size::Tokens {
         size::Tokens(self.room.kv())
     }
 
-    /// Prompt tokens granted and not prefilled by estimate, or queued.
+    /// Returns the prompt tokens that are queued, or granted and by estimate not prefilled yet.
     pub fn prefill_queued(&self) -> size::Tokens {
         self.prefill_queued_of(false) + self.prefill_queued_of(true)
     }
 
-    /// As [`Self::prefill_queued`], of short or of long work only.
+    /// Like [`Self::prefill_queued`], for short or for long work only.
     pub fn prefill_queued_of(&self, is_long: bool) -> size::Tokens {
         let queued = self.queue.queued_work(is_long);
         size::Tokens(self.room.in_flight(is_long) as u64 + queued)
     }
 
-    /// Streams that the target may hold at present.
+    /// Returns the current maximum number of streams on the target.
     pub fn stream_limit(&self) -> u32 {
         self.current_bound().slots
     }
 
-    /// Prompt tokens a second at the target's present warmth.
+    /// Returns the prefill rate in prompt tokens per second at the target's current warmth.
     pub fn prefill_rate(&self) -> u64 {
         self.pace.present_rate()
     }
 
-    /// The part of the full bound that the ramp has opened, from 0 to 1.
+    /// Returns the fraction of the full limit that the slow start allows, from 0 to 1.
     pub fn ramp_fraction(&self) -> f64 {
         self.ramp.ramp_fraction()
     }
 
-    /// Whether the target takes new work.
+    /// Returns whether the target accepts new work.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting
     }
@@ -380,7 +376,7 @@
         self.waiting.insert(ticket, Waiting { request, initial_time_left, latest_start });
     }
 
-    /// Takes an ask out of the queue.
+    /// Removes a request from the queue.
     pub(crate) fn dequeue(&mut self, ticket: Ticket) -> Option<PermitRequest> {
         let Waiting { request, latest_start, .. } = self.waiting.remove(&ticket)?;
         self.queue.remove(ticket);
@@ -391,7 +387,7 @@
         Some(request)
     }
 
-    /// Takes a permit back.
+    /// Removes a granted permit and frees its capacity.
     fn remove_grant(&mut self, ticket: Ticket) -> Option<Grant> {
         let grant = self.granted.remove(&ticket)?;
         self.room.remove(ticket, grant.request.lane(), grant.request.cost);
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -1,73 +1,73 @@
-//! What nodes tell each other of a node: where it is, what it does, and whether
-//! it is alive.
+//! Records about nodes that are exchanged by gossip: addresses, capacity and liveness.
 
 use hickory_unit::id;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a node is alive, as far as is known.
+/// Liveness of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The node answers probes.
     Alive,
-    /// It did not answer a probe.
+    /// The node did not answer a probe.
     Suspect,
-    /// It did not refute the suspicion.
+    /// The node did not refute the suspicion in time.
     Dead,
 }
 
-/// How much a node can do for others, in tenths of a processor core.
+/// Capacity of a node to serve others, in tenths of a processor core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Capacity(pub u8);
 
 impl Capacity {
-    /// The capacity of a part of a core, rounded up.
+    /// Converts a number of cores, rounding up.
     pub fn from_cores(cores: f64) -> Self {
         Self((cores * 10.0).ceil().clamp(0.0, f64::from(u8::MAX)) as u8)
     }
 }
 
-/// What a node says of itself.
+/// What a node publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Contact {
-    /// Where it receives datagrams.
+    /// Address for gossip datagrams.
     pub peer_address: SocketAddr,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub caller_address: SocketAddr,
-    /// Where peers fetch what they miss.
+    /// Address where peers fetch missing documents.
     pub sync_address: SocketAddr,
-    /// Whether callers should be sent to it.
+    /// Whether callers should be sent to the node.
     pub is_ready: bool,
-    /// Whether it has run long enough to have been told what runs where.
+    /// Whether the node has run long enough to know what runs where.
     pub is_synced: bool,
-    /// Whether the store is out of its reach.
+    /// Whether the node can't reach the store.
     pub is_store_unreachable: bool,
-    /// What it can do for others.
+    /// Capacity to serve others.
     pub capacity: Capacity,
 }
 
-/// A statement about a node. Of two about the same node the greater rank holds.
+/// A statement about a node. Of two statements about the same node, the one with the higher rank is
+/// valid.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The node.
+    /// Name of the node.
     pub node: id::Node,
-    /// Its process; a later one is greater.
+    /// Incarnation of its process; a later process has a greater one.
     pub incarnation: id::Incarnation,
-    /// Raised by the node itself with each change and each refutation.
+    /// Incremented by the node itself with each change and each refutation.
     pub version: u32,
-    /// Whether it is alive.
+    /// Liveness of the node.
     pub state: State,
-    /// What it said of itself.
+    /// What the node published about itself.
     pub contact: Contact,
 }
 
 impl Record {
-    /// By which the later of two statements is told.
+    /// Returns the order of statements about the same node: the later one is greater.
     pub fn rank(&self) -> (id::Incarnation, u32, State) {
         (self.incarnation, self.version, self.state)
     }
 
-    /// A number by which tables of records are compared.
+    /// Returns a hash of the record. The digest of a table is the XOR of these.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.node.as_str().as_bytes());
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,13 +1,12 @@
-//! Which nodes are alive, by gossip.
+//! Group membership by gossip, in the manner of SWIM.
 //!
-//! A node probes one other at a time, and asks a few more to probe one that is
-//! silent. A node that stays silent is suspected, and counts as dead unless it
-//! refutes that. What changes travels on the probes and is pushed to a few
-//! others at once, so what a node sends doesn't grow with the fleet, and news
-//! reaches all in a logarithm of the nodes.
+//! Each node probes one other node at a time, and asks a few others to probe it if it does not
+//! answer. A node that stays silent is suspected and declared dead unless it refutes the suspicion.
+//! Changes are piggybacked on probes and pushed to a few other nodes, so the traffic per node does
+//! not grow with the fleet, and changes reach all nodes in a number of rounds logarithmic in their
+//! number.
 //!
-//! Load pattern: hundreds of nodes of which many die, freeze, are cut off or
-//! start at the same moment.
+//! Load pattern: hundreds of nodes of which many die, freeze, are cut off or start at once.
 
 use crate::gossip::{Exchange, Message, Outgoing};
 use crate::member::{Contact, Record, State};
@@ -22,52 +21,50 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Between two calls of [`Membership::tick`].
+/// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two probes.
+/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a node is suspected before it counts as dead.
+/// Time from suspicion until a node is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Between two attempts to have a suspect refute.
+/// Interval between requests to a suspect to refute the suspicion.
 const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the dead are remembered, so that late statements don't revive them.
+/// How long dead nodes are remembered, so that late records don't revive them.
 const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
-/// Between two attempts to reach a dead node: the ends of a partition find each
-/// other again by it.
+/// Interval between attempts to reach a dead node, which rejoin the sides of a partition.
 const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two requests for all records, which a node makes where its table
-/// differs from a peer's.
+/// Minimum interval between pulls while the table differs from a peer's.
 const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same while news is under way, which explains most differences.
+/// The same while changes are being disseminated, since these explain most differences.
 const PULL_INTERVAL_IN_CHURN: Duration = Duration::from_secs(3);
 
-/// The same in the first seconds, in which the table fills.
+/// The same during the start phase, when the table fills.
 const PULL_INTERVAL_AT_START: Duration = Duration::from_millis(500);
 
-/// How long a table counts as young.
+/// Duration of the start phase.
 const START_PHASE: Duration = Duration::from_secs(3);
 
-/// Peers below which a node that has just started asks its seeds again.
-const MIN_PEERS_AT_START: usize = 3;
+/// Number of peers below which a node in its start phase contacts its seeds again.
+const MIN_PEERS: usize = 3;
 
-/// Between two calls of a node that found nobody yet.
+/// Interval between messages to the seeds until enough peers are known.
 const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Nodes that are asked to probe a silent one.
+/// Number of nodes asked to probe an unresponsive node.
 const INDIRECT_PROBES: usize = 3;
 
-/// Nodes that news is pushed to.
+/// Number of nodes that changes are pushed to.
 const PUSH_FANOUT: usize = 3;
 
-/// A call to [`Membership::tick`] that comes so late was held up: the host was
-/// suspended or had no processor time, and silence of others proves nothing.
+/// After a longer pause between ticks this host was suspended or had no processor time, so the
+/// silence of other nodes proves nothing.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
 /// A node's table of all nodes.
@@ -76,7 +73,7 @@
     roster: Roster,
     rumors: Rumors,
     probes: Probes,
-    /// Nodes that are still to be probed in this round.
+    /// Nodes still to be probed in this round.
     probe_round: Vec<id::Node>,
     seeds: Vec<SocketAddr>,
     started: Instant,
@@ -85,13 +82,13 @@
     last_join: Option<Instant>,
     last_reconnect: Instant,
     last_pull: Option<Instant>,
-    /// Nodes that this one found silent, for its log.
+    /// Nodes newly suspected by this node, for its log.
     new_suspects: Vec<id::Node>,
     random: SmallRng,
 }
 
 impl Membership {
-    /// Opens the table of a node that knows where some others may be.
+    /// Creates the table of a node that knows the addresses of some other nodes.
     pub fn new(now: Instant, own: Record, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         Self {
             roster: Roster::new(own),
@@ -110,23 +107,23 @@
         }
     }
 
-    /// This node's record.
+    /// Returns this node's record.
     pub fn own_record(&self) -> &Record {
         &self.roster.own
     }
 
-    /// Takes what this node says of itself.
+    /// Replaces the published contact of this node.
     pub fn set_contact(&mut self, contact: Contact) {
         let own = &mut self.roster.own;
         if own.contact != contact {
-            // The digest is of versions, not of contacts.
+            // The digest covers versions, not contacts.
             own.contact = contact;
             let (incarnation, version) = (own.incarnation, own.version);
             self.raise_own_version(incarnation, version);
         }
     }
 
-    /// Takes where further nodes may be.
+    /// Adds addresses where other nodes may be.
     pub fn add_seeds(&mut self, seeds: impl Iterator<Item = SocketAddr>) {
         for seed in seeds {
             if !self.seeds.contains(&seed) {
@@ -135,44 +132,44 @@
         }
     }
 
-    /// Other nodes that are alive.
+    /// Returns the other nodes that are alive.
     pub fn alive(&self) -> impl Iterator<Item = &Record> {
         self.roster.with_state(|state| state == State::Alive)
     }
 
-    /// Other nodes that are not known to be dead.
+    /// Returns the other nodes that are not dead.
     pub fn present(&self) -> impl Iterator<Item = &Record> {
         self.roster.with_state(|state| state != State::Dead)
     }
 
-    /// The record of another node.
+    /// Returns the record of another node.
     pub fn get(&self, node: &id::Node) -> Option<&Record> {
         self.roster.peers.get(node).map(|peer| &peer.record)
     }
 
-    /// How many other nodes are in each state.
+    /// Returns the number of other nodes in each state.
     pub fn count(&self) -> StateCounts {
         self.roster.count()
     }
 
-    /// The nodes that this one itself found silent since it was last asked.
+    /// Returns the nodes suspected by this node itself since the last call.
     pub fn take_new_suspects(&mut self) -> Vec<id::Node> {
         std::mem::take(&mut self.new_suspects)
     }
 
-    /// Some nodes that are alive, chosen at random.
+    /// Returns the addresses of randomly chosen nodes that are alive.
     pub fn pick_alive(&mut self, count: usize) -> Vec<SocketAddr> {
         let alive = self.roster.with_state(|state| state == State::Alive);
         let addresses = alive.map(|record| record.contact.peer_address);
         addresses.choose_multiple(&mut self.random, count)
     }
 
-    /// Whether there is news that was told to nobody yet.
+    /// Returns whether there are changes that were not sent to any node yet.
     pub fn has_unsent_news(&self) -> bool {
         self.rumors.has_unsent_news()
     }
 
-    /// Tells news to a few others at once.
+    /// Sends unsent changes to a few nodes immediately.
     pub fn push_news(&mut self) -> Vec<Outgoing> {
         if !self.has_unsent_news() {
             return Vec::new();
@@ -182,7 +179,7 @@
         targets.into_iter().map(send).collect()
     }
 
-    /// Does what is due; called every [`TICK`].
+    /// Runs the periodic work; must be called every [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
         let since_last = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -202,7 +199,7 @@
         out
     }
 
-    /// Takes a message of a node.
+    /// Processes a message and returns the replies.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -260,7 +257,7 @@
         records.chunks(MAX_RECORDS).map(list).collect()
     }
 
-    /// Asks for all records where the tables differ.
+    /// Requests all records if the digests differ.
     fn pull(&mut self, now: Instant, from: SocketAddr, digest: u64) -> Option<Outgoing> {
         let is_starting = now.saturating_duration_since(self.started) < START_PHASE;
         let interval = match (is_starting, self.rumors.is_empty()) {
@@ -286,7 +283,7 @@
         }
     }
 
-    /// Takes a record that needn't be told; whether it was news.
+    /// Applies a record without disseminating it; returns whether it changed the table.
     fn apply_without_gossip(&mut self, now: Instant, record: Record) -> bool {
         if record.node == self.own_record().node {
             self.refute(&record);
@@ -300,15 +297,14 @@
         is_news
     }
 
-    /// Changes what this node holds of another one, and tells it.
+    /// Applies and disseminates a state that this node itself found.
     fn apply_own_finding(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
         self.roster.insert(now, record);
         self.enqueue_news(node);
     }
 
-    /// Answers a statement about this node that is later than its own, or that
-    /// doesn't hold.
+    /// Answers a later or false statement about this node with a higher version.
     fn refute(&mut self, record: &Record) {
         if record.rank() > self.own_record().rank() {
             self.raise_own_version(record.incarnation, record.version);
@@ -328,7 +324,7 @@
         self.rumors.take(&self.roster)
     }
 
-    /// News for a node whose table has this digest.
+    /// Returns the changes to send to a node whose table has this digest.
     fn news_for(&mut self, digest: u64) -> Vec<Record> {
         self.note_equal_digest(digest);
         if digest == self.roster.digest { Vec::new() } else { self.take_news() }
@@ -340,7 +336,7 @@
         }
     }
 
-    /// Drops what this node would conclude from silence while it was held up.
+    /// Discards unanswered probes and restarts the timers of suspects.
     fn reset_suspicions(&mut self, now: Instant) {
         self.probes.clear();
         for peer in
@@ -366,13 +362,13 @@
         let known = self.get(node).filter(|record| record.state == State::Alive);
         let Some(record) = known.cloned() else { return };
         let record = Record { state: State::Suspect, ..record };
-        // The suspect hears of it and can refute it at once.
+        // The suspect receives the suspicion too, so it can refute it immediately.
         out.push((record.contact.peer_address, Message::Rumor(vec![record.clone()])));
         self.new_suspects.push(record.node.clone());
         self.apply_own_finding(now, record);
     }
 
-    /// Tells suspects again that they are suspected: a refutation may have been lost.
+    /// Resends suspicions to the suspects, since a refutation may have been lost.
     fn remind_suspects(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         for peer in
             self.roster.peers.values_mut().filter(|peer| peer.record.state == State::Suspect)
@@ -391,11 +387,8 @@
         let is_over = |peer: &Peer, state, time| {
             peer.record.state == state && now.saturating_duration_since(peer.state_since) >= time
         };
-        let over = self
-            .roster
-            .peers
-            .values()
-            .filter(|peer| is_over(peer, State::Suspect, SUSPICION_TIMEOUT));
+        let over =
+            self.roster.peers.values().filter(|p| is_over(p, State::Suspect, SUSPICION_TIMEOUT));
         let dead: Vec<Record> =
             over.map(|peer| Record { state: State::Dead, ..peer.record.clone() }).collect();
         for record in dead {
@@ -405,9 +398,7 @@
     }
 
     fn join(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        if self.present().count() >= MIN_PEERS_AT_START
-            || !is_due(self.last_join, now, JOIN_INTERVAL)
-        {
+        if self.present().count() >= MIN_PEERS || !is_due(self.last_join, now, JOIN_INTERVAL) {
             return;
         }
         let is_late = now.saturating_duration_since(self.started) > START_PHASE;
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -1,4 +1,4 @@
-//! What the owner of a target is asked and told, and what it answers.
+//! Permit requests to the owner of a target, the owner's answers, and the outcomes reported back.
 
 use crate::cost::{Class, Cost};
 use crate::fair::Lane;
@@ -7,85 +7,85 @@
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
 
-/// What a target bears.
+/// Capacity of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Streams (or calls) at once.
+    /// Maximum number of concurrent streams (or calls).
     pub streams: u32,
-    /// KV cache.
+    /// KV cache size.
     pub kv: size::Tokens,
-    /// Prompt tokens a second.
+    /// Prefill rate in prompt tokens per second.
     pub prefill_rate: u64,
 }
 
 /// A request for a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// The partner whose share pays.
+    /// Partner whose share is charged.
     pub partner: id::Partner,
-    /// The account.
+    /// Account that sent the request.
     pub account: id::Account,
-    /// Who waits.
+    /// Latency class of the request.
     pub class: Class,
-    /// What it weighs.
+    /// Estimated cost of the request.
     pub cost: Cost,
-    /// When the request must have ended.
+    /// Time by which the request must have ended.
     pub deadline: Instant,
-    /// Runs beside no other request.
+    /// Whether the request must run with no other request on the target.
     pub is_exclusive: bool,
-    /// Answer at once, never queue.
+    /// Whether the request must be granted or refused immediately, without queueing.
     pub is_urgent: bool,
 }
 
 impl PermitRequest {
-    /// The lane that the ask waits in.
+    /// Returns the lane that the request is queued in.
     pub fn lane(&self) -> Lane {
         Lane { class: self.class, long: self.cost.is_long() }
     }
 }
 
-/// The priority at which an engine is to run the work of a lane: short before
-/// long, interactive before batch.
+/// Returns the priority at which an engine runs the work of a lane: short before long, and
+/// interactive before batch within each.
 pub fn priority_of(lane: Lane) -> u8 {
     let base = if lane.long { 0 } else { 2 };
     base + u8::from(lane.class == Class::Interactive)
 }
 
-/// Names an ask or the permit it became.
+/// Identifies a permit request and the permit granted for it.
 pub type Ticket = u64;
 
-/// The answer to an ask.
+/// Answer to a permit request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Send now.
+    /// The permit is granted; the work may be sent now.
     Granted(Ticket),
-    /// Wait; [`crate::limit::Limiter::poll`] will name the ticket.
+    /// The request is queued; [`crate::limit::Limiter::poll`] returns the ticket later.
     Queued(Ticket),
-    /// Never here; come back after the time given.
+    /// The request is refused; the caller may retry elsewhere, or here after the given delay.
     Refused(Reason, Duration),
 }
 
-/// What a load report says, with the limiter's own streams told from others.
+/// A load report, with the streams of this limiter separated from all others.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observed {
-    /// How warm the target is.
+    /// Warmth of the target.
     pub sample: Sample,
-    /// Streams that this owner neither granted nor had granted within the
-    /// lag of the report: a former owner's, or orphans.
+    /// Streams that this owner has no permit for and did not release within the reporting delay:
+    /// streams of a former owner, or orphans.
     pub foreign_streams: u32,
-    /// KV cache that they and held handles use.
+    /// KV cache used by those streams and by held handles.
     pub foreign_kv: size::Tokens,
-    /// Prompt tokens not prefilled yet, of granted tickets.
+    /// Remaining prompt tokens to prefill, by granted ticket.
     pub prefill_left: Vec<(Ticket, size::Tokens)>,
 }
 
-/// How the work under a permit ended.
+/// Result of the work done under a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is whole; the time to its first token, where one was measured.
+    /// The work completed; holds the time to first token where it was measured.
     Completed(Option<Duration>),
-    /// It was given up by its caller or its node; tells nothing of the target.
+    /// The caller or its node gave up; says nothing about the target's health.
     Abandoned,
-    /// The target refused it, failed or stalled.
+    /// The target refused the work, failed or stalled.
     Failed,
 }
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,70 +1,69 @@
-//! Requests that crash the targets that run them. A target's death marks all that
-//! ran on it as suspects; a suspect runs again at most once, alone, and success
-//! clears it. Two deaths quarantine the fingerprint on all nodes.
+//! Quarantine of requests that crash their targets. The death of a target marks the requests that
+//! ran on it as suspects. A suspect may run once more, alone; success clears it. After two deaths
+//! the fingerprint is quarantined on all nodes.
 //!
-//! Load pattern: one request kills each engine that runs it, and its caller or a
-//! retry sends it again beside others that are innocent.
+//! Load pattern: one request kills each engine that runs it, and its caller or a retry sends it
+//! again beside innocent requests.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a suspicion or a quarantine lasts without another death: long
-/// enough for a caller that sends again all day, short enough that a mended
-/// engine gets its requests back.
+/// How long a suspicion or a quarantine lasts without another death: long enough to stop a caller
+/// that resends all day, short enough that requests are admitted again after an engine is fixed.
 pub const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Deaths after which a fingerprint is quarantined.
+/// Number of deaths after which a fingerprint is quarantined.
 pub const QUARANTINE_DEATHS: u32 = 2;
 
-/// Fingerprints kept at most, some 200 KB: the death of an engine marks at
-/// most as many as it runs, about a hundred.
+/// Maximum number of fingerprints kept, about 200 KB. The death of an engine adds at most the
+/// requests that it runs, about a hundred.
 pub const MAX_FINGERPRINTS: usize = 4_096;
 
-/// What is to be done with a request.
+/// How a request must be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// The request is not suspected.
     Clear,
-    /// It runs alone.
+    /// The request is a suspect and must run alone on its target.
     RunAlone,
-    /// It is already being run alone; this one waits for how that ends.
+    /// The suspect is running alone elsewhere; this request waits for the outcome.
     Wait,
-    /// It is not run.
+    /// The request must not run.
     Quarantined,
 }
 
-/// A fingerprint that others should know of.
+/// A suspected or cleared fingerprint, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// Of account and content.
+    /// Fingerprint of account and content.
     pub fingerprint: u64,
-    /// Deaths of targets that ran it; zero where it was cleared.
+    /// Number of targets that died while running it; zero if it was cleared.
     pub deaths: u32,
-    /// Since the last death or clearing.
+    /// Time since the last death or clearing.
     pub age: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     deaths: u32,
-    /// Of the last death, or of the clearing.
+    /// Time of the last death or clearing.
     at: Instant,
     trial_deadline: Option<Instant>,
 }
 
-/// The suspects that a node knows of.
+/// Suspects known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     records: HashMap<u64, Record>,
 }
 
 impl Suspects {
-    /// None yet.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is to be done with a request.
+    /// Returns how a request must be handled.
     pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> Verdict {
         self.expire(now, fingerprint);
         match self.records.get(&fingerprint) {
@@ -75,26 +74,24 @@
         }
     }
 
-    /// Notes that a suspect is now run alone, until `deadline` at most.
+    /// Records that a suspect now runs alone, until `deadline` at the latest.
     pub fn begin_trial(&mut self, fingerprint: u64, deadline: Instant) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trial_deadline = Some(deadline);
         }
     }
 
-    /// Notes that a trial ended without a word on the suspect: cancelled, or
-    /// never begun.
+    /// Records that a trial ended without a result: it was cancelled or never began.
     pub fn cancel_trial(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trial_deadline = None;
         }
     }
 
-    /// Notes the death of a target with all that ran on it.
+    /// Records the death of a target and the requests that ran on it.
     ///
-    /// Where a suspect ran alone, nothing else can be to blame. Where several
-    /// ran, those that were suspects before are blamed again, and the others
-    /// become suspects.
+    /// A suspect that ran alone is the cause. If several requests ran, earlier suspects get one
+    /// more death and the others become suspects.
     pub fn record_death(&mut self, now: Instant, ran: impl IntoIterator<Item = u64>) {
         for fingerprint in ran {
             self.expire(now, fingerprint);
@@ -108,8 +105,7 @@
         self.evict_oldest();
     }
 
-    /// Notes that a request ran to its end: it is innocent. What is
-    /// quarantined stays so.
+    /// Records that a request completed, which clears a suspect but doesn't lift a quarantine.
     pub fn record_success(&mut self, now: Instant, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && record.deaths < QUARANTINE_DEATHS
@@ -118,8 +114,8 @@
         }
     }
 
-    /// Takes in what another node knows. The later word wins, but a
-    /// quarantine is never lifted by a clearing.
+    /// Merges the suspects of another node. The later statement wins, but a clearing never lifts a
+    /// quarantine.
     pub fn merge(&mut self, now: Instant, suspects: impl IntoIterator<Item = Suspect>) {
         for suspect in suspects.into_iter().filter(|s| s.age < RETENTION) {
             let at = now.checked_sub(suspect.age).unwrap_or(now);
@@ -138,7 +134,7 @@
         self.evict_oldest();
     }
 
-    /// What other nodes should know.
+    /// Returns the suspects to send to other nodes.
     pub fn snapshot(&self, now: Instant) -> Vec<Suspect> {
         let suspects = self.records.iter().map(|(&fingerprint, record)| Suspect {
             fingerprint,
@@ -148,12 +144,12 @@
         suspects.filter(|suspect| suspect.age < RETENTION).collect()
     }
 
-    /// Fingerprints kept.
+    /// Returns the number of fingerprints kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether no fingerprint is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -167,9 +163,8 @@
         }
     }
 
-    /// Drops the oldest records where there are too many, cleared ones first
-    /// and quarantined ones last; an eighth at once, so that the sort is paid
-    /// for by many insertions.
+    /// Evicts the oldest records if there are too many: cleared ones first, quarantined ones last.
+    /// It removes an eighth at a time to amortize the sort over many insertions.
     fn evict_oldest(&mut self) {
         if self.records.len() <= MAX_FINGERPRINTS {
             return;
--- a/crates/policy/src/probe.rs
+++ b/crates/policy/src/probe.rs
@@ -1,17 +1,17 @@
-//! Probes of other nodes that are not answered yet.
+//! Outstanding probes of other nodes.
 
 use crate::gossip::{Exchange, Message, Outgoing};
 use hickory_unit::id;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a probe may be unanswered before others are asked to probe.
+/// Time without an answer after which other nodes are asked to probe.
 const INDIRECT_AFTER: Duration = Duration::from_millis(200);
 
-/// How long a probe may be unanswered before its node is suspected.
+/// Time without an answer after which the node is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(600);
 
-/// A probe of this node's own.
+/// A probe sent by this node for itself.
 #[derive(Clone, Debug)]
 struct Probe {
     sequence: u32,
@@ -20,7 +20,7 @@
     is_relayed: bool,
 }
 
-/// A probe made for another node.
+/// A probe sent on behalf of another node.
 #[derive(Clone, Copy, Debug)]
 struct RelayedProbe {
     sequence: u32,
@@ -29,7 +29,7 @@
     sent: Instant,
 }
 
-/// Probes that wait for their answers.
+/// Probes without an answer yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Probes {
     own: Vec<Probe>,
@@ -38,14 +38,14 @@
 }
 
 impl Probes {
-    /// Notes a probe of a node; its number.
+    /// Registers a probe and returns its sequence number.
     pub(crate) fn begin(&mut self, now: Instant, node: id::Node) -> u32 {
         let sequence = self.next_sequence();
         self.own.push(Probe { sequence, node, sent: now, is_relayed: false });
         sequence
     }
 
-    /// Notes a probe that another node asked for; its number.
+    /// Registers a probe requested by another node and returns its sequence number.
     pub(crate) fn begin_relayed(
         &mut self,
         now: Instant,
@@ -57,7 +57,7 @@
         sequence
     }
 
-    /// Notes an answer; what is passed on to the node that had asked for the probe.
+    /// Processes an ack; returns the ack to forward if another node requested the probe.
     pub(crate) fn acknowledge(&mut self, sequence: u32, digest: u64) -> Option<Outgoing> {
         self.own.retain(|probe| probe.sequence != sequence);
         let answered = self.relayed.iter().position(|relayed| relayed.sequence == sequence)?;
@@ -66,7 +66,7 @@
         Some((requester, Message::Ack(exchange)))
     }
 
-    /// The nodes that were silent for too long, once each.
+    /// Removes the probes that timed out and returns their nodes.
     pub(crate) fn take_failed(&mut self, now: Instant) -> Vec<id::Node> {
         let is_over = |sent| now.saturating_duration_since(sent) >= SUSPECT_AFTER;
         self.relayed.retain(|relayed| !is_over(relayed.sent));
@@ -74,7 +74,7 @@
         failed.map(|probe| probe.node).collect()
     }
 
-    /// The nodes that others should probe, too, with the numbers of their probes.
+    /// Returns the unanswered probes that other nodes should assist, once each.
     pub(crate) fn take_unanswered(&mut self, now: Instant) -> Vec<(u32, id::Node)> {
         let is_unanswered = |probe: &&mut Probe| {
             !probe.is_relayed && now.saturating_duration_since(probe.sent) >= INDIRECT_AFTER
@@ -88,7 +88,7 @@
             .collect()
     }
 
-    /// Forgets all of this node's own.
+    /// Discards this node's own probes.
     pub(crate) fn clear(&mut self) {
         self.own.clear();
     }
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -1,48 +1,47 @@
-//! Slow start of a target, once for each incarnation. The bound starts at two
-//! streams and doubles at most, each time after a bound's worth of work or a
-//! report of a warmer target; it never passes what the target reports warm.
+//! Slow start of a target, once per incarnation. The limit starts at two streams and at most
+//! doubles per step, after as many completed requests as the limit allows streams or after a report
+//! of a warmer target. It never exceeds what the reported warmth allows.
 //!
-//! Load pattern: a target has just started, or turned cold, and every node has
-//! work for it.
+//! Load pattern: a target has just started or lost its caches, and every node has work for it.
 
 use hickory_unit::id;
 use std::time::{Duration, Instant};
 
-/// Streams that a cold target is given: one would tell nothing of how it
-/// bears work side by side, and a cold target can take a little.
+/// Streams allowed on a cold target. A single stream would not show how the target performs with
+/// concurrent work, and a cold target can handle a few.
 pub const COLD_STREAM_LIMIT: u32 = 2;
 
-/// The least time between two doublings. Work that was let in by the last
-/// one needs this long to show in latency and failures.
+/// Minimum interval between doublings, so that the work admitted by the last one shows in latency
+/// and failures.
 const MIN_STEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The least time between doublings that rest on reports alone, which lag.
+/// Minimum interval between doublings that are based on reports alone, which are delayed.
 const MIN_REPORT_STEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A fall of the reported warmth that counts as cold again, in points. Less
-/// is noise of the report.
+/// A drop of the reported warmth by this many points means that the target is cold again. Smaller
+/// drops are noise.
 const COLD_WARMTH_DROP: u8 = 20;
 
-/// First tokens in a row that must be late by [`LATE_FACTOR`] and
-/// [`LATE_LEAST`] before the target counts as cold: one may have met a long
-/// step, three have not.
+/// Number of consecutive late first tokens after which a target counts as cold; a token is late
+/// above [`LATE_FACTOR`] times the expected time and [`MIN_LATE_TIME`]. One late token can be
+/// caused by a long step, three in a row can't.
 const COLD_LATE_FIRST_TOKENS: u32 = 3;
 const LATE_FACTOR: u32 = 4;
 const MIN_LATE_TIME: Duration = Duration::from_millis(250);
 
-/// Hit rate of the prefix cache that counts as warm, and as vanished.
+/// Prefix cache hit rates above which the cache counts as warm and below which it counts as empty.
 const WARM_HIT_RATE: f64 = 0.2;
 const EMPTY_HIT_RATE: f64 = 0.02;
 
-/// Prompt tokens that must have passed before a hit rate says something.
+/// Minimum number of prompt tokens for a meaningful hit rate.
 const MIN_HIT_SAMPLE_TOKENS: u64 = 32_768;
 
-/// What a load report says of a target's warmth.
+/// Warmth of a target in a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sample {
-    /// The incarnation.
+    /// Incarnation of the target.
     pub incarnation: id::Incarnation,
-    /// From 0 (cold) to 100.
+    /// Warmth from 0 (cold) to 100.
     pub warmth: u8,
     /// Prompt tokens found in the prefix cache since the start.
     pub cache_hits: u64,
@@ -50,24 +49,24 @@
     pub cache_misses: u64,
 }
 
-/// Why a target ramps anew.
+/// Why a target restarts its slow start.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, Hash)]
 pub enum ColdCause {
-    /// The process is another one.
+    /// The target's process was replaced.
     #[display("restarted")]
     Restarted,
-    /// The reported warmth fell.
+    /// The reported warmth dropped.
     #[display("warmth_fell")]
     WarmthFell,
-    /// The prefix cache, which had served hits, serves none.
+    /// The prefix cache had hits before and has none now.
     #[display("cache_emptied")]
     CacheEmptied,
-    /// First tokens take several times what they should.
+    /// First tokens take several times the expected time.
     #[display("latency_leapt")]
     LatencyLeapt,
 }
 
-/// The bound on streams of one target.
+/// Slow start limit of one target.
 #[derive(Clone, Debug)]
 pub struct Ramp {
     full_limit: u32,
@@ -80,7 +79,7 @@
 }
 
 impl Ramp {
-    /// A cold target that bears `full` streams when warm.
+    /// Creates the ramp of a cold target that can run `full` streams when warm.
     pub fn new(full: u32) -> Self {
         Self {
             full_limit: full,
@@ -93,7 +92,7 @@
         }
     }
 
-    /// Streams that the target may be given now.
+    /// Returns the current maximum number of streams.
     pub fn stream_limit(&self) -> u32 {
         let warm = self
             .last
@@ -101,16 +100,15 @@
         self.ramped_limit.min(warm)
     }
 
-    /// The part of the full bound that is open, from 0 to 1.
+    /// Returns the current limit as a fraction of the full one, from 0 to 1.
     pub fn ramp_fraction(&self) -> f64 {
         f64::from(self.stream_limit()) / f64::from(self.full_limit.max(1))
     }
 
-    /// Takes in a load report; says why the target ramps anew, if it does.
+    /// Processes a load report; returns the cause if the slow start begins again.
     ///
-    /// The first report of a target that was warm before this owner came
-    /// opens half of what it says at once: the other half waits for the
-    /// owner's own experience.
+    /// The first report of a target that was warm before this owner took over allows half of the
+    /// streams that it implies; the other half follows from the owner's own measurements.
     pub fn observe(&mut self, now: Instant, sample: Sample) -> Option<ColdCause> {
         let Some(last) = self.last.replace(sample) else {
             self.ramped_limit =
@@ -129,8 +127,8 @@
         cause
     }
 
-    /// Work ended well; `first_token` is what it took and what it should
-    /// have taken.
+    /// Records completed work; `first_token` holds the measured and the expected time to first
+    /// token.
     pub fn record_success(
         &mut self,
         now: Instant,
@@ -151,8 +149,8 @@
         None
     }
 
-    /// The target failed or refused: half of the bound, and no growth before
-    /// new successes.
+    /// Records a failure or refusal, which halves the limit and stops its growth until new
+    /// successes.
     pub fn record_failure(&mut self, now: Instant) {
         self.reset(now, self.ramped_limit / 2);
     }
@@ -172,7 +170,7 @@
         let hits = sample.cache_hits.saturating_sub(last.cache_hits);
         let tokens = hits + sample.cache_misses.saturating_sub(last.cache_misses);
         if tokens < MIN_HIT_SAMPLE_TOKENS {
-            // Too few to judge: counted with the next report.
+            // Too few tokens: they are counted with the next report.
             let counted = Sample { warmth: sample.warmth, ..last };
             self.last = Some(counted);
             return false;
@@ -209,7 +207,7 @@
     }
 }
 
-/// The part of `full` that a target of this warmth bears, at least one.
+/// Returns the streams that a target of this warmth can run, at least [`COLD_STREAM_LIMIT`].
 fn limit_at_warmth(full: u32, warmth: u8) -> u32 {
     let part = u64::from(full) * u64::from(warmth.min(100)) / 100;
     (part as u32).max(COLD_STREAM_LIMIT).min(full)
--- a/crates/policy/src/refuse.rs
+++ b/crates/policy/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Why a request is refused or tried again. Each reason has a counter.
+//! Reasons for refusals and retries. Each reason has a counter.
 
 use derive_more::Display;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 /// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Ran {
-    /// It certainly did not, and never will.
+    /// The request did not run and never will.
     #[display("no")]
     No,
-    /// It may have.
+    /// The request may have run.
     #[display("unknown")]
     Unknown,
 }
@@ -26,12 +26,12 @@
             /// All reasons, for the counters.
             pub const ALL: &[Self] = &[$(Self::$name),*];
 
-            /// The HTTP status that goes with the reason.
+            /// Returns the HTTP status of the reason.
             pub fn status(self) -> u16 {
                 match self { $(Self::$name => $status),* }
             }
 
-            /// Reads a reason as displayed.
+            /// Parses a reason from its displayed form.
             pub fn parse(text: &str) -> Option<Self> {
                 match text { $($text => Some(Self::$name),)* _ => None }
             }
@@ -40,44 +40,44 @@
 }
 
 reasons! {
-    /// The body is not the JSON that is asked for.
+    /// The body is not valid JSON of the expected form.
     Malformed = "malformed", 400;
-    /// A header is missing or can't be read.
+    /// A header is missing or invalid.
     BadHeader = "bad-header", 400;
-    /// The deadline is absurd: zero, or greater than any request may take.
+    /// The deadline is zero or above the maximum for any request.
     BadDeadline = "bad-deadline", 400;
-    /// The idempotency key is no UUIDv7, or missing where one is needed.
+    /// The idempotency key is not a UUIDv7, or is missing where one is required.
     BadKey = "bad-key", 400;
-    /// The idempotency key was used with another content.
+    /// The idempotency key was used with different content.
     KeyReused = "key-reused", 422;
-    /// The idempotency key is older than the ledger keeps.
+    /// The idempotency key is older than the retention of the ledger.
     KeyTooOld = "key-too-old", 400;
-    /// No token, or one that belongs to no account.
+    /// There is no token, or the token belongs to no account.
     Unauthenticated = "unauthenticated", 401;
     /// The account may not use the model or service.
     Forbidden = "forbidden", 403;
-    /// No such model, adapter, version, service or request.
+    /// No such model, adapter, version, service or request exists.
     NotFound = "not-found", 404;
-    /// The method is not one the path takes.
+    /// The path does not support the method.
     BadMethod = "bad-method", 405;
-    /// The body is over the bound.
+    /// The body exceeds the size limit.
     TooLarge = "too-large", 413;
-    /// The prompt is greater than the fleet can hold at once.
+    /// The prompt is longer than the fleet can hold at once.
     TooLong = "too-long", 422;
     /// The request crashed targets and is not run again.
     Quarantined = "quarantined", 422;
     /// The node has no configuration yet.
     NotReady = "not-ready", 503;
-    /// The node has heard of a newer configuration than the one it has, by which
-    /// the request has no route, account or room, or may not have what it names.
+    /// The node knows of a configuration newer than its own, and by its own the request has no
+    /// route, account or capacity, or may not use what it names.
     Behind = "behind", 503;
-    /// The node is stopping.
+    /// The node is shutting down.
     Draining = "draining", 503;
     /// The queue is too long for the deadline.
     Overloaded = "overloaded", 429;
-    /// The account has no retries left.
+    /// The retry budget of the account is exhausted.
     RetryBudget = "retry-budget", 429;
-    /// No target that may run it takes work.
+    /// No target that can run the request accepts work.
     NoTarget = "no-target", 503;
     /// The owner of the target can't be reached.
     NoOwner = "no-owner", 503;
@@ -85,21 +85,21 @@
     LedgerDown = "ledger-down", 503;
     /// The same non-idempotent request was sent before.
     AlreadyClaimed = "already-claimed", 409;
-    /// The deadline passed.
+    /// The deadline has passed.
     Deadline = "deadline", 504;
     /// The target failed while the request ran.
     TargetFailed = "target-failed", 502;
-    /// The stream is not held anywhere any more.
+    /// No node or engine holds the stream any more.
     StreamLost = "stream-lost", 410;
 }
 
-/// Why an attempt is made again.
+/// Why a request is attempted again.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RetryReason {
     /// No byte reached the target.
     #[display("not_sent")]
     NotSent,
-    /// The target answered that it did not begin.
+    /// The target answered that it did not start the work.
     #[display("refused")]
     Refused,
     /// The target failed before the end, and the work may be repeated.
@@ -108,16 +108,16 @@
     /// The stream made no progress for too long.
     #[display("stalled")]
     Stalled,
-    /// The asked node does not own the target.
+    /// The node that was asked for a permit does not own the target.
     #[display("not_owner")]
     NotOwner,
     /// The owner did not answer.
     #[display("owner_silent")]
     OwnerSilent,
-    /// The permit was dead when it arrived.
+    /// The permit had expired when it arrived.
     #[display("stale_permit")]
     StalePermit,
-    /// The target's queue was too long, another one is tried.
+    /// The target's queue was too long; another target is tried.
     #[display("queue_long")]
     QueueLong,
 }
@@ -136,15 +136,15 @@
     ];
 }
 
-/// A refusal: final, and said at once.
+/// A final refusal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back; `None` where coming back is no use.
+    /// When to retry; `None` if retrying can't help.
     pub retry_after: Option<Duration>,
-    /// What a person reads.
+    /// Explanation for people.
     pub detail: String,
 }
--- a/crates/policy/src/resume.rs
+++ b/crates/policy/src/resume.rs
@@ -1,21 +1,21 @@
-//! When a stream that broke off is to go on.
+//! Decides how long an interrupted stream may wait to be resumed.
 //!
-//! Load pattern: many engines fail at once, and the streams that they wrote are to be
-//! resumed on engines that are busy. They can't be in time any more, but are worth
-//! something to their callers, who bear a pause for a while.
+//! Load pattern: many engines fail at once, and their streams are to be resumed on engines that are
+//! busy. They can't meet their latency goals any more, but callers accept a pause of limited
+//! length.
 
 use std::time::{Duration, Instant};
 
-/// The longest pause in which a stream is resumed, as a multiple of the wanted one.
-/// Callers give up at eight.
+/// Longest pause before a stream is resumed, as a multiple of the wanted maximum gap. Callers give
+/// up at eight.
 const MAX_PAUSE_FACTOR: u32 = 4;
 
-/// The part of the time left that the pause may take. The rest is for what is still to
-/// be written.
+/// The pause may take at most the remaining time divided by this; the rest is for generating the
+/// remaining tokens.
 const PAUSE_DIVISOR: u32 = 2;
 
-/// When a stream that breaks off now is to go on, where its caller wants pauses no
-/// longer than `gap`.
+/// Returns the time by which a stream interrupted now must be resumed, where `gap` is the longest
+/// pause that its caller wants.
 pub fn resume_deadline(now: Instant, gap: Option<Duration>, deadline: Instant) -> Instant {
     let max_pause = deadline.saturating_duration_since(now) / PAUSE_DIVISOR;
     now + gap.map_or(max_pause, |gap| max_pause.min(gap * MAX_PAUSE_FACTOR))
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -1,38 +1,38 @@
-//! The table of members that a node keeps: its own record and those of others.
+//! A node's table of members: its own record and the records of the other nodes.
 
 use crate::member::{Record, State};
 use hickory_unit::id;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// What is known of another node.
+/// State kept for another node.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) record: Record,
-    /// When its state was learned.
+    /// When this node learned of the current state.
     pub(crate) state_since: Instant,
-    /// When it was last asked to refute a suspicion.
+    /// When the node was last asked to refute a suspicion.
     pub(crate) last_reminder: Instant,
 }
 
-/// How many other nodes are in each state.
+/// Number of other nodes in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateCounts {
-    /// That are alive.
+    /// Nodes that are alive.
     pub alive: usize,
-    /// That are suspected.
+    /// Nodes that are suspected.
     pub suspect: usize,
-    /// That are remembered as dead.
+    /// Nodes that are remembered as dead.
     pub dead: usize,
 }
 
-/// Records of nodes, one each.
+/// The records of all nodes, one per node.
 #[derive(Clone, Debug)]
 pub(crate) struct Roster {
     pub(crate) own: Record,
-    /// Ordered, so that the same seed and the same messages give the same choices.
+    /// Ordered, so that the same seed and messages lead to the same choices.
     pub(crate) peers: BTreeMap<id::Node, Peer>,
-    /// Of all that are not dead: equal ones hold the same.
+    /// Digest of all records that are not dead; equal digests mean equal tables.
     pub(crate) digest: u64,
 }
 
@@ -42,7 +42,7 @@
         Self { own, peers: BTreeMap::new(), digest }
     }
 
-    /// Other nodes in a state that passes.
+    /// Returns the records of other nodes in a wanted state.
     pub(crate) fn with_state(
         &self,
         is_wanted: impl Fn(State) -> bool,
@@ -51,20 +51,20 @@
         records.filter(move |record| is_wanted(record.state))
     }
 
-    /// The records of all that are not dead.
+    /// Returns the records of all nodes that are not dead.
     pub(crate) fn present(&self) -> Vec<Record> {
         let others = self.with_state(|state| state != State::Dead);
         others.chain([&self.own]).cloned().collect()
     }
 
-    /// What is held of a node that is heard, where that is not that it is alive: it
-    /// refutes that.
+    /// Returns the record of a node that just sent a message if the record does not say that it is
+    /// alive. The node can then refute it.
     pub(crate) fn find_refutable(&self, node: &id::Node) -> Option<Record> {
         let record = self.peers.get(node).map(|peer| &peer.record)?;
         (record.state != State::Alive).then(|| record.clone())
     }
 
-    /// The record of a node.
+    /// Returns the record of a node.
     pub(crate) fn get(&self, node: &id::Node) -> Option<&Record> {
         match *node == self.own.node {
             true => Some(&self.own),
@@ -84,7 +84,7 @@
         count
     }
 
-    /// Takes another node's record in place of the one before.
+    /// Replaces the record of another node.
     pub(crate) fn insert(&mut self, now: Instant, record: Record) {
         let is_present = |record: &Record| record.state != State::Dead;
         if is_present(&record) {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Raises this node's own record above a version.
+    /// Raises this node's own version above the given one.
     pub(crate) fn raise_own_version(&mut self, incarnation: id::Incarnation, version: u32) {
         self.digest ^= self.own.digest();
         self.own.incarnation = incarnation;
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -1,52 +1,52 @@
-//! News of members that a node still has to send on.
+//! Changed records that a node still has to disseminate.
 
 use crate::member::Record;
 use crate::roster::Roster;
 use hickory_unit::id;
 
-/// Records in one message: a datagram must go through all links unfragmented.
+/// Maximum number of records per message, so that a datagram fits any link unfragmented.
 pub(crate) const MAX_RECORDS: usize = 12;
 
-/// How often a record is sent on, besides a logarithm of the nodes.
+/// Number of times that a record is sent, in addition to the logarithm of the number of nodes.
 const BASE_SENDS: u32 = 8;
 
-/// By how much less often a record is sent on after a peer was met that has it.
+/// Number of sends saved for each peer found to have the same table.
 const EQUAL_DIGEST_SENDS: u32 = 3;
 
-/// A record that is still to be sent on.
+/// A record that is still to be sent.
 #[derive(Clone, Debug)]
 struct News {
     node: id::Node,
     sends_left: u32,
-    /// Whether it was sent on at all.
+    /// Whether it was sent at least once.
     is_sent: bool,
 }
 
-/// Records to be sent on, each a bounded number of times.
+/// Records to send, each a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rumors {
     news: Vec<News>,
 }
 
 impl Rumors {
-    /// Puts a node's record in, among so many nodes.
+    /// Adds the record of a node, in a fleet of `nodes` nodes.
     pub(crate) fn add(&mut self, node: id::Node, nodes: usize) {
         self.news.retain(|news| news.node != node);
         let logarithm = u32::BITS - (nodes as u32).leading_zeros();
         self.news.push(News { node, sends_left: BASE_SENDS + logarithm, is_sent: false });
     }
 
-    /// Whether nothing is to be sent on.
+    /// Returns whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
         self.news.is_empty()
     }
 
-    /// Whether there is news that was told to nobody yet.
+    /// Returns whether there are changes that were not sent to any node yet.
     pub(crate) fn has_unsent_news(&self) -> bool {
         self.news.iter().any(|news| !news.is_sent)
     }
 
-    /// The records that were sent on least, which count as sent.
+    /// Returns the least sent records and counts them as sent.
     pub(crate) fn take(&mut self, roster: &Roster) -> Vec<Record> {
         self.news.sort_by_key(|news| std::cmp::Reverse(news.sends_left));
         let mut records = Vec::new();
@@ -59,7 +59,7 @@
         records
     }
 
-    /// Notes that a peer holds the same: it needs no news, and neither do many others.
+    /// Records that a peer has the same table: it needs no news, and neither do many other nodes.
     pub(crate) fn note_equal_digest(&mut self) {
         self.news
             .iter_mut()
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,32 +1,31 @@
-//! A node's share of a bound that all nodes keep together: its part by the number
-//! of nodes, of what was done within a window.
+//! A node's share of a fleet-wide limit on repeats: its part by the number of nodes, counted over a
+//! sliding window.
 //!
 //! Load pattern: targets fail, and every node has requests to send again.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The part of a common bound that the nodes use between them. The rest is for
-/// nodes that count fewer peers than there are, for a second or so after a
-/// partition.
+/// Fraction of the common extra repeats that the nodes use in total. The rest is a reserve for
+/// nodes that count too few peers for about a second after a partition.
 const USED_EXTRA_PART: f64 = 0.7;
 
-/// The part of the per-request allowance that is used: the window of whoever
-/// judges may begin anywhere, also just after a burst of requests.
+/// Fraction of the per-request allowance that is used. The window of the party that checks the
+/// limit can begin at any time, also right after a burst of requests.
 const USED_RATIO_PART: f64 = 0.6;
 
-/// A bound on repeats: so many for each request, and so many besides.
+/// A limit on repeats: a number per request, plus an extra number for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Repeats for each request.
+    /// Repeats per request.
     pub ratio: f64,
-    /// Repeats besides, of all nodes together.
+    /// Additional repeats of all nodes together.
     pub extra: f64,
-    /// The window that both are counted in.
+    /// Window over which both are counted.
     pub window: Duration,
 }
 
-/// What one node did within the window.
+/// Requests and repeats of one node within the window.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     requests: VecDeque<Instant>,
@@ -34,13 +33,13 @@
 }
 
 impl Budget {
-    /// Notes a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Instant, bound: &Limit) {
         self.expire(now, bound.window);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat, if this node's share has one left.
+    /// Spends one repeat; returns false if this node's share is used up.
     pub fn try_spend(&mut self, now: Instant, bound: &Limit, nodes: usize) -> bool {
         self.expire(now, bound.window);
         let earned = self.requests.len() as f64 * bound.ratio * USED_RATIO_PART;
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -1,11 +1,11 @@
-//! How a large document spreads from node to node. A node takes on only what its
-//! link sends within a moment ([`Meter`]) and names those it gave to before
-//! ([`Given`]) to those it turns away; whoever has the whole gives it on, so that
-//! the last of `n` nodes has it after about log `n` rounds. Those who ask go to any
-//! giver that is not known to be busy ([`Givers`]).
+//! Distribution of a large document from node to node. A node accepts only the transfers that its
+//! link can start within a moment ([`UploadMeter`]); the nodes that it rejects are referred to
+//! earlier recipients ([`Recipients`]). Every node with the complete document serves it, so all `n`
+//! nodes have it after about log `n` rounds. A requester asks any source that is not known to be
+//! busy ([`Sources`]).
 //!
-//! Load pattern: a few nodes have a new document, and all others ask for it at the
-//! same moment, over links that carry a few copies a second.
+//! Load pattern: a few nodes have a new document and all others request it at the same time, over
+//! links that can carry a few copies per second.
 
 use hickory_unit::rate;
 use hickory_unit::size::Bytes;
@@ -13,81 +13,78 @@
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// Answers up to this size are always taken on: the word that a target leaves
-/// must not wait behind a document.
+/// Answers up to this size are always accepted: small messages such as a target's announcement that
+/// it leaves must not queue behind a document.
 const SMALL_ANSWER: Bytes = Bytes(2 << 10);
 
-/// How long what was taken on may keep the link busy before one more is turned
-/// away. Whoever is admitted waits this long for its first byte, which has to
-/// be far below the time after which it would take the giver for silent.
+/// Longest time that accepted transfers may keep the link busy before further ones are rejected. An
+/// accepted requester waits this long for its first byte, so it must be well below the requester's
+/// timeout.
 const MAX_BACKLOG: Duration = Duration::from_millis(50);
 
-/// The longest that one is told to wait before it asks the same giver again:
-/// others have the document by then.
+/// Longest wait that a rejected requester is given before it may ask the same source again; by then
+/// other nodes have the document.
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// A longer time isn't foretold: the rate of the link is not what it was taken
-/// for.
+/// Cap on estimated transfer times. A longer estimate means that the assumed link rate is wrong.
 const MAX_SEND_TIME: Duration = Duration::from_secs(60);
 
-/// How long bytes are counted before they tell the rate of a link.
+/// Minimum time over which bytes are counted before a link's rate is estimated.
 const MIN_RATE_SAMPLE_TIME: Duration = Duration::from_millis(25);
 
-/// A link counts as slower than it is said to be from this on: takers differ in what
-/// they take as well.
+/// Minimum slowdown against the configured rate that is taken into account; smaller ones can come
+/// from slow readers.
 const MIN_SLOWDOWN: f64 = 2.0;
 
-/// A link that takes this many times longer than it is said to is as good as cut.
+/// Maximum slowdown; a slower link is as good as cut.
 const MAX_SLOWDOWN: f64 = 1_000.0;
 
-/// Nodes named to one that is turned away.
+/// Maximum number of nodes that a rejected requester is referred to.
 const MAX_REFERRALS: usize = 6;
 
-/// What a connection takes of an answer before its link has sent any of it.
+/// Bytes that a connection buffers before the link has sent any of them.
 const CONNECTION_BUFFER_BYTES: u64 = 64 << 10;
 
-/// What a node is sending.
+/// Transfers that a node is sending.
 ///
-/// It counts the bytes that its link has not taken yet, by the rate at which it
-/// takes them: one that carries less than it is said to, or is full of callers'
-/// answers, would be promised to many at once, and none would get its document
-/// in time.
+/// It tracks the bytes not yet sent and the rate at which the link sends them. If a link is slower
+/// than configured, or full of answers to callers, the configured rate would let in too many
+/// transfers, and none would finish in time.
 #[derive(Clone, Debug, Default)]
 pub struct UploadMeter {
     transfers: Vec<Transfer>,
     last_ticket: u32,
 }
 
-/// An answer that is being sent.
+/// A transfer in progress.
 #[derive(Clone, Copy, Debug)]
 struct Transfer {
     ticket: Ticket,
     size: Bytes,
     remaining: Bytes,
     started: Instant,
-    /// When the link last took some of it.
+    /// When the link last sent some of it.
     last_progress: Instant,
-    /// When its connection's buffers were full, and what was taken of it then.
+    /// When the buffers of its connection became full, and the bytes accepted until then.
     buffers_full: Option<(Instant, u64)>,
 }
 
-/// Names an answer that was taken on.
+/// Identifies an accepted transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket(u32);
 
-/// An answer that was not taken on.
+/// Rejection of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy {
-    /// How long until it may be asked for again.
+    /// Time until the requester may ask again.
     pub wait: Duration,
 }
 
 impl UploadMeter {
-    /// Takes on an answer of this size, if the link can begin it soon.
+    /// Accepts a transfer of this size if the link can start it soon.
     ///
-    /// Whoever is turned away waits until the link is idle, and not just until
-    /// the next can be taken on: many wait for that, and their asking would
-    /// fill the link.
+    /// A rejected requester is asked to wait until the link is idle, not just until the next
+    /// transfer can be accepted: many nodes wait for that, and their requests would fill the link.
     pub fn admit(
         &mut self,
         now: Instant,
@@ -111,12 +108,12 @@
         Ok(ticket)
     }
 
-    /// Whether the link is too busy for more than the smallest answers.
+    /// Returns whether the link is too busy for all but the smallest answers.
     pub fn is_busy(&mut self, now: Instant, link: rate::BytesPerSecond) -> bool {
         self.backlog(now, link) > MAX_BACKLOG
     }
 
-    /// Notes what is left of an answer.
+    /// Records the remaining bytes of a transfer.
     pub fn record_remaining(&mut self, now: Instant, ticket: Ticket, remaining: Bytes) {
         let transfer = self.transfers.iter_mut().find(|transfer| transfer.ticket == ticket);
         if let Some(transfer) = transfer.filter(|transfer| transfer.remaining != remaining) {
@@ -128,13 +125,13 @@
         }
     }
 
-    /// Notes that an answer has ended.
+    /// Records that a transfer has ended.
     pub fn finish(&mut self, ticket: Ticket) {
         self.transfers.retain(|transfer| transfer.ticket != ticket);
     }
 
-    /// How long the link is busy with what was taken on. One who stopped
-    /// reading, or reads for longer than takers do, holds no place.
+    /// Returns how long the link is busy with accepted transfers. Transfers whose reader has
+    /// stopped, or reads for longer than requesters do, are dropped.
     fn backlog(&mut self, now: Instant, link: rate::BytesPerSecond) -> Duration {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.transfers.retain(|transfer| {
@@ -146,7 +143,7 @@
         time.mul_f64(self.slowdown(now, link)).min(MAX_SEND_TIME)
     }
 
-    /// How many times longer the link takes than it is said to, as far as it shows.
+    /// Returns by what factor the link is slower than configured by measurement.
     fn slowdown(&self, now: Instant, link: rate::BytesPerSecond) -> f64 {
         let is_rate_known = self.transfers.iter().any(|transfer| transfer.is_rate_known(now));
         let rate: f64 = self.transfers.iter().map(|transfer| transfer.rate(now)).sum();
@@ -159,14 +156,14 @@
 }
 
 impl Transfer {
-    /// Whether the rate at which it is sent shows.
+    /// Returns whether enough was sent to estimate the rate.
     fn is_rate_known(&self, now: Instant) -> bool {
         self.buffers_full
             .is_some_and(|(at, _)| now.saturating_duration_since(at) >= MIN_RATE_SAMPLE_TIME)
     }
 
-    /// Bytes a second that the link has sent of it: since its connection's buffers were
-    /// full, if they are.
+    /// Returns the rate in bytes per second at which the link sends this transfer, measured from
+    /// the time its connection's buffers were full, if they are.
     fn rate(&self, now: Instant) -> f64 {
         let (since, before) = self.buffers_full.unwrap_or((self.started, 0));
         let sent = self.size.0 - self.remaining.0.min(self.size.0) - before;
@@ -175,10 +172,10 @@
     }
 }
 
-/// The nodes that were given a document lately, which can give it on.
+/// Nodes that recently received a document and can serve it.
 #[derive(Clone, Debug)]
 pub struct Recipients<K> {
-    /// With the time at which each has it, the oldest first.
+    /// With the time at which each has the document, oldest first.
     nodes: VecDeque<(Instant, K)>,
 }
 
@@ -189,8 +186,8 @@
 }
 
 impl<K: Clone + PartialEq> Recipients<K> {
-    /// Notes a node once the whole was sent to it: one that died, was cut off or
-    /// stopped reading is never named. It has the document at `at`, a moment
+    /// Records a node after the whole document was sent to it, so that nodes that died, were cut
+    /// off or stopped reading are never named. The node counts as a source from `at` on, a moment
     /// later, as the end may still be in buffers.
     pub fn record(&mut self, at: Instant, node: K) {
         self.nodes.retain(|(_, known)| *known != node);
@@ -200,35 +197,35 @@
         }
     }
 
-    /// The latest of those that have it by now.
+    /// Returns the latest recipients that have the document by now.
     pub fn recent(&self, now: Instant) -> Vec<K> {
         let done = self.nodes.iter().rev().filter(|(at, _)| *at <= now);
         done.take(MAX_REFERRALS).map(|(_, node)| node.clone()).collect()
     }
 
-    /// Forgets all: the document has changed.
+    /// Removes all nodes, because the document has changed.
     pub fn clear(&mut self) {
         self.nodes.clear();
     }
 }
 
-/// What one who wants a document does next.
+/// What a requester of a document does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice<K> {
-    /// Asks this node.
+    /// Request it from this node.
     Fetch(K),
-    /// All that are known to have it are busy: looks again after this time.
+    /// All known sources are busy; try again after this time.
     Wait(Duration),
-    /// None is known to have it.
+    /// No source is known.
     NoSource,
 }
 
-/// Who can give a document, as one who wants it knows them.
+/// Sources of a document, as known to a requester.
 #[derive(Clone, Debug)]
 pub struct Sources<K> {
     referrals: Vec<K>,
     busy_until: HashMap<K, Instant>,
-    /// Failures without an answer between them.
+    /// Failures since the last answer.
     consecutive_failures: u32,
 }
 
@@ -238,34 +235,33 @@
     }
 }
 
-/// How long a giver that failed is left alone.
+/// How long a source that failed is not asked again.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// How long a giver may take to begin its answer where others have the document
-/// as well. It takes on only what it can begin at once, so one that says nothing
-/// has most likely died or is cut off, and each moment spent on it is one that
-/// every node behind this one waits for.
+/// Timeout for the first byte if other sources are known. A source accepts only what it can start
+/// immediately, so a silent one is most likely dead or cut off, and every moment spent on it delays
+/// all the nodes that fetch from this one next.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Failures in a row after which a taker is patient: not the givers are silent
-/// then, but its own link or host is slow.
+/// Number of consecutive failures after which the longer timeout is used: then not the sources are
+/// at fault but this node's own link or host is slow.
 const FAILURES_BEFORE_LONG_TIMEOUT: u32 = 3;
 
-/// The same where no other is known, and how long an answer that has begun may
-/// be silent: a host that was short of its processor goes on after that.
+/// Timeout for the first byte if no other source is known, and for silence within an answer: a host
+/// that was short of processor time continues before it ends.
 pub const MAX_SILENCE: Duration = Duration::from_millis(700);
 
-/// How long a taker reads one answer. It keeps what came and asks for the rest
-/// anew, of one that sends faster if there is any: a giver whose link is nearly
-/// cut would hold it for as long as it sends a byte now and then.
+/// Maximum time for which one answer is read. The requester keeps what it received and requests the
+/// rest again, from a faster source if there is one. Otherwise a source whose link is nearly cut
+/// would hold it for as long as it sends a byte now and then.
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(2);
 
-/// Named givers that are remembered; more are as good as these.
+/// Maximum number of referrals kept; further ones would not be better than these.
 const MAX_REMEMBERED_SOURCES: usize = 64;
 
 impl<K: Copy + Eq + Hash> Sources<K> {
-    /// Notes that a giver is busy and whom it named in its place. `random` is
-    /// from 0 to 1: those who were turned away together come back apart.
+    /// Records that a source is busy and the nodes that it referred to. `random` is from 0 to 1 and
+    /// spreads the retries of nodes that were rejected together.
     pub fn record_busy(&mut self, now: Instant, source: K, busy: Busy, others: &[K], random: f64) {
         self.record_response();
         self.busy_until.insert(source, now + busy.wait.mul_f64(1.0 + random));
@@ -276,26 +272,26 @@
         }
     }
 
-    /// Notes that a giver answered.
+    /// Records that a source answered.
     pub fn record_response(&mut self) {
         self.consecutive_failures = 0;
     }
 
-    /// Notes a giver that gave no answer, or broke off.
+    /// Records that a source did not answer or broke off.
     pub fn record_failure(&mut self, now: Instant, source: K) {
         self.consecutive_failures += 1;
         self.busy_until.insert(source, now + FAILURE_BACKOFF);
     }
 
-    /// How long one that is asked may take to begin its answer.
+    /// Returns the timeout for the first byte from a source.
     pub fn response_timeout(&self, source: K, holders: &[K]) -> Duration {
         let others = holders.iter().chain(&self.referrals).any(|node| *node != source);
         let has_long_timeout = !others || self.consecutive_failures >= FAILURES_BEFORE_LONG_TIMEOUT;
         if has_long_timeout { MAX_SILENCE } else { RESPONSE_TIMEOUT }
     }
 
-    /// Whom to ask next, of those that are `heard` to have the document and
-    /// those that were named. `random` is from 0 to 1.
+    /// Chooses the next source among the known `holders` of the document and the referrals.
+    /// `random` is from 0 to 1.
     pub fn choose(&self, now: Instant, holders: &[K], random: f64) -> Choice<K> {
         let named = self.referrals.iter().filter(|node| !holders.contains(node));
         let all: Vec<K> = holders.iter().chain(named).copied().collect();
