--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -32,7 +32,7 @@
         for nodes in NODES {
             let case = Case::new(nodes, size);
             print!("{size:7}  {nodes:5}");
-            for policy in [Policy::AtOnce, Policy::ByTurns] {
+            for policy in [Policy::Unlimited, Policy::Metered] {
                 let play = |seed| model::play(&case, policy, seed);
                 let outcomes: Vec<Outcome> = (1..=options.seeds).map(play).collect();
                 print_row(&case, policy, &outcomes);
@@ -41,7 +41,10 @@
         }
     }
     println!("last, 0.9: seconds until the last node and 0.9 of them have it (- not within");
-    println!("{} s for some seed); sent: bytes for each that had to be;", model::END.as_secs());
+    println!(
+        "{} s for some seed); sent: bytes for each that had to be;",
+        model::MAX_REPLAY_TIME.as_secs()
+    );
     println!("most: answers on one link; busy: answers for each taker.");
 }
 
@@ -52,15 +55,16 @@
     let last = mean_time(outcomes, 1.0);
     let most = mean_time(outcomes, 0.9);
     let sent = outcomes.iter().map(|outcome| outcome.overhead(case)).sum::<f64>();
-    let widest = outcomes.iter().map(|outcome| outcome.widest).max().unwrap_or(0);
+    let widest = outcomes.iter().map(|outcome| outcome.max_answers_per_link).max().unwrap_or(0);
     print!("  {last:>6} {most:>5} {:5.2} {widest:5}", sent / outcomes.len() as f64);
-    if policy == Policy::ByTurns {
-        print!(" {:5.1}", mean(|outcome| outcome.busy as f64 / outcome.takers as f64));
+    if policy == Policy::Metered {
+        print!(" {:5.1}", mean(|outcome| outcome.busy_answers as f64 / outcome.requesters as f64));
     }
 }
 
 fn mean_time(outcomes: &[Outcome], part: f64) -> String {
-    let times: Option<Vec<Duration>> = outcomes.iter().map(|outcome| outcome.part(part)).collect();
+    let times: Option<Vec<Duration>> =
+        outcomes.iter().map(|outcome| outcome.time_of_part(part)).collect();
     times.map_or("-".into(), |times| {
         let sum = times.iter().sum::<Duration>().as_secs_f64();
         format!("{:.2}", sum / times.len() as f64)
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -11,7 +11,7 @@
 
 /// Plays requests over targets that fail by these rates, as many a second, and
 /// counts for each target how often it was avoided after one.
-fn play(rates: &[f64], per_second: u64, seconds: u64) -> Vec<f64> {
+fn replay(rates: &[f64], per_second: u64, seconds: u64) -> Vec<f64> {
     let mut random = StdRng::seed_from_u64(1);
     let (mut ejection, mut now) = (Ejection::default(), Instant::now());
     let mut avoided = vec![0_u32; rates.len()];
@@ -31,9 +31,9 @@
 /// Guards against a service whose replicas are mostly avoided, as its application
 /// fails one request in twelve and many nodes send many requests.
 #[test]
-fn replicas_that_fail_alike_are_not_avoided_whatever_the_rate_of_requests() {
+fn replicas_with_equal_failure_rates_are_not_avoided_at_any_request_rate() {
     for per_second in [25, 250, 2_500] {
-        let avoided = play(&[0.08; 5], per_second, 20);
+        let avoided = replay(&[0.08; 5], per_second, 20);
         let most = avoided.iter().copied().fold(0.0, f64::max);
         assert!(most < 0.25, "{per_second} a second: {avoided:.2?}");
         let mean = avoided.iter().sum::<f64>() / 5.0;
@@ -46,7 +46,7 @@
 #[test]
 fn a_replica_that_fails_more_than_the_others_is_avoided() {
     for per_second in [25, 250] {
-        let avoided = play(&[0.02, 0.5, 0.02, 0.02, 0.02], per_second, 20);
+        let avoided = replay(&[0.02, 0.5, 0.02, 0.02, 0.02], per_second, 20);
         assert!(avoided[1] > 0.5, "{per_second} a second: {avoided:.2?}");
         assert!(avoided[0] < 0.1, "{per_second} a second: {avoided:.2?}");
     }
@@ -70,7 +70,7 @@
 
 /// Guards against a target that is never tried again after it was mended.
 #[test]
-fn what_failed_is_tried_again() {
+fn a_failed_target_is_tried_again() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
     (0..8).for_each(|_| ejection.record_outcome(now, 1, false));
     let cost = |ejection: &Ejection<u32>, at| ejection.expected_costs(now + ms(at), 0..4)[1];
@@ -83,7 +83,7 @@
 /// Guards against long prompts that fail one after the other, since engines that are
 /// leaving unheard look idle and refuse each part.
 #[test]
-fn an_engine_that_refuses_parts_is_given_none_for_a_time() {
+fn an_engine_that_refuses_parts_receives_none_during_the_backoff() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
     ejection.record_part_refusal(now, 1);
     ejection.record_part_refusal(now + ms(5), 1);
@@ -95,7 +95,7 @@
 
 /// Guards against requests that try one target after the other of a zone that is down.
 #[test]
-fn a_target_at_which_nothing_listens_is_avoided_at_once() {
+fn an_unreachable_target_is_avoided_immediately() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
     let cost =
         |ejection: &Ejection<usize>, after| ejection.expected_costs(now + ms(after), 0..5)[2];
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -19,7 +19,7 @@
 /// an unconfirmed lease. Together they must stay within what it bears, also
 /// where the bound is odd.
 #[test]
-fn unconfirmed_owner_keeps_to_half() {
+fn owner_without_confirmed_lease_uses_half_the_limit() {
     for streams in [1, 2, 5, 64] {
         let capacity = Capacity { streams, ..NARROW };
         let start = Instant::now();
@@ -41,12 +41,12 @@
 /// paused owner granted last may still be used for one permit life, so the
 /// new owner grants nothing before, and the asks that wait get theirs then.
 #[test]
-fn new_owner_waits_one_permit_life() {
+fn new_owner_waits_one_permit_lifetime() {
     let now = Instant::now();
     let mut limiter = Limiter::new_after_takeover(now, CAPACITY);
-    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
     assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME - ms(1)), []);
-    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waits]);
+    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waiting]);
 }
 
 /// The load report shows streams that a former owner granted. They run on,
@@ -54,14 +54,14 @@
 #[test]
 fn streams_of_a_former_owner_count() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let foreign =
+    let report =
         Observed { foreign_streams: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
-    limiter.observe(now, &foreign);
+    limiter.observe(now, &report);
     limiter.request_permit(now, ask(now, "mawe", 10));
-    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
     assert_eq!((limiter.running(), limiter.waiting()), (1, 1));
     limiter.observe(now + ms(10), &observed(1, 100));
-    assert_eq!(granted(&mut limiter, now + ms(10)), [waits]);
+    assert_eq!(granted(&mut limiter, now + ms(10)), [waiting]);
 }
 
 /// The outcome of a stream never reaches the owner: its node died. The room
@@ -73,25 +73,25 @@
     for _ in 0..4 {
         limiter.request_permit(now, short.clone());
     }
-    let waits = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
     assert_eq!(granted(&mut limiter, now + ms(2_999) + CANCEL_GRACE), []);
-    assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waits]);
+    assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waiting]);
 }
 
 /// A suspect of a crash asks to run alone beside a busy target. It must run
 /// beside no other stream, neither those before nor those after it, and the
 /// innocent asks behind it go on when it has ended.
 #[test]
-fn alone_runs_beside_no_other() {
+fn exclusive_request_runs_alone() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let before = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let first = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
     let suspect = ticket(
         limiter.request_permit(now, PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) }),
     );
     let now = now + ms(1_500);
     let behind = ticket(limiter.request_permit(now, ask(now, "caucao", 10)));
     assert_eq!(granted(&mut limiter, now), [], "the suspect has waited long enough");
-    limiter.cancel(before);
+    limiter.cancel(first);
     assert_eq!(granted(&mut limiter, now), [suspect]);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
     limiter.cancel(suspect);
@@ -103,15 +103,15 @@
 /// for a dead target, or it counts as having run on it; a new ask goes
 /// elsewhere at once. The next load report shows that the target lives.
 #[test]
-fn nothing_is_granted_after_a_death_until_the_target_reports() {
+fn no_permit_is_granted_after_a_death_until_the_next_load_report() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     let suspect = |now| PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) };
     let crashing = ticket(limiter.request_permit(now, suspect(now)));
     let innocent = ticket(limiter.request_permit(now, suspect(now)));
     limiter.complete(now, crashing, Outcome::Failed);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
-    for urgent in [false, true] {
-        let elsewhere = PermitRequest { is_urgent: urgent, ..ask(now, "caucao", 10) };
+    for is_urgent in [false, true] {
+        let elsewhere = PermitRequest { is_urgent, ..ask(now, "caucao", 10) };
         let answer = limiter.request_permit(now + ms(100), elsewhere);
         assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     }
@@ -124,7 +124,7 @@
 /// at once, so that their nodes can go to another zone, nothing new is taken,
 /// and when the zone is back the target serves again.
 #[test]
-fn target_that_stops_accepting_answers_its_queue() {
+fn target_that_stops_accepting_refuses_its_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     let tickets: Vec<_> =
         (0..9).map(|_| ticket(limiter.request_permit(now, ask(now, "mawe", 10)))).collect();
@@ -143,15 +143,15 @@
 /// refused when they ask, not after they waited, and are told how long to
 /// stay away; the target stays busy all the while.
 #[test]
-fn hopeless_ask_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_refused_immediately() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let (mut late, mut early, mut whole) = (0, 0, 0);
+    let (mut late, mut early, mut completed) = (0, 0, 0);
     for _ in 0..4_000 {
         now += ms(5);
         // 60,000 prompt tokens a second, where the engine has 30,000.
-        let ask = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
-        match limiter.request_permit(now, ask) {
+        let request = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
+        match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(reason, wait) => {
@@ -169,11 +169,11 @@
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(480)).count();
         for (_, t) in running.drain(..ended) {
             limiter.complete(now, t, Outcome::Completed(None));
-            whole += 1;
+            completed += 1;
         }
     }
     assert!(early > 1_000 && late * 20 <= early, "{late} late beside {early} early");
-    assert!(whole > 1_800, "{whole} of 2,000 that 20 s had room for");
+    assert!(completed > 1_800, "{completed} of 2,000 that 20 s had room for");
 }
 
 /// Two partners ask for three times what the target bears, with 30 s of time;
@@ -181,12 +181,12 @@
 /// old share are refused within about a second, not at their deadlines, what
 /// is granted still ends in time, and each partner gets its share of it.
 #[test]
-fn cut_share_refuses_what_became_hopeless() {
+fn reduced_share_refuses_requests_that_became_late() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
     limiter.set_shares([("mawe".into(), 3.0), ("caucao".into(), 1.0)]);
-    let mut asks = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let (mut whole, mut refused_late) = (BTreeMap::<_, f64>::new(), 0);
+    let (mut completed, mut refused_late) = (BTreeMap::<_, f64>::new(), 0);
     for step in 0..12_000_u64 {
         now += ms(5);
         if step == 6_000 {
@@ -195,13 +195,13 @@
         for partner in ["mawe", "caucao"] {
             let size = if partner == "mawe" { 1_000 } else { 1_000 + step * 7_919 % 4_000 };
             let deadline = now + ms(30_000);
-            let ask = PermitRequest { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
-            match limiter.request_permit(now, ask.clone()) {
+            let request = PermitRequest { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
+            match limiter.request_permit(now, request.clone()) {
                 Answer::Granted(t) => {
-                    asks.insert(t, ask);
+                    requests.insert(t, request);
                     running.push((now, t));
                 }
-                Answer::Queued(t) => drop(asks.insert(t, ask)),
+                Answer::Queued(t) => drop(requests.insert(t, request)),
                 Answer::Refused(..) => {}
             }
         }
@@ -209,23 +209,24 @@
             match answer {
                 Ok(()) => running.push((now, t)),
                 Err(_) if step > 6_500 => {
-                    refused_late += u32::from(asks[&t].deadline < now + ms(5_000));
+                    refused_late += u32::from(requests[&t].deadline < now + ms(5_000));
                 }
                 Err(_) => {}
             }
         }
         // Each answer takes 5 s on a full target.
         for (at, t) in running.extract_if(.., |(at, _)| now >= *at + ms(5_000)) {
-            let ask = &asks[&t];
-            assert!(step < 3_000 || at + ms(5_000) <= ask.deadline, "cut off half done");
+            let request = &requests[&t];
+            assert!(step < 3_000 || at + ms(5_000) <= request.deadline, "cut off half done");
             limiter.complete(now, t, Outcome::Completed(None));
             if step > 8_000 {
-                *whole.entry(ask.partner.to_string()).or_default() += ask.cost.work() as f64;
+                *completed.entry(request.partner.to_string()).or_default() +=
+                    request.cost.work() as f64;
             }
         }
     }
     assert_eq!(refused_late, 0);
-    let part = whole["mawe"] / whole.values().sum::<f64>();
+    let part = completed["mawe"] / completed.values().sum::<f64>();
     assert!((part - 0.25).abs() < 0.02, "{part}");
 }
 
@@ -233,26 +234,26 @@
 /// By the time its turn comes, that is known: it is refused then, instead of
 /// being begun and cut off half done.
 #[test]
-fn ask_that_a_slower_pace_makes_late_is_not_begun() {
+fn request_made_late_by_a_slower_pace_is_not_started() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     let slow = PermitRequest { cost: cost(10, 64), ..ask(now, "mawe", 0) };
     let running: Vec<_> =
         (0..4).map(|_| ticket(limiter.request_permit(now, slow.clone()))).collect();
-    let waits = PermitRequest { deadline: now + ms(6_000), ..slow };
-    let Answer::Queued(waits) = limiter.request_permit(now, waits) else {
+    let waiting = PermitRequest { deadline: now + ms(6_000), ..slow };
+    let Answer::Queued(waiting) = limiter.request_permit(now, waiting) else {
         panic!("no slot is free")
     };
     let now = now + ms(4_800);
     for t in running {
         limiter.complete(now, t, Outcome::Completed(None));
     }
-    assert_eq!(limiter.poll(now), [(waits, Err(Reason::Overloaded))]);
+    assert_eq!(limiter.poll(now), [(waiting, Err(Reason::Overloaded))]);
 }
 
 /// One partner fills the queue. The other is still let in up to its part, and
 /// an urgent ask is never queued.
 #[test]
-fn flooding_partner_does_not_shut_out_the_other() {
+fn flooding_partner_does_not_keep_others_out_of_the_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     limiter.set_max_queue_length(100);
     let flood = (0..300).map(|_| limiter.request_permit(now, ask(now, "mawe", 10)));
@@ -268,7 +269,7 @@
 /// its slots; a person's question of a thousand tokens finds a slot, memory
 /// and prefill at once.
 #[test]
-fn bulk_work_leaves_room_for_short() {
+fn bulk_work_leaves_capacity_for_short_requests() {
     for (size, running) in [(90_000, 4), (600, 56)] {
         let (start, mut limiter) = warm(Instant::now(), CAPACITY);
         let deadline = start + Duration::from_secs(3_600);
@@ -283,8 +284,8 @@
         for _ in 0..600 {
             now += ms(50);
             prefills.extend(granted(&mut limiter, now).into_iter().map(|t| (now + ms(3_000), t)));
-            let over = prefills.extract_if(.., |(at, _)| *at <= now);
-            over.for_each(|(_, t)| limiter.record_first_token(now, t));
+            let ended = prefills.extract_if(.., |(at, _)| *at <= now);
+            ended.for_each(|(_, t)| limiter.record_first_token(now, t));
         }
         assert_eq!(limiter.running(), running);
         let question = ask(now, "caucao", 1_000);
@@ -296,7 +297,7 @@
 /// long ask would never find its memory free at one moment; after a while
 /// room is held for it, and the short ones still run in the headroom.
 #[test]
-fn long_ask_gets_its_room_under_short_load() {
+fn long_request_gets_capacity_under_short_load() {
     let capacity = Capacity { kv: size::Tokens(100_000), streams: 64, ..NARROW };
     let (mut now, mut limiter) = warm(Instant::now(), capacity);
     let short = |now| ask(now, "caucao", 2_400);
@@ -305,11 +306,11 @@
     let Answer::Queued(long) = limiter.request_permit(now, ask(now, "mawe", 60_000)) else {
         panic!("the memory is full")
     };
-    let asked = now;
+    let requested_at = now;
     let mut short_runs = 0;
     loop {
         now += ms(25);
-        assert!(now < asked + ms(5_000), "the long ask starved");
+        assert!(now < requested_at + ms(5_000), "the long ask starved");
         limiter.request_permit(now, short(now));
         let got = granted(&mut limiter, now);
         if got.contains(&long) {
@@ -334,8 +335,8 @@
     let mut refused = 0;
     for _ in 0..4_000 {
         now += ms(10);
-        let ask = PermitRequest { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
-        match limiter.request_permit(now, ask) {
+        let request = PermitRequest { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
+        match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(..) => refused += 1,
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -5,11 +5,11 @@
 use network::Network;
 use std::time::Duration;
 
-const FLEETS: [usize; 4] = [2, 9, 79, 195];
+const FLEET_SIZES: [usize; 4] = [2, 9, 79, 195];
 
 /// How long a node may name a dead one to callers: six seconds, of which callers keep
 /// an answer for one.
-const MISSED_WITHIN: Duration = Duration::from_secs(5);
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(5);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -19,10 +19,10 @@
     Duration::from_secs(secs)
 }
 
-fn started(nodes: usize, seed: u64) -> Network {
+fn start_network(nodes: usize, seed: u64) -> Network {
     let mut network = Network::start(nodes, seed);
-    let known = network.run_until(secs(3), |network| network.unknown() == 0);
-    assert!(known.is_ok(), "{nodes} nodes, seed {seed}: {} pairs unknown", network.unknown());
+    let known = network.run_until(secs(3), |network| network.unknown_pairs() == 0);
+    assert!(known.is_ok(), "{nodes} nodes, seed {seed}: {} pairs unknown", network.unknown_pairs());
     network
 }
 
@@ -30,107 +30,114 @@
 /// know each other when the first callers come.
 #[test]
 fn nodes_that_start_together_know_each_other_within_seconds() {
-    for nodes in FLEETS {
+    for nodes in FLEET_SIZES {
         for seed in 1..=3 {
-            started(nodes, seed);
+            start_network(nodes, seed);
         }
     }
-    started(380, 1);
+    start_network(380, 1);
 }
 
 /// Guards against callers who are sent to dead nodes for long, where many die at once.
 #[test]
-fn a_third_that_dies_is_missed_by_all() {
-    for nodes in FLEETS {
+fn the_death_of_a_third_is_noticed_by_all() {
+    for nodes in FLEET_SIZES {
         for seed in 1..=3 {
-            let mut network = started(nodes, seed);
+            let mut network = start_network(nodes, seed);
             (0..nodes).filter(|node| node % 3 == 1).for_each(|node| network.kill(node));
-            let missed = network.run_until(MISSED_WITHIN, |network| network.mistaken() == 0);
-            assert!(missed.is_ok(), "{nodes}, seed {seed}: {} pairs", network.mistaken());
-            assert_eq!(network.lost(), 0, "{nodes} nodes, seed {seed}: living ones lost");
+            let noticed =
+                network.run_until(MAX_DETECTION_TIME, |network| network.mistaken_pairs() == 0);
+            assert!(noticed.is_ok(), "{nodes}, seed {seed}: {} pairs", network.mistaken_pairs());
+            assert_eq!(network.lost_pairs(), 0, "{nodes} nodes, seed {seed}: living ones lost");
         }
     }
 }
 
 /// Guards against nodes that are taken for dead on links that lose packets.
 #[test]
-fn lossy_links_lose_no_node() {
-    for nodes in FLEETS {
-        let mut network = started(nodes, 1);
-        network.loss = 0.2;
+fn packet_loss_declares_no_node_dead() {
+    for nodes in FLEET_SIZES {
+        let mut network = start_network(nodes, 1);
+        network.loss_rate = 0.2;
         for _ in 0..100 {
             network.run_for(ms(200));
-            assert_eq!(network.lost(), 0, "{nodes} nodes");
+            assert_eq!(network.lost_pairs(), 0, "{nodes} nodes");
         }
-        network.loss = 0.0;
-        let known = network.run_until(secs(2), |network| network.unknown() == 0);
-        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown());
+        network.loss_rate = 0.0;
+        let known = network.run_until(secs(2), |network| network.unknown_pairs() == 0);
+        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
     }
 }
 
 /// Guards against a suspended node that stays lost after it wakes, or that takes all
 /// others for dead since they were silent while it slept.
 #[test]
-fn a_suspended_node_is_missed_and_comes_back() {
-    for nodes in FLEETS {
-        let mut network = started(nodes, 1);
+fn a_suspended_node_is_declared_dead_and_rejoins() {
+    for nodes in FLEET_SIZES {
+        let mut network = start_network(nodes, 1);
         network.suspend(1, secs(6));
         network.run_for(secs(5));
-        assert!(network.unknown() >= nodes - 1, "{nodes} nodes: it is named all the while");
+        assert!(network.unknown_pairs() >= nodes - 1, "{nodes} nodes: it is named all the while");
         network.run_for(ms(1_050));
-        let known = network.run_until(secs(2), |network| network.unknown() == 0);
-        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown());
+        let known = network.run_until(secs(2), |network| network.unknown_pairs() == 0);
+        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
     }
 }
 
 /// Guards against a fleet that stays in two parts after a partition.
 #[test]
-fn the_ends_of_a_partition_find_each_other_again() {
-    for nodes in FLEETS {
-        let mut network = started(nodes, 1);
-        network.cut = nodes / 3 + 1;
+fn the_sides_of_a_partition_rejoin() {
+    for nodes in FLEET_SIZES {
+        let mut network = start_network(nodes, 1);
+        network.partition_boundary = nodes / 3 + 1;
         network.run_for(secs(10));
-        assert!(network.lost() > 0, "{nodes} nodes: the cut was noticed");
-        network.cut = 0;
-        let known = network.run_until(secs(5), |network| network.unknown() == 0);
-        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown());
+        assert!(network.lost_pairs() > 0, "{nodes} nodes: the cut was noticed");
+        network.partition_boundary = 0;
+        let known = network.run_until(secs(5), |network| network.unknown_pairs() == 0);
+        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
     }
 }
 
 /// Guards against nodes that are held for dead after a restart, also those whose
 /// clock stepped back, so that their start looks older than the one before.
 #[test]
-fn all_that_restart_are_known_again() {
-    for nodes in FLEETS {
-        let mut network = started(nodes, 1);
+fn restarted_nodes_are_known_again() {
+    for nodes in FLEET_SIZES {
+        let mut network = start_network(nodes, 1);
         (0..nodes).for_each(|node| network.kill(node));
         network.run_for(secs(1));
         (0..nodes).for_each(|node| network.restart(node, if node % 2 == 0 { 2 } else { 0 }));
-        let known = network.run_until(secs(3), |network| network.unknown() == 0);
-        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown());
+        let known = network.run_until(secs(3), |network| network.unknown_pairs() == 0);
+        assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
         // One after the other, beside nodes that remember it.
         for node in 0..nodes.min(9) {
             network.kill(node);
             network.run_for(ms(700));
             network.restart(node, u64::from(node % 2 == 0) * 4);
-            let known = network.run_until(secs(2), |network| network.unknown() == 0);
-            assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown());
+            let known = network.run_until(secs(2), |network| network.unknown_pairs() == 0);
+            assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
         }
     }
 }
 
 /// Guards against control traffic that grows with the fleet.
 #[test]
-fn what_a_node_sends_does_not_grow_with_the_fleet() {
+fn traffic_per_node_does_not_grow_with_the_fleet() {
     let rates = [79, 380].map(|nodes| {
-        let mut network = started(nodes, 1);
+        let mut network = start_network(nodes, 1);
         network.run_for(secs(10));
-        let (sent, records) = (network.sent, network.records);
+        let (sent, records) = (network.datagrams_sent, network.records_sent);
         network.run_for(secs(10));
         let per_node = |count: u64| count as f64 / 10.0 / nodes as f64;
-        (per_node(network.sent - sent), per_node(network.records - records))
+        (per_node(network.datagrams_sent - sent), per_node(network.records_sent - records))
     });
-    let [(small, few), (large, many)] = rates;
-    assert!(large <= small * 1.1, "{small:.1} and {large:.1} datagrams a second");
-    assert!(few < 1.0 && many < 1.0, "{few:.2} and {many:.2} records a second in calm");
+    let [(small_rate, few_records), (large_rate, many_records)] = rates;
+    assert!(
+        large_rate <= small_rate * 1.1,
+        "{small_rate:.1} and {large_rate:.1} datagrams a second"
+    );
+    assert!(
+        few_records < 1.0 && many_records < 1.0,
+        "{few_records:.2} and {many_records:.2} records a second in calm"
+    );
 }
--- a/crates/policy/tests/network/mod.rs
+++ b/crates/policy/tests/network/mod.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 /// The time between news and its being pushed.
-const GATHER: Duration = Duration::from_millis(10);
+const PUSH_DELAY: Duration = Duration::from_millis(10);
 
 /// One way between two nodes.
-const DELAY: std::ops::Range<f64> = 0.0002..0.003;
+const LINK_DELAY: std::ops::Range<f64> = 0.0002..0.003;
 
 /// The nodes that the others know at their start.
 const SEEDS: usize = 3;
@@ -27,7 +27,7 @@
     Deliver(usize),
 }
 
-struct Letter {
+struct Datagram {
     to: usize,
     from: usize,
     message: Message,
@@ -37,7 +37,7 @@
     membership: Membership,
     is_running: bool,
     /// What it does is put off until then.
-    held_until: Duration,
+    suspended_until: Duration,
     is_push_due: bool,
     starts: u64,
 }
@@ -47,17 +47,17 @@
     pub now: Duration,
     nodes: Vec<Node>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    letters: Vec<Option<Letter>>,
-    count: u64,
+    datagrams: Vec<Option<Datagram>>,
+    event_count: u64,
     random: StdRng,
     /// Part of the datagrams that is lost.
-    pub loss: f64,
+    pub loss_rate: f64,
     /// Nodes below this number and the others don't reach each other.
-    pub cut: usize,
+    pub partition_boundary: usize,
     /// Datagrams that were sent.
-    pub sent: u64,
+    pub datagrams_sent: u64,
     /// Records in them.
-    pub records: u64,
+    pub records_sent: u64,
 }
 
 fn name(node: usize) -> id::Node {
@@ -68,7 +68,7 @@
     SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + node as u32), 7_340))
 }
 
-fn number(address: SocketAddr) -> usize {
+fn index_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => (u32::from(*address.ip()) - 0x0a00_0000) as usize,
         SocketAddr::V6(_) => unreachable!("nodes have addresses of version 4"),
@@ -84,19 +84,24 @@
             now: Duration::ZERO,
             nodes: Vec::new(),
             events: BinaryHeap::new(),
-            letters: Vec::new(),
-            count: 0,
+            datagrams: Vec::new(),
+            event_count: 0,
             random: StdRng::seed_from_u64(seed),
-            loss: 0.0,
-            cut: 0,
-            sent: 0,
-            records: 0,
+            loss_rate: 0.0,
+            partition_boundary: 0,
+            datagrams_sent: 0,
+            records_sent: 0,
         };
         for node in 0..nodes {
-            let membership = network.open(node, 1);
-            let held_until = Duration::ZERO;
-            let node =
-                Node { membership, is_running: true, held_until, is_push_due: false, starts: 1 };
+            let membership = network.new_membership(node, 1);
+            let suspended_until = Duration::ZERO;
+            let node = Node {
+                membership,
+                is_running: true,
+                suspended_until,
+                is_push_due: false,
+                starts: 1,
+            };
             network.nodes.push(node);
         }
         for node in 0..nodes {
@@ -106,7 +111,7 @@
         network
     }
 
-    fn open(&mut self, node: usize, incarnation: u64) -> Membership {
+    fn new_membership(&mut self, node: usize, incarnation: u64) -> Membership {
         let at = address(node);
         let contact = Contact {
             peer_address: at,
@@ -125,8 +130,8 @@
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
-        self.count += 1;
-        self.events.push(Reverse((at, self.count, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     pub fn kill(&mut self, node: usize) {
@@ -135,7 +140,7 @@
 
     /// Starts a node anew whose clock is off by some time since its last start.
     pub fn restart(&mut self, node: usize, incarnation: u64) {
-        self.nodes[node].membership = self.open(node, incarnation);
+        self.nodes[node].membership = self.new_membership(node, incarnation);
         self.nodes[node].is_running = true;
         self.nodes[node].starts += 1;
         self.schedule(self.now, Event::Tick(node));
@@ -143,7 +148,7 @@
 
     /// Suspends a node; what it is sent meanwhile waits.
     pub fn suspend(&mut self, node: usize, time: Duration) {
-        self.nodes[node].held_until = self.now + time;
+        self.nodes[node].suspended_until = self.now + time;
     }
 
     pub fn run_for(&mut self, time: Duration) {
@@ -151,18 +156,20 @@
         while self.events.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
             let Some(Reverse((at, _, event))) = self.events.pop() else { break };
             self.now = at;
-            self.play(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let node = match &event {
             Event::Tick(node) | Event::Push(node) => *node,
-            Event::Deliver(letter) => self.letters[*letter].as_ref().map_or(0, |letter| letter.to),
+            Event::Deliver(datagram) => {
+                self.datagrams[*datagram].as_ref().map_or(0, |datagram| datagram.to)
+            }
         };
-        if self.nodes[node].held_until > self.now {
-            self.schedule(self.nodes[node].held_until, event);
+        if self.nodes[node].suspended_until > self.now {
+            self.schedule(self.nodes[node].suspended_until, event);
             return;
         }
         if !self.nodes[node].is_running {
@@ -178,8 +185,8 @@
                 self.nodes[node].is_push_due = false;
                 self.nodes[node].membership.push_news()
             }
-            Event::Deliver(letter) => {
-                let Some(Letter { to, from, message }) = self.letters[letter].take() else {
+            Event::Deliver(datagram) => {
+                let Some(Datagram { to, from, message }) = self.datagrams[datagram].take() else {
                     return;
                 };
                 self.nodes[to].membership.receive(now, &name(from), address(from), message)
@@ -188,24 +195,26 @@
         self.send(node, out);
         if self.nodes[node].membership.has_unsent_news() && !self.nodes[node].is_push_due {
             self.nodes[node].is_push_due = true;
-            self.schedule(self.now + GATHER, Event::Push(node));
+            self.schedule(self.now + PUSH_DELAY, Event::Push(node));
         }
     }
 
     fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for (to, message) in out {
-            self.sent += 1;
-            self.records += count_records(&message);
-            let to = number(to);
-            if to >= self.nodes.len() || (to < self.cut) != (from < self.cut) {
+            self.datagrams_sent += 1;
+            self.records_sent += count_records(&message);
+            let to = index_of(to);
+            if to >= self.nodes.len()
+                || (to < self.partition_boundary) != (from < self.partition_boundary)
+            {
                 continue;
             }
-            if self.random.random_bool(self.loss) {
+            if self.random.random_bool(self.loss_rate) {
                 continue;
             }
-            let delay = Duration::from_secs_f64(self.random.random_range(DELAY));
-            self.letters.push(Some(Letter { to, from, message }));
-            self.schedule(self.now + delay, Event::Deliver(self.letters.len() - 1));
+            let delay = Duration::from_secs_f64(self.random.random_range(LINK_DELAY));
+            self.datagrams.push(Some(Datagram { to, from, message }));
+            self.schedule(self.now + delay, Event::Deliver(self.datagrams.len() - 1));
         }
     }
 
@@ -214,45 +223,45 @@
     }
 
     /// Pairs of running nodes of which the first doesn't hold the second for alive.
-    pub fn unknown(&self) -> usize {
+    pub fn unknown_pairs(&self) -> usize {
         let running = self.running().count();
         let is_running =
-            |record: &&Record| self.nodes[number(record.contact.peer_address)].is_running;
+            |record: &&Record| self.nodes[index_of(record.contact.peer_address)].is_running;
         let known = |node: &Node| node.membership.alive().filter(is_running).count();
         running * (running - 1) - self.running().map(known).sum::<usize>()
     }
 
     /// Pairs of which the first is running and holds the second for alive, which is not.
-    pub fn mistaken(&self) -> usize {
-        let is_wrong =
-            |record: &&Record| !self.nodes[number(record.contact.peer_address)].is_running;
-        self.running().map(|node| node.membership.alive().filter(is_wrong).count()).sum()
+    pub fn mistaken_pairs(&self) -> usize {
+        let is_stopped =
+            |record: &&Record| !self.nodes[index_of(record.contact.peer_address)].is_running;
+        self.running().map(|node| node.membership.alive().filter(is_stopped).count()).sum()
     }
 
     /// Pairs of running nodes of which the first holds the second for dead.
-    pub fn lost(&self) -> usize {
-        let is_lost = |by: &&Node, node: &Node| {
-            let record = by.membership.get(&node.membership.own_record().node);
+    pub fn lost_pairs(&self) -> usize {
+        let is_lost = |observer: &&Node, node: &Node| {
+            let record = observer.membership.get(&node.membership.own_record().node);
             record.is_some_and(|record| record.state == State::Dead)
         };
-        let lost = |by: &Node| self.running().filter(|node| is_lost(&by, node)).count();
+        let lost = |observer: &Node| self.running().filter(|node| is_lost(&observer, node)).count();
         self.running().map(lost).sum()
     }
 
     /// Runs until a condition holds; the time that it took.
     pub fn run_until(
         &mut self,
-        most: Duration,
-        holds: impl Fn(&Self) -> bool,
+        max_time: Duration,
+        condition: impl Fn(&Self) -> bool,
     ) -> Result<Duration, Duration> {
-        let began = self.now;
-        while self.now - began < most {
+        let started = self.now;
+        while self.now - started < max_time {
             self.run_for(Duration::from_millis(50));
-            if holds(self) {
-                return Ok(self.now - began);
+            if condition(self) {
+                return Ok(self.now - started);
             }
         }
-        Err(most)
+        Err(max_time)
     }
 }
 
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -63,20 +63,20 @@
 /// a quarantine, an old suspicion does not come back after a clearing, and a
 /// quarantine reaches nodes that saw no death.
 #[test]
-fn words_of_other_nodes() {
+fn suspects_from_other_nodes_are_merged_in_any_order() {
     let now = Instant::now() + ms(10_000_000);
-    let word = |deaths, age| [Suspect { fingerprint: POISON, deaths, age: ms(age) }];
+    let statement = |deaths, age| [Suspect { fingerprint: POISON, deaths, age: ms(age) }];
     let mut suspects = Suspects::new();
-    suspects.merge(now, word(1, 5_000));
+    suspects.merge(now, statement(1, 5_000));
     assert_eq!(suspects.verdict(now, POISON), Verdict::RunAlone);
     suspects.record_success(now, POISON);
-    suspects.merge(now, word(1, 4_000));
+    suspects.merge(now, statement(1, 4_000));
     assert_eq!(suspects.verdict(now, POISON), Verdict::Clear);
-    suspects.merge(now, word(2, 3_000));
+    suspects.merge(now, statement(2, 3_000));
     assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
-    suspects.merge(now, word(0, 0));
+    suspects.merge(now, statement(0, 0));
     assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
-    assert_eq!(suspects.snapshot(now), word(2, 3_000));
+    assert_eq!(suspects.snapshot(now), statement(2, 3_000));
 }
 
 /// Many engines die of other causes: memory stays bounded, and quarantines
@@ -100,7 +100,7 @@
     /// Nodes that exchange what they know, in any order, agree at last, and a
     /// fingerprint that any of them saw at two deaths is quarantined on all.
     #[test]
-    fn exchanges_agree(ops in prop::collection::vec((0usize..3, 0u64..4, 0u8..4), 1..60)) {
+    fn exchanging_nodes_converge(ops in prop::collection::vec((0usize..3, 0u64..4, 0u8..4), 1..60)) {
         let mut now = Instant::now();
         let mut nodes = [Suspects::new(), Suspects::new(), Suspects::new()];
         let mut quarantined = BTreeSet::new();
@@ -110,8 +110,8 @@
                 0 => nodes[node].record_death(now, [fingerprint]),
                 1 => nodes[node].record_success(now, fingerprint),
                 _ => {
-                    let told = nodes[node].snapshot(now);
-                    nodes[(node + 1) % 3].merge(now, told);
+                    let snapshot = nodes[node].snapshot(now);
+                    nodes[(node + 1) % 3].merge(now, snapshot);
                 }
             }
             if nodes[node].verdict(now, fingerprint) == Verdict::Quarantined {
@@ -119,8 +119,8 @@
             }
         }
         for round in 0..6 {
-            let told = nodes[round % 3].snapshot(now);
-            nodes[(round + 1) % 3].merge(now, told);
+            let snapshot = nodes[round % 3].snapshot(now);
+            nodes[(round + 1) % 3].merge(now, snapshot);
         }
         for fingerprint in 0..4 {
             let verdicts = nodes.each_mut().map(|node| node.verdict(now, fingerprint));
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -12,11 +12,11 @@
 /// more each second. Without the ramp all 64 would arrive at once, it would
 /// fall over, and every one of them would fail.
 #[test]
-fn burst_on_cold_target_stays_under_its_warmth() {
+fn burst_on_cold_target_stays_within_reported_warmth() {
     let mut now = Instant::now();
     let mut limiter = Limiter::new(common::CAPACITY);
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let mut started = 0;
+    let mut completed = 0;
     for _ in 0..200 {
         if let Answer::Granted(t) = limiter.request_permit(now, ask(now, "mawe", 500)) {
             running.push((now, t));
@@ -28,25 +28,25 @@
             limiter.observe(now, &observed(1, warmth));
         }
         running.extend(granted(&mut limiter, now).into_iter().map(|t| (now, t)));
-        let bears = (64 * usize::from(warmth) / 100).max(COLD_STREAM_LIMIT as usize);
-        assert!(running.len() <= bears, "{} streams at warmth {warmth}", running.len());
+        let allowed = (64 * usize::from(warmth) / 100).max(COLD_STREAM_LIMIT as usize);
+        assert!(running.len() <= allowed, "{} streams at warmth {warmth}", running.len());
         now += ms(20);
         let (ended, rest): (Vec<_>, Vec<_>) =
             running.into_iter().partition(|&(at, _)| now >= at + ms(400));
         running = rest;
-        started += ended.len();
+        completed += ended.len();
         for (_, t) in ended {
             limiter.complete(now, t, Outcome::Completed(Some(ms(30))));
         }
     }
-    assert_eq!((started, limiter.waiting()), (200, 0));
+    assert_eq!((completed, limiter.waiting()), (200, 0));
 }
 
 /// A new owner takes over a target that has been warm for long: it opens half
 /// of what the target reports at once, so that a change of owner costs
 /// callers no more than that, and the rest within seconds.
 #[test]
-fn new_owner_of_warm_target_opens_half() {
+fn new_owner_of_warm_target_starts_at_half_the_limit() {
     let now = Instant::now();
     let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
@@ -58,7 +58,7 @@
 /// A warm target restarts between two reports, or loses its warmth within
 /// the same incarnation: callers must not meet it with the full bound.
 #[test]
-fn restart_and_fall_of_warmth_ramp_anew() {
+fn restart_or_warmth_drop_restarts_the_ramp() {
     for (next, cold) in
         [(sample(2, 10), ColdCause::Restarted), (sample(1, 40), ColdCause::WarmthFell)]
     {
@@ -74,21 +74,21 @@
 /// The report still says warm, but first tokens take ten times as long: the
 /// third in a row closes the bound; one late token alone does not.
 #[test]
-fn leap_of_first_token_ramps_anew() {
+fn late_first_tokens_restart_the_ramp() {
     let now = Instant::now();
     let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
     let late = Some((ms(900), ms(90)));
-    let fine = Some((ms(90), ms(90)));
-    let seen = [late, fine, late, late, late].map(|first| ramp.record_success(now, first));
-    assert_eq!(seen, [None, None, None, None, Some(ColdCause::LatencyLeapt)]);
+    let on_time = Some((ms(90), ms(90)));
+    let causes = [late, on_time, late, late, late].map(|first| ramp.record_success(now, first));
+    assert_eq!(causes, [None, None, None, None, Some(ColdCause::LatencyLeapt)]);
     assert_eq!(ramp.stream_limit(), 8);
 }
 
 /// The prefix cache served half of the tokens and now serves none: the
 /// engine lost it. Gaps in the counters (small samples) decide nothing.
 #[test]
-fn vanished_cache_hits_ramp_anew() {
+fn emptied_prefix_cache_restarts_the_ramp() {
     let mut now = Instant::now();
     let mut ramp = Ramp::new(64);
     let mut last = sample(1, 100);
@@ -109,7 +109,7 @@
 /// A failure halves the bound. The target then reports that it is cold: the
 /// bound starts over, and with time alone it never passes the reported part.
 #[test]
-fn failure_halves_the_bound() {
+fn failure_halves_the_limit() {
     let (now, mut limiter) = warm(Instant::now(), common::CAPACITY);
     let t = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
     limiter.complete(now, t, Outcome::Failed);
--- a/crates/policy/tests/resume.rs
+++ b/crates/policy/tests/resume.rs
@@ -28,17 +28,17 @@
 /// Guards against streams that are given up while all engines are busy for a moment: what
 /// was left of the goal for their first token is no measure for them.
 #[test]
-fn streams_that_broke_off_wait_for_busy_engines() {
+fn interrupted_streams_wait_for_busy_engines() {
     let profile = profile();
     let now = Instant::now();
-    let due = |gap| resume::resume_deadline(now, Some(gap), now + ms(8_000)) - now;
+    let max_pause = |gap| resume::resume_deadline(now, Some(gap), now + ms(8_000)) - now;
     let full = Load { begins: ms(60), requests: profile.slots, ..Load::default() };
     let reading = Load { backlog: ms(400), begins: ms(400), requests: 1, ..Load::default() };
     for (prompt, gap, load) in [(5_000, ms(250), full), (154_000, ms(1_000), reading)] {
         let loads = vec![load; 8];
         let choose = |goal| plan::choose_engines(&query(prompt, goal), &profile, &loads);
         assert!(choose(Duration::ZERO).is_err(), "{prompt}: the goal is gone");
-        let choice = choose(due(gap));
+        let choice = choose(max_pause(gap));
         assert!(matches!(choice, Ok(Choice::Wait(_))), "{prompt}: {choice:?}");
     }
 }
@@ -46,9 +46,9 @@
 #[test]
 fn a_stream_is_resumed_before_its_caller_gives_up() {
     let now = Instant::now();
-    let due = |gap, left| resume::resume_deadline(now, gap, now + left) - now;
-    assert_eq!(due(Some(ms(250)), ms(8_000)), ms(1_000));
-    assert_eq!(due(Some(ms(1_000)), ms(3_000)), ms(1_500));
-    assert_eq!(due(None, ms(3_000)), ms(1_500));
-    assert_eq!(due(None, Duration::ZERO), Duration::ZERO);
+    let max_pause = |gap, left| resume::resume_deadline(now, gap, now + left) - now;
+    assert_eq!(max_pause(Some(ms(250)), ms(8_000)), ms(1_000));
+    assert_eq!(max_pause(Some(ms(1_000)), ms(3_000)), ms(1_500));
+    assert_eq!(max_pause(None, ms(3_000)), ms(1_500));
+    assert_eq!(max_pause(None, Duration::ZERO), Duration::ZERO);
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -10,7 +10,7 @@
 /// is never sent again once a byte of it may have been seen, and the refusal
 /// never says "not run" then.
 #[test]
-fn what_may_be_repeated() {
+fn retry_decision_by_failure_and_idempotency() {
     use Failure::{NeverBegun, NotSent, Stalled, Unknown};
     let table = [
         (NotSent, false, Verdict::Retry(RetryReason::NotSent)),
@@ -32,7 +32,7 @@
 /// and a fifth of what the account sends, whatever it had saved, and another
 /// account's budget is untouched.
 #[test]
-fn failing_account_adds_a_fifth_at_most() {
+fn failing_account_adds_at_most_a_fifth_of_load() {
     let mut budget = Budget::new();
     let (shop, school) = ("shop".into(), "school".into());
     let mut retries = 0;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn failed_targets_are_left_out_once() {
+fn failed_targets_are_excluded() {
     let mut excluded = Excluded::default();
     excluded.add("a".into());
     excluded.add("a".into());
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -36,7 +36,7 @@
         for size in sizes {
             let case = change(Case::new(nodes, *size));
             for seed in 1..=SEEDS {
-                let outcome = model::play(&case, Policy::ByTurns, seed);
+                let outcome = model::play(&case, Policy::Metered, seed);
                 let fault = breach(&case, &outcome, bound, fault);
                 broken.extend(
                     fault.map(|what| format!("{nodes} nodes, {size} bytes, seed {seed}: {what}")),
@@ -48,8 +48,8 @@
 }
 
 fn breach(case: &Case, outcome: &Outcome, bound: Duration, fault: Duration) -> Option<String> {
-    let bound = case.written() + bound;
-    let (last, spared) = (outcome.last(), outcome.last_spared());
+    let bound = case.last_write() + bound;
+    let (last, spared) = (outcome.last_time(), outcome.last_unaffected_time());
     let overhead = outcome.overhead(case);
     if last.is_none_or(|last| last > bound + fault) {
         return Some(format!("the last had it at {last:?}"));
@@ -73,7 +73,7 @@
 fn everybody_at_once_collapses() {
     let case = Case::new(79, 270_000);
     for seed in 1..=SEEDS {
-        let last = model::play(&case, Policy::AtOnce, seed).last();
+        let last = model::play(&case, Policy::Unlimited, seed).last_time();
         assert!(last.is_none_or(|last| last > Duration::from_secs(3)), "seed {seed}: {last:?}");
     }
 }
@@ -107,7 +107,7 @@
 /// the link could have sent it.
 #[test]
 fn takers_stop_reading() {
-    let fault = Fault::Stop { part: 0.05, time: Duration::from_secs(5) };
+    let fault = Fault::StopReading { part: 0.05, time: Duration::from_secs(5) };
     check(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
@@ -127,14 +127,18 @@
 /// gives has moved on and gives the newest that it has.
 #[test]
 fn configurations_follow_each_other() {
-    check(&SIZES[..3], Duration::ZERO, |case| Case { versions: 5, pause: ms(330), ..case });
+    check(&SIZES[..3], Duration::ZERO, |case| Case {
+        versions: 5,
+        write_interval: ms(330),
+        ..case
+    });
 }
 
 /// As above, with the largest configuration: a link needs longer for one than
 /// passes until the next is written.
 #[test]
 fn largest_configurations_follow_each_other() {
-    let change = |case| Case { versions: 5, pause: ms(330), ..case };
+    let change = |case| Case { versions: 5, write_interval: ms(330), ..case };
     check(&[LARGEST_BYTES], Duration::ZERO, change);
 }
 
@@ -142,17 +146,17 @@
 /// a time, the slow ones to no more than they can send.
 #[test]
 fn links_are_unlike() {
-    check(&SIZES, Duration::ZERO, |case| Case { fast: 6, ..case });
+    check(&SIZES, Duration::ZERO, |case| Case { fast_nodes: 6, ..case });
 }
 
 /// One node alone hears the configuration, and all others want it of that one.
 #[test]
 fn only_one_has_it_first() {
-    check(&SIZES[..3], Duration::ZERO, |case| Case { first: 1, ..case });
+    check(&SIZES[..3], Duration::ZERO, |case| Case { initial_holders: 1, ..case });
 }
 
 /// As above, with the largest configuration.
 #[test]
 fn only_one_has_the_largest_first() {
-    check(&[LARGEST_BYTES], Duration::ZERO, |case| Case { first: 1, ..case });
+    check(&[LARGEST_BYTES], Duration::ZERO, |case| Case { initial_holders: 1, ..case });
 }
--- a/crates/policy/tests/spread/case.rs
+++ b/crates/policy/tests/spread/case.rs
@@ -13,9 +13,9 @@
 pub enum Policy {
     /// Every taker asks a giver for the whole at each look, every giver gives
     /// to all, and what is not there in time is thrown away.
-    AtOnce,
+    Unlimited,
     /// Givers and takers follow the rules of `spread`.
-    ByTurns,
+    Metered,
 }
 
 /// A fault, or none.
@@ -27,7 +27,7 @@
         at: Duration,
     },
     /// Some takers ask and then read nothing, from their first answer on.
-    Stop {
+    StopReading {
         part: f64,
         time: Duration,
     },
@@ -45,25 +45,33 @@
     /// Bytes of a configuration.
     pub size: u64,
     /// Nodes that have each configuration when it is written.
-    pub first: usize,
+    pub initial_holders: usize,
     /// Nodes with a fast link.
-    pub fast: usize,
+    pub fast_nodes: usize,
     /// Configurations that are written, each in place of the one before.
     pub versions: u32,
     /// Between two of them.
-    pub pause: Duration,
+    pub write_interval: Duration,
     pub fault: Fault,
 }
 
 impl Case {
     pub fn new(nodes: usize, size: u64) -> Self {
-        let pause = Duration::ZERO;
-        Self { nodes, size, first: 3, fast: 0, versions: 1, pause, fault: Fault::None }
+        let write_interval = Duration::ZERO;
+        Self {
+            nodes,
+            size,
+            initial_holders: 3,
+            fast_nodes: 0,
+            versions: 1,
+            write_interval,
+            fault: Fault::None,
+        }
     }
 
     /// When the last configuration is written.
-    pub fn written(&self) -> Duration {
-        self.pause * (self.versions - 1)
+    pub fn last_write(&self) -> Duration {
+        self.write_interval * (self.versions - 1)
     }
 }
 
@@ -72,38 +80,38 @@
 pub struct Outcome {
     /// When each taker that lives had the last configuration, in order; those
     /// that never had it are not in it.
-    pub times: Vec<Duration>,
+    pub completion_times: Vec<Duration>,
     /// As `times`, of those alone that no fault kept from it.
-    pub spared: Vec<Duration>,
+    pub unaffected_times: Vec<Duration>,
     /// Takers that live, and those of them that no fault kept from it.
-    pub takers: usize,
-    pub spared_takers: usize,
+    pub requesters: usize,
+    pub unaffected_requesters: usize,
     /// Bytes of configurations that were sent.
-    pub bytes: f64,
-    pub busy: u64,
+    pub bytes_sent: f64,
+    pub busy_answers: u64,
     /// The greatest number of answers on one link.
-    pub widest: usize,
+    pub max_answers_per_link: usize,
 }
 
 impl Outcome {
     /// When the last node had it.
-    pub fn last(&self) -> Option<Duration> {
-        self.part(1.0)
+    pub fn last_time(&self) -> Option<Duration> {
+        self.time_of_part(1.0)
     }
 
     /// When this part of the takers had it.
-    pub fn part(&self, part: f64) -> Option<Duration> {
-        let count = (self.takers as f64 * part).ceil() as usize;
-        self.times.get(count - 1).copied()
+    pub fn time_of_part(&self, part: f64) -> Option<Duration> {
+        let count = (self.requesters as f64 * part).ceil() as usize;
+        self.completion_times.get(count - 1).copied()
     }
 
     /// When the last node had it that no fault kept from it.
-    pub fn last_spared(&self) -> Option<Duration> {
-        self.spared.get(self.spared_takers - 1).copied()
+    pub fn last_unaffected_time(&self) -> Option<Duration> {
+        self.unaffected_times.get(self.unaffected_requesters - 1).copied()
     }
 
     /// Bytes that were sent, for each that had to be.
     pub fn overhead(&self, case: &Case) -> f64 {
-        self.bytes / (case.size * self.takers as u64 * u64::from(case.versions)) as f64
+        self.bytes_sent / (case.size * self.requesters as u64 * u64::from(case.versions)) as f64
     }
 }
--- a/crates/policy/tests/spread/fault.rs
+++ b/crates/policy/tests/spread/fault.rs
@@ -5,68 +5,70 @@
 use super::queue::{Event, Queue};
 
 /// Nodes that die of the first ones.
-const DEATHS: usize = 2;
+const DYING_NODES: usize = 2;
 
 /// Puts the faults of a case in the queue whose times are known.
-pub fn foretell(case: &Case, queue: &mut Queue) {
+pub fn schedule_faults(case: &Case, queue: &mut Queue) {
     match case.fault {
         Fault::Death { at } => queue.push(at, Event::Die),
         Fault::Cut { begin, end } => {
             queue.push(begin, Event::Cut(true));
             queue.push(end, Event::Cut(false));
         }
-        Fault::None | Fault::Stop { .. } => {}
+        Fault::None | Fault::StopReading { .. } => {}
     }
 }
 
 impl Fleet {
     /// Whether a word of one node comes to the other.
-    pub fn reaches(&self, one: usize, other: usize) -> bool {
+    pub fn can_reach(&self, one: usize, other: usize) -> bool {
         let [one, other] = [one, other].map(|node| &self.nodes[node]);
-        one.alive && other.alive && one.cut == other.cut
+        one.is_alive && other.is_alive && one.is_cut_off == other.is_cut_off
     }
 
     pub fn die(&mut self) {
-        for node in &mut self.nodes[..DEATHS] {
-            node.alive = false;
+        for node in &mut self.nodes[..DYING_NODES] {
+            node.is_alive = false;
         }
-        self.set_silent();
+        self.update_silence();
     }
 
     pub fn cut(&mut self, is_cut: bool) {
-        for node in self.nodes.iter_mut().filter(|node| !node.spared) {
-            node.cut = is_cut;
+        for node in self.nodes.iter_mut().filter(|node| !node.is_unaffected) {
+            node.is_cut_off = is_cut;
         }
-        self.set_silent();
+        self.update_silence();
     }
 
     /// A taker stops reading with its first answer, if it is one that does.
-    pub fn stop(&mut self, taker: usize) {
-        let Fault::Stop { time, .. } = self.case.fault else { return };
-        let node = &mut self.nodes[taker];
-        if !node.spared && !node.stopped && !node.resumed {
-            node.stopped = true;
-            self.queue.push(self.now + time, Event::Resume(taker));
+    pub fn stop_reading(&mut self, requester: usize) {
+        let Fault::StopReading { time, .. } = self.case.fault else { return };
+        let node = &mut self.nodes[requester];
+        if !node.is_unaffected && !node.has_stopped_reading && !node.has_resumed_reading {
+            node.has_stopped_reading = true;
+            self.queue.push(self.now + time, Event::ResumeReading(requester));
         }
     }
 
-    pub fn resume(&mut self, taker: usize) {
-        let node = &mut self.nodes[taker];
-        (node.stopped, node.resumed) = (false, true);
-        self.set_silent();
+    pub fn resume_reading(&mut self, requester: usize) {
+        let node = &mut self.nodes[requester];
+        (node.has_stopped_reading, node.has_resumed_reading) = (false, true);
+        self.update_silence();
     }
 
     /// Stops and resumes all answers, after a fault came or went.
-    fn set_silent(&mut self) {
-        for giver in 0..self.nodes.len() {
-            if self.nodes[giver].link.answers.is_empty() {
+    fn update_silence(&mut self) {
+        for source in 0..self.nodes.len() {
+            if self.nodes[source].link.answers.is_empty() {
                 continue;
             }
-            let taker_gets: Vec<bool> = (0..self.nodes.len())
-                .map(|taker| self.reaches(giver, taker) && !self.nodes[taker].stopped)
+            let can_receive: Vec<bool> = (0..self.nodes.len())
+                .map(|requester| {
+                    self.can_reach(source, requester) && !self.nodes[requester].has_stopped_reading
+                })
                 .collect();
-            self.nodes[giver].link.set_silent(self.now, |taker| !taker_gets[taker]);
-            self.foretell(giver);
+            self.nodes[source].link.update_silence(self.now, |requester| !can_receive[requester]);
+            self.schedule_next_end(source);
         }
     }
 }
--- a/crates/policy/tests/spread/link.rs
+++ b/crates/policy/tests/spread/link.rs
@@ -9,17 +9,17 @@
 /// An answer on its way.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    pub taker: usize,
+    pub requester: usize,
     /// The number of the ask that it answers.
     pub number: u64,
     pub version: u32,
     /// Bytes that are still to be sent.
-    pub left: f64,
+    pub remaining: f64,
     /// The rate of the taker's down-link, in bytes per second. Whoever takes
     /// asks one giver at a time, so that nobody shares it.
-    pub down: f64,
+    pub down_rate: f64,
     /// Since when no byte has gone through, if none does.
-    pub silent: Option<Duration>,
+    pub silent_since: Option<Duration>,
     /// Its place at its giver's meter.
     pub ticket: Option<Ticket>,
 }
@@ -35,25 +35,32 @@
     /// Raised by every change, so that ends foretold before it don't count.
     pub generation: u64,
     /// Bytes of short answers, which go first.
-    short: f64,
-    at: Duration,
+    short_bytes: f64,
+    last_run: Duration,
 }
 
 impl Link {
     pub fn new(rate: f64) -> Self {
-        Self { rate, sent: 0.0, answers: Vec::new(), generation: 0, short: 0.0, at: Duration::ZERO }
+        Self {
+            rate,
+            sent: 0.0,
+            answers: Vec::new(),
+            generation: 0,
+            short_bytes: 0.0,
+            last_run: Duration::ZERO,
+        }
     }
 
     /// Sends until `now`.
     pub fn run(&mut self, now: Duration) {
-        let time = (now - self.at).as_secs_f64();
-        let short = (self.short / self.rate).min(time);
-        self.short -= short * self.rate;
-        self.at = now;
-        let share = self.share();
-        for answer in self.answers.iter_mut().filter(|answer| answer.silent.is_none()) {
-            let bytes = (share.min(answer.down) * (time - short)).min(answer.left);
-            answer.left -= bytes;
+        let time = (now - self.last_run).as_secs_f64();
+        let short_bytes = (self.short_bytes / self.rate).min(time);
+        self.short_bytes -= short_bytes * self.rate;
+        self.last_run = now;
+        let share = self.share_rate();
+        for answer in self.answers.iter_mut().filter(|answer| answer.silent_since.is_none()) {
+            let bytes = (share.min(answer.down_rate) * (time - short_bytes)).min(answer.remaining);
+            answer.remaining -= bytes;
             self.sent += bytes;
         }
     }
@@ -61,9 +68,9 @@
     /// Takes on a short answer; returns how long it waits for its place.
     pub fn add_short(&mut self, now: Duration, bytes: f64) -> Duration {
         self.run(now);
-        self.short += bytes;
+        self.short_bytes += bytes;
         self.generation += 1;
-        Duration::from_secs_f64(self.short / self.rate)
+        Duration::from_secs_f64(self.short_bytes / self.rate)
     }
 
     /// Takes on an answer.
@@ -76,39 +83,41 @@
     /// Takes off the answer to an ask.
     pub fn remove(&mut self, now: Duration, number: u64) -> Option<Answer> {
         self.run(now);
-        let place = self.answers.iter().position(|answer| answer.number == number)?;
+        let index = self.answers.iter().position(|answer| answer.number == number)?;
         self.generation += 1;
-        Some(self.answers.remove(place))
+        Some(self.answers.remove(index))
     }
 
     /// Takes off the answers that have been sent.
     pub fn remove_sent(&mut self, now: Duration) -> Vec<Answer> {
         self.run(now);
         self.generation += 1;
-        self.answers.extract_if(.., |answer| answer.left < ROUNDING_BYTES).collect()
+        self.answers.extract_if(.., |answer| answer.remaining < ROUNDING_BYTES).collect()
     }
 
     /// Stops and resumes answers, by whether their takers get any bytes.
-    pub fn set_silent(&mut self, now: Duration, is_silent: impl Fn(usize) -> bool) {
+    pub fn update_silence(&mut self, now: Duration, is_silent: impl Fn(usize) -> bool) {
         self.run(now);
         self.generation += 1;
         for answer in &mut self.answers {
-            answer.silent = is_silent(answer.taker).then(|| answer.silent.unwrap_or(now));
+            answer.silent_since =
+                is_silent(answer.requester).then(|| answer.silent_since.unwrap_or(now));
         }
     }
 
     /// When the next answer has been sent, if nothing changes before.
     pub fn next_end(&self) -> Option<Duration> {
-        let share = self.share();
-        let flowing = self.answers.iter().filter(|answer| answer.silent.is_none());
-        let time =
-            flowing.map(|answer| answer.left / share.min(answer.down)).min_by(f64::total_cmp);
-        let after = Duration::from_secs_f64(time? + self.short / self.rate);
-        Some(self.at + after + Duration::from_nanos(1))
+        let share = self.share_rate();
+        let flowing = self.answers.iter().filter(|answer| answer.silent_since.is_none());
+        let time = flowing
+            .map(|answer| answer.remaining / share.min(answer.down_rate))
+            .min_by(f64::total_cmp);
+        let after = Duration::from_secs_f64(time? + self.short_bytes / self.rate);
+        Some(self.last_run + after + Duration::from_nanos(1))
     }
 
-    fn share(&self) -> f64 {
-        let flowing = self.answers.iter().filter(|answer| answer.silent.is_none()).count();
+    fn share_rate(&self) -> f64 {
+        let flowing = self.answers.iter().filter(|answer| answer.silent_since.is_none()).count();
         self.rate / flowing.max(1) as f64
     }
 }
--- a/crates/policy/tests/spread/mod.rs
+++ b/crates/policy/tests/spread/mod.rs
@@ -14,7 +14,7 @@
 use hickory_unit::rate::BytesPerSecond;
 use hickory_unit::size::Bytes;
 use link::Answer;
-use node::{Ask, Node};
+use node::{Node, Request};
 use queue::{Event, Queue};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -24,23 +24,23 @@
 const LATENCY: Duration = Duration::from_millis(1);
 
 /// Between two looks of a taker.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Where everybody asks at once, an answer is given up after this time in all.
 const TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Between two beats by which nodes hear what others have: in small fleets and
 /// in large ones.
-const BEATS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
+const GOSSIP_INTERVALS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
 
 /// Nodes of the largest small fleet.
-const SMALL_NODES: usize = 16;
+const MAX_SMALL_FLEET_NODES: usize = 16;
 
 /// The bytes of an answer without a document.
-pub const BUSY_BYTES: f64 = 300.0;
+pub const BUSY_ANSWER_BYTES: f64 = 300.0;
 
 /// Replays end here, whoever has the document.
-pub const END: Duration = Duration::from_secs(30);
+pub const MAX_REPLAY_TIME: Duration = Duration::from_secs(30);
 
 /// A fleet in the middle of a replay.
 pub struct Fleet {
@@ -51,16 +51,16 @@
     random: StdRng,
     begin: Instant,
     now: Duration,
-    asks: u64,
+    requests: u64,
     busy: u64,
-    widest: usize,
+    max_answers_per_link: usize,
 }
 
 /// Replays a case.
 pub fn play(case: &Case, policy: Policy, seed: u64) -> Outcome {
-    let mut fleet = Fleet::open(case, policy, seed);
+    let mut fleet = Fleet::new(case, policy, seed);
     while let Some((at, event)) = fleet.queue.pop() {
-        if at > END || fleet.is_done() {
+        if at > MAX_REPLAY_TIME || fleet.is_done() {
             break;
         }
         fleet.now = at;
@@ -70,270 +70,298 @@
 }
 
 impl Fleet {
-    fn open(case: &Case, policy: Policy, seed: u64) -> Self {
+    fn new(case: &Case, policy: Policy, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let nodes = node::draw(case, &mut random);
         let mut queue = Queue::default();
-        let beat = BEATS[usize::from(case.nodes > SMALL_NODES)];
+        let interval = GOSSIP_INTERVALS[usize::from(case.nodes > MAX_SMALL_FLEET_NODES)];
         for node in 0..case.nodes {
-            queue.push(LATENCY + LOOK.mul_f64(random.random()), Event::Look(node));
-            queue.push(beat.mul_f64(random.random()), Event::Beat(node, beat));
+            queue.push(LATENCY + POLL_INTERVAL.mul_f64(random.random()), Event::Poll(node));
+            queue.push(interval.mul_f64(random.random()), Event::Gossip(node, interval));
         }
         for version in 1..=case.versions {
-            queue.push(case.pause * (version - 1), Event::Write(version));
+            queue.push(case.write_interval * (version - 1), Event::Publish(version));
         }
-        fault::foretell(case, &mut queue);
+        fault::schedule_faults(case, &mut queue);
         let (begin, now) = (Instant::now(), Duration::ZERO);
         let case = *case;
-        Self { case, policy, nodes, queue, random, begin, now, asks: 0, busy: 0, widest: 0 }
+        Self {
+            case,
+            policy,
+            nodes,
+            queue,
+            random,
+            begin,
+            now,
+            requests: 0,
+            busy: 0,
+            max_answers_per_link: 0,
+        }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Write(version) => self.write(version),
-            Event::Word { from, version } => self.hear(from, version),
-            Event::Beat(node, beat) => self.beat(node, beat),
-            Event::Look(node) => {
-                self.queue.push(self.now + LOOK, Event::Look(node));
-                self.seek(node);
+            Event::Publish(version) => self.publish(version),
+            Event::Announcement { from, version } => self.receive_announcement(from, version),
+            Event::Gossip(node, interval) => self.gossip(node, interval),
+            Event::Poll(node) => {
+                self.queue.push(self.now + POLL_INTERVAL, Event::Poll(node));
+                self.fetch_if_behind(node);
+            }
+            Event::PollEarly(node) => self.fetch_if_behind(node),
+            Event::Request { source, requester, number } => {
+                self.handle_request(source, requester, number)
+            }
+            Event::Rejection { requester, number, wait, referrals } => {
+                self.handle_rejection(requester, number, wait, &referrals);
             }
-            Event::Wake(node) => self.seek(node),
-            Event::Request { giver, taker, number } => self.answer(giver, taker, number),
-            Event::Refusal { taker, number, wait, named } => {
-                self.turn_away(taker, number, wait, &named);
+            Event::Sent { source, generation } => self.handle_sent(source, generation),
+            Event::Received { requester, number, version } => {
+                self.handle_received(requester, number, version)
             }
-            Event::Sent { giver, generation } => self.send(giver, generation),
-            Event::Whole { taker, number, version } => self.take(taker, number, version),
-            Event::Silence { taker, number } => self.give_up(taker, number),
+            Event::Timeout { requester, number } => self.handle_timeout(requester, number),
             Event::Die => self.die(),
             Event::Cut(is_cut) => self.cut(is_cut),
-            Event::Resume(node) => self.resume(node),
+            Event::ResumeReading(node) => self.resume_reading(node),
         }
     }
 
     /// The first nodes hear a configuration from the store, and tell all.
-    fn write(&mut self, version: u32) {
-        for node in 0..self.case.first {
-            if self.nodes[node].alive {
-                self.nodes[node].own(version, self.now);
-                self.queue.push(self.now + LATENCY, Event::Word { from: node, version });
+    fn publish(&mut self, version: u32) {
+        for node in 0..self.case.initial_holders {
+            if self.nodes[node].is_alive {
+                self.nodes[node].store_version(version, self.now);
+                self.queue.push(self.now + LATENCY, Event::Announcement { from: node, version });
             }
         }
     }
 
-    fn hear(&mut self, from: usize, version: u32) {
+    fn receive_announcement(&mut self, from: usize, version: u32) {
         for node in 0..self.nodes.len() {
-            if node != from && self.reaches(from, node) {
-                self.nodes[node].hear(from, version);
+            if node != from && self.can_reach(from, node) {
+                self.nodes[node].note_version(from, version);
             }
         }
     }
 
-    fn beat(&mut self, node: usize, beat: Duration) {
-        if self.nodes[node].alive {
-            self.queue.push(self.now + beat, Event::Beat(node, beat));
-            let version = self.nodes[node].has;
+    fn gossip(&mut self, node: usize, interval: Duration) {
+        if self.nodes[node].is_alive {
+            self.queue.push(self.now + interval, Event::Gossip(node, interval));
+            let version = self.nodes[node].version;
             if version > 0 {
-                self.queue.push(self.now + LATENCY, Event::Word { from: node, version });
+                self.queue.push(self.now + LATENCY, Event::Announcement { from: node, version });
             }
         }
     }
 
     /// A node that is behind asks somebody, if it isn't asking.
-    fn seek(&mut self, me: usize) {
+    fn fetch_if_behind(&mut self, me: usize) {
         let node = &mut self.nodes[me];
-        if !node.alive || node.ask.is_some() || node.has >= node.want {
+        if !node.is_alive || node.request.is_some() || node.version >= node.wanted_version {
             return;
         }
-        let (heard, random) = (node.heard(), self.random.random::<f64>());
-        if self.policy == Policy::AtOnce {
-            let place = (random * heard.len() as f64) as usize;
-            if let Some(giver) = heard.get(place) {
-                self.ask(*giver, me);
+        let (holders, random) = (node.holders(), self.random.random::<f64>());
+        if self.policy == Policy::Unlimited {
+            let index = (random * holders.len() as f64) as usize;
+            if let Some(source) = holders.get(index) {
+                self.request(*source, me);
             }
             return;
         }
-        match node.givers.choose(self.begin + self.now, &heard, random) {
-            Choice::Fetch(giver) => self.ask(giver, me),
-            Choice::Wait(wait) if node.wake <= self.now && wait < LOOK => {
-                node.wake = self.now + wait;
-                self.queue.push(node.wake, Event::Wake(me));
+        match node.sources.choose(self.begin + self.now, &holders, random) {
+            Choice::Fetch(source) => self.request(source, me),
+            Choice::Wait(wait) if node.next_poll <= self.now && wait < POLL_INTERVAL => {
+                node.next_poll = self.now + wait;
+                self.queue.push(node.next_poll, Event::PollEarly(me));
             }
             Choice::Wait(_) | Choice::NoSource => {}
         }
     }
 
-    fn ask(&mut self, giver: usize, taker: usize) {
-        self.asks += 1;
-        let number = self.asks;
-        self.nodes[taker].ask = Some(Ask { giver, number, last: self.now });
-        self.queue.push(self.now + LATENCY, Event::Request { giver, taker, number });
-        let patience = self.patience(taker, giver);
-        self.queue.push(self.now + patience, Event::Silence { taker, number });
+    fn request(&mut self, source: usize, requester: usize) {
+        self.requests += 1;
+        let number = self.requests;
+        self.nodes[requester].request = Some(Request { source, number, last: self.now });
+        self.queue.push(self.now + LATENCY, Event::Request { source, requester, number });
+        let timeout = self.timeout(requester, source);
+        self.queue.push(self.now + timeout, Event::Timeout { requester, number });
     }
 
     /// How long a taker waits for an answer to begin, or for all of it.
-    fn patience(&self, taker: usize, giver: usize) -> Duration {
+    fn timeout(&self, requester: usize, source: usize) -> Duration {
         match self.policy {
-            Policy::AtOnce => TIMEOUT,
-            Policy::ByTurns => {
-                let node = &self.nodes[taker];
-                node.givers.response_timeout(giver, &node.heard())
+            Policy::Unlimited => TIMEOUT,
+            Policy::Metered => {
+                let node = &self.nodes[requester];
+                node.sources.response_timeout(source, &node.holders())
             }
         }
     }
 
     /// A giver meets a request.
-    fn answer(&mut self, giver: usize, taker: usize, number: u64) {
-        let version = self.nodes[giver].has;
-        if !self.reaches(taker, giver) || !self.nodes[taker].asks(number) {
+    fn handle_request(&mut self, source: usize, requester: usize, number: u64) {
+        let version = self.nodes[source].version;
+        if !self.can_reach(requester, source) || !self.nodes[requester].awaits(number) {
             return;
         }
-        if version <= self.nodes[taker].has {
-            return self.refuse(giver, taker, number, None);
+        if version <= self.nodes[requester].version {
+            return self.reject(source, requester, number, None);
         }
-        let left = self.case.size as f64 - self.nodes[taker].kept(version);
+        let remaining = self.case.size as f64 - self.nodes[requester].partial_bytes(version);
         let mut ticket = None;
-        if self.policy == Policy::ByTurns {
-            match self.admit(giver, left) {
-                Ok(taken) => ticket = Some(taken),
-                Err(busy) => return self.refuse(giver, taker, number, Some(busy)),
+        if self.policy == Policy::Metered {
+            match self.admit(source, remaining) {
+                Ok(admitted) => ticket = Some(admitted),
+                Err(busy) => return self.reject(source, requester, number, Some(busy)),
             }
         }
-        self.stop(taker);
-        let silent = self.nodes[taker].stopped.then_some(self.now);
-        let down = self.nodes[taker].link.rate;
-        let answer = Answer { taker, number, version, left, down, silent, ticket };
-        self.nodes[giver].link.add(self.now, answer);
-        self.widest = self.widest.max(self.nodes[giver].link.answers.len());
-        self.foretell(giver);
+        self.stop_reading(requester);
+        let silent_since = self.nodes[requester].has_stopped_reading.then_some(self.now);
+        let down_rate = self.nodes[requester].link.rate;
+        let answer =
+            Answer { requester, number, version, remaining, down_rate, silent_since, ticket };
+        self.nodes[source].link.add(self.now, answer);
+        self.max_answers_per_link =
+            self.max_answers_per_link.max(self.nodes[source].link.answers.len());
+        self.schedule_next_end(source);
     }
 
     /// Asks a giver's meter, which knows what its link has taken.
-    fn admit(&mut self, giver: usize, left: f64) -> Result<Ticket, Busy> {
-        let (now, node) = (self.begin + self.now, &mut self.nodes[giver]);
+    fn admit(&mut self, source: usize, remaining: f64) -> Result<Ticket, Busy> {
+        let (now, node) = (self.begin + self.now, &mut self.nodes[source]);
         node.link.run(self.now);
         for answer in &node.link.answers {
             if let Some(ticket) = answer.ticket {
-                node.meter.record_remaining(now, ticket, Bytes(answer.left.ceil() as u64));
+                node.meter.record_remaining(now, ticket, Bytes(answer.remaining.ceil() as u64));
             }
         }
-        node.meter.admit(now, Bytes(left.ceil() as u64), BytesPerSecond(node.link.rate))
+        node.meter.admit(now, Bytes(remaining.ceil() as u64), BytesPerSecond(node.link.rate))
     }
 
     /// Sends an answer without a document: busy, or that there is nothing new.
-    fn refuse(&mut self, giver: usize, taker: usize, number: u64, busy: Option<Busy>) {
+    fn reject(&mut self, source: usize, requester: usize, number: u64, busy: Option<Busy>) {
         self.busy += 1;
-        let node = &mut self.nodes[giver];
-        let mut named = node.given.recent(self.begin + self.now);
-        named.retain(|other| *other != taker);
-        let after = node.link.add_short(self.now, BUSY_BYTES);
+        let node = &mut self.nodes[source];
+        let mut referrals = node.recipients.recent(self.begin + self.now);
+        referrals.retain(|other| *other != requester);
+        let after = node.link.add_short(self.now, BUSY_ANSWER_BYTES);
         let wait = busy.map(|busy| busy.wait);
-        let refusal = Event::Refusal { taker, number, wait, named };
+        let refusal = Event::Rejection { requester, number, wait, referrals };
         self.queue.push(self.now + after + LATENCY, refusal);
-        self.foretell(giver);
+        self.schedule_next_end(source);
     }
 
-    fn turn_away(&mut self, me: usize, number: u64, wait: Option<Duration>, named: &[usize]) {
+    fn handle_rejection(
+        &mut self,
+        me: usize,
+        number: u64,
+        wait: Option<Duration>,
+        referrals: &[usize],
+    ) {
         let (now, random) = (self.begin + self.now, self.random.random());
         let node = &mut self.nodes[me];
-        let Some(ask) = node.ask.take_if(|ask| ask.number == number) else { return };
+        let Some(request) = node.request.take_if(|r| r.number == number) else { return };
         match wait {
-            Some(wait) => node.givers.record_busy(now, ask.giver, Busy { wait }, named, random),
-            None => node.givers.record_failure(now, ask.giver),
+            Some(wait) => {
+                node.sources.record_busy(now, request.source, Busy { wait }, referrals, random)
+            }
+            None => node.sources.record_failure(now, request.source),
         }
-        self.seek(me);
+        self.fetch_if_behind(me);
     }
 
     /// A link has sent an answer, unless something changed since that was foretold.
-    fn send(&mut self, giver: usize, generation: u64) {
-        if self.nodes[giver].link.generation != generation {
+    fn handle_sent(&mut self, source: usize, generation: u64) {
+        if self.nodes[source].link.generation != generation {
             return;
         }
-        for answer in self.nodes[giver].link.remove_sent(self.now) {
-            let Answer { taker, number, version, ticket, .. } = answer;
-            let node = &mut self.nodes[giver];
+        for answer in self.nodes[source].link.remove_sent(self.now) {
+            let Answer { requester, number, version, ticket, .. } = answer;
+            let node = &mut self.nodes[source];
             if let Some(ticket) = ticket {
                 node.meter.finish(ticket);
             }
-            if node.has == version {
-                node.given.record(self.begin + self.now, taker);
+            if node.version == version {
+                node.recipients.record(self.begin + self.now, requester);
             }
-            if let Some(ask) = self.nodes[taker].ask.as_mut().filter(|ask| ask.number == number) {
-                ask.last = self.now;
+            if let Some(request) =
+                self.nodes[requester].request.as_mut().filter(|request| request.number == number)
+            {
+                request.last = self.now;
             }
-            self.queue.push(self.now + LATENCY, Event::Whole { taker, number, version });
+            self.queue.push(self.now + LATENCY, Event::Received { requester, number, version });
         }
-        self.foretell(giver);
+        self.schedule_next_end(source);
     }
 
-    fn foretell(&mut self, giver: usize) {
-        let link = &self.nodes[giver].link;
+    fn schedule_next_end(&mut self, source: usize) {
+        let link = &self.nodes[source].link;
         if let Some(end) = link.next_end() {
-            self.queue.push(end, Event::Sent { giver, generation: link.generation });
+            self.queue.push(end, Event::Sent { source, generation: link.generation });
         }
     }
 
-    fn take(&mut self, taker: usize, number: u64, version: u32) {
-        let node = &mut self.nodes[taker];
-        if node.alive && node.ask.take_if(|ask| ask.number == number).is_some() {
-            node.own(version, self.now);
+    fn handle_received(&mut self, requester: usize, number: u64, version: u32) {
+        let node = &mut self.nodes[requester];
+        if node.is_alive && node.request.take_if(|request| request.number == number).is_some() {
+            node.store_version(version, self.now);
         }
     }
 
     /// The time of an ask is over, or no byte has come for that long.
-    fn give_up(&mut self, taker: usize, number: u64) {
-        let Some(ask) = self.nodes[taker].ask.filter(|ask| ask.number == number) else { return };
-        let link = &mut self.nodes[ask.giver].link;
+    fn handle_timeout(&mut self, me: usize, number: u64) {
+        let Some(request) = self.nodes[me].request.filter(|r| r.number == number) else { return };
+        let link = &mut self.nodes[request.source].link;
         let answer = link.answers.iter().find(|answer| answer.number == number);
-        if self.policy == Policy::ByTurns {
+        if self.policy == Policy::Metered {
             let until = match answer {
-                Some(answer) => answer.silent.unwrap_or(self.now) + MAX_SILENCE,
-                None => ask.last + self.patience(taker, ask.giver),
+                Some(answer) => answer.silent_since.unwrap_or(self.now) + MAX_SILENCE,
+                None => request.last + self.timeout(me, request.source),
             };
             if self.now < until {
-                self.queue.push(until, Event::Silence { taker, number });
+                self.queue.push(until, Event::Timeout { requester: me, number });
                 return;
             }
         }
-        let link = &mut self.nodes[ask.giver].link;
+        let link = &mut self.nodes[request.source].link;
         let answer = link.remove(self.now, number);
         if let Some(ticket) = answer.as_ref().and_then(|answer| answer.ticket) {
-            self.nodes[ask.giver].meter.finish(ticket);
+            self.nodes[request.source].meter.finish(ticket);
         }
-        self.foretell(ask.giver);
-        let node = &mut self.nodes[taker];
-        node.ask = None;
-        if self.policy == Policy::ByTurns {
-            node.givers.record_failure(self.begin + self.now, ask.giver);
+        self.schedule_next_end(request.source);
+        let node = &mut self.nodes[me];
+        node.request = None;
+        if self.policy == Policy::Metered {
+            node.sources.record_failure(self.begin + self.now, request.source);
             if let Some(answer) = answer {
-                node.pieces = (answer.version, self.case.size as f64 - answer.left);
+                node.partial = (answer.version, self.case.size as f64 - answer.remaining);
             }
-            self.seek(taker);
+            self.fetch_if_behind(me);
         }
     }
 
     fn is_done(&self) -> bool {
-        self.nodes.iter().all(|node| !node.alive || node.has == self.case.versions)
+        self.nodes.iter().all(|node| !node.is_alive || node.version == self.case.versions)
     }
 
     fn outcome(self) -> Outcome {
-        let takers = || self.nodes[self.case.first..].iter().filter(|node| node.alive);
-        let times = |spared: bool| {
-            let counted = takers().filter(|node| node.spared || !spared);
-            let had = counted.filter(|node| node.has == self.case.versions);
-            let mut times: Vec<Duration> = had.map(|node| node.had).collect();
+        let requesters =
+            || self.nodes[self.case.initial_holders..].iter().filter(|node| node.is_alive);
+        let times = |only_unaffected: bool| {
+            let counted = requesters().filter(|node| node.is_unaffected || !only_unaffected);
+            let had = counted.filter(|node| node.version == self.case.versions);
+            let mut times: Vec<Duration> = had.map(|node| node.completed_at).collect();
             times.sort();
             times
         };
         Outcome {
-            times: times(false),
-            spared: times(true),
-            takers: takers().count(),
-            spared_takers: takers().filter(|node| node.spared).count(),
-            bytes: self.nodes.iter().map(|node| node.link.sent).sum(),
-            busy: self.busy,
-            widest: self.widest,
+            completion_times: times(false),
+            unaffected_times: times(true),
+            requesters: requesters().count(),
+            unaffected_requesters: requesters().filter(|node| node.is_unaffected).count(),
+            bytes_sent: self.nodes.iter().map(|node| node.link.sent).sum(),
+            busy_answers: self.busy,
+            max_answers_per_link: self.max_answers_per_link,
         }
     }
 }
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -9,8 +9,8 @@
 
 /// What a taker has asked for and not got yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    pub giver: usize,
+pub struct Request {
+    pub source: usize,
     pub number: u64,
     /// When the last was heard of it, as far as no answer is on a link.
     pub last: Duration,
@@ -21,101 +21,104 @@
     /// Of the same rate up and down.
     pub link: Link,
     /// The version it has; zero is none.
-    pub has: u32,
+    pub version: u32,
     /// When it had that.
-    pub had: Duration,
+    pub completed_at: Duration,
     /// The newest version it has heard of.
-    pub want: u32,
+    pub wanted_version: u32,
     /// The bytes it has of a version whose giver fell silent.
-    pub pieces: (u32, f64),
-    pub ask: Option<Ask>,
+    pub partial: (u32, f64),
+    pub request: Option<Request>,
     /// When it looks again out of turn.
-    pub wake: Duration,
-    pub givers: Sources<usize>,
+    pub next_poll: Duration,
+    pub sources: Sources<usize>,
     pub meter: UploadMeter,
-    pub given: Recipients<usize>,
+    pub recipients: Recipients<usize>,
     /// The versions that it has heard others to have.
     versions: Vec<u32>,
-    pub alive: bool,
+    pub is_alive: bool,
     /// Whether no fault keeps it from the document.
-    pub spared: bool,
-    pub cut: bool,
-    pub stopped: bool,
-    pub resumed: bool,
+    pub is_unaffected: bool,
+    pub is_cut_off: bool,
+    pub has_stopped_reading: bool,
+    pub has_resumed_reading: bool,
 }
 
 impl Node {
-    fn new(nodes: usize, rate: f64, spared: bool) -> Self {
+    fn new(nodes: usize, rate: f64, is_unaffected: bool) -> Self {
         Self {
             link: Link::new(rate),
-            has: 0,
-            had: Duration::ZERO,
-            want: 0,
-            pieces: (0, 0.0),
-            ask: None,
-            wake: Duration::ZERO,
-            givers: Sources::default(),
+            version: 0,
+            completed_at: Duration::ZERO,
+            wanted_version: 0,
+            partial: (0, 0.0),
+            request: None,
+            next_poll: Duration::ZERO,
+            sources: Sources::default(),
             meter: UploadMeter::default(),
-            given: Recipients::default(),
+            recipients: Recipients::default(),
             versions: vec![0; nodes],
-            alive: true,
-            spared,
-            cut: false,
-            stopped: false,
-            resumed: false,
+            is_alive: true,
+            is_unaffected,
+            is_cut_off: false,
+            has_stopped_reading: false,
+            has_resumed_reading: false,
         }
     }
 
     /// Takes over a configuration.
-    pub fn own(&mut self, version: u32, now: Duration) {
-        if version > self.has {
-            (self.has, self.had) = (version, now);
-            self.want = self.want.max(version);
-            self.given.clear();
+    pub fn store_version(&mut self, version: u32, now: Duration) {
+        if version > self.version {
+            (self.version, self.completed_at) = (version, now);
+            self.wanted_version = self.wanted_version.max(version);
+            self.recipients.clear();
         }
     }
 
     /// Hears that another has a version.
-    pub fn hear(&mut self, from: usize, version: u32) {
+    pub fn note_version(&mut self, from: usize, version: u32) {
         self.versions[from] = self.versions[from].max(version);
-        if version > self.want {
-            self.want = version;
-            self.givers = Sources::default();
+        if version > self.wanted_version {
+            self.wanted_version = version;
+            self.sources = Sources::default();
         }
     }
 
     /// Those that it has heard to have what it wants.
-    pub fn heard(&self) -> Vec<usize> {
+    pub fn holders(&self) -> Vec<usize> {
         let versions = self.versions.iter().enumerate();
-        versions.filter(|(_, version)| **version >= self.want).map(|(node, _)| node).collect()
+        versions
+            .filter(|(_, version)| **version >= self.wanted_version)
+            .map(|(node, _)| node)
+            .collect()
     }
 
     /// Whether it still waits for the answer to this ask.
-    pub fn asks(&self, number: u64) -> bool {
-        self.ask.is_some_and(|ask| ask.number == number)
+    pub fn awaits(&self, number: u64) -> bool {
+        self.request.is_some_and(|request| request.number == number)
     }
 
     /// The bytes that it has of a version.
-    pub fn kept(&self, version: u32) -> f64 {
-        if self.pieces.0 == version { self.pieces.1 } else { 0.0 }
+    pub fn partial_bytes(&self, version: u32) -> f64 {
+        if self.partial.0 == version { self.partial.1 } else { 0.0 }
     }
 }
 
 /// Draws the nodes of a case: which of them have fast links or meet a fault.
 pub fn draw(case: &Case, random: &mut StdRng) -> Vec<Node> {
-    let takers = case.nodes - case.first;
-    let hit = match case.fault {
-        Fault::Stop { part, .. } => (takers as f64 * part).ceil() as usize,
+    let requesters = case.nodes - case.initial_holders;
+    let affected = match case.fault {
+        Fault::StopReading { part, .. } => (requesters as f64 * part).ceil() as usize,
         Fault::Cut { .. } => case.nodes / 3,
         Fault::None | Fault::Death { .. } => 0,
     };
-    let mut order: Vec<usize> = (case.first..case.nodes).collect();
+    let mut order: Vec<usize> = (case.initial_holders..case.nodes).collect();
     order.shuffle(random);
-    let fast = index::sample(random, case.nodes, case.fast).into_vec();
+    let fast = index::sample(random, case.nodes, case.fast_nodes).into_vec();
     let rate = |node| match fast.contains(&node) {
         true => FAST_LINK_BYTES_PER_SECOND,
         false => LINK_BYTES_PER_SECOND,
     };
-    let new = |node| Node::new(case.nodes, rate(node), !order[..hit].contains(&node));
+    let new = |node| Node::new(case.nodes, rate(node), !order[..affected].contains(&node));
     (0..case.nodes).map(new).collect()
 }
--- a/crates/policy/tests/spread/queue.rs
+++ b/crates/policy/tests/spread/queue.rs
@@ -8,70 +8,70 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The first nodes hear a configuration from the store.
-    Write(u32),
+    Publish(u32),
     /// The others hear which version a node has.
-    Word {
+    Announcement {
         from: usize,
         version: u32,
     },
     /// A node tells which version it has, as it does at this distance.
-    Beat(usize, Duration),
-    Look(usize),
-    Wake(usize),
+    Gossip(usize, Duration),
+    Poll(usize),
+    PollEarly(usize),
     /// A request is at its giver.
     Request {
-        giver: usize,
-        taker: usize,
+        source: usize,
+        requester: usize,
         number: u64,
     },
     /// An answer without a document is at its taker; with a wait if the giver
     /// is busy.
-    Refusal {
-        taker: usize,
+    Rejection {
+        requester: usize,
         number: u64,
         wait: Option<Duration>,
-        named: Vec<usize>,
+        referrals: Vec<usize>,
     },
     /// A link has sent an answer.
     Sent {
-        giver: usize,
+        source: usize,
         generation: u64,
     },
     /// The last of an answer is at its taker.
-    Whole {
-        taker: usize,
+    Received {
+        requester: usize,
         number: u64,
         version: u32,
     },
     /// A taker sees whether an answer still comes.
-    Silence {
-        taker: usize,
+    Timeout {
+        requester: usize,
         number: u64,
     },
     Die,
     /// The fleet is cut in two, or whole again.
     Cut(bool),
     /// A taker that stopped reads again.
-    Resume(usize),
+    ResumeReading(usize),
 }
 
 /// Events by time; those of one time in the order in which they were put in.
 #[derive(Default)]
 pub struct Queue {
-    order: BinaryHeap<Reverse<(Duration, u64)>>,
+    times: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
     count: u64,
 }
 
 impl Queue {
     pub fn push(&mut self, at: Duration, event: Event) {
-        self.order.push(Reverse((at, self.count)));
+        self.times.push(Reverse((at, self.count)));
         self.events.insert(self.count, event);
         self.count += 1;
     }
 
     pub fn pop(&mut self) -> Option<(Duration, Event)> {
-        let Reverse((at, number)) = self.order.pop()?;
+        let Reverse((at, number)) = self.times.pop()?;
         self.events.remove(&number).map(|event| (at, event))
     }
 }
