--- a/crates/policy/examples/experiment/figure.rs
+++ b/crates/policy/examples/experiment/figure.rs
@@ -20,7 +20,7 @@
         span: (f64, f64),
         filter: impl Fn(&Record) -> bool,
     ) -> Vec<Duration> {
-        self.within(span).filter(|r| filter(r)).filter_map(|r| r.first).collect()
+        self.within(span).filter(|r| filter(r)).filter_map(|r| r.first_token).collect()
     }
 
     /// A percentile of the time to the first token, in milliseconds.
@@ -44,7 +44,7 @@
     /// Work of the requests that ended between two moments, in tokens.
     pub fn work(&self, (from, to): (f64, f64), filter: impl Fn(&Record) -> bool) -> f64 {
         let ended = self.records.iter().filter(|record| {
-            let at = record.ended.map(|ended| (record.request.at + ended).as_secs_f64());
+            let at = record.ended_after.map(|ended| (record.request.at + ended).as_secs_f64());
             at.is_some_and(|at| from <= at && at < to)
         });
         ended.filter(|r| filter(r)).map(|r| r.request.cost.work() as f64).sum()
@@ -52,12 +52,12 @@
 
     /// Requests that were refused or failed for `reason`.
     pub fn count(&self, reason: Reason) -> usize {
-        let reasons = self.records.iter().filter_map(|r| r.refused.map(|(reason, _)| reason));
+        let reasons = self.records.iter().filter_map(|r| r.refusal.map(|(reason, _)| reason));
         reasons.filter(|r| *r == reason).count()
     }
 
     /// Requests that were begun and did not end well.
     pub fn broken(&self) -> usize {
-        self.records.iter().filter(|r| r.begun && r.ended.is_none()).count()
+        self.records.iter().filter(|r| r.was_sent && r.ended_after.is_none()).count()
     }
 }
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of engine models behind owners and nodes, on a clock of its own.
 
-use crate::flight::{Flight, Record, stream_of};
+use crate::flight::{Flight, Record, stream_id};
 use crate::load::Request;
 use hickory_model::engine::Engine;
 use hickory_model::job::State;
@@ -18,14 +18,14 @@
 /// Nodes, each with its own view of the targets.
 pub(crate) const NODES: usize = 6;
 /// Between two exchanges of states, and two load reports.
-const EXCHANGE: u64 = 1_000;
-const REPORT: u64 = 250;
+const EXCHANGE_INTERVAL_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 250;
 /// Between two looks at a queue.
-const POLL: u64 = 5;
+const POLL_INTERVAL_MS: u64 = 5;
 /// Attempts of a request.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// From the crash of an engine to its restart.
-const RESTART: u64 = 5_000;
+const RESTART_DELAY_MS: u64 = 5_000;
 
 /// What is done to the fleet.
 #[derive(Clone, Copy, Debug)]
@@ -44,8 +44,8 @@
     pub(crate) limit: L,
     pub(crate) zone: usize,
     incarnation: u64,
-    accepting: bool,
-    restart: Option<u64>,
+    is_accepting: bool,
+    restart_at: Option<u64>,
     pub(crate) tickets: HashMap<Ticket, usize>,
     pub(crate) running: BTreeSet<usize>,
 }
@@ -59,7 +59,7 @@
 pub struct Fleet<L, P> {
     options: Options,
     pub(crate) start: Instant,
-    ms: u64,
+    now_ms: u64,
     pub(crate) targets: Vec<Target<L>>,
     pub(crate) nodes: Vec<Node<P>>,
     pub(crate) flights: Vec<Flight>,
@@ -67,7 +67,7 @@
     crashes: u32,
     /// The last moment at which work was sent to a zone that was out.
     pub(crate) late_send: Option<Duration>,
-    pub(crate) zone_out: Option<(usize, Duration)>,
+    pub(crate) out_zone: Option<(usize, Duration)>,
 }
 
 /// What came of a run.
@@ -88,7 +88,7 @@
 
 impl<L: Limit, P: Place + Default> Fleet<L, P> {
     /// `count` warm engines in three zones.
-    pub fn open(count: usize, shares: &[(&str, f64)]) -> Self {
+    pub fn new(count: usize, shares: &[(&str, f64)]) -> Self {
         let (options, start) = (options(), Instant::now());
         let shares: Vec<_> = shares.iter().map(|&(name, share)| (name.into(), share)).collect();
         let target = |index: usize| {
@@ -100,8 +100,8 @@
                 limit,
                 zone: index % 3,
                 incarnation: 1,
-                accepting: true,
-                restart: None,
+                is_accepting: true,
+                restart_at: None,
                 tickets: HashMap::new(),
                 running: BTreeSet::new(),
             }
@@ -111,14 +111,14 @@
         Self {
             options,
             start,
-            ms: 0,
+            now_ms: 0,
             targets,
             nodes,
             flights: Vec::new(),
             deadlines: BTreeSet::new(),
             crashes: 0,
             late_send: None,
-            zone_out: None,
+            out_zone: None,
         }
     }
 
@@ -132,43 +132,43 @@
         self.start = self.now();
         let mut load = load.iter().peekable();
         let mut events = events.iter().peekable();
-        while self.ms < until {
-            while let Some((_, event)) = events.next_if(|(at, _)| *at <= self.ms) {
+        while self.now_ms < until {
+            while let Some((_, event)) = events.next_if(|(at, _)| *at <= self.now_ms) {
                 self.apply(*event);
             }
             self.refresh();
-            while let Some(request) = load.next_if(|r| r.at <= Duration::from_millis(self.ms)) {
+            while let Some(request) = load.next_if(|r| r.at <= Duration::from_millis(self.now_ms)) {
                 self.submit(request.clone());
             }
             (0..self.targets.len()).for_each(|target| self.advance(target));
-            if self.ms.is_multiple_of(POLL) {
+            if self.now_ms.is_multiple_of(POLL_INTERVAL_MS) {
                 (0..self.targets.len()).for_each(|target| self.poll(target));
                 self.expire();
             }
-            self.ms += 1;
+            self.now_ms += 1;
         }
         let records = self.flights.into_iter().map(|flight| flight.record).collect();
         Run { records, crashes: self.crashes, late_send: self.late_send }
     }
 
     pub(crate) fn now(&self) -> Instant {
-        self.start + Duration::from_millis(self.ms)
+        self.start + Duration::from_millis(self.now_ms)
     }
 
-    pub(crate) fn passed(&self) -> Duration {
-        Duration::from_millis(self.ms)
+    pub(crate) fn elapsed(&self) -> Duration {
+        Duration::from_millis(self.now_ms)
     }
 
     fn apply(&mut self, event: Event) {
         match event {
             Event::ZoneOut(zone) => {
-                self.zone_out = Some((zone, self.passed()));
+                self.out_zone = Some((zone, self.elapsed()));
                 let of_zone = |t: &usize| self.targets[*t].zone == zone;
                 let targets: Vec<usize> = (0..self.targets.len()).filter(of_zone).collect();
-                targets.into_iter().for_each(|target| self.stop(target));
+                targets.into_iter().for_each(|target| self.stop_accepting(target));
             }
             Event::ZoneBack(zone) => {
-                self.zone_out = None;
+                self.out_zone = None;
                 for target in 0..self.targets.len() {
                     if self.targets[target].zone == zone {
                         self.restart(target);
@@ -183,9 +183,9 @@
     }
 
     /// The target takes no new work; who waits goes elsewhere.
-    fn stop(&mut self, target: usize) {
+    fn stop_accepting(&mut self, target: usize) {
         let now = self.now();
-        self.targets[target].accepting = false;
+        self.targets[target].is_accepting = false;
         let refused = self.targets[target].limit.set_accepting(now, false);
         for (ticket, _) in refused {
             if let Some(flight) = self.targets[target].tickets.remove(&ticket) {
@@ -200,8 +200,8 @@
         let t = &mut self.targets[target];
         t.incarnation += 1;
         t.engine = Engine::open(now, id::Incarnation(t.incarnation), cold);
-        t.restart = None;
-        t.accepting = true;
+        t.restart_at = None;
+        t.is_accepting = true;
         // The owner opens a target that is back only once its report shows
         // the new incarnation.
         self.report(target);
@@ -211,8 +211,8 @@
     /// Each node takes in the owners' states once a second, in turn.
     fn refresh(&mut self) {
         for index in 0..NODES {
-            let phase = index as u64 * EXCHANGE / NODES as u64;
-            if self.nodes[index].view.is_empty() || self.ms % EXCHANGE == phase {
+            let phase = index as u64 * EXCHANGE_INTERVAL_MS / NODES as u64;
+            if self.nodes[index].view.is_empty() || self.now_ms % EXCHANGE_INTERVAL_MS == phase {
                 self.nodes[index].view = self.targets.iter().map(|t| self.candidate(t)).collect();
             }
         }
@@ -235,14 +235,14 @@
             running: state.running,
             waiting: state.waiting,
         };
-        (candidate, target.accepting)
+        (candidate, target.is_accepting)
     }
 
     fn advance(&mut self, target: usize) {
         let now = self.now();
         let t = &mut self.targets[target];
-        if let Some(at) = t.restart {
-            if at <= self.ms {
+        if let Some(at) = t.restart_at {
+            if at <= self.now_ms {
                 self.restart(target);
             }
             return;
@@ -255,32 +255,32 @@
             t.engine.advance(now);
             self.collect(target);
         }
-        if self.ms % REPORT == target as u64 % REPORT {
+        if self.now_ms % REPORT_INTERVAL_MS == target as u64 % REPORT_INTERVAL_MS {
             self.report(target);
         }
     }
 
     fn collect(&mut self, target: usize) {
-        let (now, passed) = (self.now(), self.passed());
+        let (now, elapsed) = (self.now(), self.elapsed());
         let t = &mut self.targets[target];
         let running: Vec<usize> = t.running.iter().copied().collect();
         for index in running {
             let flight = &mut self.flights[index];
-            let Some(progress) = t.engine.progress(&stream_of(index, flight.attempt)) else {
+            let Some(progress) = t.engine.progress(&stream_id(index, flight.attempt)) else {
                 continue;
             };
-            let since = passed - flight.record.request.at;
+            let since = elapsed - flight.record.request.at;
             if progress.generated > 0 {
-                flight.record.first.get_or_insert(since);
-                flight.first.get_or_insert(passed - flight.sent);
+                flight.record.first_token.get_or_insert(since);
+                flight.first_token.get_or_insert(elapsed - flight.sent);
             }
             if progress.state == State::Ended {
-                flight.record.ended = Some(since);
+                flight.record.ended_after = Some(since);
                 t.running.remove(&index);
                 t.tickets.remove(&flight.ticket);
-                t.limit.complete(now, flight.ticket, Outcome::Completed(flight.first));
+                t.limit.complete(now, flight.ticket, Outcome::Completed(flight.first_token));
                 let request = &flight.record.request;
-                self.deadlines.remove(&(request.at + request.left, index));
+                self.deadlines.remove(&(request.at + request.time_left, index));
             }
         }
     }
@@ -288,18 +288,18 @@
     fn crash(&mut self, target: usize) {
         let now = self.now();
         self.crashes += 1;
-        self.targets[target].restart = Some(self.ms + RESTART);
+        self.targets[target].restart_at = Some(self.now_ms + RESTART_DELAY_MS);
         let running = std::mem::take(&mut self.targets[target].running);
         for &index in &running {
             let ticket = self.flights[index].ticket;
             self.targets[target].tickets.remove(&ticket);
             self.targets[target].limit.complete(now, ticket, Outcome::Failed);
         }
-        self.stop(target);
+        self.stop_accepting(target);
         for index in running {
             let flight = &mut self.flights[index];
             (flight.target, flight.attempt) = (None, flight.attempt + 1);
-            if flight.attempt < ATTEMPTS {
+            if flight.attempt < MAX_ATTEMPTS {
                 self.place(index);
             } else {
                 self.refuse(index, Reason::TargetFailed);
@@ -314,9 +314,9 @@
         let tickets: HashMap<id::Stream, Ticket> = t
             .running
             .iter()
-            .map(|&i| (stream_of(i, self.flights[i].attempt), self.flights[i].ticket))
+            .map(|&i| (stream_id(i, self.flights[i].attempt), self.flights[i].ticket))
             .collect();
-        let left = |held: &hickory_target::engine::Held| {
+        let prefill_left = |held: &hickory_target::engine::Held| {
             tickets.get(&held.stream).map(|&ticket| (ticket, held.prefill_left))
         };
         let observed = Observed {
@@ -328,7 +328,7 @@
             },
             foreign_streams: 0,
             foreign_kv: size::Tokens(0),
-            prefill_left: report.streams.iter().filter_map(left).collect(),
+            prefill_left: report.streams.iter().filter_map(prefill_left).collect(),
         };
         t.limit.observe(now, &observed, report.streams.len() as u32);
     }
@@ -350,13 +350,13 @@
     /// Callers whose deadline is past are answered, and their streams
     /// cancelled.
     fn expire(&mut self) {
-        let (now, passed) = (self.now(), self.passed());
-        while let Some(&(at, index)) = self.deadlines.first().filter(|&&(at, _)| at <= passed) {
+        let (now, elapsed) = (self.now(), self.elapsed());
+        while let Some(&(at, index)) = self.deadlines.first().filter(|&&(at, _)| at <= elapsed) {
             self.deadlines.remove(&(at, index));
             if let Some(target) = self.flights[index].target {
                 let (ticket, attempt) = (self.flights[index].ticket, self.flights[index].attempt);
                 let t = &mut self.targets[target];
-                t.engine.cancel(now, &stream_of(index, attempt));
+                t.engine.cancel(now, &stream_id(index, attempt));
                 t.running.remove(&index);
                 t.tickets.remove(&ticket);
                 t.limit.complete(now, ticket, Outcome::Abandoned);
--- a/crates/policy/examples/experiment/flight.rs
+++ b/crates/policy/examples/experiment/flight.rs
@@ -11,13 +11,13 @@
 pub struct Record {
     pub request: Request,
     /// Time to the first token.
-    pub first: Option<Duration>,
+    pub first_token: Option<Duration>,
     /// Time to the end.
-    pub ended: Option<Duration>,
+    pub ended_after: Option<Duration>,
     /// The refusal and when it came.
-    pub refused: Option<(Reason, Duration)>,
+    pub refusal: Option<(Reason, Duration)>,
     /// Sent to a target, whatever came of it.
-    pub begun: bool,
+    pub was_sent: bool,
 }
 
 pub(crate) struct Flight {
@@ -25,13 +25,13 @@
     pub(crate) target: Option<usize>,
     pub(crate) ticket: Ticket,
     pub(crate) attempt: u32,
-    pub(crate) tried: Vec<usize>,
+    pub(crate) tried_targets: Vec<usize>,
     /// When the attempt was sent, and the time to its first token from then.
     pub(crate) sent: Duration,
-    pub(crate) first: Option<Duration>,
+    pub(crate) first_token: Option<Duration>,
 }
 
-pub(crate) fn stream_of(index: usize, attempt: u32) -> id::Stream {
+pub(crate) fn stream_id(index: usize, attempt: u32) -> id::Stream {
     id::Stream {
         request: id::Request(uuid::Uuid::from_u128(index as u128)),
         attempt,
--- a/crates/policy/examples/experiment/load.rs
+++ b/crates/policy/examples/experiment/load.rs
@@ -15,7 +15,7 @@
     pub class: Class,
     pub cost: Cost,
     /// Time until its deadline.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// A kind of request that comes at a rate.
@@ -28,35 +28,35 @@
     pub decode: u64,
     /// Requests a second.
     pub rate: f64,
-    pub left: Duration,
+    pub time_left: Duration,
     /// Arrivals between these times, in seconds.
-    pub span: (f64, f64),
+    pub span_seconds: (f64, f64),
 }
 
 /// Poisson arrivals of all kinds, by time.
-pub fn arrive(kinds: &[Kind], seed: u64) -> Vec<Request> {
-    let mut all = Vec::new();
+pub fn generate_arrivals(kinds: &[Kind], seed: u64) -> Vec<Request> {
+    let mut requests = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
         // Each kind has its own stream of numbers, so that the short requests
         // are the same with and without long ones beside them.
         let mut random = SmallRng::seed_from_u64(seed ^ (index as u64) << 32);
-        let mut at = kind.span.0;
+        let mut at = kind.span_seconds.0;
         loop {
             at += -(1.0 - random.random::<f64>()).ln() / kind.rate;
-            if at >= kind.span.1 {
+            if at >= kind.span_seconds.1 {
                 break;
             }
             let prompt = random.random_range(kind.prompt.0..=kind.prompt.1);
             let cost = Cost { prefill: size::Tokens(prompt), decode: size::Tokens(kind.decode) };
-            all.push(Request {
+            requests.push(Request {
                 at: Duration::from_secs_f64(at),
                 partner: kind.partner,
                 class: kind.class,
                 cost,
-                left: kind.left,
+                time_left: kind.time_left,
             });
         }
     }
-    all.sort_by_key(|request| request.at);
-    all
+    requests.sort_by_key(|request| request.at);
+    requests
 }
--- a/crates/policy/examples/experiment/main.rs
+++ b/crates/policy/examples/experiment/main.rs
@@ -16,7 +16,7 @@
 use hickory_policy::cost::Class;
 use hickory_policy::limit::Limiter;
 use hickory_policy::refuse::Reason;
-use load::{Kind, Request, arrive};
+use load::{Kind, Request, generate_arrivals};
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
@@ -105,7 +105,7 @@
 }
 
 fn run<L: Limit, P: Place + Default>(load: &[Request], events: &[(u64, Event)], until: u64) -> Run {
-    Fleet::<L, P>::open(ENGINES, SHARES).run(load, events, until)
+    Fleet::<L, P>::new(ENGINES, SHARES).run(load, events, until)
 }
 
 /// Short questions at a moderate rate for each engine.
@@ -116,8 +116,8 @@
         prompt: (500, 1_500),
         decode: 64,
         rate: rate * ENGINES as f64,
-        left: MINUTE,
-        span,
+        time_left: MINUTE,
+        span_seconds: span,
     }
 }
 
@@ -129,8 +129,8 @@
         prompt,
         decode: 500,
         rate,
-        left: MINUTE * 30,
-        span,
+        time_left: MINUTE * 30,
+        span_seconds: span,
     }
 }
 
@@ -151,8 +151,8 @@
         // The kind's place in the list seeds its arrivals.
         let short = questions(8.0, (0.0, 100.0));
         let long = reports(self.1, (60_000, 300_000), (0.0, 100.0));
-        let never = |kind| Kind { span: (0.0, 0.0), ..kind };
-        let load = |short, long| arrive(&[short, long], self.0);
+        let never = |kind| Kind { span_seconds: (0.0, 0.0), ..kind };
+        let load = |short, long| generate_arrivals(&[short, long], self.0);
         let alone = run::<L, P>(&load(short, never(long)), &[], 160_000);
         let long_alone = run::<L, P>(&load(never(short), long), &[], 400_000);
         let both = run::<L, P>(&load(short, long), &[], 400_000);
@@ -170,12 +170,13 @@
         // The same work, over the time until the last of it has ended.
         let last = |run: &Run| {
             let long = run.records.iter().filter(|r| is_long(r));
-            let ends = long.filter_map(|r| Some(r.request.at + r.ended?));
+            let ends = long.filter_map(|r| Some(r.request.at + r.ended_after?));
             ends.max().unwrap_or_default().as_secs_f64()
         };
         put("long throughput beside/alone", last(&long_alone) / last(&both));
-        let arrived =
-            |run: &Run| run.records.iter().filter(|r| is_long(r) && r.ended.is_some()).count();
+        let arrived = |run: &Run| {
+            run.records.iter().filter(|r| is_long(r) && r.ended_after.is_some()).count()
+        };
         let sent = both.records.iter().filter(|r| is_long(r)).count();
         put("long arrived, part", arrived(&both) as f64 / sent as f64);
         put("refused or broken", (both.records.len() - ended(&both)) as f64);
@@ -184,7 +185,7 @@
 }
 
 fn ended(run: &Run) -> usize {
-    run.records.iter().filter(|r| r.ended.is_some()).count()
+    run.records.iter().filter(|r| r.ended_after.is_some()).count()
 }
 
 /// One in fifty over a hundred thousand, as in the letter.
@@ -197,12 +198,12 @@
             class: if prompt > 50_000 { Class::Batch } else { Class::Interactive },
             partner: if prompt > 5_000 { "caucao" } else { "mawe" },
             prompt: (prompt * 9 / 10, prompt * 11 / 10),
-            left: MINUTE * 10,
+            time_left: MINUTE * 10,
             rate,
             ..questions(0.0, span)
         };
         let kinds = [kind(1_000, 40.0), kind(10_000, 4.0), kind(100_000, 0.5), kind(350_000, 0.1)];
-        let run = run::<L, P>(&arrive(&kinds, self.0), &[], 300_000);
+        let run = run::<L, P>(&generate_arrivals(&kinds, self.0), &[], 300_000);
         let mut figures = Figures::new();
         for (name, least, most) in [
             ("1k", 0, 5_000),
@@ -228,10 +229,10 @@
 impl Experiment for Share {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let span = (0.0, 80.0);
-        let mawe = Kind { rate: 450.0, left: MINUTE / 2, ..questions(0.0, span) };
+        let mawe = Kind { rate: 450.0, time_left: MINUTE / 2, ..questions(0.0, span) };
         let caucao = Kind { partner: "caucao", prompt: (1_000, 5_000), rate: 300.0, ..mawe };
-        let load = arrive(&[mawe, caucao], self.0);
-        let fleet = Fleet::<L, P>::open(ENGINES, &[("mawe", 3.0), ("caucao", 1.0)]);
+        let load = generate_arrivals(&[mawe, caucao], self.0);
+        let fleet = Fleet::<L, P>::new(ENGINES, &[("mawe", 3.0), ("caucao", 1.0)]);
         let change = Event::Shares(&[("mawe", 1.0), ("caucao", 3.0)]);
         let run = fleet.run(&load, &[(40_000, change)], 80_000);
         let error = |from: f64, share: f64| {
@@ -260,19 +261,19 @@
 impl Experiment for Overload {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let (span, window) = ((0.0, 60.0), (10.0, 60.0));
-        let kind = |rate| Kind { rate, left: Duration::from_secs(10), ..questions(0.0, span) };
+        let kind = |rate| Kind { rate, time_left: Duration::from_secs(10), ..questions(0.0, span) };
         // What the engines do where all that comes waits in them: capacity.
-        let patient = Kind { left: MINUTE * 10, ..kind(700.0) };
-        let full = run::<Fifo, RoundRobin>(&arrive(&[patient], self.0), &[], 60_000);
+        let patient = Kind { time_left: MINUTE * 10, ..kind(700.0) };
+        let full = run::<Fifo, RoundRobin>(&generate_arrivals(&[patient], self.0), &[], 60_000);
         let capacity = full.work(window, |_| true);
         let work = 1_000.0 + 64.0 * 8.0;
         let rate = 2.0 * capacity / 50.0 / work;
-        let run = run::<L, P>(&arrive(&[kind(rate)], self.0), &[], 75_000);
+        let run = run::<L, P>(&generate_arrivals(&[kind(rate)], self.0), &[], 75_000);
         let mut figures = Figures::new();
         let mut put = |name: &str, value: f64| figures.insert(name.into(), json!(value));
         put("capacity, requests/s", capacity / 50.0 / work);
         put("goodput / capacity", run.work(window, |_| true) / capacity);
-        let refused: Vec<_> = run.records.iter().filter_map(|r| r.refused).collect();
+        let refused: Vec<_> = run.records.iter().filter_map(|r| r.refusal).collect();
         let early = refused.iter().filter(|(_, after)| *after < Duration::from_millis(100)).count();
         put("refused", refused.len() as f64);
         put("refused within 100 ms, part", early as f64 / refused.len().max(1) as f64);
@@ -291,7 +292,7 @@
         let span = (0.0, 110.0);
         let kinds = [questions(10.0, span), reports(0.2, (60_000, 150_000), span)];
         let events = [(30_000, Event::ZoneOut(0)), (60_000, Event::ZoneBack(0))];
-        let run = run::<L, P>(&arrive(&kinds, self.0), &events, 200_000);
+        let run = run::<L, P>(&generate_arrivals(&kinds, self.0), &events, 200_000);
         let p95 = |span| run.first_token(span, 0.95, is_short);
         let before = p95((10.0, 30.0));
         let mut figures = Figures::new();
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -1,7 +1,7 @@
 //! Requests that the fleet takes in: placed, sent to an engine, refused.
 
 use crate::fleet::{Fleet, NODES, weights};
-use crate::flight::{Flight, Record, stream_of};
+use crate::flight::{Flight, Record, stream_id};
 use crate::load::Request;
 use hickory_model::job::Job;
 use hickory_policy::baseline::{Limit, Place};
@@ -12,21 +12,27 @@
 use std::time::Duration;
 
 /// Targets that a node asks for one attempt.
-const ASKS: usize = 4;
+const MAX_PERMIT_REQUESTS: usize = 4;
 
 impl<L: Limit, P: Place + Default> Fleet<L, P> {
     pub(crate) fn submit(&mut self, request: Request) {
         let index = self.flights.len();
-        self.deadlines.insert((request.at + request.left, index));
-        let record = Record { request, first: None, ended: None, refused: None, begun: false };
+        self.deadlines.insert((request.at + request.time_left, index));
+        let record = Record {
+            request,
+            first_token: None,
+            ended_after: None,
+            refusal: None,
+            was_sent: false,
+        };
         self.flights.push(Flight {
             record,
             target: None,
             ticket: 0,
             attempt: 0,
-            tried: Vec::new(),
+            tried_targets: Vec::new(),
             sent: Duration::ZERO,
-            first: None,
+            first_token: None,
         });
         self.place(index);
     }
@@ -34,35 +40,35 @@
     /// Chooses targets for a request until one takes it or queues it.
     pub(crate) fn place(&mut self, index: usize) {
         let mut reason = Reason::NoTarget;
-        let (mut asked, mut full) = (0, Vec::new());
-        while asked < ASKS {
+        let (mut requests, mut full) = (0, Vec::new());
+        while requests < MAX_PERMIT_REQUESTS {
             // Who was asked for an answer at once may queue the ask now.
-            if asked >= ASKS_AT_ONCE {
+            if requests >= ASKS_AT_ONCE {
                 full.clear();
             }
-            let Some((target, at_once)) = self.choose(index, asked, &full) else { break };
+            let Some((target, is_urgent)) = self.choose(index, requests, &full) else { break };
             let now = self.now();
-            let wanted = PermitRequest { is_urgent: at_once, ..self.ask_of(index) };
-            match self.targets[target].limit.request_permit(now, wanted) {
+            let permit_request = PermitRequest { is_urgent, ..self.permit_request(index) };
+            match self.targets[target].limit.request_permit(now, permit_request) {
                 Answer::Granted(ticket) => {
-                    self.flights[index].tried.push(target);
+                    self.flights[index].tried_targets.push(target);
                     self.targets[target].tickets.insert(ticket, index);
                     return self.send(index, target, ticket);
                 }
                 Answer::Queued(ticket) => {
-                    self.flights[index].tried.push(target);
+                    self.flights[index].tried_targets.push(target);
                     self.targets[target].tickets.insert(ticket, index);
                     let flight = &mut self.flights[index];
                     (flight.target, flight.ticket) = (Some(target), ticket);
                     return;
                 }
-                Answer::Refused(why, _) => {
-                    reason = why;
-                    asked += usize::from(counts(why));
-                    let list = if at_once && counts(why) {
+                Answer::Refused(refusal, _) => {
+                    reason = refusal;
+                    requests += usize::from(counts(refusal));
+                    let list = if is_urgent && counts(refusal) {
                         &mut full
                     } else {
-                        &mut self.flights[index].tried
+                        &mut self.flights[index].tried_targets
                     };
                     list.push(target);
                 }
@@ -71,19 +77,25 @@
         self.refuse(index, reason);
     }
 
-    fn choose(&mut self, index: usize, ask: usize, full: &[usize]) -> Option<(usize, bool)> {
+    fn choose(
+        &mut self,
+        index: usize,
+        request_number: usize,
+        full: &[usize],
+    ) -> Option<(usize, bool)> {
         let flight = &self.flights[index];
         let node = &mut self.nodes[index % NODES];
-        let able = |i: &usize| node.view[*i].1 && !flight.tried.contains(i) && !full.contains(i);
-        let able: Vec<usize> = (0..node.view.len()).filter(able).collect();
-        let candidates: Vec<Candidate> = able.iter().map(|&i| node.view[i].0.clone()).collect();
+        let usable =
+            |i: &usize| node.view[*i].1 && !flight.tried_targets.contains(i) && !full.contains(i);
+        let usable: Vec<usize> = (0..node.view.len()).filter(usable).collect();
+        let candidates: Vec<Candidate> = usable.iter().map(|&i| node.view[i].0.clone()).collect();
         if candidates.is_empty() {
             return None;
         }
         let request = &flight.record.request;
-        let random = (index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ ask as u64;
+        let random = (index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ request_number as u64;
         let query = Query { cost: request.cost, class: request.class, prefix: None, random };
-        let chosen = able[node.place.choose(&query, &candidates)?];
+        let chosen = usable[node.place.choose(&query, &candidates)?];
         let view = &mut node.view[chosen].0;
         view.queued_prefill += request.cost.prefill;
         if request.cost.is_long() {
@@ -91,36 +103,36 @@
         }
         view.kv_free = view.kv_free.saturating_sub(request.cost.kv());
         view.running += 1;
-        Some((chosen, asks_at_once(request.cost, ask, able.len())))
+        Some((chosen, asks_at_once(request.cost, request_number, usable.len())))
     }
 
-    fn ask_of(&self, index: usize) -> PermitRequest {
+    fn permit_request(&self, index: usize) -> PermitRequest {
         let request = &self.flights[index].record.request;
         PermitRequest {
             partner: request.partner.into(),
             account: format!("{}-{}", request.partner, index % 10).as_str().into(),
             class: request.class,
             cost: request.cost,
-            deadline: self.start + request.at + request.left,
+            deadline: self.start + request.at + request.time_left,
             is_exclusive: false,
             is_urgent: false,
         }
     }
 
     pub(crate) fn send(&mut self, index: usize, target: usize, ticket: Ticket) {
-        let (now, passed) = (self.now(), self.passed());
-        let lane = self.ask_of(index).lane();
+        let (now, elapsed) = (self.now(), self.elapsed());
+        let lane = self.permit_request(index).lane();
         let flight = &mut self.flights[index];
-        flight.record.begun = true;
+        flight.record.was_sent = true;
         (flight.target, flight.ticket) = (Some(target), ticket);
-        (flight.sent, flight.first) = (passed, None);
+        (flight.sent, flight.first_token) = (elapsed, None);
         let t = &mut self.targets[target];
-        if let Some((zone, out)) = self.zone_out.filter(|&(zone, _)| zone == t.zone) {
-            self.late_send = Some(passed - out);
+        if let Some((zone, out)) = self.out_zone.filter(|&(zone, _)| zone == t.zone) {
+            self.late_send = Some(elapsed - out);
             debug_assert_eq!(zone, t.zone);
         }
         let job = Job {
-            stream: stream_of(index, flight.attempt),
+            stream: stream_id(index, flight.attempt),
             weights: weights(),
             prompt: flight.record.request.cost.prefill,
             blocks: Vec::new(),
@@ -136,9 +148,9 @@
     }
 
     pub(crate) fn refuse(&mut self, index: usize, reason: Reason) {
-        let passed = self.passed();
+        let elapsed = self.elapsed();
         let record = &mut self.flights[index].record;
-        record.refused = Some((reason, passed.saturating_sub(record.request.at)));
-        self.deadlines.remove(&(record.request.at + record.request.left, index));
+        record.refusal = Some((reason, elapsed.saturating_sub(record.request.at)));
+        self.deadlines.remove(&(record.request.at + record.request.time_left, index));
     }
 }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -72,7 +72,7 @@
 /// Guards against a suspended node that stays lost after it wakes, or that takes all
 /// others for dead since they were silent while it slept.
 #[test]
-fn a_suspended_node_is_declared_dead_and_rejoins() {
+fn a_suspended_node_is_noticed_and_rejoins() {
     for nodes in FLEET_SIZES {
         let mut network = start_network(nodes, 1);
         network.suspend(1, secs(6));
