--- a/crates/policy/examples/experiment/figure.rs
+++ b/crates/policy/examples/experiment/figure.rs
@@ -1,11 +1,11 @@
-//! Figures of a run.
+//! Figures computed from a run.
 
 use crate::fleet::Run;
 use crate::flight::Record;
 use hickory_policy::refuse::Reason;
 use std::time::Duration;
 
-/// A percentile of times, in milliseconds; nearest rank.
+/// Returns a percentile of times in milliseconds, by the nearest-rank method.
 pub fn percentile(times: &mut [Duration], part: f64) -> f64 {
     times.sort_unstable();
     let rank = (times.len() as f64 * part).ceil() as usize;
@@ -13,8 +13,8 @@
 }
 
 impl Run {
-    /// Times to the first token of the records that count and come between
-    /// two moments, in seconds. A request that never got one does not count.
+    /// Returns the times to first token of the matching requests that arrived within `span`, in
+    /// seconds. Requests without a first token are left out.
     pub fn first_tokens(
         &self,
         span: (f64, f64),
@@ -23,7 +23,7 @@
         self.within(span).filter(|r| filter(r)).filter_map(|r| r.first_token).collect()
     }
 
-    /// A percentile of the time to the first token, in milliseconds.
+    /// Returns a percentile of the time to first token, in milliseconds.
     pub fn first_token(
         &self,
         span: (f64, f64),
@@ -33,7 +33,7 @@
         percentile(&mut self.first_tokens(span, filter), part)
     }
 
-    /// Records that come between two moments.
+    /// Returns the records of the requests that arrived within a span of seconds.
     pub fn within(&self, (from, to): (f64, f64)) -> impl Iterator<Item = &Record> {
         self.records.iter().filter(move |record| {
             let at = record.request.at.as_secs_f64();
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Work of the requests that ended between two moments, in tokens.
+    /// Returns the work, in tokens, of the matching requests that ended within a span of seconds.
     pub fn work(&self, (from, to): (f64, f64), filter: impl Fn(&Record) -> bool) -> f64 {
         let ended = self.records.iter().filter(|record| {
             let at = record.ended_after.map(|ended| (record.request.at + ended).as_secs_f64());
@@ -50,13 +50,13 @@
         ended.filter(|r| filter(r)).map(|r| r.request.cost.work() as f64).sum()
     }
 
-    /// Requests that were refused or failed for `reason`.
+    /// Returns the number of requests that were refused or failed for `reason`.
     pub fn count(&self, reason: Reason) -> usize {
         let reasons = self.records.iter().filter_map(|r| r.refusal.map(|(reason, _)| reason));
         reasons.filter(|r| *r == reason).count()
     }
 
-    /// Requests that were begun and did not end well.
+    /// Returns the number of requests that were started and did not complete.
     pub fn broken(&self) -> usize {
         self.records.iter().filter(|r| r.was_sent && r.ended_after.is_none()).count()
     }
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of engine models behind owners and nodes, on a clock of its own.
+//! A simulated fleet of engine models behind owners and nodes, with a simulated clock.
 
 use crate::flight::{Flight, Record, stream_id};
 use crate::load::Request;
@@ -15,26 +15,26 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Nodes, each with its own view of the targets.
+/// Number of nodes, each with its own view of the targets.
 pub(crate) const NODES: usize = 6;
-/// Between two exchanges of states, and two load reports.
+/// Intervals between exchanges of target states and between load reports.
 const EXCHANGE_INTERVAL_MS: u64 = 1_000;
 const REPORT_INTERVAL_MS: u64 = 250;
-/// Between two looks at a queue.
+/// Interval between polls of a queue.
 const POLL_INTERVAL_MS: u64 = 5;
-/// Attempts of a request.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 3;
-/// From the crash of an engine to its restart.
+/// Time from the crash of an engine to its restart.
 const RESTART_DELAY_MS: u64 = 5_000;
 
-/// What is done to the fleet.
+/// An event that affects the fleet.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// A zone takes no new work.
+    /// A zone stops accepting new work.
     ZoneOut(usize),
-    /// A zone's engines restart cold and take work.
+    /// The engines of a zone restart cold and accept work.
     ZoneBack(usize),
-    /// New shares.
+    /// The partners' shares change.
     Shares(&'static [(&'static str, f64)]),
 }
 
@@ -55,7 +55,7 @@
     pub(crate) view: Vec<(Candidate, bool)>,
 }
 
-/// The fleet under a policy.
+/// The fleet, run under a policy.
 pub struct Fleet<L, P> {
     options: Options,
     pub(crate) start: Instant,
@@ -65,12 +65,12 @@
     pub(crate) flights: Vec<Flight>,
     pub(crate) deadlines: BTreeSet<(Duration, usize)>,
     crashes: u32,
-    /// The last moment at which work was sent to a zone that was out.
+    /// When work was last sent to a zone that was out.
     pub(crate) late_send: Option<Duration>,
     pub(crate) out_zone: Option<(usize, Duration)>,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct Run {
     pub records: Vec<Record>,
     pub crashes: u32,
@@ -81,13 +81,13 @@
     Weights { model: "paint".into(), version: "1".into(), adapter: None }
 }
 
-/// An engine of today with the model loaded.
+/// Returns the options of an engine with the model loaded.
 pub fn options() -> Options {
     Options { loaded: vec![weights()], ..Options::default() }
 }
 
 impl<L: Limit, P: Place + Default> Fleet<L, P> {
-    /// `count` warm engines in three zones.
+    /// Creates `count` warm engines in three zones.
     pub fn new(count: usize, shares: &[(&str, f64)]) -> Self {
         let (options, start) = (options(), Instant::now());
         let shares: Vec<_> = shares.iter().map(|&(name, share)| (name.into(), share)).collect();
@@ -124,7 +124,7 @@
 
     /// Runs the load and the events until `until`.
     pub fn run(mut self, load: &[Request], events: &[(u64, Event)], until: u64) -> Run {
-        // Owners have known warm targets for a while.
+        // Let the owners complete the slow start of the warm targets first.
         for _ in 0..8 {
             (0..self.targets.len()).for_each(|t| self.report(t));
             self.start += Duration::from_secs(1);
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The target takes no new work; who waits goes elsewhere.
+    /// Stops new work on a target; its queued requests are placed elsewhere.
     fn stop_accepting(&mut self, target: usize) {
         let now = self.now();
         self.targets[target].is_accepting = false;
@@ -202,13 +202,13 @@
         t.engine = Engine::open(now, id::Incarnation(t.incarnation), cold);
         t.restart_at = None;
         t.is_accepting = true;
-        // The owner opens a target that is back only once its report shows
-        // the new incarnation.
+        // The owner accepts work on a restarted target only after its report shows the new
+        // incarnation.
         self.report(target);
         self.targets[target].limit.set_accepting(now, true);
     }
 
-    /// Each node takes in the owners' states once a second, in turn.
+    /// Updates each node's view of the targets once per second, in turn.
     fn refresh(&mut self) {
         for index in 0..NODES {
             let phase = index as u64 * EXCHANGE_INTERVAL_MS / NODES as u64;
@@ -347,8 +347,7 @@
         }
     }
 
-    /// Callers whose deadline is past are answered, and their streams
-    /// cancelled.
+    /// Refuses requests whose deadline has passed and cancels their streams.
     fn expire(&mut self) {
         let (now, elapsed) = (self.now(), self.elapsed());
         while let Some(&(at, index)) = self.deadlines.first().filter(|&&(at, _)| at <= elapsed) {
--- a/crates/policy/examples/experiment/flight.rs
+++ b/crates/policy/examples/experiment/flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the fleet, and how it went.
+//! A request in flight and its record.
 
 use crate::load::Request;
 use hickory_policy::limit::Ticket;
@@ -6,17 +6,17 @@
 use hickory_unit::id;
 use std::time::Duration;
 
-/// How a request went.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub request: Request,
-    /// Time to the first token.
+    /// Time to first token.
     pub first_token: Option<Duration>,
-    /// Time to the end.
+    /// Time from arrival to the end.
     pub ended_after: Option<Duration>,
-    /// The refusal and when it came.
+    /// Reason and time of the refusal.
     pub refusal: Option<(Reason, Duration)>,
-    /// Sent to a target, whatever came of it.
+    /// Whether it was sent to a target, regardless of the outcome.
     pub was_sent: bool,
 }
 
@@ -26,7 +26,7 @@
     pub(crate) ticket: Ticket,
     pub(crate) attempt: u32,
     pub(crate) tried_targets: Vec<usize>,
-    /// When the attempt was sent, and the time to its first token from then.
+    /// When the attempt was sent, and its time to first token from then on.
     pub(crate) sent: Duration,
     pub(crate) first_token: Option<Duration>,
 }
--- a/crates/policy/examples/experiment/load.rs
+++ b/crates/policy/examples/experiment/load.rs
@@ -1,4 +1,4 @@
-//! Seeded arrivals.
+//! Seeded request arrivals.
 
 use hickory_policy::cost::{Class, Cost};
 use hickory_unit::size;
@@ -9,36 +9,36 @@
 /// A request of the load.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When it comes, from the start.
+    /// Arrival time from the start.
     pub at: Duration,
     pub partner: &'static str,
     pub class: Class,
     pub cost: Cost,
-    /// Time until its deadline.
+    /// Time from arrival to the deadline.
     pub time_left: Duration,
 }
 
-/// A kind of request that comes at a rate.
+/// A kind of request that arrives at a rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
     pub partner: &'static str,
     pub class: Class,
-    /// Prompt tokens, from and to.
+    /// Minimum and maximum number of prompt tokens.
     pub prompt: (u64, u64),
     pub decode: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     pub time_left: Duration,
-    /// Arrivals between these times, in seconds.
+    /// Span of arrivals, in seconds.
     pub span_seconds: (f64, f64),
 }
 
-/// Poisson arrivals of all kinds, by time.
+/// Generates Poisson arrivals of all kinds, sorted by time.
 pub fn generate_arrivals(kinds: &[Kind], seed: u64) -> Vec<Request> {
     let mut requests = Vec::new();
     for (index, kind) in kinds.iter().enumerate() {
-        // Each kind has its own stream of numbers, so that the short requests
-        // are the same with and without long ones beside them.
+        // Each kind has its own random generator, so the short requests are the same with and
+        // without long ones.
         let mut random = SmallRng::seed_from_u64(seed ^ (index as u64) << 32);
         let mut at = kind.span_seconds.0;
         loop {
--- a/crates/policy/examples/experiment/main.rs
+++ b/crates/policy/examples/experiment/main.rs
@@ -1,5 +1,5 @@
-//! Experiments with the pure decisions and the engine cost model, against two
-//! baselines in the same run.
+//! Experiments with the decisions and the engine cost model, compared with two baselines in the
+//! same run.
 //!
 //! `cargo run --release -p hickory-policy --example experiment -- short --seed 1`
 
@@ -20,18 +20,18 @@
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// What is measured.
+/// The experiment to run.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Name {
     /// Slowdown of short requests beside long ones.
     Short,
-    /// Time to the first token by prompt length.
+    /// Time to first token by prompt length.
     Length,
     /// Share error by partner under saturation.
     Share,
-    /// Goodput at twice the load that the fleet bears.
+    /// Goodput at twice the load that the fleet can serve.
     Overload,
-    /// A zone leaves and returns cold.
+    /// A zone is taken out of service and returns cold.
     Zone,
 }
 
@@ -41,8 +41,8 @@
     name: Name,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Long prompts a second, for `short`; a half takes about a third of the
-    /// fleet's prefill.
+    /// Long prompts per second, for `short`; 0.5 uses about a third of the fleet's prefill
+    /// capacity.
     #[arg(long, default_value_t = 0.5)]
     long_rate: f64,
     /// Print JSON instead of a table.
@@ -76,7 +76,7 @@
     }
 }
 
-/// An experiment that any policy can be put through.
+/// An experiment that can be run with any policy.
 trait Experiment {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures;
 }
@@ -108,7 +108,7 @@
     Fleet::<L, P>::new(ENGINES, SHARES).run(load, events, until)
 }
 
-/// Short questions at a moderate rate for each engine.
+/// Short interactive questions at this rate per engine.
 fn questions(rate: f64, span: (f64, f64)) -> Kind {
     Kind {
         partner: "mawe",
@@ -121,7 +121,7 @@
     }
 }
 
-/// Reports that may wait, and must arrive.
+/// Batch reports that may wait but must complete.
 fn reports(rate: f64, prompt: (u64, u64), span: (f64, f64)) -> Kind {
     Kind {
         partner: "caucao",
@@ -142,13 +142,13 @@
     record.request.cost.is_long()
 }
 
-/// Short alone, long alone, both.
+/// Compares short requests alone, long requests alone, and both together.
 struct Short(u64, f64);
 
 impl Experiment for Short {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let span = (10.0, 100.0);
-        // The kind's place in the list seeds its arrivals.
+        // The index of a kind in the list seeds its arrivals.
         let short = questions(8.0, (0.0, 100.0));
         let long = reports(self.1, (60_000, 300_000), (0.0, 100.0));
         let never = |kind| Kind { span_seconds: (0.0, 0.0), ..kind };
@@ -167,7 +167,7 @@
         }
         put("long p95 alone ms", long_alone.first_token(span, 0.95, is_long));
         put("long p95 beside ms", both.first_token(span, 0.95, is_long));
-        // The same work, over the time until the last of it has ended.
+        // Throughput is the same work divided by the time until the last long request ended.
         let last = |run: &Run| {
             let long = run.records.iter().filter(|r| is_long(r));
             let ends = long.filter_map(|r| Some(r.request.at + r.ended_after?));
@@ -188,7 +188,7 @@
     run.records.iter().filter(|r| r.ended_after.is_some()).count()
 }
 
-/// One in fifty over a hundred thousand, as in the letter.
+/// A mix of prompt lengths in which about one request in 75 has 100,000 tokens or more.
 struct Length(u64);
 
 impl Experiment for Length {
@@ -222,8 +222,7 @@
     }
 }
 
-/// Both partners ask for more than the fleet bears; the shares change from
-/// 3:1 to 1:3 half-way.
+/// Both partners request more than the fleet can serve; the shares change from 3:1 to 1:3 half-way.
 struct Share(u64);
 
 impl Experiment for Share {
@@ -240,7 +239,7 @@
             let of_mawe = run.work(window, |r| r.request.partner == "mawe");
             (of_mawe / run.work(window, |_| true) - share).abs() * 100.0
         };
-        // A window in which nothing ended has no error: the figure is none.
+        // A window in which no request ended has no error; the figure is then missing.
         let most = |windows: &[f64], share| {
             let errors = windows.iter().map(|&from| error(from, share));
             errors.reduce(|a, b| if b > a || b.is_nan() { b } else { a }).unwrap_or(f64::NAN)
@@ -255,14 +254,14 @@
     }
 }
 
-/// Twice the load that the fleet bears, all with ten seconds of time.
+/// Twice the load that the fleet can serve, all with ten seconds until the deadline.
 struct Overload(u64);
 
 impl Experiment for Overload {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let (span, window) = ((0.0, 60.0), (10.0, 60.0));
         let kind = |rate| Kind { rate, time_left: Duration::from_secs(10), ..questions(0.0, span) };
-        // What the engines do where all that comes waits in them: capacity.
+        // Capacity: the engines' throughput when all requests wait inside them.
         let patient = Kind { time_left: MINUTE * 10, ..kind(700.0) };
         let full = run::<Fifo, RoundRobin>(&generate_arrivals(&[patient], self.0), &[], 60_000);
         let capacity = full.work(window, |_| true);
@@ -283,8 +282,8 @@
     }
 }
 
-/// A zone of three leaves at 30 s and returns cold at 60 s, at a load that
-/// two zones bear.
+/// One of three zones is taken out at 30 s and returns cold at 60 s, at a load that two zones can
+/// serve.
 struct Zone(u64);
 
 impl Experiment for Zone {
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -1,4 +1,4 @@
-//! Requests that the fleet takes in: placed, sent to an engine, refused.
+//! Placement of requests: choosing a target, sending to its engine, or refusing.
 
 use crate::fleet::{Fleet, NODES, weights};
 use crate::flight::{Flight, Record, stream_id};
@@ -11,7 +11,7 @@
 use hickory_target::engine::Priority;
 use std::time::Duration;
 
-/// Targets that a node asks for one attempt.
+/// Maximum number of targets asked for a permit per attempt.
 const MAX_PERMIT_REQUESTS: usize = 4;
 
 impl<L: Limit, P: Place + Default> Fleet<L, P> {
@@ -37,12 +37,12 @@
         self.place(index);
     }
 
-    /// Chooses targets for a request until one takes it or queues it.
+    /// Requests permits from chosen targets until one grants or queues the request.
     pub(crate) fn place(&mut self, index: usize) {
         let mut reason = Reason::NoTarget;
         let (mut requests, mut full) = (0, Vec::new());
         while requests < MAX_PERMIT_REQUESTS {
-            // Who was asked for an answer at once may queue the ask now.
+            // Targets that refused an urgent request may queue it now.
             if requests >= ASKS_AT_ONCE {
                 full.clear();
             }
@@ -143,7 +143,7 @@
             crash: false,
         };
         t.running.insert(index);
-        // A refusal shows in the engine's state, which the next look finds.
+        // A refusal shows in the engine's state, which is read in the next step.
         let _ = t.engine.begin(now, job);
     }
 
--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -1,5 +1,5 @@
-//! How long a configuration takes to spread over a fleet, and what is sent for
-//! it: everybody asks at once, or givers take turns.
+//! Measures how long a configuration takes to spread over a fleet and how many bytes are sent, with
+//! and without the limits of `spread`.
 //!
 //! `cargo run --release -p hickory-policy --example spread -- --seeds 10`
 
@@ -10,16 +10,16 @@
 use model::case::{Case, Outcome, Policy};
 use std::time::Duration;
 
-/// Bytes of the configurations.
+/// Sizes of the configurations in bytes.
 const SIZES: [u64; 4] = [10_000, 60_000, 270_000, 1_000_000];
 
-/// Nodes of the fleets.
+/// Numbers of nodes of the fleets.
 const NODES: [usize; 5] = [9, 30, 80, 300, 380];
 
-/// Measures how configurations spread.
+/// Measures how configurations spread over a fleet.
 #[derive(Parser)]
 struct Options {
-    /// Seeds to play, from 1.
+    /// Number of seeds to replay, starting from 1.
     #[arg(long, default_value_t = 10)]
     seeds: u64,
 }
@@ -40,12 +40,12 @@
             println!();
         }
     }
-    println!("last, 0.9: seconds until the last node and 0.9 of them have it (- not within");
+    println!("last, 0.9: seconds until all and 0.9 of the nodes have it (-: not within");
     println!(
-        "{} s for some seed); sent: bytes for each that had to be;",
+        "{} s for some seed); sent: bytes sent per byte needed;",
         model::MAX_REPLAY_TIME.as_secs()
     );
-    println!("most: answers on one link; busy: answers for each taker.");
+    println!("most: concurrent answers on one link; busy: busy answers per requester.");
 }
 
 fn print_row(case: &Case, policy: Policy, outcomes: &[Outcome]) {
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The owner's limit on a target, seen from callers.
+//! Tests of the admission control of one target.
 
 mod common;
 
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A target with four slots, bound by slots and not by prefill.
+/// A target with four slots, limited by its slots and not by its prefill rate.
 const NARROW: Capacity =
     Capacity { streams: 4, kv: size::Tokens(450_000), prefill_rate: 4_000_000 };
 
-/// Two owners that can't see each other grant on the same target, both with
-/// an unconfirmed lease. Together they must stay within what it bears, also
-/// where the bound is odd.
+/// Guards against overload by two owners that can't see each other and grant permits for the same
+/// target, both without a confirmed lease. Together they must stay within the limit, including an
+/// odd one.
 #[test]
 fn owner_without_confirmed_lease_uses_half_the_limit() {
     for streams in [1, 2, 5, 64] {
@@ -37,9 +37,9 @@
     }
 }
 
-/// A node takes over from an owner that is paused, not dead. Permits that the
-/// paused owner granted last may still be used for one permit life, so the
-/// new owner grants nothing before, and the asks that wait get theirs then.
+/// Guards against a takeover while the former owner is paused but not dead. Permits that it granted
+/// last may be used for one permit lifetime, so the new owner must grant nothing before that;
+/// queued requests get their permits then.
 #[test]
 fn new_owner_waits_one_permit_lifetime() {
     let now = Instant::now();
@@ -49,8 +49,8 @@
     assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waiting]);
 }
 
-/// The load report shows streams that a former owner granted. They run on,
-/// and count against the bound until they are gone.
+/// Streams granted by a former owner appear in the load report. They must count against the limit
+/// until they end.
 #[test]
 fn streams_of_a_former_owner_count() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -64,8 +64,8 @@
     assert_eq!(granted(&mut limiter, now + ms(10)), [waiting]);
 }
 
-/// The outcome of a stream never reaches the owner: its node died. The room
-/// comes back at the deadline and grace, not earlier and not never.
+/// Guards against capacity that is lost forever when the node that would report the outcome dies.
+/// The permit must expire at the deadline plus the grace time, and not before.
 #[test]
 fn permit_without_outcome_expires() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -78,9 +78,8 @@
     assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waiting]);
 }
 
-/// A suspect of a crash asks to run alone beside a busy target. It must run
-/// beside no other stream, neither those before nor those after it, and the
-/// innocent asks behind it go on when it has ended.
+/// A suspect requests exclusive use of a busy target. No other stream may run beside it, neither
+/// earlier nor later ones, and the requests queued behind it must continue after it.
 #[test]
 fn exclusive_request_runs_alone() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -90,7 +89,11 @@
     );
     let now = now + ms(1_500);
     let behind = ticket(limiter.request_permit(now, ask(now, "caucao", 10)));
-    assert_eq!(granted(&mut limiter, now), [], "the suspect has waited long enough");
+    assert_eq!(
+        granted(&mut limiter, now),
+        [],
+        "the suspect has waited long enough to block other grants"
+    );
     limiter.cancel(first);
     assert_eq!(granted(&mut limiter, now), [suspect]);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
@@ -98,10 +101,10 @@
     assert_eq!(granted(&mut limiter, now + ms(100)), [behind]);
 }
 
-/// A suspect kills the target that it runs on, and its node tells before the
-/// owner has seen the death. The innocent suspect behind it must get no permit
-/// for a dead target, or it counts as having run on it; a new ask goes
-/// elsewhere at once. The next load report shows that the target lives.
+/// A suspect kills its target, and its node reports the failure before the owner sees the death.
+/// The innocent suspect queued behind it must get no permit for the dead target, or the death would
+/// count against it, and new requests must be refused immediately so that they can go elsewhere.
+/// The next load report proves that the target is alive.
 #[test]
 fn no_permit_is_granted_after_a_death_until_the_next_load_report() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -120,9 +123,9 @@
     assert_eq!(granted(&mut limiter, now + ms(200)), [innocent]);
 }
 
-/// Operators take the zone out while asks wait here: all of them are answered
-/// at once, so that their nodes can go to another zone, nothing new is taken,
-/// and when the zone is back the target serves again.
+/// A zone is taken out of service while requests are queued. All of them must be refused
+/// immediately so that their nodes can use another zone, new ones too, and the target must serve
+/// again when the zone is back.
 #[test]
 fn target_that_stops_accepting_refuses_its_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -132,16 +135,16 @@
     assert_eq!(refused, tickets[4..].iter().map(|&t| (t, Reason::NoTarget)).collect::<Vec<_>>());
     let answer = limiter.request_permit(now, ask(now, "mawe", 10));
     assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
-    assert_eq!(limiter.running(), 4, "what runs is not cut");
+    assert_eq!(limiter.running(), 4, "running streams are not cancelled");
     tickets[..4].iter().for_each(|&t| limiter.cancel(t));
     assert_eq!(granted(&mut limiter, now), []);
     limiter.set_accepting(now, true);
     assert!(matches!(limiter.request_permit(now, ask(now, "mawe", 10)), Answer::Granted(_)));
 }
 
-/// At about twice the load the target bears, callers with 3 s of time are
-/// refused when they ask, not after they waited, and are told how long to
-/// stay away; the target stays busy all the while.
+/// At about twice the load that the target can serve, requests with 3 s until their deadline must
+/// be refused on arrival with a retry delay, not after waiting in the queue, and the target must
+/// stay busy.
 #[test]
 fn request_that_would_miss_its_deadline_is_refused_immediately() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
@@ -149,7 +152,7 @@
     let (mut late, mut early, mut completed) = (0, 0, 0);
     for _ in 0..4_000 {
         now += ms(5);
-        // 60,000 prompt tokens a second, where the engine has 30,000.
+        // 60,000 prompt tokens per second arrive; the engine can prefill about 30,000.
         let request = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
         match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
@@ -172,14 +175,14 @@
             completed += 1;
         }
     }
-    assert!(early > 1_000 && late * 20 <= early, "{late} late beside {early} early");
-    assert!(completed > 1_800, "{completed} of 2,000 that 20 s had room for");
+    assert!(early > 1_000 && late * 20 <= early, "{late} refused late, {early} refused early");
+    assert!(completed > 1_800, "{completed} completed; the target can serve 2,000 in 20 s");
 }
 
-/// Two partners ask for three times what the target bears, with 30 s of time;
-/// then the greater share is cut from 3:1 to 1:3. Asks that waited under the
-/// old share are refused within about a second, not at their deadlines, what
-/// is granted still ends in time, and each partner gets its share of it.
+/// Two partners request three times what the target can serve, with 30 s until the deadline; then
+/// their shares change from 3:1 to 1:3. Queued requests that became late must be refused within
+/// about a second and not at their deadlines, granted work must finish in time, and each partner
+/// must get its new share.
 #[test]
 fn reduced_share_refuses_requests_that_became_late() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
@@ -217,7 +220,7 @@
         // Each answer takes 5 s on a full target.
         for (at, t) in running.extract_if(.., |(at, _)| now >= *at + ms(5_000)) {
             let request = &requests[&t];
-            assert!(step < 3_000 || at + ms(5_000) <= request.deadline, "cut off half done");
+            assert!(step < 3_000 || at + ms(5_000) <= request.deadline, "cut off before its end");
             limiter.complete(now, t, Outcome::Completed(None));
             if step > 8_000 {
                 *completed.entry(request.partner.to_string()).or_default() +=
@@ -230,9 +233,8 @@
     assert!((part - 0.25).abs() < 0.02, "{part}");
 }
 
-/// The target decodes five times as slowly as was thought when an ask came.
-/// By the time its turn comes, that is known: it is refused then, instead of
-/// being begun and cut off half done.
+/// The target decodes five times more slowly than estimated when a request arrived. By the time of
+/// its turn the pace is known, so it must be refused rather than started and cut off.
 #[test]
 fn request_made_late_by_a_slower_pace_is_not_started() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -241,7 +243,7 @@
         (0..4).map(|_| ticket(limiter.request_permit(now, slow.clone()))).collect();
     let waiting = PermitRequest { deadline: now + ms(6_000), ..slow };
     let Answer::Queued(waiting) = limiter.request_permit(now, waiting) else {
-        panic!("no slot is free")
+        panic!("expected the request to be queued: no slot is free")
     };
     let now = now + ms(4_800);
     for t in running {
@@ -250,8 +252,8 @@
     assert_eq!(limiter.poll(now), [(waiting, Err(Reason::Overloaded))]);
 }
 
-/// One partner fills the queue. The other is still let in up to its part, and
-/// an urgent ask is never queued.
+/// One partner fills the queue. The other must still be admitted up to its share, and an urgent
+/// request must never be queued.
 #[test]
 fn flooding_partner_does_not_keep_others_out_of_the_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -265,9 +267,9 @@
     assert_eq!(limiter.waiting(), 101);
 }
 
-/// Reports of 90,000 tokens fill what they may of an engine, and batch work
-/// its slots; a person's question of a thousand tokens finds a slot, memory
-/// and prefill at once.
+/// Guards against bulk work that takes the whole engine: reports of 90,000 tokens or batch work use
+/// as much as they may, and a short interactive question must still find a slot, memory and prefill
+/// capacity immediately.
 #[test]
 fn bulk_work_leaves_capacity_for_short_requests() {
     for (size, running) in [(90_000, 4), (600, 56)] {
@@ -279,7 +281,7 @@
         for _ in 1..100 {
             limiter.request_permit(start, PermitRequest { deadline, ..batch(start, "mawe", size) });
         }
-        // A long prefill takes 3 s here, and ends when its first token comes.
+        // A long prefill takes 3 s here and ends with the first token.
         let mut prefills = vec![(start + ms(3_000), ticket(first))];
         for _ in 0..600 {
             now += ms(50);
@@ -293,9 +295,9 @@
     }
 }
 
-/// Short work keeps all memory busy: one ends and one comes every 25 ms. A
-/// long ask would never find its memory free at one moment; after a while
-/// room is held for it, and the short ones still run in the headroom.
+/// Guards against starvation of long requests. Short work keeps the memory full, with one request
+/// ending and one arriving every 25 ms, so a long request never finds its memory free. After a
+/// while capacity must be held for it, while short requests still run in the headroom.
 #[test]
 fn long_request_gets_capacity_under_short_load() {
     let capacity = Capacity { kv: size::Tokens(100_000), streams: 64, ..NARROW };
@@ -304,13 +306,13 @@
     let mut running: std::collections::VecDeque<_> =
         (0..41).map(|_| ticket(limiter.request_permit(now, short(now)))).collect();
     let Answer::Queued(long) = limiter.request_permit(now, ask(now, "mawe", 60_000)) else {
-        panic!("the memory is full")
+        panic!("expected the request to be queued: the memory is full")
     };
     let requested_at = now;
     let mut short_runs = 0;
     loop {
         now += ms(25);
-        assert!(now < requested_at + ms(5_000), "the long ask starved");
+        assert!(now < requested_at + ms(5_000), "the long request starved");
         limiter.request_permit(now, short(now));
         let got = granted(&mut limiter, now);
         if got.contains(&long) {
@@ -325,8 +327,8 @@
     assert!(short_runs > 30);
 }
 
-/// One target is slow: it takes four times as long as it reports. Asks that
-/// could not end in time are refused by what was measured, not by the report.
+/// One target takes four times as long as it reports. Requests that could not finish in time must
+/// be refused by the measured pace, not by the reported one.
 #[test]
 fn slow_target_refuses_by_its_measured_pace() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
@@ -347,11 +349,11 @@
                 Err(_) => late += 1,
             }
         }
-        // 64 slots of 2 s each: 32 a second where 100 arrive.
+        // 64 slots of 2 s each serve 32 requests per second; 100 arrive.
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(2_000)).count();
         for (_, t) in running.drain(..ended) {
             limiter.complete(now, t, Outcome::Completed(None));
         }
     }
-    assert!(refused > 0 && late * 10 <= refused, "{late} late beside {refused} refused");
+    assert!(refused > 0 && late * 10 <= refused, "{late} refused late, {refused} refused early");
 }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is alive, as hundreds of nodes find out by gossip.
+//! Tests of failure detection by gossip in simulated fleets of up to hundreds of nodes.
 
 mod network;
 
@@ -7,8 +7,8 @@
 
 const FLEET_SIZES: [usize; 4] = [2, 9, 79, 195];
 
-/// How long a node may name a dead one to callers: six seconds, of which callers keep
-/// an answer for one.
+/// A node may name a dead node to callers for at most six seconds; callers cache an answer for one
+/// of them.
 const MAX_DETECTION_TIME: Duration = Duration::from_secs(5);
 
 fn ms(ms: u64) -> Duration {
@@ -26,8 +26,8 @@
     network
 }
 
-/// Guards against callers who are sent to a part of the nodes only, since not all
-/// know each other when the first callers come.
+/// Guards against callers that are sent to only a part of the nodes because some nodes don't know
+/// all others yet when the first callers arrive.
 #[test]
 fn nodes_that_start_together_know_each_other_within_seconds() {
     for nodes in FLEET_SIZES {
@@ -38,7 +38,7 @@
     start_network(380, 1);
 }
 
-/// Guards against callers who are sent to dead nodes for long, where many die at once.
+/// Guards against callers that are sent to dead nodes for long after many died at once.
 #[test]
 fn the_death_of_a_third_is_noticed_by_all() {
     for nodes in FLEET_SIZES {
@@ -47,13 +47,21 @@
             (0..nodes).filter(|node| node % 3 == 1).for_each(|node| network.kill(node));
             let noticed =
                 network.run_until(MAX_DETECTION_TIME, |network| network.mistaken_pairs() == 0);
-            assert!(noticed.is_ok(), "{nodes}, seed {seed}: {} pairs", network.mistaken_pairs());
-            assert_eq!(network.lost_pairs(), 0, "{nodes} nodes, seed {seed}: living ones lost");
+            assert!(
+                noticed.is_ok(),
+                "{nodes} nodes, seed {seed}: {} dead nodes considered alive",
+                network.mistaken_pairs()
+            );
+            assert_eq!(
+                network.lost_pairs(),
+                0,
+                "{nodes} nodes, seed {seed}: running nodes declared dead"
+            );
         }
     }
 }
 
-/// Guards against nodes that are taken for dead on links that lose packets.
+/// Guards against nodes that are declared dead because of packet loss.
 #[test]
 fn packet_loss_declares_no_node_dead() {
     for nodes in FLEET_SIZES {
@@ -69,37 +77,40 @@
     }
 }
 
-/// Guards against a suspended node that stays lost after it wakes, or that takes all
-/// others for dead since they were silent while it slept.
+/// Guards against a suspended node that stays lost after it resumes, or that declares all others
+/// dead because they were silent during its suspension.
 #[test]
 fn a_suspended_node_is_noticed_and_rejoins() {
     for nodes in FLEET_SIZES {
         let mut network = start_network(nodes, 1);
         network.suspend(1, secs(6));
         network.run_for(secs(5));
-        assert!(network.unknown_pairs() >= nodes - 1, "{nodes} nodes: it is named all the while");
+        assert!(
+            network.unknown_pairs() >= nodes - 1,
+            "{nodes} nodes: the suspended node is still considered alive"
+        );
         network.run_for(ms(1_050));
         let known = network.run_until(secs(2), |network| network.unknown_pairs() == 0);
         assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
     }
 }
 
-/// Guards against a fleet that stays in two parts after a partition.
+/// Guards against a fleet that stays split after a partition.
 #[test]
 fn the_sides_of_a_partition_rejoin() {
     for nodes in FLEET_SIZES {
         let mut network = start_network(nodes, 1);
         network.partition_boundary = nodes / 3 + 1;
         network.run_for(secs(10));
-        assert!(network.lost_pairs() > 0, "{nodes} nodes: the cut was noticed");
+        assert!(network.lost_pairs() > 0, "{nodes} nodes: the partition was not noticed");
         network.partition_boundary = 0;
         let known = network.run_until(secs(5), |network| network.unknown_pairs() == 0);
         assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
     }
 }
 
-/// Guards against nodes that are held for dead after a restart, also those whose
-/// clock stepped back, so that their start looks older than the one before.
+/// Guards against nodes that are considered dead after a restart, including those whose clock
+/// stepped back, so that their new incarnation looks older than the one before.
 #[test]
 fn restarted_nodes_are_known_again() {
     for nodes in FLEET_SIZES {
@@ -109,7 +120,7 @@
         (0..nodes).for_each(|node| network.restart(node, if node % 2 == 0 { 2 } else { 0 }));
         let known = network.run_until(secs(3), |network| network.unknown_pairs() == 0);
         assert!(known.is_ok(), "{nodes} nodes: {} pairs unknown", network.unknown_pairs());
-        // One after the other, beside nodes that remember it.
+        // Restarts one by one, beside nodes that remember the old incarnation.
         for node in 0..nodes.min(9) {
             network.kill(node);
             network.run_for(ms(700));
@@ -134,10 +145,10 @@
     let [(small_rate, few_records), (large_rate, many_records)] = rates;
     assert!(
         large_rate <= small_rate * 1.1,
-        "{small_rate:.1} and {large_rate:.1} datagrams a second"
+        "{small_rate:.1} and {large_rate:.1} datagrams per second"
     );
     assert!(
         few_records < 1.0 && many_records < 1.0,
-        "{few_records:.2} and {many_records:.2} records a second in calm"
+        "{few_records:.2} and {many_records:.2} records per second without changes"
     );
 }
--- a/crates/policy/tests/network/mod.rs
+++ b/crates/policy/tests/network/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated network of nodes that keep their tables of members.
+//! A simulated network of nodes that run the membership protocol.
 
 use hickory_policy::gossip::{Message, Outgoing};
 use hickory_policy::member::{Capacity, Contact, Record, State};
@@ -11,13 +11,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// The time between news and its being pushed.
+/// Delay between a change and its push.
 const PUSH_DELAY: Duration = Duration::from_millis(10);
 
-/// One way between two nodes.
+/// One-way delay between two nodes, in seconds.
 const LINK_DELAY: std::ops::Range<f64> = 0.0002..0.003;
 
-/// The nodes that the others know at their start.
+/// Number of seed nodes that are known to the others at start.
 const SEEDS: usize = 3;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
 struct Node {
     membership: Membership,
     is_running: bool,
-    /// What it does is put off until then.
+    /// Events of the node are postponed until this time.
     suspended_until: Duration,
     is_push_due: bool,
     starts: u64,
@@ -50,13 +50,13 @@
     datagrams: Vec<Option<Datagram>>,
     event_count: u64,
     random: StdRng,
-    /// Part of the datagrams that is lost.
+    /// Fraction of datagrams lost.
     pub loss_rate: f64,
-    /// Nodes below this number and the others don't reach each other.
+    /// Nodes below this index are cut off from the others.
     pub partition_boundary: usize,
-    /// Datagrams that were sent.
+    /// Number of datagrams sent.
     pub datagrams_sent: u64,
-    /// Records in them.
+    /// Number of records in these datagrams.
     pub records_sent: u64,
 }
 
@@ -71,12 +71,12 @@
 fn index_of(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(address) => (u32::from(*address.ip()) - 0x0a00_0000) as usize,
-        SocketAddr::V6(_) => unreachable!("nodes have addresses of version 4"),
+        SocketAddr::V6(_) => unreachable!("nodes have IPv4 addresses"),
     }
 }
 
 impl Network {
-    /// Nodes that start within 0.3 s of each other.
+    /// Starts nodes within 0.3 s of each other.
     pub fn start(nodes: usize, seed: u64) -> Self {
         let origin = Instant::now() + Duration::from_secs(3_600);
         let mut network = Self {
@@ -138,7 +138,8 @@
         self.nodes[node].is_running = false;
     }
 
-    /// Starts a node anew whose clock is off by some time since its last start.
+    /// Restarts a node with this incarnation, which can be lower than the last one after a clock
+    /// step.
     pub fn restart(&mut self, node: usize, incarnation: u64) {
         self.nodes[node].membership = self.new_membership(node, incarnation);
         self.nodes[node].is_running = true;
@@ -146,7 +147,7 @@
         self.schedule(self.now, Event::Tick(node));
     }
 
-    /// Suspends a node; what it is sent meanwhile waits.
+    /// Suspends a node; its incoming datagrams wait.
     pub fn suspend(&mut self, node: usize, time: Duration) {
         self.nodes[node].suspended_until = self.now + time;
     }
@@ -222,7 +223,7 @@
         self.nodes.iter().filter(|node| node.is_running)
     }
 
-    /// Pairs of running nodes of which the first doesn't hold the second for alive.
+    /// Counts the pairs of running nodes in which the first does not consider the second alive.
     pub fn unknown_pairs(&self) -> usize {
         let running = self.running().count();
         let is_running =
@@ -231,14 +232,14 @@
         running * (running - 1) - self.running().map(known).sum::<usize>()
     }
 
-    /// Pairs of which the first is running and holds the second for alive, which is not.
+    /// Counts the pairs in which a running node considers a stopped one alive.
     pub fn mistaken_pairs(&self) -> usize {
         let is_stopped =
             |record: &&Record| !self.nodes[index_of(record.contact.peer_address)].is_running;
         self.running().map(|node| node.membership.alive().filter(is_stopped).count()).sum()
     }
 
-    /// Pairs of running nodes of which the first holds the second for dead.
+    /// Counts the pairs of running nodes in which the first considers the second dead.
     pub fn lost_pairs(&self) -> usize {
         let is_lost = |observer: &&Node, node: &Node| {
             let record = observer.membership.get(&node.membership.own_record().node);
@@ -248,7 +249,7 @@
         self.running().map(lost).sum()
     }
 
-    /// Runs until a condition holds; the time that it took.
+    /// Runs until a condition holds, for at most `max_time`; returns the elapsed time.
     pub fn run_until(
         &mut self,
         max_time: Duration,
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -1,4 +1,4 @@
-//! Requests that crash what runs them.
+//! Tests of the quarantine of requests that crash their targets.
 
 mod common;
 
@@ -10,9 +10,9 @@
 
 const POISON: u64 = 7;
 
-/// A request crashes the engine that runs it beside thirty others, and is
-/// sent again without end. It runs once more, alone, and is refused from then
-/// on; the thirty run again alone and are cleared. Two engines are lost.
+/// A request crashes the engine that runs it beside thirty others and is resent forever. It may run
+/// once more, alone, and must be refused from then on; the others run again alone and are cleared.
+/// Only two engines are lost.
 #[test]
 fn poison_kills_two_engines_and_no_innocent_request() {
     let mut now = Instant::now();
@@ -23,10 +23,16 @@
         for fingerprint in 0..31 {
             now += ms(10);
             match suspects.verdict(now, fingerprint) {
-                Verdict::Clear => assert_ne!(fingerprint, POISON, "it ran beside others"),
+                Verdict::Clear => {
+                    assert_ne!(fingerprint, POISON, "it was allowed to run beside others")
+                }
                 Verdict::RunAlone if fingerprint == POISON => {
                     suspects.begin_trial(fingerprint, now + ms(60_000));
-                    assert_eq!(suspects.verdict(now, fingerprint), Verdict::Wait, "a second copy");
+                    assert_eq!(
+                        suspects.verdict(now, fingerprint),
+                        Verdict::Wait,
+                        "a second copy must wait"
+                    );
                     suspects.record_death(now, [fingerprint]);
                     deaths += 1;
                 }
@@ -34,18 +40,18 @@
                     suspects.begin_trial(fingerprint, now + ms(60_000));
                     suspects.record_success(now, fingerprint);
                 }
-                Verdict::Wait => panic!("no trial runs"),
+                Verdict::Wait => panic!("no trial is running"),
                 Verdict::Quarantined => assert_eq!(fingerprint, POISON),
             }
         }
     }
     assert_eq!(deaths, 2);
     assert_eq!(suspects.verdict(now, POISON), Verdict::Quarantined);
-    assert_eq!(suspects.verdict(now + RETENTION, POISON), Verdict::Clear, "it expires");
+    assert_eq!(suspects.verdict(now + RETENTION, POISON), Verdict::Clear, "the quarantine expires");
 }
 
-/// The node that ran the trial dies with it: the suspect isn't held for ever,
-/// and runs alone again after the trial's deadline.
+/// The node that ran the trial dies during it. The suspect must not be blocked forever: it may run
+/// alone again after the trial's deadline.
 #[test]
 fn lost_trial_ends_at_its_deadline() {
     let now = Instant::now();
@@ -59,9 +65,9 @@
     assert_eq!(suspects.verdict(now + ms(600), POISON), Verdict::RunAlone);
 }
 
-/// Words of other nodes come late and in any order: a clearing does not lift
-/// a quarantine, an old suspicion does not come back after a clearing, and a
-/// quarantine reaches nodes that saw no death.
+/// Statements of other nodes arrive late and in any order. A clearing must not lift a quarantine,
+/// an old suspicion must not return after a clearing, and a quarantine must reach nodes that saw no
+/// death.
 #[test]
 fn suspects_from_other_nodes_are_merged_in_any_order() {
     let now = Instant::now() + ms(10_000_000);
@@ -79,8 +85,8 @@
     assert_eq!(suspects.snapshot(now), statement(2, 3_000));
 }
 
-/// Many engines die of other causes: memory stays bounded, and quarantines
-/// are the last to go.
+/// Many engines die of other causes. Memory must stay bounded, and quarantined fingerprints are
+/// evicted last.
 #[test]
 fn memory_is_bounded() {
     let mut now = Instant::now();
@@ -97,8 +103,8 @@
 }
 
 proptest! {
-    /// Nodes that exchange what they know, in any order, agree at last, and a
-    /// fingerprint that any of them saw at two deaths is quarantined on all.
+    /// Nodes that exchange their suspects in any order must end up with equal verdicts, and a
+    /// fingerprint that any of them quarantined must be quarantined on all.
     #[test]
     fn exchanging_nodes_converge(ops in prop::collection::vec((0usize..3, 0u64..4, 0u8..4), 1..60)) {
         let mut now = Instant::now();
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -1,4 +1,4 @@
-//! Slow start: a cold target's bound, seen from callers that send all at once.
+//! Tests of the slow start of a cold target.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use hickory_policy::ramp::{COLD_STREAM_LIMIT, ColdCause, Ramp};
 use std::time::{Duration, Instant};
 
-/// Callers of all nodes send 200 requests at a target that has just started.
-/// It bears the part of its streams that it reports as warmth, 10 points
-/// more each second. Without the ramp all 64 would arrive at once, it would
-/// fall over, and every one of them would fail.
+/// Callers of all nodes send 200 requests to a target that has just started. It can run the
+/// fraction of its streams given by its reported warmth, which grows by 10 points per second.
+/// Without the ramp all 64 slots would fill at once, and the overloaded target would fail all of
+/// them.
 #[test]
 fn burst_on_cold_target_stays_within_reported_warmth() {
     let mut now = Instant::now();
@@ -42,9 +42,8 @@
     assert_eq!((completed, limiter.waiting()), (200, 0));
 }
 
-/// A new owner takes over a target that has been warm for long: it opens half
-/// of what the target reports at once, so that a change of owner costs
-/// callers no more than that, and the rest within seconds.
+/// A new owner takes over a target that has long been warm. It must allow half of the reported
+/// streams immediately and the rest within seconds, to limit the cost of a change of owner.
 #[test]
 fn new_owner_of_warm_target_starts_at_half_the_limit() {
     let now = Instant::now();
@@ -55,8 +54,8 @@
     assert_eq!(ramp.stream_limit(), 64);
 }
 
-/// A warm target restarts between two reports, or loses its warmth within
-/// the same incarnation: callers must not meet it with the full bound.
+/// A warm target restarts between two reports, or loses its warmth within an incarnation. It must
+/// not be used up to the full limit.
 #[test]
 fn restart_or_warmth_drop_restarts_the_ramp() {
     for (next, cold) in
@@ -71,8 +70,8 @@
     }
 }
 
-/// The report still says warm, but first tokens take ten times as long: the
-/// third in a row closes the bound; one late token alone does not.
+/// The report still shows a warm target, but first tokens take ten times as long. The third late
+/// token in a row must reduce the limit; a single one must not.
 #[test]
 fn late_first_tokens_restart_the_ramp() {
     let now = Instant::now();
@@ -85,8 +84,8 @@
     assert_eq!(ramp.stream_limit(), 8);
 }
 
-/// The prefix cache served half of the tokens and now serves none: the
-/// engine lost it. Gaps in the counters (small samples) decide nothing.
+/// The prefix cache served half of the tokens and now serves none, so the engine has lost it.
+/// Samples that are too small must not lead to a decision.
 #[test]
 fn emptied_prefix_cache_restarts_the_ramp() {
     let mut now = Instant::now();
@@ -106,8 +105,8 @@
     assert_eq!(ramp.stream_limit(), 16);
 }
 
-/// A failure halves the bound. The target then reports that it is cold: the
-/// bound starts over, and with time alone it never passes the reported part.
+/// A failure halves the limit. When the target then reports that it is cold, the slow start begins
+/// again, and time alone must not raise the limit above the reported warmth.
 #[test]
 fn failure_halves_the_limit() {
     let (now, mut limiter) = warm(Instant::now(), common::CAPACITY);
--- a/crates/policy/tests/resume.rs
+++ b/crates/policy/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that broke off beside busy engines.
+//! Tests of resuming interrupted streams on busy engines.
 
 mod profile;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// Guards against streams that are given up while all engines are busy for a moment: what
-/// was left of the goal for their first token is no measure for them.
+/// Guards against giving up interrupted streams while all engines are busy for a moment, because
+/// the goal for their first token has already passed.
 #[test]
 fn interrupted_streams_wait_for_busy_engines() {
     let profile = profile();
@@ -37,7 +37,7 @@
     for (prompt, gap, load) in [(5_000, ms(250), full), (154_000, ms(1_000), reading)] {
         let loads = vec![load; 8];
         let choose = |goal| plan::choose_engines(&query(prompt, goal), &profile, &loads);
-        assert!(choose(Duration::ZERO).is_err(), "{prompt}: the goal is gone");
+        assert!(choose(Duration::ZERO).is_err(), "{prompt}: the goal has already passed");
         let choice = choose(max_pause(gap));
         assert!(matches!(choice, Ok(Choice::Wait(_))), "{prompt}: {choice:?}");
     }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and their budget.
+//! Tests of retries and retry budgets.
 
 use hickory_policy::refuse::{Ran, RetryReason};
 use hickory_policy::retry::{
@@ -6,9 +6,9 @@
     decide,
 };
 
-/// Each way to fail against work that may and may not be repeated: an order
-/// is never sent again once a byte of it may have been seen, and the refusal
-/// never says "not run" then.
+/// Covers each kind of failure of work that may and may not be repeated. Non-idempotent work must
+/// never be sent again once the target may have received a byte of it, and its refusal must not
+/// claim that it did not run.
 #[test]
 fn retry_decision_by_failure_and_idempotency() {
     use Failure::{NeverBegun, NotSent, Stalled, Unknown};
@@ -28,9 +28,8 @@
     assert_eq!(decide(Unknown, true, MAX_ATTEMPTS - 1), Verdict::Stop(Ran::Unknown));
 }
 
-/// Every attempt of an account fails for a while: the load stays under one
-/// and a fifth of what the account sends, whatever it had saved, and another
-/// account's budget is untouched.
+/// All attempts of an account fail for a while. The retries must add at most a fifth to its load,
+/// beyond the saved ones, and another account's budget must stay untouched.
 #[test]
 fn failing_account_adds_at_most_a_fifth_of_load() {
     let mut budget = Budget::new();
@@ -43,7 +42,7 @@
     assert!(f64::from(retries) <= 10_000.0 * RETRIES_PER_REQUEST + MAX_SAVED_RETRIES);
     assert!(budget.try_spend(&school));
     budget.retain(|account| *account == school);
-    assert!(budget.try_spend(&shop), "an account that comes back starts anew");
+    assert!(budget.try_spend(&shop), "a removed account starts with a full budget");
 }
 
 #[test]
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -1,13 +1,12 @@
-//! The shares of common bounds.
+//! Tests of a node's share of a fleet-wide limit on repeats.
 
 use hickory_policy::share::{Budget, Limit};
 use std::time::{Duration, Instant};
 
 const LIMIT: Limit = Limit { ratio: 0.2, extra: 106.0, window: Duration::from_secs(10) };
 
-/// Half of all requests fail at their targets, on nine nodes at once, for
-/// half a minute. Callers see retries multiply the load unless all nodes
-/// together keep to the bound in every window of ten seconds.
+/// Half of all requests fail on nine nodes for half a minute. All nodes together must stay within
+/// the limit in every window of ten seconds, or retries would multiply the load.
 #[test]
 fn nine_nodes_stay_within_one_limit() {
     let start = Instant::now();
@@ -26,8 +25,8 @@
         let within = |at: &&Instant| **at <= end && end - **at < LIMIT.window;
         let allowed = requests.iter().filter(within).count() as f64 * LIMIT.ratio + LIMIT.extra;
         let spent = repeats.iter().filter(within).count() as f64;
-        assert!(spent <= allowed, "{spent} repeats where {allowed} are allowed");
-        assert!(spent >= allowed * 0.4, "{spent} repeats where {allowed} are allowed");
+        assert!(spent <= allowed, "{spent} repeats, {allowed} allowed");
+        assert!(spent >= allowed * 0.4, "{spent} repeats, {allowed} allowed");
     }
 }
 
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -1,23 +1,23 @@
-//! Giving a large document on: what a giver takes on, whom it names, and whom
-//! those who want it ask.
+//! Tests of document distribution: which transfers a source accepts, whom it refers requesters to,
+//! and which source a requester chooses.
 
 use hickory_policy::spread::{Busy, Choice, Recipients, Sources, UploadMeter};
 use hickory_unit::rate::BytesPerSecond;
 use hickory_unit::size::Bytes;
 use std::time::{Duration, Instant};
 
-/// 2.5 MB in a second.
+/// 2.5 MB per second.
 const LINK: BytesPerSecond = BytesPerSecond(2.5e6);
 
-/// A document that the link needs 100 ms for.
+/// A document that the link sends in 100 ms.
 const DOCUMENT: Bytes = Bytes(250_000);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Nobody would ever get a document that takes longer than the backlog allows.
-/// A giver whose link is idle takes it on, whatever its size.
+/// An idle source must accept a document of any size; otherwise a document that takes longer than
+/// the maximum backlog could never be fetched.
 #[test]
 fn an_idle_source_accepts_any_size() {
     for size in [0, 1, 250_000, 50_000_000, u64::MAX] {
@@ -26,9 +26,9 @@
     }
 }
 
-/// Takers give up and begin anew if a giver sends to all of them at once. It
-/// takes on the first, turns the rest away until the link is nearly through
-/// with that, and then takes on another one.
+/// Requesters time out and retry if a source sends to all of them at once. It must accept the
+/// first, reject the others until its link has nearly finished that transfer, and then accept
+/// another one.
 #[test]
 fn a_busy_source_rejects_transfers_that_its_link_cannot_start_soon() {
     let (begin, mut meter) = (Instant::now(), UploadMeter::default());
@@ -43,12 +43,15 @@
     meter.finish(admitted);
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_err());
     meter.finish(next);
-    assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_ok(), "those turned away left nothing");
+    assert!(
+        meter.admit(begin + ms(100), DOCUMENT, LINK).is_ok(),
+        "rejected transfers must not count"
+    );
 }
 
-/// A link is full of callers' answers and carries a tenth of what it could. A
-/// giver that reckons with the whole of it takes on one document after the other,
-/// and none ends in time. It must go by what the link has taken.
+/// A link is full of answers to callers and carries a tenth of its configured rate. A source that
+/// relies on the configured rate would accept one document after another, and none would finish in
+/// time; it must use the measured rate.
 #[test]
 fn a_link_slower_than_configured_is_not_overcommitted() {
     let (begin, mut meter) = (Instant::now(), UploadMeter::default());
@@ -58,12 +61,12 @@
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_err(), "after {after} ms: {next:?}");
     }
-    // What is left takes this link 40 ms.
+    // The rest takes 40 ms on this link.
     meter.record_remaining(begin + ms(960), admitted, Bytes(10_000));
     assert!(meter.admit(begin + ms(960), DOCUMENT, LINK).is_ok());
 }
 
-/// The same where connections take what the link has not sent yet.
+/// The same, with connections that buffer bytes the link has not sent yet.
 #[test]
 fn buffered_bytes_do_not_count_as_sent() {
     const BUFFERED_BYTES: u64 = 60_000;
@@ -77,16 +80,15 @@
     }
 }
 
-/// Small documents go to many at once: a giver takes them on one after the
-/// other, until it has enough for its link.
+/// A source must accept several small documents at once, but not more than its link can send.
 #[test]
 fn a_source_accepts_several_small_documents() {
     let (now, mut meter) = (Instant::now(), UploadMeter::default());
     let count = (0..1_000).map_while(|_| meter.admit(now, Bytes(2_500), LINK).ok()).count();
-    assert!(count > 10 && count < 200, "{count} at once");
+    assert!(count > 10 && count < 200, "{count} accepted at once");
 }
 
-/// The word that a target leaves must not wait behind a document.
+/// Small messages, such as the announcement that a target leaves, must not queue behind a document.
 #[test]
 fn the_smallest_answers_are_always_accepted() {
     let (now, mut meter) = (Instant::now(), UploadMeter::default());
@@ -95,10 +97,9 @@
     assert!(meter.admit(now, DOCUMENT, LINK).is_err());
 }
 
-/// All who were turned away would come back while the link is still busy, and
-/// their asking alone would fill it. However little is left on the link and
-/// however much, the wait is neither a moment nor longer than others need to
-/// have the document.
+/// Rejected requesters that retry while the link is still busy would fill it with their requests.
+/// Whatever the backlog, the wait must not be very short, nor longer than others need to get the
+/// document.
 #[test]
 fn a_rejected_requester_gets_a_moderate_wait() {
     for size in [DOCUMENT, Bytes(130_000), Bytes(50_000_000)] {
@@ -109,8 +110,8 @@
     }
 }
 
-/// A taker asks and then reads nothing, or a byte now and then. The others are
-/// turned away for a moment, and not for as long as it goes on.
+/// A requester reads nothing, or a byte now and then. Other requesters must be rejected only for a
+/// limited time, not for as long as it does so.
 #[test]
 fn a_stalled_reader_holds_its_place_for_a_limited_time() {
     let (begin, mut meter) = (Instant::now(), UploadMeter::default());
@@ -129,8 +130,8 @@
     }
 }
 
-/// Whoever is sent to a node that has no document yet has asked in vain. A giver
-/// names those alone that have it by now, the latest first, and few of them.
+/// A referral to a node without the document costs a futile request. A source must refer only to
+/// nodes that have it by now, the latest first, and only to a few.
 #[test]
 fn a_source_refers_only_to_nodes_that_have_the_document() {
     let (begin, mut recipients) = (Instant::now(), Recipients::default());
@@ -147,11 +148,11 @@
     assert!(referrals.len() > 1 && referrals.len() < 20, "{referrals:?}");
     assert_eq!(referrals[0], 99);
     recipients.clear();
-    assert!(recipients.recent(begin + ms(300)).is_empty(), "of another document they have nothing");
+    assert!(recipients.recent(begin + ms(300)).is_empty(), "the recipients have another document");
 }
 
-/// A node that was given the document twice, as after a broken answer, is named
-/// once, and not before it has it.
+/// A node that received the document twice, for example after an interrupted answer, must be
+/// referred to once, and not before it has the document.
 #[test]
 fn a_repeated_recipient_is_referred_to_once() {
     let (begin, mut recipients) = (Instant::now(), Recipients::default());
@@ -161,8 +162,8 @@
     assert_eq!(recipients.recent(begin + ms(100)), [1]);
 }
 
-/// A taker that asks busy givers again and again fills their links. It asks the
-/// one that is free, whichever chance would have it, be that one heard or named.
+/// A requester must not fill the links of busy sources with requests. It must choose the free one
+/// for every random value, whether it is a known holder or a referral.
 #[test]
 fn a_busy_source_is_not_asked_while_another_is_free() {
     let (now, mut sources) = (Instant::now(), Sources::default());
@@ -171,20 +172,22 @@
     sources.record_busy(now, 2, busy, &[4], 0.5);
     sources.record_failure(now, 3);
     for random in [0.0, 0.3, 0.6, 0.99, 1.0] {
-        assert_eq!(sources.choose(now, &[1, 2, 3], random), Choice::Fetch(4), "it was named");
+        assert_eq!(sources.choose(now, &[1, 2, 3], random), Choice::Fetch(4), "it is a referral");
         assert_eq!(sources.choose(now, &[1, 2, 3, 4], random), Choice::Fetch(4));
     }
 }
 
-/// All that are known are busy: a taker waits, no shorter than it was told, and
-/// then asks again. Two that were turned away together come back apart.
+/// When all known sources are busy, a requester must wait at least as long as requested and then
+/// retry. Two requesters rejected at the same time must retry at different times.
 #[test]
 fn a_requester_retries_after_the_wait() {
     let now = Instant::now();
     let waits = [0.0, 0.5].map(|random| {
         let mut sources = Sources::default();
         sources.record_busy(now, 1, Busy { wait: ms(100) }, &[], random);
-        let Choice::Wait(wait) = sources.choose(now, &[1], 0.0) else { panic!("asks a busy one") };
+        let Choice::Wait(wait) = sources.choose(now, &[1], 0.0) else {
+            panic!("expected a wait: the only source is busy")
+        };
         assert!(wait >= ms(100) && wait <= ms(200), "{wait:?}");
         assert_eq!(sources.choose(now + wait, &[1], 0.0), Choice::Fetch(1));
         wait
@@ -192,8 +195,8 @@
     assert_ne!(waits[0], waits[1]);
 }
 
-/// A link of no rate at all, as a wrong setting may have it, must not stop the
-/// node, nor hold back documents for ever once it is set right.
+/// A link rate of zero or another invalid value, as after a wrong setting, must not make the node
+/// panic, nor block transfers after the rate is corrected.
 #[test]
 fn an_invalid_link_rate_does_not_block_later_transfers() {
     let (now, mut meter) = (Instant::now(), UploadMeter::default());
@@ -203,26 +206,27 @@
     assert!(meter.admit(now + Duration::from_secs(120), DOCUMENT, LINK).is_ok());
 }
 
-/// A giver that failed is left alone, but not for ever: it may be the only one.
+/// A failed source must be avoided for a while but not forever: it may be the only one.
 #[test]
 fn a_failed_source_is_asked_again_later() {
     let (now, mut sources) = (Instant::now(), Sources::default());
     assert_eq!(sources.choose(now, &[], 0.5), Choice::NoSource);
     sources.record_failure(now, 1);
-    let Choice::Wait(wait) = sources.choose(now, &[1], 0.5) else { panic!("asks at once") };
+    let Choice::Wait(wait) = sources.choose(now, &[1], 0.5) else {
+        panic!("expected a wait: the only source failed")
+    };
     assert!(wait <= Duration::from_secs(5), "{wait:?}");
     assert_eq!(sources.choose(now + wait, &[1], 0.5), Choice::Fetch(1));
 }
 
-/// A taker whose own link is full never gets an answer: it leaves each giver
-/// before its answer can have come, and begins with the next one. After some such
-/// failures it waits as long as for a giver that is the only one.
+/// A requester whose own link is full would never get an answer if it always left each source after
+/// the short timeout. After several failures it must wait as long as for the only source.
 #[test]
 fn a_requester_uses_the_long_timeout_after_several_failures() {
     let (now, mut sources) = (Instant::now(), Sources::default());
     let holders = [1, 2, 3, 4, 5];
     let short_timeout = sources.response_timeout(1, &holders);
-    assert!(short_timeout < sources.response_timeout(1, &[1]), "another one is known");
+    assert!(short_timeout < sources.response_timeout(1, &[1]), "another source is known");
     for source in holders {
         sources.record_failure(now, source);
     }
--- a/crates/policy/tests/spread/case.rs
+++ b/crates/policy/tests/spread/case.rs
@@ -1,56 +1,56 @@
-//! What is replayed, and how it ended.
+//! Cases of the replay and their outcomes.
 
 use std::time::Duration;
 
-/// The rate of a usual link, in bytes per second.
+/// Rate of a normal link, in bytes per second.
 pub const LINK_BYTES_PER_SECOND: f64 = 2.5e6;
 
-/// The rate of a fast link, in bytes per second.
+/// Rate of a fast link, in bytes per second.
 pub const FAST_LINK_BYTES_PER_SECOND: f64 = 25e6;
 
-/// How givers and takers behave.
+/// How sources and requesters behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Every taker asks a giver for the whole at each look, every giver gives
-    /// to all, and what is not there in time is thrown away.
+    /// Every requester asks a source for the whole document at each poll, every source serves all
+    /// requests, and incomplete answers are discarded after the timeout.
     Unlimited,
-    /// Givers and takers follow the rules of `spread`.
+    /// Sources and requesters follow the rules of `spread`.
     Metered,
 }
 
-/// A fault, or none.
+/// A fault injected into the replay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Two of the first nodes die, without a word to those they send to.
+    /// Two of the initial holders die without notice.
     Death {
         at: Duration,
     },
-    /// Some takers ask and then read nothing, from their first answer on.
+    /// Some requesters stop reading from their first answer on, for a time.
     StopReading {
         part: f64,
         time: Duration,
     },
-    /// A third of the nodes, none of the first, is cut off from the others.
+    /// A third of the nodes, none of them an initial holder, is cut off from the others.
     Cut {
         begin: Duration,
         end: Duration,
     },
 }
 
-/// A fleet and what spreads in it.
+/// A fleet and the documents that are distributed in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub nodes: usize,
-    /// Bytes of a configuration.
+    /// Size of a configuration in bytes.
     pub size: u64,
-    /// Nodes that have each configuration when it is written.
+    /// Number of nodes that have each configuration when it is written.
     pub initial_holders: usize,
-    /// Nodes with a fast link.
+    /// Number of nodes with a fast link.
     pub fast_nodes: usize,
-    /// Configurations that are written, each in place of the one before.
+    /// Number of configurations written, each replacing the one before.
     pub versions: u32,
-    /// Between two of them.
+    /// Interval between two writes.
     pub write_interval: Duration,
     pub fault: Fault,
 }
@@ -69,48 +69,50 @@
         }
     }
 
-    /// When the last configuration is written.
+    /// Returns when the last configuration is written.
     pub fn last_write(&self) -> Duration {
         self.write_interval * (self.versions - 1)
     }
 }
 
-/// How a replay ended.
+/// Outcome of a replay.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// When each taker that lives had the last configuration, in order; those
-    /// that never had it are not in it.
+    /// Sorted times at which the living requesters had the last configuration; those that never got
+    /// it are left out.
     pub completion_times: Vec<Duration>,
-    /// As `times`, of those alone that no fault kept from it.
+    /// The same for the requesters that no fault kept from it.
     pub unaffected_times: Vec<Duration>,
-    /// Takers that live, and those of them that no fault kept from it.
+    /// Number of living requesters.
     pub requesters: usize,
+    /// Number of living requesters that no fault kept from it.
     pub unaffected_requesters: usize,
-    /// Bytes of configurations that were sent.
+    /// Bytes of configurations sent.
     pub bytes_sent: f64,
+    /// Number of answers without a document.
     pub busy_answers: u64,
-    /// The greatest number of answers on one link.
+    /// Maximum number of concurrent answers on one link.
     pub max_answers_per_link: usize,
 }
 
 impl Outcome {
-    /// When the last node had it.
+    /// Returns when the last requester had the configuration.
     pub fn last_time(&self) -> Option<Duration> {
         self.time_of_part(1.0)
     }
 
-    /// When this part of the takers had it.
+    /// Returns when this fraction of the requesters had the configuration.
     pub fn time_of_part(&self, part: f64) -> Option<Duration> {
         let count = (self.requesters as f64 * part).ceil() as usize;
         self.completion_times.get(count - 1).copied()
     }
 
-    /// When the last node had it that no fault kept from it.
+    /// Returns when the last requester had it that no fault kept from it.
     pub fn last_unaffected_time(&self) -> Option<Duration> {
         self.unaffected_times.get(self.unaffected_requesters - 1).copied()
     }
 
-    /// Bytes that were sent, for each that had to be.
+    /// Returns the number of bytes sent per byte that had to be sent.
     pub fn overhead(&self, case: &Case) -> f64 {
         self.bytes_sent / (case.size * self.requesters as u64 * u64::from(case.versions)) as f64
     }
--- a/crates/policy/tests/spread/fault.rs
+++ b/crates/policy/tests/spread/fault.rs
@@ -1,13 +1,13 @@
-//! The faults that a replay meets.
+//! Faults injected into a replay.
 
 use super::Fleet;
 use super::case::{Case, Fault};
 use super::queue::{Event, Queue};
 
-/// Nodes that die of the first ones.
+/// Number of initial holders that die.
 const DYING_NODES: usize = 2;
 
-/// Puts the faults of a case in the queue whose times are known.
+/// Schedules the faults of a case that occur at fixed times.
 pub fn schedule_faults(case: &Case, queue: &mut Queue) {
     match case.fault {
         Fault::Death { at } => queue.push(at, Event::Die),
@@ -20,7 +20,7 @@
 }
 
 impl Fleet {
-    /// Whether a word of one node comes to the other.
+    /// Returns whether messages between two nodes arrive.
     pub fn can_reach(&self, one: usize, other: usize) -> bool {
         let [one, other] = [one, other].map(|node| &self.nodes[node]);
         one.is_alive && other.is_alive && one.is_cut_off == other.is_cut_off
@@ -40,7 +40,7 @@
         self.update_silence();
     }
 
-    /// A taker stops reading with its first answer, if it is one that does.
+    /// Makes a requester stop reading its first answer, if the fault affects it.
     pub fn stop_reading(&mut self, requester: usize) {
         let Fault::StopReading { time, .. } = self.case.fault else { return };
         let node = &mut self.nodes[requester];
@@ -56,7 +56,7 @@
         self.update_silence();
     }
 
-    /// Stops and resumes all answers, after a fault came or went.
+    /// Stops and resumes all answers after a fault began or ended.
     fn update_silence(&mut self) {
         for source in 0..self.nodes.len() {
             if self.nodes[source].link.answers.is_empty() {
--- a/crates/policy/tests/spread/link.rs
+++ b/crates/policy/tests/spread/link.rs
@@ -1,40 +1,40 @@
-//! The up-link of a giver, shared by the answers on it.
+//! The up-link of a source, shared by its answers.
 
 use hickory_policy::spread::Ticket;
 use std::time::Duration;
 
-/// Less than this of an answer is the rounding of times.
+/// An answer with fewer remaining bytes is complete; the rest is a rounding error of times.
 const ROUNDING_BYTES: f64 = 0.01;
 
-/// An answer on its way.
+/// An answer in transit.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub requester: usize,
-    /// The number of the ask that it answers.
+    /// Number of the request that it answers.
     pub number: u64,
     pub version: u32,
-    /// Bytes that are still to be sent.
+    /// Bytes still to be sent.
     pub remaining: f64,
-    /// The rate of the taker's down-link, in bytes per second. Whoever takes
-    /// asks one giver at a time, so that nobody shares it.
+    /// Rate of the requester's down-link, in bytes per second. A requester asks one source at a
+    /// time, so it does not share this link.
     pub down_rate: f64,
-    /// Since when no byte has gone through, if none does.
+    /// Time since which no byte has been transmitted, if the answer is stopped.
     pub silent_since: Option<Duration>,
-    /// Its place at its giver's meter.
+    /// Ticket of the source's upload meter.
     pub ticket: Option<Ticket>,
 }
 
-/// The link and what is on it.
+/// A link and the answers on it.
 #[derive(Clone, Debug)]
 pub struct Link {
     /// Bytes per second.
     pub rate: f64,
-    /// Bytes of documents that were sent.
+    /// Bytes of documents sent.
     pub sent: f64,
     pub answers: Vec<Answer>,
-    /// Raised by every change, so that ends foretold before it don't count.
+    /// Incremented by every change, so that ends scheduled earlier are ignored.
     pub generation: u64,
-    /// Bytes of short answers, which go first.
+    /// Bytes of queued short answers, which are sent first.
     short_bytes: f64,
     last_run: Duration,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends until `now`.
+    /// Transmits until `now`.
     pub fn run(&mut self, now: Duration) {
         let time = (now - self.last_run).as_secs_f64();
         let short_bytes = (self.short_bytes / self.rate).min(time);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes on a short answer; returns how long it waits for its place.
+    /// Adds a short answer; returns how long its transmission takes.
     pub fn add_short(&mut self, now: Duration, bytes: f64) -> Duration {
         self.run(now);
         self.short_bytes += bytes;
@@ -73,14 +73,14 @@
         Duration::from_secs_f64(self.short_bytes / self.rate)
     }
 
-    /// Takes on an answer.
+    /// Adds an answer.
     pub fn add(&mut self, now: Duration, answer: Answer) {
         self.run(now);
         self.answers.push(answer);
         self.generation += 1;
     }
 
-    /// Takes off the answer to an ask.
+    /// Removes the answer to a request.
     pub fn remove(&mut self, now: Duration, number: u64) -> Option<Answer> {
         self.run(now);
         let index = self.answers.iter().position(|answer| answer.number == number)?;
@@ -88,14 +88,14 @@
         Some(self.answers.remove(index))
     }
 
-    /// Takes off the answers that have been sent.
+    /// Removes and returns the completed answers.
     pub fn remove_sent(&mut self, now: Duration) -> Vec<Answer> {
         self.run(now);
         self.generation += 1;
         self.answers.extract_if(.., |answer| answer.remaining < ROUNDING_BYTES).collect()
     }
 
-    /// Stops and resumes answers, by whether their takers get any bytes.
+    /// Stops and resumes answers depending on whether their requesters can receive bytes.
     pub fn update_silence(&mut self, now: Duration, is_silent: impl Fn(usize) -> bool) {
         self.run(now);
         self.generation += 1;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// When the next answer has been sent, if nothing changes before.
+    /// Returns when the next answer will be complete if nothing changes before.
     pub fn next_end(&self) -> Option<Duration> {
         let share = self.share_rate();
         let flowing = self.answers.iter().filter(|answer| answer.silent_since.is_none());
--- a/crates/policy/tests/spread/mod.rs
+++ b/crates/policy/tests/spread/mod.rs
@@ -1,6 +1,6 @@
-//! Replays how a large configuration spreads from node to node, without
-//! sockets: nodes with links of given rates, shared fairly, and the decisions
-//! of `spread` or those of a fleet in which everybody asks at once.
+//! Replays the distribution of a large configuration between nodes, without sockets: nodes have
+//! links of given rates that answers share equally, and follow either the rules of `spread` or a
+//! policy without limits.
 #![allow(dead_code, reason = "each test binary uses a part")]
 
 pub mod case;
@@ -20,29 +20,28 @@
 use rand::{Rng, SeedableRng};
 use std::time::{Duration, Instant};
 
-/// Between two nodes, in one direction.
+/// One-way delay between two nodes.
 const LATENCY: Duration = Duration::from_millis(1);
 
-/// Between two looks of a taker.
+/// Interval between two polls of a requester.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where everybody asks at once, an answer is given up after this time in all.
+/// Timeout for a complete answer without limits.
 const TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Between two beats by which nodes hear what others have: in small fleets and
-/// in large ones.
+/// Interval between two announcements of a node's version, in small and in large fleets.
 const GOSSIP_INTERVALS: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(500)];
 
-/// Nodes of the largest small fleet.
+/// Number of nodes of the largest small fleet.
 const MAX_SMALL_FLEET_NODES: usize = 16;
 
-/// The bytes of an answer without a document.
+/// Size in bytes of an answer without a document.
 pub const BUSY_ANSWER_BYTES: f64 = 300.0;
 
-/// Replays end here, whoever has the document.
+/// Replays end at this time even if nodes lack the document.
 pub const MAX_REPLAY_TIME: Duration = Duration::from_secs(30);
 
-/// A fleet in the middle of a replay.
+/// A fleet during a replay.
 pub struct Fleet {
     case: Case,
     policy: Policy,
@@ -126,7 +125,7 @@
         }
     }
 
-    /// The first nodes hear a configuration from the store, and tell all.
+    /// The initial holders receive a configuration from the store and announce it.
     fn publish(&mut self, version: u32) {
         for node in 0..self.case.initial_holders {
             if self.nodes[node].is_alive {
@@ -154,7 +153,7 @@
         }
     }
 
-    /// A node that is behind asks somebody, if it isn't asking.
+    /// A node that is behind requests the document, unless a request is pending.
     fn fetch_if_behind(&mut self, me: usize) {
         let node = &mut self.nodes[me];
         if !node.is_alive || node.request.is_some() || node.version >= node.wanted_version {
@@ -187,7 +186,8 @@
         self.queue.push(self.now + timeout, Event::Timeout { requester, number });
     }
 
-    /// How long a taker waits for an answer to begin, or for all of it.
+    /// Returns how long a requester waits for the beginning of an answer, or, without limits, for
+    /// all of it.
     fn timeout(&self, requester: usize, source: usize) -> Duration {
         match self.policy {
             Policy::Unlimited => TIMEOUT,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// A giver meets a request.
+    /// A source processes a request.
     fn handle_request(&mut self, source: usize, requester: usize, number: u64) {
         let version = self.nodes[source].version;
         if !self.can_reach(requester, source) || !self.nodes[requester].awaits(number) {
@@ -226,7 +226,7 @@
         self.schedule_next_end(source);
     }
 
-    /// Asks a giver's meter, which knows what its link has taken.
+    /// Asks the upload meter of a source, after it has recorded what the link has sent.
     fn admit(&mut self, source: usize, remaining: f64) -> Result<Ticket, Busy> {
         let (now, node) = (self.begin + self.now, &mut self.nodes[source]);
         node.link.run(self.now);
@@ -238,7 +238,7 @@
         node.meter.admit(now, Bytes(remaining.ceil() as u64), BytesPerSecond(node.link.rate))
     }
 
-    /// Sends an answer without a document: busy, or that there is nothing new.
+    /// Sends an answer without a document: the source is busy or has no newer version.
     fn reject(&mut self, source: usize, requester: usize, number: u64, busy: Option<Busy>) {
         self.busy += 1;
         let node = &mut self.nodes[source];
@@ -270,7 +270,7 @@
         self.fetch_if_behind(me);
     }
 
-    /// A link has sent an answer, unless something changed since that was foretold.
+    /// Completes the answers that a link has sent, unless the schedule has changed since.
     fn handle_sent(&mut self, source: usize, generation: u64) {
         if self.nodes[source].link.generation != generation {
             return;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// The time of an ask is over, or no byte has come for that long.
+    /// Gives up a request after its timeout, or if no byte has arrived for that long.
     fn handle_timeout(&mut self, me: usize, number: u64) {
         let Some(request) = self.nodes[me].request.filter(|r| r.number == number) else { return };
         let link = &mut self.nodes[request.source].link;
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -1,4 +1,4 @@
-//! A node of a replay: giver and taker.
+//! A node of a replay, both source and requester.
 
 use super::case::{Case, FAST_LINK_BYTES_PER_SECOND, Fault, LINK_BYTES_PER_SECOND};
 use super::link::Link;
@@ -7,34 +7,34 @@
 use rand::seq::{SliceRandom, index};
 use std::time::Duration;
 
-/// What a taker has asked for and not got yet.
+/// A pending request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
     pub source: usize,
     pub number: u64,
-    /// When the last was heard of it, as far as no answer is on a link.
+    /// Last progress, while no answer is on a link.
     pub last: Duration,
 }
 
 /// A node.
 pub struct Node {
-    /// Of the same rate up and down.
+    /// Has the same rate up and down.
     pub link: Link,
-    /// The version it has; zero is none.
+    /// Version of the document that the node has; zero for none.
     pub version: u32,
-    /// When it had that.
+    /// When it received that version.
     pub completed_at: Duration,
-    /// The newest version it has heard of.
+    /// Newest version announced to it.
     pub wanted_version: u32,
-    /// The bytes it has of a version whose giver fell silent.
+    /// Version and number of the bytes kept from an interrupted answer.
     pub partial: (u32, f64),
     pub request: Option<Request>,
-    /// When it looks again out of turn.
+    /// Time of the next extra poll.
     pub next_poll: Duration,
     pub sources: Sources<usize>,
     pub meter: UploadMeter,
     pub recipients: Recipients<usize>,
-    /// The versions that it has heard others to have.
+    /// Versions announced by the other nodes.
     versions: Vec<u32>,
     pub is_alive: bool,
     /// Whether no fault keeps it from the document.
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes over a configuration.
+    /// Stores a configuration.
     pub fn store_version(&mut self, version: u32, now: Duration) {
         if version > self.version {
             (self.version, self.completed_at) = (version, now);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Hears that another has a version.
+    /// Records that another node has a version.
     pub fn note_version(&mut self, from: usize, version: u32) {
         self.versions[from] = self.versions[from].max(version);
         if version > self.wanted_version {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Those that it has heard to have what it wants.
+    /// Returns the nodes known to have the wanted version.
     pub fn holders(&self) -> Vec<usize> {
         let versions = self.versions.iter().enumerate();
         versions
@@ -93,18 +93,18 @@
             .collect()
     }
 
-    /// Whether it still waits for the answer to this ask.
+    /// Returns whether the answer to this request is still pending.
     pub fn awaits(&self, number: u64) -> bool {
         self.request.is_some_and(|request| request.number == number)
     }
 
-    /// The bytes that it has of a version.
+    /// Returns the number of bytes kept of a version.
     pub fn partial_bytes(&self, version: u32) -> f64 {
         if self.partial.0 == version { self.partial.1 } else { 0.0 }
     }
 }
 
-/// Draws the nodes of a case: which of them have fast links or meet a fault.
+/// Creates the nodes of a case; selects at random which have fast links or are affected by a fault.
 pub fn draw(case: &Case, random: &mut StdRng) -> Vec<Node> {
     let requesters = case.nodes - case.initial_holders;
     let affected = match case.fault {
--- a/crates/policy/tests/spread/queue.rs
+++ b/crates/policy/tests/spread/queue.rs
@@ -1,31 +1,30 @@
-//! What happens later in a replay, in the order of time.
+//! Event queue of a replay.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Something that happens.
+/// An event of the replay.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The first nodes hear a configuration from the store.
+    /// The initial holders receive a configuration from the store.
     Publish(u32),
-    /// The others hear which version a node has.
+    /// The version of a node is announced to the others.
     Announcement {
         from: usize,
         version: u32,
     },
-    /// A node tells which version it has, as it does at this distance.
+    /// A node announces its version, and repeats this at the given interval.
     Gossip(usize, Duration),
     Poll(usize),
     PollEarly(usize),
-    /// A request is at its giver.
+    /// A request arrives at its source.
     Request {
         source: usize,
         requester: usize,
         number: u64,
     },
-    /// An answer without a document is at its taker; with a wait if the giver
-    /// is busy.
+    /// An answer without a document arrives at the requester, with a wait if the source is busy.
     Rejection {
         requester: usize,
         number: u64,
@@ -37,25 +36,25 @@
         source: usize,
         generation: u64,
     },
-    /// The last of an answer is at its taker.
+    /// The end of an answer arrives at the requester.
     Received {
         requester: usize,
         number: u64,
         version: u32,
     },
-    /// A taker sees whether an answer still comes.
+    /// A requester checks whether its answer still makes progress.
     Timeout {
         requester: usize,
         number: u64,
     },
     Die,
-    /// The fleet is cut in two, or whole again.
+    /// The fleet is partitioned, or joined again.
     Cut(bool),
-    /// A taker that stopped reads again.
+    /// A requester resumes reading.
     ResumeReading(usize),
 }
 
-/// Events by time; those of one time in the order in which they were put in.
+/// Events ordered by time, and by insertion for equal times.
 #[derive(Default)]
 pub struct Queue {
     times: BinaryHeap<Reverse<(Duration, u64)>>,
