--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -16,7 +16,7 @@
 
 /// The first pause after a reservation that failed, and the greatest: less
 /// than the time for which an engine holds room after it refused an urgent
-/// ask ([`crate::limit::CLAIM_LIFE`]).
+/// ask ([`crate::limit::CLAIM_LIFETIME`]).
 const BACK_OFF: Duration = Duration::from_millis(100);
 const BACK_OFF_MOST: Duration = Duration::from_secs(1);
 
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -143,7 +143,7 @@
         time.mul_f64(self.slowdown(now, link)).min(MAX_SEND_TIME)
     }
 
-    /// Returns by what factor the link is slower than configured by measurement.
+    /// Returns the measured factor by which the link is slower than configured.
     fn slowdown(&self, now: Instant, link: rate::BytesPerSecond) -> f64 {
         let is_rate_known = self.transfers.iter().any(|transfer| transfer.is_rate_known(now));
         let rate: f64 = self.transfers.iter().map(|transfer| transfer.rate(now)).sum();
