--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -96,7 +96,7 @@
     }
 
     fn note_members(&self) {
-        if self.membership().has_unsent_news() {
+        if self.membership().has_unsent_updates() {
             self.members_due.notify_one();
         }
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -342,7 +342,7 @@
     while core.stage() != Stage::Closed {
         core.members_due.notified().await;
         tokio::time::sleep(GATHER).await;
-        let out = core.membership().push_news();
+        let out = core.membership().push_updates();
         core.send_members(out);
     }
 }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -165,17 +165,17 @@
     }
 
     /// Returns whether there are changes that were not sent to any node yet.
-    pub fn has_unsent_news(&self) -> bool {
-        self.rumors.has_unsent_news()
+    pub fn has_unsent_updates(&self) -> bool {
+        self.rumors.has_unsent_updates()
     }
 
     /// Sends unsent changes to a few nodes immediately.
-    pub fn push_news(&mut self) -> Vec<Outgoing> {
-        if !self.has_unsent_news() {
+    pub fn push_updates(&mut self) -> Vec<Outgoing> {
+        if !self.has_unsent_updates() {
             return Vec::new();
         }
         let targets = self.pick_alive(PUSH_FANOUT);
-        let send = |to| (to, Message::Rumor(self.take_news()));
+        let send = |to| (to, Message::Rumor(self.take_updates()));
         targets.into_iter().map(send).collect()
     }
 
@@ -210,7 +210,7 @@
         match message {
             Message::Ping(Exchange { sequence, digest, records }) => {
                 self.apply_all(now, records);
-                let mut records = self.news_for(digest);
+                let mut records = self.updates_for(digest);
                 records.extend(self.roster.find_refutable(node));
                 let own = Exchange { sequence, digest: self.roster.digest, records };
                 let mut out = vec![(from, Message::Ack(own))];
@@ -219,7 +219,7 @@
             }
             Message::Ack(Exchange { sequence, digest, records }) => {
                 self.apply_all(now, records);
-                self.note_equal_digest(digest);
+                self.record_equal_digest(digest);
                 let mut out: Vec<Outgoing> =
                     self.probes.acknowledge(sequence, digest).into_iter().collect();
                 out.extend(self.pull(now, from, digest));
@@ -231,8 +231,8 @@
             }
             Message::Rumor(records) => {
                 let own = &self.roster.own.node;
-                let is_about_own = |r: &Record| r.node == *own && r.state != State::Alive;
-                let is_refutable = records.iter().any(is_about_own);
+                let is_false_claim = |r: &Record| r.node == *own && r.state != State::Alive;
+                let is_refutable = records.iter().any(is_false_claim);
                 self.apply_all(now, records);
                 let own = || Message::Rumor(vec![self.own_record().clone()]);
                 is_refutable.then(|| (from, own())).into_iter().collect()
@@ -279,7 +279,7 @@
     fn apply(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
         if self.apply_without_gossip(now, record) {
-            self.enqueue_news(node);
+            self.enqueue_update(node);
         }
     }
 
@@ -290,18 +290,18 @@
             return false;
         }
         let known = self.get(&record.node);
-        let is_news = known.is_none_or(|known| known.rank() < record.rank());
-        if is_news {
+        let is_newer = known.is_none_or(|known| known.rank() < record.rank());
+        if is_newer {
             self.roster.insert(now, record);
         }
-        is_news
+        is_newer
     }
 
     /// Applies and disseminates a state that this node itself found.
     fn apply_own_finding(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
         self.roster.insert(now, record);
-        self.enqueue_news(node);
+        self.enqueue_update(node);
     }
 
     /// Answers a later or false statement about this node with a higher version.
@@ -313,26 +313,26 @@
 
     fn raise_own_version(&mut self, incarnation: id::Incarnation, version: u32) {
         self.roster.raise_own_version(incarnation, version);
-        self.enqueue_news(self.own_record().node.clone());
+        self.enqueue_update(self.own_record().node.clone());
     }
 
-    fn enqueue_news(&mut self, node: id::Node) {
+    fn enqueue_update(&mut self, node: id::Node) {
         self.rumors.add(node, self.roster.peers.len() + 1);
     }
 
-    fn take_news(&mut self) -> Vec<Record> {
+    fn take_updates(&mut self) -> Vec<Record> {
         self.rumors.take(&self.roster)
     }
 
     /// Returns the changes to send to a node whose table has this digest.
-    fn news_for(&mut self, digest: u64) -> Vec<Record> {
-        self.note_equal_digest(digest);
-        if digest == self.roster.digest { Vec::new() } else { self.take_news() }
+    fn updates_for(&mut self, digest: u64) -> Vec<Record> {
+        self.record_equal_digest(digest);
+        if digest == self.roster.digest { Vec::new() } else { self.take_updates() }
     }
 
-    fn note_equal_digest(&mut self, digest: u64) {
+    fn record_equal_digest(&mut self, digest: u64) {
         if digest == self.roster.digest {
-            self.rumors.note_equal_digest();
+            self.rumors.record_equal_digest();
         }
     }
 
@@ -439,7 +439,11 @@
     }
 
     fn ping(&mut self, sequence: u32) -> Message {
-        Message::Ping(Exchange { sequence, digest: self.roster.digest, records: self.take_news() })
+        Message::Ping(Exchange {
+            sequence,
+            digest: self.roster.digest,
+            records: self.take_updates(),
+        })
     }
 }
 
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -15,7 +15,7 @@
 
 /// A record that is still to be sent.
 #[derive(Clone, Debug)]
-struct News {
+struct Update {
     node: id::Node,
     sends_left: u32,
     /// Whether it was sent at least once.
@@ -25,45 +25,45 @@
 /// Records to send, each a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rumors {
-    news: Vec<News>,
+    updates: Vec<Update>,
 }
 
 impl Rumors {
     /// Adds the record of a node, in a fleet of `nodes` nodes.
     pub(crate) fn add(&mut self, node: id::Node, nodes: usize) {
-        self.news.retain(|news| news.node != node);
+        self.updates.retain(|update| update.node != node);
         let logarithm = u32::BITS - (nodes as u32).leading_zeros();
-        self.news.push(News { node, sends_left: BASE_SENDS + logarithm, is_sent: false });
+        self.updates.push(Update { node, sends_left: BASE_SENDS + logarithm, is_sent: false });
     }
 
     /// Returns whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
-        self.news.is_empty()
+        self.updates.is_empty()
     }
 
     /// Returns whether there are changes that were not sent to any node yet.
-    pub(crate) fn has_unsent_news(&self) -> bool {
-        self.news.iter().any(|news| !news.is_sent)
+    pub(crate) fn has_unsent_updates(&self) -> bool {
+        self.updates.iter().any(|update| !update.is_sent)
     }
 
     /// Returns the least sent records and counts them as sent.
     pub(crate) fn take(&mut self, roster: &Roster) -> Vec<Record> {
-        self.news.sort_by_key(|news| std::cmp::Reverse(news.sends_left));
+        self.updates.sort_by_key(|update| std::cmp::Reverse(update.sends_left));
         let mut records = Vec::new();
-        for news in self.news.iter_mut().take(MAX_RECORDS) {
-            records.extend(roster.get(&news.node).cloned());
-            news.sends_left -= 1;
-            news.is_sent = true;
+        for update in self.updates.iter_mut().take(MAX_RECORDS) {
+            records.extend(roster.get(&update.node).cloned());
+            update.sends_left -= 1;
+            update.is_sent = true;
         }
-        self.news.retain(|news| news.sends_left > 0);
+        self.updates.retain(|update| update.sends_left > 0);
         records
     }
 
     /// Records that a peer has the same table: it needs no news, and neither do many other nodes.
-    pub(crate) fn note_equal_digest(&mut self) {
-        self.news
-            .iter_mut()
-            .for_each(|news| news.sends_left = news.sends_left.saturating_sub(EQUAL_DIGEST_SENDS));
-        self.news.retain(|news| news.sends_left > 0);
+    pub(crate) fn record_equal_digest(&mut self) {
+        self.updates.iter_mut().for_each(|update| {
+            update.sends_left = update.sends_left.saturating_sub(EQUAL_DIGEST_SENDS)
+        });
+        self.updates.retain(|update| update.sends_left > 0);
     }
 }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -34,16 +34,16 @@
 
 impl Budget {
     /// Records a request.
-    pub fn record_request(&mut self, now: Instant, bound: &Limit) {
-        self.expire(now, bound.window);
+    pub fn record_request(&mut self, now: Instant, limit: &Limit) {
+        self.expire(now, limit.window);
         self.requests.push_back(now);
     }
 
     /// Spends one repeat; returns false if this node's share is used up.
-    pub fn try_spend(&mut self, now: Instant, bound: &Limit, nodes: usize) -> bool {
-        self.expire(now, bound.window);
-        let earned = self.requests.len() as f64 * bound.ratio * USED_RATIO_PART;
-        let extra = bound.extra * USED_EXTRA_PART / nodes.max(1) as f64;
+    pub fn try_spend(&mut self, now: Instant, limit: &Limit, nodes: usize) -> bool {
+        self.expire(now, limit.window);
+        let earned = self.requests.len() as f64 * limit.ratio * USED_RATIO_PART;
+        let extra = limit.extra * USED_EXTRA_PART / nodes.max(1) as f64;
         let is_allowed = (self.repeats.len() as f64) + 1.0 <= earned + extra;
         if is_allowed {
             self.repeats.push_back(now);
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -118,9 +118,9 @@
         let transfer = self.transfers.iter_mut().find(|transfer| transfer.ticket == ticket);
         if let Some(transfer) = transfer.filter(|transfer| transfer.remaining != remaining) {
             (transfer.remaining, transfer.last_progress) = (remaining, now);
-            let taken = transfer.size.0.saturating_sub(remaining.0);
-            if taken >= CONNECTION_BUFFER_BYTES {
-                transfer.buffers_full.get_or_insert((now, taken));
+            let accepted = transfer.size.0.saturating_sub(remaining.0);
+            if accepted >= CONNECTION_BUFFER_BYTES {
+                transfer.buffers_full.get_or_insert((now, accepted));
             }
         }
     }
@@ -257,7 +257,7 @@
 pub const MAX_TRANSFER_TIME: Duration = Duration::from_secs(2);
 
 /// Maximum number of referrals kept; further ones would not be better than these.
-const MAX_REMEMBERED_SOURCES: usize = 64;
+const MAX_REMEMBERED_REFERRALS: usize = 64;
 
 impl<K: Copy + Eq + Hash> Sources<K> {
     /// Records that a source is busy and the nodes that it referred to. `random` is from 0 to 1 and
@@ -266,7 +266,7 @@
         self.record_response();
         self.busy_until.insert(source, now + busy.wait.mul_f64(1.0 + random));
         for other in others {
-            if self.referrals.len() < MAX_REMEMBERED_SOURCES && !self.referrals.contains(other) {
+            if self.referrals.len() < MAX_REMEMBERED_REFERRALS && !self.referrals.contains(other) {
                 self.referrals.push(*other);
             }
         }
@@ -293,16 +293,16 @@
     /// Chooses the next source among the known `holders` of the document and the referrals.
     /// `random` is from 0 to 1.
     pub fn choose(&self, now: Instant, holders: &[K], random: f64) -> Choice<K> {
-        let named = self.referrals.iter().filter(|node| !holders.contains(node));
-        let all: Vec<K> = holders.iter().chain(named).copied().collect();
+        let referrals = self.referrals.iter().filter(|node| !holders.contains(node));
+        let all: Vec<K> = holders.iter().chain(referrals).copied().collect();
         let wait = |node: &K| {
             let until = self.busy_until.get(node);
             until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
         };
         let free: Vec<K> = all.iter().copied().filter(|node| wait(node).is_zero()).collect();
         if !free.is_empty() {
-            let place = (random * free.len() as f64) as usize;
-            return Choice::Fetch(free[place.min(free.len() - 1)]);
+            let index = (random * free.len() as f64) as usize;
+            return Choice::Fetch(free[index.min(free.len() - 1)]);
         }
         all.iter().map(wait).min().map_or(Choice::NoSource, Choice::Wait)
     }
--- a/crates/policy/tests/network/mod.rs
+++ b/crates/policy/tests/network/mod.rs
@@ -184,7 +184,7 @@
             }
             Event::Push(node) => {
                 self.nodes[node].is_push_due = false;
-                self.nodes[node].membership.push_news()
+                self.nodes[node].membership.push_updates()
             }
             Event::Deliver(datagram) => {
                 let Some(Datagram { to, from, message }) = self.datagrams[datagram].take() else {
@@ -194,7 +194,7 @@
             }
         };
         self.send(node, out);
-        if self.nodes[node].membership.has_unsent_news() && !self.nodes[node].is_push_due {
+        if self.nodes[node].membership.has_unsent_updates() && !self.nodes[node].is_push_due {
             self.nodes[node].is_push_due = true;
             self.schedule(self.now + PUSH_DELAY, Event::Push(node));
         }
