--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -2,9 +2,8 @@
 //!
 //! Each node probes one other node at a time, and asks a few others to probe it if it does not
 //! answer. A node that stays silent is suspected and declared dead unless it refutes the suspicion.
-//! Changes are piggybacked on probes and pushed to a few other nodes, so the traffic per node does
-//! not grow with the fleet, and changes reach all nodes in a number of rounds logarithmic in their
-//! number.
+//! Updates are piggybacked on probes and pushed to a few other nodes, so the traffic per node does
+//! not grow with the fleet, and an update reaches all of `n` nodes in about log `n` rounds.
 //!
 //! Load pattern: hundreds of nodes of which many die, freeze, are cut off or start at once.
 
@@ -24,7 +23,6 @@
 /// Interval between calls of [`Membership::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval between probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time from suspicion until a node is declared dead.
@@ -42,13 +40,12 @@
 /// Minimum interval between pulls while the table differs from a peer's.
 const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same while changes are being disseminated, since these explain most differences.
+/// Minimum pull interval while updates spread, since these explain most differences.
 const PULL_INTERVAL_IN_CHURN: Duration = Duration::from_secs(3);
 
-/// The same during the start phase, when the table fills.
+/// Minimum pull interval during the start phase, when the table fills.
 const PULL_INTERVAL_AT_START: Duration = Duration::from_millis(500);
 
-/// Duration of the start phase.
 const START_PHASE: Duration = Duration::from_secs(3);
 
 /// Number of peers below which a node in its start phase contacts its seeds again.
@@ -60,11 +57,11 @@
 /// Number of nodes asked to probe an unresponsive node.
 const INDIRECT_PROBES: usize = 3;
 
-/// Number of nodes that changes are pushed to.
+/// Number of nodes that updates are pushed to.
 const PUSH_FANOUT: usize = 3;
 
-/// After a longer pause between ticks this host was suspended or had no processor time, so the
-/// silence of other nodes proves nothing.
+/// A longer interval between ticks means that this host was suspended or had no processor time, so
+/// the silence of other nodes proves nothing.
 const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
 /// A node's table of all nodes.
@@ -164,12 +161,12 @@
         addresses.choose_multiple(&mut self.random, count)
     }
 
-    /// Returns whether there are changes that were not sent to any node yet.
+    /// Returns whether there are updates that were not sent to any node yet.
     pub fn has_unsent_updates(&self) -> bool {
         self.rumors.has_unsent_updates()
     }
 
-    /// Sends unsent changes to a few nodes immediately.
+    /// Sends unsent updates to a few nodes immediately.
     pub fn push_updates(&mut self) -> Vec<Outgoing> {
         if !self.has_unsent_updates() {
             return Vec::new();
@@ -324,7 +321,7 @@
         self.rumors.take(&self.roster)
     }
 
-    /// Returns the changes to send to a node whose table has this digest.
+    /// Returns the updates to send to a node whose table has this digest.
     fn updates_for(&mut self, digest: u64) -> Vec<Record> {
         self.record_equal_digest(digest);
         if digest == self.roster.digest { Vec::new() } else { self.take_updates() }
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -105,10 +105,10 @@
         f64::from(self.stream_limit()) / f64::from(self.full_limit.max(1))
     }
 
-    /// Processes a load report; returns the cause if the slow start begins again.
+    /// Processes a load report. Returns the cause if the slow start begins again.
     ///
     /// The first report of a target that was warm before this owner took over allows half of the
-    /// streams that it implies; the other half follows from the owner's own measurements.
+    /// streams that it implies; the other half waits for the owner's own measurements.
     pub fn observe(&mut self, now: Instant, sample: Sample) -> Option<ColdCause> {
         let Some(last) = self.last.replace(sample) else {
             self.ramped_limit =
@@ -128,7 +128,7 @@
     }
 
     /// Records completed work; `first_token` holds the measured and the expected time to first
-    /// token.
+    /// token. Returns the cause if the slow start begins again.
     pub fn record_success(
         &mut self,
         now: Instant,
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -1,4 +1,4 @@
-//! Changed records that a node still has to disseminate.
+//! Updates of members that a node still has to disseminate.
 
 use crate::member::Record;
 use crate::roster::Roster;
@@ -13,7 +13,7 @@
 /// Number of sends saved for each peer found to have the same table.
 const EQUAL_DIGEST_SENDS: u32 = 3;
 
-/// A record that is still to be sent.
+/// The record of a node that is still to be sent.
 #[derive(Clone, Debug)]
 struct Update {
     node: id::Node,
@@ -22,7 +22,7 @@
     is_sent: bool,
 }
 
-/// Records to send, each a limited number of times.
+/// Updates to send, each a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rumors {
     updates: Vec<Update>,
@@ -41,7 +41,7 @@
         self.updates.is_empty()
     }
 
-    /// Returns whether there are changes that were not sent to any node yet.
+    /// Returns whether there are updates that were not sent to any node yet.
     pub(crate) fn has_unsent_updates(&self) -> bool {
         self.updates.iter().any(|update| !update.is_sent)
     }
@@ -59,7 +59,8 @@
         records
     }
 
-    /// Records that a peer has the same table: it needs no news, and neither do many other nodes.
+    /// Records that a peer has the same table: it needs no updates, and neither do many other
+    /// nodes.
     pub(crate) fn record_equal_digest(&mut self) {
         self.updates.iter_mut().for_each(|update| {
             update.sends_left = update.sends_left.saturating_sub(EQUAL_DIGEST_SENDS)
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -36,7 +36,7 @@
 /// from slow readers.
 const MIN_SLOWDOWN: f64 = 2.0;
 
-/// Maximum slowdown; a slower link is as good as cut.
+/// Upper bound of the slowdown; a link slower than this is treated as cut.
 const MAX_SLOWDOWN: f64 = 1_000.0;
 
 /// Maximum number of nodes that a rejected requester is referred to.
@@ -163,7 +163,7 @@
     }
 
     /// Returns the rate in bytes per second at which the link sends this transfer, measured from
-    /// the time its connection's buffers were full, if they are.
+    /// the time the buffers of its connection were full, or from the start while they are not.
     fn rate(&self, now: Instant) -> f64 {
         let (since, before) = self.buffers_full.unwrap_or((self.started, 0));
         let sent = self.size.0 - self.remaining.0.min(self.size.0) - before;
@@ -235,7 +235,7 @@
     }
 }
 
-/// How long a source that failed is not asked again.
+/// Time for which a failed source is not asked again.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Timeout for the first byte if other sources are known. A source accepts only what it can start
@@ -243,8 +243,8 @@
 /// all the nodes that fetch from this one next.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Number of consecutive failures after which the longer timeout is used: then not the sources are
-/// at fault but this node's own link or host is slow.
+/// Number of consecutive failures after which the longer timeout is used: then this node's own link
+/// or host is more likely slow than all sources are silent.
 const FAILURES_BEFORE_LONG_TIMEOUT: u32 = 3;
 
 /// Timeout for the first byte if no other source is known, and for silence within an answer: a host
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -152,7 +152,7 @@
     let (mut late, mut early, mut completed) = (0, 0, 0);
     for _ in 0..4_000 {
         now += ms(5);
-        // 60,000 prompt tokens per second arrive; the engine can prefill about 30,000.
+        // 60,000 prompt tokens per second arrive; the engine can prefill 30,000.
         let request = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
         match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
