--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -199,8 +199,8 @@
         self.last_step = Some(now);
     }
 
-    fn reset(&mut self, now: Instant, bound: u32) {
-        self.ramped_limit = bound.max(1).min(self.ramped_limit).min(self.full_limit);
+    fn reset(&mut self, now: Instant, limit: u32) {
+        self.ramped_limit = limit.max(1).min(self.ramped_limit).min(self.full_limit);
         self.successes_since_step = 0;
         self.consecutive_late = 0;
         self.last_step = Some(now);
