--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -9,7 +9,7 @@
 use hickory_policy::place::{
     MAX_IMMEDIATE_ASKS, Prefix, Query, choose_target, counts_as_ask, wants_immediate_answer,
 };
-use hickory_policy::refuse::{Reason, Refusal, Retry};
+use hickory_policy::refuse::{Reason, Refusal, RetryReason};
 use hickory_target::engine;
 use hickory_unit::clock::Clock;
 use hickory_unit::{id, size};
@@ -97,18 +97,18 @@
 
 impl Tried {
     /// Notes an attempt that ended so.
-    pub(crate) fn note(&mut self, target: id::Target, retry: Retry) {
+    pub(crate) fn note(&mut self, target: id::Target, retry: RetryReason) {
         match retry {
-            Retry::Refused => self.refused.push(target),
+            RetryReason::Refused => self.refused.push(target),
             _ => self.failed.push(target),
         }
         self.count(retry);
     }
 
     /// Counts an attempt that is not one target's.
-    pub(crate) fn count(&mut self, retry: Retry) {
+    pub(crate) fn count(&mut self, retry: RetryReason) {
         match retry {
-            Retry::Refused | Retry::NotSent => self.unbegun += 1,
+            RetryReason::Refused | RetryReason::NotSent => self.unbegun += 1,
             _ => self.runs += 1,
         }
     }
@@ -186,7 +186,7 @@
                 return Ok(Leave { target, address, permit, stream, expected });
             }
             Err(Some(refused)) => {
-                core.metrics.retried(Retry::QueueLong);
+                core.metrics.retried(RetryReason::QueueLong);
                 let is_full = counts_as_ask(refused.reason);
                 asked += usize::from(is_full);
                 if at_once && is_full {
@@ -237,7 +237,7 @@
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
-                core.metrics.retried(Retry::OwnerSilent);
+                core.metrics.retried(RetryReason::OwnerSilent);
                 return Err(None);
             }
         };
@@ -247,12 +247,12 @@
                 return Ok(permit);
             }
             Ok(permit) => {
-                core.metrics.retried(Retry::StalePermit);
+                core.metrics.retried(RetryReason::StalePermit);
                 give_back(core, target, &permit, want.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED => {}
             Err(refused) if refused.not_owner => {
-                core.metrics.retried(Retry::NotOwner);
+                core.metrics.retried(RetryReason::NotOwner);
                 return Err(None);
             }
             Err(refused) => {
--- a/crates/path/src/attempt.rs
+++ b/crates/path/src/attempt.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use derive_more::Display;
 use hickory_client::{Error, Exchange, Reuse};
-use hickory_policy::refuse::Retry;
+use hickory_policy::refuse::RetryReason;
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -79,12 +79,14 @@
 
 impl Failure {
     /// Returns the retry reason that metrics count the failure as.
-    pub(crate) fn reason(&self) -> Retry {
+    pub(crate) fn reason(&self) -> RetryReason {
         match self {
-            Self::ConnectionRefused | Self::NotSent(_) | Self::NotReserved { .. } => Retry::NotSent,
-            Self::NotRun { .. } => Retry::Refused,
-            Self::OutcomeUnknown(_) | Self::InvalidAnswer(_) => Retry::TargetFailed,
-            Self::DeadlineExceeded | Self::Stalled => Retry::Stalled,
+            Self::ConnectionRefused | Self::NotSent(_) | Self::NotReserved { .. } => {
+                RetryReason::NotSent
+            }
+            Self::NotRun { .. } => RetryReason::Refused,
+            Self::OutcomeUnknown(_) | Self::InvalidAnswer(_) => RetryReason::TargetFailed,
+            Self::DeadlineExceeded | Self::Stalled => RetryReason::Stalled,
         }
     }
 }
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -11,7 +11,7 @@
 use compact_str::CompactString;
 use hickory_client::{Call, Exchange, Reuse};
 use hickory_policy::member::State;
-use hickory_policy::spread::{ANSWER_MOST, Busy, Choice, Givers, SILENCE};
+use hickory_policy::spread::{Busy, Choice, MAX_SILENCE, MAX_TRANSFER_TIME, Sources};
 use hickory_store::store::{Revision, Store};
 use hickory_telemetry::label::{Fetch, Way};
 use hickory_unit::clock::Clock;
@@ -72,7 +72,7 @@
     keyspace: Keyspace,
     /// When a peer was first seen to be ahead.
     behind_since: Option<Instant>,
-    sources: Givers<SocketAddr>,
+    sources: Sources<SocketAddr>,
     /// The key and the chunks of a value that could not be completed yet.
     partial: Option<(CompactString, Assembler)>,
 }
@@ -85,7 +85,7 @@
             core: core.clone(),
             keyspace,
             behind_since: None,
-            sources: Givers::default(),
+            sources: Sources::default(),
             partial: None,
         };
         tokio::spawn(async move { fetcher.run().await });
@@ -100,7 +100,7 @@
             let ahead = self.peers_ahead(self.known_revision());
             if ahead.is_empty() {
                 self.behind_since = None;
-                self.sources = Givers::default();
+                self.sources = Sources::default();
                 continue;
             }
             let since = *self.behind_since.get_or_insert(now);
@@ -124,21 +124,21 @@
         let membership = self.core.membership();
         let records = ahead.iter().filter_map(|node| membership.get(node));
         let alive = records.filter(|record| record.state == State::Alive);
-        alive.map(|record| record.contact.sync).collect()
+        alive.map(|record| record.contact.sync_address).collect()
     }
 
     /// Requests updates from one of the peers in `ahead` and applies them.
     async fn request_updates(&mut self, ahead: &[SocketAddr]) {
         let now = self.core.now();
         let peer = match self.sources.choose(now, ahead, rand::random()) {
-            Choice::Ask(peer) => peer,
-            Choice::Wait(_) | Choice::Nobody => return,
+            Choice::Fetch(peer) => peer,
+            Choice::Wait(_) | Choice::NoSource => return,
         };
         let path = self.keyspace.updates_path(self.known_revision());
-        let answer_timeout = self.sources.patience(peer, ahead);
+        let answer_timeout = self.sources.response_timeout(peer, ahead);
         match fetch_updates(&self.core, peer, &path, answer_timeout).await {
             Fetched::Complete(updates) => {
-                self.sources.note_answered();
+                self.sources.record_response();
                 let may_have_lapsed = self.is_store_unreachable_at(peer);
                 self.apply_updates(updates, may_have_lapsed).await;
             }
@@ -151,7 +151,7 @@
     /// the store.
     fn is_store_unreachable_at(&self, at: SocketAddr) -> bool {
         let membership = self.core.membership();
-        membership.alive().any(|r| r.contact.sync == at && r.contact.store_away)
+        membership.alive().any(|r| r.contact.sync_address == at && r.contact.is_store_unreachable)
     }
 
     /// Applies updates in order of revision. Stops at the first value that can't be
@@ -204,14 +204,14 @@
             let now = self.core.now();
             let holders = self.peers_ahead(Revision(revision.0.saturating_sub(1)));
             match self.sources.choose(now, &holders, rand::random()) {
-                Choice::Ask(peer) => {
-                    let answer_timeout = self.sources.patience(peer, &holders);
+                Choice::Fetch(peer) => {
+                    let answer_timeout = self.sources.response_timeout(peer, &holders);
                     if !self.request_chunks(peer, key, &mut assembler, answer_timeout).await {
                         break;
                     }
                 }
                 Choice::Wait(time) => tokio::time::sleep(time.min(POLL_INTERVAL)).await,
-                Choice::Nobody => break,
+                Choice::NoSource => break,
             }
         }
         self.partial = Some((key.clone(), assembler));
@@ -262,7 +262,7 @@
         let now = self.core.now();
         match fetch_chunks(&self.core, peer, key, assembler, answer_timeout).await {
             Fetched::Complete(added) => {
-                self.sources.note_answered();
+                self.sources.record_response();
                 added > 0
             }
             Fetched::Busy(busy, others) => {
@@ -280,7 +280,7 @@
         self.core.metrics.fetch(Fetch::Busy);
         let others: Vec<SocketAddr> =
             others.iter().filter(|other| **other != self.core.settings.sync).copied().collect();
-        self.sources.note_busy(self.core.now(), peer, busy, &others, rand::random());
+        self.sources.record_busy(self.core.now(), peer, busy, &others, rand::random());
     }
 
     fn note_failed(&mut self, peer: SocketAddr, started_at: Instant, error: &str) {
@@ -289,7 +289,7 @@
         let behind_ms = self.core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
         log::warn!(peer:%, took_ms, behind_ms; "peer gave no items: {error}");
         self.core.metrics.fetch(Fetch::Failed);
-        self.sources.note_failed(now, peer);
+        self.sources.record_failure(now, peer);
     }
 }
 
@@ -365,7 +365,7 @@
 }
 
 async fn read_busy_reply(mut exchange: Exchange) -> Fetched<usize> {
-    match timeout(SILENCE, (&mut exchange.body).collect()).await {
+    match timeout(MAX_SILENCE, (&mut exchange.body).collect()).await {
         Ok(Ok(body)) => {
             exchange.release(None);
             parse_busy_reply(&body.to_bytes())
@@ -383,9 +383,9 @@
     let mut codec = LengthDelimitedCodec::new();
     let mut buffer = BytesMut::new();
     let mut added = 0;
-    let until = core.now() + ANSWER_MOST;
+    let until = core.now() + MAX_TRANSFER_TIME;
     while core.now() < until {
-        let frame = match timeout(SILENCE, exchange.body.frame()).await {
+        let frame = match timeout(MAX_SILENCE, exchange.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => return Fetched::Failed(error.to_string()),
             Ok(None) => {
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -64,8 +64,8 @@
     /// Returns the addresses at which the other nodes accept callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let membership = self.membership();
-        let ready = membership.alive().filter(|record| record.contact.ready);
-        ready.map(|record| record.contact.callers).collect()
+        let ready = membership.alive().filter(|record| record.contact.is_ready);
+        ready.map(|record| record.contact.caller_address).collect()
     }
 
     /// Records a tick. After an interruption the uptime starts again, because the node
@@ -88,14 +88,19 @@
         let (ready, settled, store_away) =
             (self.is_ready(), self.is_settled(), self.is_store_unreachable());
         let mut membership = self.membership();
-        let contact = membership.own().contact.clone();
-        membership.set_contact(Contact { ready, settled, store_away, ..contact });
+        let contact = membership.own_record().contact.clone();
+        membership.set_contact(Contact {
+            is_ready: ready,
+            is_synced: settled,
+            is_store_unreachable: store_away,
+            ..contact
+        });
         drop(membership);
         self.notify_member_updates();
     }
 
     fn notify_member_updates(&self) {
-        if self.membership().has_untold() {
+        if self.membership().has_unsent_updates() {
             self.membership_notify.notify_one();
         }
     }
@@ -121,20 +126,20 @@
     /// Sends an event to all other nodes.
     pub(crate) fn broadcast(&self, event: &Event) {
         let membership = self.membership();
-        let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peers).collect();
+        let peers: Vec<SocketAddr> = membership.present().map(|r| r.contact.peer_address).collect();
         drop(membership);
         peers.into_iter().for_each(|peer| self.send(peer, event.clone()));
     }
 
     /// Returns the address at which a node receives datagrams.
     pub(crate) fn peer_address(&self, node: &id::Node) -> Option<SocketAddr> {
-        self.membership().get(node).map(|record| record.contact.peers)
+        self.membership().get(node).map(|record| record.contact.peer_address)
     }
 
     /// Returns the nodes that place requests in a group, the owner first.
     fn owners(&self, group: &Group) -> Vec<id::Node> {
         let membership = self.membership();
-        let records = membership.alive().chain([membership.own()]);
+        let records = membership.alive().chain([membership.own_record()]);
         let nodes = records.map(|Record { node, contact, .. }| (node, contact));
         group::rank_owners(group, nodes).into_iter().cloned().collect()
     }
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -13,7 +13,7 @@
 use crate::placement::{Answer, Request};
 use crate::view::Tag;
 use hickory_policy::gossip::Message;
-use hickory_policy::membership::{Count, TICK};
+use hickory_policy::membership::{StateCounts, TICK_INTERVAL};
 use hickory_policy::poison::Suspect;
 use hickory_store::store::{Revision, Store};
 use hickory_unit::clock::Clock;
@@ -260,9 +260,9 @@
             core.owner().withdraw(now, &ticket(id));
             core.queue_notify.notify_one();
         }
-        Event::Outcome { target, served } => core.ejection().note(now, target, served),
-        Event::Down(target) => core.ejection().note_down(now, target),
-        Event::PrefillRefused(target) => core.ejection().note_shut(now, target),
+        Event::Outcome { target, served } => core.ejection().record_outcome(now, target, served),
+        Event::Down(target) => core.ejection().record_unreachable(now, target),
+        Event::PrefillRefused(target) => core.ejection().record_part_refusal(now, target),
         Event::PoisonSuspect { fingerprint, deaths } => {
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
@@ -282,7 +282,7 @@
     core.note_operator_revision(revision);
     let (own_revision, _) = core.revisions();
     if core.peer_states().note_holder(node, revision, own_revision) {
-        let peers = core.membership().pick(REVISION_FANOUT);
+        let peers = core.membership().pick_alive(REVISION_FANOUT);
         for peer in peers {
             core.send(peer, Event::OperatorRevision { node: node.clone(), revision });
         }
@@ -302,7 +302,7 @@
         core.owner().expire(now);
         core.peer_states().expire(now);
         logged.log(&core, now);
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
@@ -310,7 +310,7 @@
 #[derive(Debug, Default)]
 struct LoggedState {
     at: Option<Instant>,
-    count: Count,
+    count: StateCounts,
     owned: Vec<Group>,
 }
 
@@ -323,10 +323,10 @@
         self.at = Some(now);
         let (count, silent) = {
             let mut membership = core.membership();
-            (membership.count(), membership.take_silent())
+            (membership.count(), membership.take_new_suspects())
         };
         if count != self.count {
-            let Count { alive, suspect, dead } = count;
+            let StateCounts { alive, suspect, dead } = count;
             let silent: Vec<&str> = silent.iter().map(id::Node::as_str).collect();
             log::info!(alive, suspect, dead, silent:% = silent.join(","); "members changed");
             self.count = count;
@@ -345,7 +345,7 @@
     while core.stage() != Stage::Closed {
         core.membership_notify.notified().await;
         tokio::time::sleep(MEMBER_BATCH_DELAY).await;
-        let out = core.membership().push();
+        let out = core.membership().push_updates();
         core.send_membership(out);
     }
 }
@@ -354,7 +354,7 @@
 async fn announce_revisions<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     while core.stage() != Stage::Closed {
         core.revision_notify.notified().await;
-        let peers = core.membership().pick(REVISION_FANOUT);
+        let peers = core.membership().pick_alive(REVISION_FANOUT);
         peers.into_iter().for_each(|peer| core.send_revisions(peer));
         tokio::time::sleep(REVISION_INTERVAL).await;
     }
@@ -365,7 +365,7 @@
 async fn announce_allocations<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     let mut announced: HashMap<id::Node, Instant> = HashMap::new();
     while core.stage() != Stage::Closed {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         let now = core.now();
         let mut by_node: HashMap<id::Node, Vec<Event>> = HashMap::new();
         for (number, allocation) in core.own_allocations(now) {
--- a/crates/path/src/group.rs
+++ b/crates/path/src/group.rs
@@ -54,9 +54,9 @@
     group: &Group,
     nodes: impl Iterator<Item = (&'a id::Node, &'a Contact)>,
 ) -> Vec<&'a id::Node> {
-    let ready: Vec<_> = nodes.filter(|(_, contact)| contact.ready).collect();
-    let has_settled = ready.iter().any(|(_, contact)| contact.settled);
-    let eligible = || ready.iter().filter(|(_, contact)| contact.settled || !has_settled);
+    let ready: Vec<_> = nodes.filter(|(_, contact)| contact.is_ready).collect();
+    let has_settled = ready.iter().any(|(_, contact)| contact.is_synced);
+    let eligible = || ready.iter().filter(|(_, contact)| contact.is_synced || !has_settled);
     let max_capacity =
         eligible().map(|(_, contact)| u32::from(contact.capacity.0)).max().unwrap_or_default();
     let capable = eligible()
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -110,20 +110,20 @@
     /// Records whether the target served or failed the request.
     pub(crate) fn note_outcome(&self, served: bool) {
         let target = self.target.tag;
-        self.core.ejection().note(self.core.now(), target, served);
+        self.core.ejection().record_outcome(self.core.now(), target, served);
         self.notify_owners(&Event::Outcome { target, served });
     }
 
     /// Records that the target refused the connection.
     pub(crate) fn note_connection_refused(&self) {
         let target = self.target.tag;
-        self.core.ejection().note_down(self.core.now(), target);
+        self.core.ejection().record_unreachable(self.core.now(), target);
         self.notify_owners(&Event::Down(target));
     }
 
     /// Records that a target refused to prefill a part of the prompt.
     pub(crate) fn note_prefill_refused(&self, target: Tag) {
-        self.core.ejection().note_shut(self.core.now(), target);
+        self.core.ejection().record_part_refusal(self.core.now(), target);
         self.notify_owners(&Event::PrefillRefused(target));
     }
 }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -348,7 +348,7 @@
     scope: Scope,
 ) {
     let ejection = core.ejection();
-    let costs = ejection.costs(now, targets.iter().map(|target| target.tag));
+    let costs = ejection.expected_costs(now, targets.iter().map(|target| target.tag));
     // Many nodes may decide on their own just after a start; a shared order would make all of them
     // prefer the same target.
     let is_shared_order = matches!(scope, Scope::Group(_)) && core.is_settled();
@@ -358,6 +358,6 @@
             false => group::node_specific_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
-        load.is_refusing_chunks = ejection.is_shut(now, target.tag);
+        load.is_refusing_chunks = ejection.refuses_parts(now, target.tag);
     }
 }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -79,7 +79,7 @@
     let service = job.route.pick_service(rand::random());
     let service = service.ok_or_else(|| Refusal::new(Reason::NoTarget, "the route has none"))?;
     let (service, fingerprint) = (service.clone(), compute_fingerprint(&job));
-    let verdict = core.suspects().judge(core.now(), fingerprint);
+    let verdict = core.suspects().verdict(core.now(), fingerprint);
     if verdict == Verdict::Quarantined {
         // The request hasn't run this time, but a retry would be refused in the same way.
         let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
@@ -215,9 +215,11 @@
     /// Returns when the next token is due.
     pub(crate) fn next_token_due(&self) -> Instant {
         match self.first_event_time {
-            Some(_) => {
-                resume::due(self.core.now(), self.job.route.event_gap_goal, self.job.deadline)
-            }
+            Some(_) => resume::resume_deadline(
+                self.core.now(),
+                self.job.route.event_gap_goal,
+                self.job.deadline,
+            ),
             None => self.job.arrived + self.job.route.goal,
         }
     }
@@ -333,7 +335,7 @@
             return Ok(());
         }
         place.note_connection_refused();
-        if self.core.suspects().judge(self.core.now(), self.fingerprint) == Verdict::Quarantined {
+        if self.core.suspects().verdict(self.core.now(), self.fingerprint) == Verdict::Quarantined {
             let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
         }
@@ -376,7 +378,7 @@
     /// Records that a target responded with this status.
     pub(crate) fn note_response(&self, place: &Place<D, S, C>, status: StatusCode) {
         place.note_outcome(!status.is_server_error());
-        self.core.suspects().note_success(self.core.now(), self.fingerprint);
+        self.core.suspects().record_success(self.core.now(), self.fingerprint);
     }
 
     async fn read_body(
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -47,7 +47,7 @@
     /// The maximum time that callers may cache a directory response.
     pub directory_max_age: Duration,
     /// The retry budget: requests sent beyond the first attempt of each.
-    pub retry_budget: share::Bound,
+    pub retry_budget: share::Limit,
     /// The maximum time that memory on an engine may be reserved at once.
     pub max_reservation_hold: Duration,
 }
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -173,8 +173,8 @@
     let own = Candidate { node: me, is_store_unreachable: core.is_store_unreachable() };
     let membership = core.membership();
     let peers = membership.alive();
-    let peers =
-        peers.map(|r| Candidate { node: &r.node, is_store_unreachable: r.contact.store_away });
+    let peers = peers
+        .map(|r| Candidate { node: &r.node, is_store_unreachable: r.contact.is_store_unreachable });
     let nodes: Vec<Candidate<'_>> = peers.chain([own]).collect();
     decide(me, &nodes)
 }
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::items::Update;
 use crate::reply::{self, Pieces, Reply};
-use hickory_policy::spread::{Busy, Given, Meter, Ticket};
+use hickory_policy::spread::{Busy, Recipients, Ticket, UploadMeter};
 use hickory_store::store::{Revision, Store};
 use hickory_telemetry::label::{Fetch, Way};
 use hickory_unit::clock::Clock;
@@ -38,10 +38,10 @@
 /// What this node is sending to peers, and which peers already have the newest value.
 #[derive(Debug, Default)]
 pub(crate) struct Transfers {
-    meter: Meter,
+    meter: UploadMeter,
     /// The revision of the value that `recipients` have received completely.
     revision: Revision,
-    recipients: Given<SocketAddr>,
+    recipients: Recipients<SocketAddr>,
 }
 
 /// The answer to a peer whose request is rejected because the link is busy.
@@ -133,7 +133,7 @@
         transfers.recipients.clear();
     }
     let admitted = transfers.meter.admit(now, size, core.settings.link_rate_or_default());
-    admitted.map_err(|busy| (busy, transfers.recipients.name(now)))
+    admitted.map_err(|busy| (busy, transfers.recipients.recent(now)))
 }
 
 /// An answer with chunks that is being sent.
@@ -154,14 +154,14 @@
     let started_at = core.now();
     while unsent.changed().await.is_ok() {
         let unsent_bytes = *unsent.borrow_and_update();
-        core.transfers().meter.note_left(core.now(), transfer.ticket, unsent_bytes);
+        core.transfers().meter.record_remaining(core.now(), transfer.ticket, unsent_bytes);
     }
     let now = core.now();
     let unsent_bytes = *unsent.borrow();
     let mut transfers = core.transfers();
-    transfers.meter.end(transfer.ticket);
+    transfers.meter.finish(transfer.ticket);
     if unsent_bytes == size::Bytes(0) && transfers.revision == transfer.revision {
-        transfers.recipients.note(now + DELIVERY_MARGIN, transfer.to);
+        transfers.recipients.record(now + DELIVERY_MARGIN, transfer.to);
     }
     drop(transfers);
     log::info!(
--- a/crates/policy/examples/experiment/flight.rs
+++ b/crates/policy/examples/experiment/flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way through the fleet, and how it went.
+//! A request in flight and its record.
 
 use crate::load::Request;
 use hickory_policy::limit::Ticket;
@@ -6,18 +6,18 @@
 use hickory_unit::id;
 use std::time::Duration;
 
-/// How a request went.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub request: Request,
-    /// Time to the first token.
-    pub first: Option<Duration>,
-    /// Time to the end.
-    pub ended: Option<Duration>,
-    /// The refusal and when it came.
-    pub refused: Option<(Reason, Duration)>,
-    /// Sent to a target, whatever came of it.
-    pub begun: bool,
+    /// Time to first token.
+    pub first_token: Option<Duration>,
+    /// Time from arrival to the end.
+    pub ended_after: Option<Duration>,
+    /// Reason and time of the refusal.
+    pub refusal: Option<(Reason, Duration)>,
+    /// Whether it was sent to a target, regardless of the outcome.
+    pub was_sent: bool,
 }
 
 pub(crate) struct Flight {
@@ -25,13 +25,13 @@
     pub(crate) target: Option<usize>,
     pub(crate) ticket: Ticket,
     pub(crate) attempt: u32,
-    pub(crate) tried: Vec<usize>,
-    /// When the attempt was sent, and the time to its first token from then.
+    pub(crate) tried_targets: Vec<usize>,
+    /// When the attempt was sent, and its time to first token from then on.
     pub(crate) sent: Duration,
-    pub(crate) first: Option<Duration>,
+    pub(crate) first_token: Option<Duration>,
 }
 
-pub(crate) fn stream_of(index: usize, attempt: u32) -> id::Stream {
+pub(crate) fn stream_id(index: usize, attempt: u32) -> id::Stream {
     id::Stream {
         request: id::Request(uuid::Uuid::from_u128(index as u128)),
         attempt,
--- a/crates/policy/examples/experiment/main.rs
+++ b/crates/policy/examples/experiment/main.rs
@@ -1,5 +1,5 @@
-//! Experiments with the pure decisions and the engine cost model, against two
-//! baselines in the same run.
+//! Experiments with the decisions and the engine cost model, compared with two baselines in the
+//! same run.
 //!
 //! `cargo run --release -p hickory-policy --example experiment -- short --seed 1`
 
@@ -16,22 +16,22 @@
 use hickory_policy::cost::Class;
 use hickory_policy::limit::Limiter;
 use hickory_policy::refuse::Reason;
-use load::{Kind, Request, arrive};
+use load::{Kind, Request, generate_arrivals};
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// What is measured.
+/// The experiment to run.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Name {
     /// Slowdown of short requests beside long ones.
     Short,
-    /// Time to the first token by prompt length.
+    /// Time to first token by prompt length.
     Length,
     /// Share error by partner under saturation.
     Share,
-    /// Goodput at twice the load that the fleet bears.
+    /// Goodput at twice the load that the fleet can serve.
     Overload,
-    /// A zone leaves and returns cold.
+    /// A zone is taken out of service and returns cold.
     Zone,
 }
 
@@ -41,8 +41,8 @@
     name: Name,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Long prompts a second, for `short`; a half takes about a third of the
-    /// fleet's prefill.
+    /// Long prompts per second, for `short`; 0.5 uses about a third of the fleet's prefill
+    /// capacity.
     #[arg(long, default_value_t = 0.5)]
     long_rate: f64,
     /// Print JSON instead of a table.
@@ -76,7 +76,7 @@
     }
 }
 
-/// An experiment that any policy can be put through.
+/// An experiment that can be run with any policy.
 trait Experiment {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures;
 }
@@ -105,10 +105,10 @@
 }
 
 fn run<L: Limit, P: Place + Default>(load: &[Request], events: &[(u64, Event)], until: u64) -> Run {
-    Fleet::<L, P>::open(ENGINES, SHARES).run(load, events, until)
+    Fleet::<L, P>::new(ENGINES, SHARES).run(load, events, until)
 }
 
-/// Short questions at a moderate rate for each engine.
+/// Short interactive questions at this rate per engine.
 fn questions(rate: f64, span: (f64, f64)) -> Kind {
     Kind {
         partner: "mawe",
@@ -116,12 +116,12 @@
         prompt: (500, 1_500),
         decode: 64,
         rate: rate * ENGINES as f64,
-        left: MINUTE,
-        span,
+        time_left: MINUTE,
+        span_seconds: span,
     }
 }
 
-/// Reports that may wait, and must arrive.
+/// Batch reports that may wait but must complete.
 fn reports(rate: f64, prompt: (u64, u64), span: (f64, f64)) -> Kind {
     Kind {
         partner: "caucao",
@@ -129,8 +129,8 @@
         prompt,
         decode: 500,
         rate,
-        left: MINUTE * 30,
-        span,
+        time_left: MINUTE * 30,
+        span_seconds: span,
     }
 }
 
@@ -142,17 +142,17 @@
     record.request.cost.is_long()
 }
 
-/// Short alone, long alone, both.
+/// Compares short requests alone, long requests alone, and both together.
 struct Short(u64, f64);
 
 impl Experiment for Short {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let span = (10.0, 100.0);
-        // The kind's place in the list seeds its arrivals.
+        // The index of a kind in the list seeds its arrivals.
         let short = questions(8.0, (0.0, 100.0));
         let long = reports(self.1, (60_000, 300_000), (0.0, 100.0));
-        let never = |kind| Kind { span: (0.0, 0.0), ..kind };
-        let load = |short, long| arrive(&[short, long], self.0);
+        let never = |kind| Kind { span_seconds: (0.0, 0.0), ..kind };
+        let load = |short, long| generate_arrivals(&[short, long], self.0);
         let alone = run::<L, P>(&load(short, never(long)), &[], 160_000);
         let long_alone = run::<L, P>(&load(never(short), long), &[], 400_000);
         let both = run::<L, P>(&load(short, long), &[], 400_000);
@@ -167,15 +167,16 @@
         }
         put("long p95 alone ms", long_alone.first_token(span, 0.95, is_long));
         put("long p95 beside ms", both.first_token(span, 0.95, is_long));
-        // The same work, over the time until the last of it has ended.
+        // Throughput is the same work divided by the time until the last long request ended.
         let last = |run: &Run| {
             let long = run.records.iter().filter(|r| is_long(r));
-            let ends = long.filter_map(|r| Some(r.request.at + r.ended?));
+            let ends = long.filter_map(|r| Some(r.request.at + r.ended_after?));
             ends.max().unwrap_or_default().as_secs_f64()
         };
         put("long throughput beside/alone", last(&long_alone) / last(&both));
-        let arrived =
-            |run: &Run| run.records.iter().filter(|r| is_long(r) && r.ended.is_some()).count();
+        let arrived = |run: &Run| {
+            run.records.iter().filter(|r| is_long(r) && r.ended_after.is_some()).count()
+        };
         let sent = both.records.iter().filter(|r| is_long(r)).count();
         put("long arrived, part", arrived(&both) as f64 / sent as f64);
         put("refused or broken", (both.records.len() - ended(&both)) as f64);
@@ -184,10 +185,10 @@
 }
 
 fn ended(run: &Run) -> usize {
-    run.records.iter().filter(|r| r.ended.is_some()).count()
+    run.records.iter().filter(|r| r.ended_after.is_some()).count()
 }
 
-/// One in fifty over a hundred thousand, as in the letter.
+/// A mix of prompt lengths in which about one request in 75 has 100,000 tokens or more.
 struct Length(u64);
 
 impl Experiment for Length {
@@ -197,12 +198,12 @@
             class: if prompt > 50_000 { Class::Batch } else { Class::Interactive },
             partner: if prompt > 5_000 { "caucao" } else { "mawe" },
             prompt: (prompt * 9 / 10, prompt * 11 / 10),
-            left: MINUTE * 10,
+            time_left: MINUTE * 10,
             rate,
             ..questions(0.0, span)
         };
         let kinds = [kind(1_000, 40.0), kind(10_000, 4.0), kind(100_000, 0.5), kind(350_000, 0.1)];
-        let run = run::<L, P>(&arrive(&kinds, self.0), &[], 300_000);
+        let run = run::<L, P>(&generate_arrivals(&kinds, self.0), &[], 300_000);
         let mut figures = Figures::new();
         for (name, least, most) in [
             ("1k", 0, 5_000),
@@ -221,17 +222,16 @@
     }
 }
 
-/// Both partners ask for more than the fleet bears; the shares change from
-/// 3:1 to 1:3 half-way.
+/// Both partners request more than the fleet can serve; the shares change from 3:1 to 1:3 half-way.
 struct Share(u64);
 
 impl Experiment for Share {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let span = (0.0, 80.0);
-        let mawe = Kind { rate: 450.0, left: MINUTE / 2, ..questions(0.0, span) };
+        let mawe = Kind { rate: 450.0, time_left: MINUTE / 2, ..questions(0.0, span) };
         let caucao = Kind { partner: "caucao", prompt: (1_000, 5_000), rate: 300.0, ..mawe };
-        let load = arrive(&[mawe, caucao], self.0);
-        let fleet = Fleet::<L, P>::open(ENGINES, &[("mawe", 3.0), ("caucao", 1.0)]);
+        let load = generate_arrivals(&[mawe, caucao], self.0);
+        let fleet = Fleet::<L, P>::new(ENGINES, &[("mawe", 3.0), ("caucao", 1.0)]);
         let change = Event::Shares(&[("mawe", 1.0), ("caucao", 3.0)]);
         let run = fleet.run(&load, &[(40_000, change)], 80_000);
         let error = |from: f64, share: f64| {
@@ -239,7 +239,7 @@
             let of_mawe = run.work(window, |r| r.request.partner == "mawe");
             (of_mawe / run.work(window, |_| true) - share).abs() * 100.0
         };
-        // A window in which nothing ended has no error: the figure is none.
+        // A window in which no request ended has no error; the figure is then missing.
         let most = |windows: &[f64], share| {
             let errors = windows.iter().map(|&from| error(from, share));
             errors.reduce(|a, b| if b > a || b.is_nan() { b } else { a }).unwrap_or(f64::NAN)
@@ -254,25 +254,25 @@
     }
 }
 
-/// Twice the load that the fleet bears, all with ten seconds of time.
+/// Twice the load that the fleet can serve, all with ten seconds until the deadline.
 struct Overload(u64);
 
 impl Experiment for Overload {
     fn measure<L: Limit, P: Place + Default>(&self) -> Figures {
         let (span, window) = ((0.0, 60.0), (10.0, 60.0));
-        let kind = |rate| Kind { rate, left: Duration::from_secs(10), ..questions(0.0, span) };
-        // What the engines do where all that comes waits in them: capacity.
-        let patient = Kind { left: MINUTE * 10, ..kind(700.0) };
-        let full = run::<Fifo, RoundRobin>(&arrive(&[patient], self.0), &[], 60_000);
+        let kind = |rate| Kind { rate, time_left: Duration::from_secs(10), ..questions(0.0, span) };
+        // Capacity: the engines' throughput when all requests wait inside them.
+        let patient = Kind { time_left: MINUTE * 10, ..kind(700.0) };
+        let full = run::<Fifo, RoundRobin>(&generate_arrivals(&[patient], self.0), &[], 60_000);
         let capacity = full.work(window, |_| true);
         let work = 1_000.0 + 64.0 * 8.0;
         let rate = 2.0 * capacity / 50.0 / work;
-        let run = run::<L, P>(&arrive(&[kind(rate)], self.0), &[], 75_000);
+        let run = run::<L, P>(&generate_arrivals(&[kind(rate)], self.0), &[], 75_000);
         let mut figures = Figures::new();
         let mut put = |name: &str, value: f64| figures.insert(name.into(), json!(value));
         put("capacity, requests/s", capacity / 50.0 / work);
         put("goodput / capacity", run.work(window, |_| true) / capacity);
-        let refused: Vec<_> = run.records.iter().filter_map(|r| r.refused).collect();
+        let refused: Vec<_> = run.records.iter().filter_map(|r| r.refusal).collect();
         let early = refused.iter().filter(|(_, after)| *after < Duration::from_millis(100)).count();
         put("refused", refused.len() as f64);
         put("refused within 100 ms, part", early as f64 / refused.len().max(1) as f64);
@@ -282,8 +282,8 @@
     }
 }
 
-/// A zone of three leaves at 30 s and returns cold at 60 s, at a load that
-/// two zones bear.
+/// One of three zones is taken out at 30 s and returns cold at 60 s, at a load that two zones can
+/// serve.
 struct Zone(u64);
 
 impl Experiment for Zone {
@@ -291,7 +291,7 @@
         let span = (0.0, 110.0);
         let kinds = [questions(10.0, span), reports(0.2, (60_000, 150_000), span)];
         let events = [(30_000, Event::ZoneOut(0)), (60_000, Event::ZoneBack(0))];
-        let run = run::<L, P>(&arrive(&kinds, self.0), &events, 200_000);
+        let run = run::<L, P>(&generate_arrivals(&kinds, self.0), &events, 200_000);
         let p95 = |span| run.first_token(span, 0.95, is_short);
         let before = p95((10.0, 30.0));
         let mut figures = Figures::new();
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -1,72 +1,74 @@
-//! What the decisions are measured against, behind the same traits.
+//! Baseline policies that the decisions are compared with, behind the same traits.
 //!
-//! [`Fifo`] with [`RoundRobin`]: each target takes what its slots and memory
-//! hold, in the order of arrival, and targets take turns. [`Unbounded`] with
-//! [`LeastLoaded`]: everything is sent at once to the target whose lagging
-//! report shows the fewest streams, and queues in the engine.
+//! [`Fifo`] with [`RoundRobin`]: each target admits requests in the order of arrival while it has
+//! free slots and memory, and targets are chosen in rotation. [`Unbounded`] with [`LeastLoaded`]:
+//! each request is sent immediately to the target whose latest (delayed) report shows the fewest
+//! streams, and queues inside the engine.
 
 use crate::fair::Lane;
-use crate::limit::{Answer, Ask, Capacity, Limiter, Observed, Outcome, Ticket, priority_of};
+use crate::limit::{
+    Answer, Capacity, Limiter, Observed, Outcome, PermitRequest, Ticket, priority_of,
+};
 use crate::place::{Candidate, Query, choose_target};
 use crate::refuse::Reason;
 use hickory_unit::size;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// What is told of a target to the nodes that choose.
+/// State of a target as published to the nodes that choose targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct State {
     /// Prompt tokens granted or queued.
     pub queued_prefill: size::Tokens,
-    /// Of these, tokens of long prompts.
+    /// The part of them that belongs to long prompts.
     pub queued_long: size::Tokens,
     /// KV cache in use.
     pub kv_used: size::Tokens,
-    /// Prompt tokens a second at present, where it is known.
+    /// Current prefill rate in prompt tokens per second, if known.
     pub prefill_rate: Option<u64>,
-    /// Streams that the target bears.
-    pub bound: u32,
+    /// Maximum number of concurrent streams.
+    pub stream_limit: u32,
     /// Streams granted.
     pub running: u32,
-    /// Asks that wait.
+    /// Requests queued.
     pub waiting: u32,
 }
 
-/// The limit on one target.
+/// Admission control of one target.
 pub trait Limit {
-    /// A limit for a target that has just been found.
-    fn open(capacity: Capacity) -> Self;
-    /// Asks for a permit.
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer;
-    /// Grants and gives up.
+    /// Creates a limit for a newly discovered target.
+    fn new(capacity: Capacity) -> Self;
+    /// Requests a permit.
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer;
+    /// Grants queued requests and refuses those that have expired.
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)>;
-    /// Takes in a load report, with the number of streams it shows.
+    /// Processes a load report; `streams` is the number of streams that it shows.
     fn observe(&mut self, now: Instant, observed: &Observed, streams: u32);
-    /// Takes back a permit.
-    fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome);
-    /// Says whether the target takes new work.
+    /// Releases a permit.
+    fn complete(&mut self, now: Instant, ticket: Ticket, outcome: Outcome);
+    /// Sets whether the target accepts new work; returns the queued requests that are refused.
     fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)>;
     /// Replaces the partners' shares.
     fn set_shares(&mut self, shares: &[(hickory_unit::id::Partner, f64)]);
-    /// What nodes are told.
+    /// Returns the state that is published to the nodes.
     fn state(&self) -> State;
-    /// The priority at which an engine runs the work.
+    /// Returns the priority at which an engine runs the work of a lane.
     fn priority(lane: Lane) -> u8;
 }
 
-/// The choice of a target.
+/// A policy that chooses a target.
 pub trait Place {
-    /// Chooses one of the candidates, all of which may be used.
+    /// Chooses one of the candidates; returns its index.
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize>;
 }
 
 impl Limit for Limiter {
-    fn open(capacity: Capacity) -> Self {
-        Self::open(capacity)
+    fn new(capacity: Capacity) -> Self {
+        Self::new(capacity)
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
-        self.ask(now, ask)
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        self.request_permit(now, request)
     }
 
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
@@ -77,8 +79,8 @@
         self.observe(now, observed);
     }
 
-    fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) {
-        self.settle(now, ticket, outcome);
+    fn complete(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) {
+        self.complete(now, ticket, outcome);
     }
 
     fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
@@ -95,7 +97,7 @@
             queued_long: self.prefill_queued_of(true),
             kv_used: self.kv_used(),
             prefill_rate: Some(self.prefill_rate()),
-            bound: self.bound(),
+            stream_limit: self.stream_limit(),
             running: self.running() as u32,
             waiting: self.waiting() as u32,
         }
@@ -106,7 +108,7 @@
     }
 }
 
-/// The placement that is measured: [`choose_target`].
+/// The policy in production use: [`choose_target`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Estimate;
 
@@ -117,72 +119,77 @@
     }
 }
 
-/// Why an ask can't be taken at all, whatever else runs or waits.
-fn find_refusal(now: Instant, ask: &Ask, accepting: bool, capacity: Capacity) -> Option<Reason> {
+/// Returns why a request can't be admitted regardless of the load, if so.
+fn find_refusal(
+    now: Instant,
+    request: &PermitRequest,
+    accepting: bool,
+    capacity: Capacity,
+) -> Option<Reason> {
     if !accepting {
         return Some(Reason::NoTarget);
     }
-    if ask.deadline <= now {
+    if request.deadline <= now {
         return Some(Reason::Deadline);
     }
-    (ask.cost.kv() > capacity.kv).then_some(Reason::TooLong)
+    (request.cost.kv() > capacity.kv).then_some(Reason::TooLong)
 }
 
-/// Slots and memory in the order of arrival.
+/// Admission by free slots and memory, in the order of arrival.
 #[derive(Clone, Debug)]
 pub struct Fifo {
     capacity: Capacity,
-    granted: BTreeMap<Ticket, Ask>,
-    queue: VecDeque<(Ticket, Ask)>,
+    granted: BTreeMap<Ticket, PermitRequest>,
+    queue: VecDeque<(Ticket, PermitRequest)>,
     kv: size::Tokens,
     accepting: bool,
     next: Ticket,
 }
 
 impl Fifo {
-    fn fits(&self, ask: &Ask) -> bool {
+    fn fits(&self, request: &PermitRequest) -> bool {
         self.granted.len() < self.capacity.streams as usize
-            && self.kv + ask.cost.kv() <= self.capacity.kv
+            && self.kv + request.cost.kv() <= self.capacity.kv
     }
 
-    fn grant(&mut self, ticket: Ticket, ask: Ask) {
-        self.kv += ask.cost.kv();
-        self.granted.insert(ticket, ask);
+    fn grant(&mut self, ticket: Ticket, request: PermitRequest) {
+        self.kv += request.cost.kv();
+        self.granted.insert(ticket, request);
     }
 }
 
 impl Limit for Fifo {
-    fn open(capacity: Capacity) -> Self {
+    fn new(capacity: Capacity) -> Self {
         let (granted, queue) = (BTreeMap::new(), VecDeque::new());
         Self { capacity, granted, queue, kv: size::Tokens(0), accepting: true, next: 1 }
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
-        if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        if let Some(reason) = find_refusal(now, &request, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
         let ticket = self.next;
         self.next += 1;
-        if self.queue.is_empty() && self.fits(&ask) {
-            self.grant(ticket, ask);
+        if self.queue.is_empty() && self.fits(&request) {
+            self.grant(ticket, request);
             return Answer::Granted(ticket);
         }
-        self.queue.push_back((ticket, ask));
+        self.queue.push_back((ticket, request));
         Answer::Queued(ticket)
     }
 
     fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         let mut answers = Vec::new();
-        while let Some((_, ask)) = self.queue.front() {
-            let late = ask.deadline <= now;
-            if !late && !self.fits(ask) {
+        while let Some((_, request)) = self.queue.front() {
+            let is_late = request.deadline <= now;
+            if !is_late && !self.fits(request) {
                 break;
             }
-            let Some((ticket, ask)) = self.queue.pop_front() else { break };
-            if late {
+            let Some((ticket, request)) = self.queue.pop_front() else { break };
+            if is_late {
                 answers.push((ticket, Err(Reason::Deadline)));
             } else {
-                self.grant(ticket, ask);
+                self.grant(ticket, request);
                 answers.push((ticket, Ok(())));
             }
         }
@@ -191,9 +198,9 @@
 
     fn observe(&mut self, _now: Instant, _observed: &Observed, _streams: u32) {}
 
-    fn settle(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
-        if let Some(ask) = self.granted.remove(&ticket) {
-            self.kv -= ask.cost.kv();
+    fn complete(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
+        if let Some(request) = self.granted.remove(&ticket) {
+            self.kv -= request.cost.kv();
         }
         self.queue.retain(|(queued, _)| *queued != ticket);
     }
@@ -209,13 +216,13 @@
     fn set_shares(&mut self, _shares: &[(hickory_unit::id::Partner, f64)]) {}
 
     fn state(&self) -> State {
-        let asks = self.granted.values().chain(self.queue.iter().map(|(_, ask)| ask));
+        let requests = self.granted.values().chain(self.queue.iter().map(|(_, request)| request));
         State {
-            queued_prefill: asks.map(|ask| ask.cost.prefill).sum(),
+            queued_prefill: requests.map(|request| request.cost.prefill).sum(),
             queued_long: size::Tokens(0),
             kv_used: self.kv,
             prefill_rate: None,
-            bound: self.capacity.streams,
+            stream_limit: self.capacity.streams,
             running: self.granted.len() as u32,
             waiting: self.queue.len() as u32,
         }
@@ -226,7 +233,7 @@
     }
 }
 
-/// Targets take turns.
+/// Chooses targets in rotation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -241,28 +248,28 @@
     }
 }
 
-/// No limit: everything is sent at once.
+/// No limit: every request is granted immediately.
 #[derive(Clone, Debug)]
 pub struct Unbounded {
     capacity: Capacity,
-    running: BTreeMap<Ticket, Ask>,
+    running: BTreeMap<Ticket, PermitRequest>,
     reported: u32,
     accepting: bool,
     next: Ticket,
 }
 
 impl Limit for Unbounded {
-    fn open(capacity: Capacity) -> Self {
+    fn new(capacity: Capacity) -> Self {
         Self { capacity, running: BTreeMap::new(), reported: 0, accepting: true, next: 1 }
     }
 
-    fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
-        if let Some(reason) = find_refusal(now, &ask, self.accepting, self.capacity) {
+    fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
+        if let Some(reason) = find_refusal(now, &request, self.accepting, self.capacity) {
             return Answer::Refused(reason, Duration::ZERO);
         }
         let ticket = self.next;
         self.next += 1;
-        self.running.insert(ticket, ask);
+        self.running.insert(ticket, request);
         Answer::Granted(ticket)
     }
 
@@ -274,7 +281,7 @@
         self.reported = streams;
     }
 
-    fn settle(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
+    fn complete(&mut self, _now: Instant, ticket: Ticket, _outcome: Outcome) {
         self.running.remove(&ticket);
     }
 
@@ -286,7 +293,7 @@
     fn set_shares(&mut self, _shares: &[(hickory_unit::id::Partner, f64)]) {}
 
     fn state(&self) -> State {
-        State { running: self.reported, bound: self.capacity.streams, ..State::default() }
+        State { running: self.reported, stream_limit: self.capacity.streams, ..State::default() }
     }
 
     fn priority(_lane: Lane) -> u8 {
@@ -294,15 +301,15 @@
     }
 }
 
-/// The fewest streams by the report, with what this node sent since.
+/// Chooses the target with the fewest streams, by its report and what this node has sent since.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
 impl Place for LeastLoaded {
     fn choose(&mut self, query: &Query, candidates: &[Candidate]) -> Option<usize> {
-        let able = candidates.iter().enumerate();
-        let able = able.filter(|(_, c)| c.kv_capacity >= query.cost.kv());
-        let least = able.min_by_key(|(_, c)| (c.running + c.waiting, c.hash ^ query.random));
-        least.map(|(index, _)| index)
+        let capable = candidates.iter().enumerate();
+        let capable = capable.filter(|(_, c)| c.kv_capacity >= query.cost.kv());
+        let fewest = capable.min_by_key(|(_, c)| (c.running + c.waiting, c.hash ^ query.random));
+        fewest.map(|(index, _)| index)
     }
 }
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -1,43 +1,42 @@
-//! Outlier ejection: which targets are avoided since they fail more than their
-//! fellows.
+//! Outlier ejection: avoids targets whose failure rate is higher than that of the other targets of
+//! the service.
 //!
-//! What counts is the rate of failures, over the requests of all nodes. A count
-//! of failures would grow with the fleet, and a service whose application fails
-//! one request in ten would have most of its replicas ejected at any moment. A
-//! rate is compared with the median of the service, so that at most half of the
-//! targets are avoided, whatever they all suffer from.
+//! The failure rate is taken over the requests of all nodes. An absolute count of failures would
+//! grow with the size of the fleet, and a service whose application fails one request in ten would
+//! have most of its replicas ejected at any time. Each rate is compared with the median rate of the
+//! service, so at most half of the targets are avoided, even if all of them fail.
 //!
-//! A target that refuses to read parts of prompts for other engines is given no
-//! part for a time, whatever its own streams come to: it is leaving unheard, and
-//! looks idle since all that is sent there is refused.
+//! A target that refuses to prefill parts of prompts for other engines receives no parts for a
+//! backoff period, whatever the outcomes of its own streams. Such a target is shutting down without
+//! having announced it, and it looks idle because it refuses everything sent to it.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 use std::time::{Duration, Instant};
 
-/// The weight of the last outcome in a target's rate.
-const WEIGHT: f64 = 0.4;
+/// Weight of the newest outcome in the exponential moving average of a target's failure rate.
+const OUTCOME_WEIGHT: f64 = 0.4;
 
-/// Half-life of a rate without outcomes, after which a target is tried again.
+/// Half-life of a failure rate without new outcomes; it lets an avoided target be tried again.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// What a failed attempt costs its caller.
-const COST: Duration = Duration::from_millis(450);
+/// Latency that one failed attempt adds to a request.
+const FAILED_ATTEMPT_COST: Duration = Duration::from_millis(450);
 
-/// A lower expected cost is not told from chance.
-const COST_LEAST: Duration = Duration::from_millis(60);
+/// Expected costs below this are treated as zero: they are within the noise.
+const MIN_COST: Duration = Duration::from_millis(60);
 
-/// The greatest expected cost.
-const COST_MOST: Duration = Duration::from_secs(4);
+/// Upper bound of the expected cost.
+const MAX_COST: Duration = Duration::from_secs(4);
 
-/// Rates below this are forgotten.
-const RATE_LEAST: f64 = 0.01;
+/// Failure rates below this are dropped.
+const MIN_RATE: f64 = 0.01;
 
-/// How long a target is given no parts, doubled by each further refusal.
-const SHUT: Duration = Duration::from_secs(3);
+/// Backoff after a refused part; each further refusal doubles it.
+const PART_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Doublings of that at most.
-const SHUT_DOUBLINGS: u32 = 2;
+/// Maximum number of doublings of the backoff.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Rate {
@@ -46,58 +45,59 @@
 }
 
 impl Rate {
-    fn now(&self, now: Instant) -> f64 {
+    fn decayed(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         self.failures * (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Shut {
-    refusals: u32,
+struct PartRefusals {
+    count: u32,
     until: Instant,
 }
 
-/// The targets that failed lately.
+/// Failure rates and part refusals of the targets.
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
-    shut: HashMap<K, Shut>,
+    part_refusals: HashMap<K, PartRefusals>,
 }
 
 impl<K> Default for Ejection<K> {
     fn default() -> Self {
-        Self { rates: HashMap::new(), shut: HashMap::new() }
+        Self { rates: HashMap::new(), part_refusals: HashMap::new() }
     }
 }
 
 impl<K: Copy + Eq + Hash> Ejection<K> {
-    /// Notes how a request ended at a target.
-    pub fn note(&mut self, now: Instant, target: K, served: bool) {
-        let before = self.rate(now, target);
-        let failures = before + WEIGHT * (f64::from(u8::from(!served)) - before);
-        if failures < RATE_LEAST {
+    /// Records the outcome of a request at a target.
+    pub fn record_outcome(&mut self, now: Instant, target: K, is_success: bool) {
+        let previous = self.rate(now, target);
+        let failures = previous + OUTCOME_WEIGHT * (f64::from(u8::from(!is_success)) - previous);
+        if failures < MIN_RATE {
             self.rates.remove(&target);
             return;
         }
         self.rates.insert(target, Rate { failures, at: now });
-        if !served {
-            self.rates.retain(|_, rate| rate.now(now) >= RATE_LEAST);
+        if !is_success {
+            self.rates.retain(|_, rate| rate.decayed(now) >= MIN_RATE);
         }
     }
 
-    /// Notes that nothing listens at a target: no chance brings that about.
-    pub fn note_down(&mut self, now: Instant, target: K) {
+    /// Records that connections to a target are refused. One such event sets the failure rate to 1,
+    /// since it never happens by chance.
+    pub fn record_unreachable(&mut self, now: Instant, target: K) {
         self.rates.insert(target, Rate { failures: 1.0, at: now });
     }
 
     fn rate(&self, now: Instant, target: K) -> f64 {
-        self.rates.get(&target).map_or(0.0, |rate| rate.now(now))
+        self.rates.get(&target).map_or(0.0, |rate| rate.decayed(now))
     }
 
-    /// What it is expected to cost to try each of a service's targets, beyond
-    /// what it costs to try any of them.
-    pub fn costs(&self, now: Instant, targets: impl Iterator<Item = K>) -> Vec<Duration> {
+    /// Returns the expected latency cost of failures at each of a service's targets, beyond the
+    /// cost at the median target.
+    pub fn expected_costs(&self, now: Instant, targets: impl Iterator<Item = K>) -> Vec<Duration> {
         let rates: Vec<f64> = targets.map(|target| self.rate(now, target)).collect();
         let mut sorted = rates.clone();
         sorted.sort_unstable_by(f64::total_cmp);
@@ -105,30 +105,31 @@
         rates.into_iter().map(|rate| cost(rate, median)).collect()
     }
 
-    /// Notes that a target refused to read a part for another one. Several prompts
-    /// that are refused at the same moment count once.
-    pub fn note_shut(&mut self, now: Instant, target: K) {
-        let known = self.shut.get(&target);
-        if known.is_some_and(|shut| now < shut.until) {
+    /// Records that a target refused to prefill a part for another engine. Refusals during a
+    /// backoff are ignored, so several prompts refused at the same moment count once.
+    pub fn record_part_refusal(&mut self, now: Instant, target: K) {
+        let known = self.part_refusals.get(&target);
+        if known.is_some_and(|part_refusals| now < part_refusals.until) {
             return;
         }
-        let refusals = known.map_or(0, |shut| shut.refusals + 1);
-        let until = now + SHUT * 2_u32.pow(refusals.min(SHUT_DOUBLINGS));
-        self.shut.insert(target, Shut { refusals, until });
-        self.shut.retain(|_, shut| shut.until + SHUT * 4 > now);
+        let count = known.map_or(0, |part_refusals| part_refusals.count + 1);
+        let until = now + PART_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
+        self.part_refusals.insert(target, PartRefusals { count, until });
+        self.part_refusals
+            .retain(|_, part_refusals| part_refusals.until + PART_REFUSAL_BACKOFF * 4 > now);
     }
 
-    /// Whether a target is given no parts.
-    pub fn is_shut(&self, now: Instant, target: K) -> bool {
-        self.shut.get(&target).is_some_and(|shut| now < shut.until)
+    /// Returns whether a target is in backoff and receives no parts.
+    pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
+        self.part_refusals.get(&target).is_some_and(|part_refusals| now < part_refusals.until)
     }
 }
 
-/// The cost of the failures that come before a success, where each attempt
-/// fails by the rate beyond the median.
+/// Returns the expected cost of the failures before the first success, if each attempt fails with
+/// the probability by which `rate` exceeds the median.
 fn cost(rate: f64, median: f64) -> Duration {
-    let excess = (rate - median).max(0.0) / (1.0 - median).max(RATE_LEAST);
-    let odds = excess / (1.0 - excess).max(RATE_LEAST);
-    let cost = COST.mul_f64(odds).min(COST_MOST);
-    if cost < COST_LEAST { Duration::ZERO } else { cost }
+    let excess = (rate - median).max(0.0) / (1.0 - median).max(MIN_RATE);
+    let odds = excess / (1.0 - excess).max(MIN_RATE);
+    let cost = FAILED_ATTEMPT_COST.mul_f64(odds).min(MAX_COST);
+    if cost < MIN_COST { Duration::ZERO } else { cost }
 }
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -194,7 +194,8 @@
     /// and itself.
     pub fn share_of(&self, partner: &id::Partner) -> f64 {
         let own_weight = weight_of(&self.shares, partner);
-        let other_weights = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let other_weights =
+            self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
         let is_waiting = self.waiting_asks_of(partner) > 0;
         own_weight / (other_weights.sum::<f64>() + if is_waiting { 0.0 } else { own_weight })
     }
@@ -255,7 +256,8 @@
 
     /// Returns the part of the capacity of a partner with waiting requests.
     fn waiting_share(&self, flow: &Flow) -> f64 {
-        let total_weight = self.partners.iter().filter(|p| p.flow.waits()).map(|p| p.flow.weight);
+        let total_weight =
+            self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
         flow.weight / total_weight.sum::<f64>().max(flow.weight)
     }
 
@@ -266,7 +268,7 @@
         {
             return index;
         }
-        let flow = Flow::open(weight_of(&self.weights, account));
+        let flow = Flow::new(weight_of(&self.weights, account));
         let index = self.accounts.len() as u32;
         self.accounts.push(AccountFlow {
             partner: partner_index,
@@ -281,7 +283,7 @@
         if let Some(&index) = self.partner_index.get(partner) {
             return index;
         }
-        let flow = Flow::open(weight_of(&self.shares, partner));
+        let flow = Flow::new(weight_of(&self.shares, partner));
         let index = self.partners.len() as u32;
         self.partners.push(PartnerFlow { flow, accounts: Level::default() });
         self.partner_index.insert(partner.clone(), index);
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -1,9 +1,8 @@
 //! Selection of the next permit request to grant at a target, and the capacity that is held for
 //! requests that short ones would starve.
-
-use crate::ask::{Ask, Ticket};
 use crate::fair::Lanes;
-use crate::limit::{CLAIM_LIFE, GRACE, Grant, Limiter, Waiting};
+use crate::limit::{CANCEL_GRACE, CLAIM_LIFETIME, Grant, Limiter, Waiting};
+use crate::permit::{PermitRequest, Ticket};
 use crate::room::{Bound, Claim, Full};
 use hickory_unit::size;
 use std::time::{Duration, Instant};
@@ -15,8 +14,8 @@
 
 impl Limiter {
     fn can_grant(&self, now: Instant) -> bool {
-        let is_held = self.hold.is_some_and(|until| now < until);
-        self.accepting && !self.may_be_dead && !is_held
+        let is_held = self.grants_held_until.is_some_and(|until| now < until);
+        self.is_accepting && !self.may_be_dead && !is_held
     }
 
     /// Returns the ticket that can be granted now, in fair order over the lanes with free capacity.
@@ -24,11 +23,11 @@
         if !self.can_grant(now) {
             return None;
         }
-        if self.granted.values().next().is_some_and(|grant| grant.ask.alone) {
+        if self.granted.values().next().is_some_and(|grant| grant.request.is_exclusive) {
             return None;
         }
-        let bound = self.present_bound();
-        if let Some(&(ticket, since)) = self.alone.front() {
+        let bound = self.current_bound();
+        if let Some(&(ticket, since)) = self.exclusive_queue.front() {
             if self.room.slots() == 0 && bound.slots > 0 {
                 return Some(ticket);
             }
@@ -51,7 +50,7 @@
             None => self.starvation_claim(now, bound),
         };
         while let Some((ticket, lane)) = self.queue.peek(now, lanes) {
-            let cost = self.asks.get(&ticket)?.ask.cost;
+            let cost = self.waiting.get(&ticket)?.request.cost;
             if self.room.fits(bound, lane, cost, claim).is_ok() {
                 return Some(ticket);
             }
@@ -65,7 +64,7 @@
     fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
         let long_ask = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
             let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
-            has_waited.then_some((self.asks.get(&ticket)?.ask.cost, lane))
+            has_waited.then_some((self.waiting.get(&ticket)?.request.cost, lane))
         });
         let Some((cost, lane)) = long_ask else { return Claim::default() };
         match self.room.fits(bound, lane, cost, Claim::default()) {
@@ -75,32 +74,35 @@
     }
 
     /// Holds capacity for an urgent long request, unless it is held for another one.
-    pub(crate) fn hold_claim(&mut self, now: Instant, ask: &Ask) {
+    pub(crate) fn hold_claim(&mut self, now: Instant, ask: &PermitRequest) {
         if ask.cost.is_long() && self.active_claim(now).is_none() {
             let claim = Claim { slots: 1, kv: ask.cost.kv() };
-            self.claimed = Some((claim, now + CLAIM_LIFE));
+            self.held_claim = Some((claim, now + CLAIM_LIFETIME));
         }
     }
 
     fn active_claim(&self, now: Instant) -> Option<Claim> {
-        self.claimed.filter(|&(_, until)| now < until).map(|(claim, _)| claim)
+        self.held_claim.filter(|&(_, until)| now < until).map(|(claim, _)| claim)
     }
 
     /// Whether an urgent request fits into the capacity that is held.
     pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
-        let is_alone_running = self.granted.values().next().is_some_and(|grant| grant.ask.alone);
-        let Some(Waiting { ask, .. }) = self.asks.get(&ticket).filter(|w| !w.ask.alone) else {
+        let is_alone_running =
+            self.granted.values().next().is_some_and(|grant| grant.request.is_exclusive);
+        let Some(Waiting { request: ask, .. }) =
+            self.waiting.get(&ticket).filter(|w| !w.request.is_exclusive)
+        else {
             return false;
         };
-        let fits = self.room.fits(self.present_bound(), ask.lane(), ask.cost, Claim::default());
+        let fits = self.room.fits(self.current_bound(), ask.lane(), ask.cost, Claim::default());
         self.can_grant(now) && !is_alone_running && self.active_claim(now).is_some() && fits.is_ok()
     }
 
     pub(crate) fn grant(&mut self, now: Instant, ticket: Ticket) {
         self.queue.grant(ticket);
-        let Some(ask) = self.forget(ticket) else { return };
-        if ask.urgent && ask.cost.is_long() {
-            self.claimed = None;
+        let Some(ask) = self.dequeue(ticket) else { return };
+        if ask.is_urgent && ask.cost.is_long() {
+            self.held_claim = None;
         }
         if !self.queue.is_empty() {
             self.pace.record_grant(ask.cost.work(), ask.cost.is_long());
@@ -110,7 +112,7 @@
         );
         let expected = self.pace.time_to_first_token(ask.cost.prefill + prefill_ahead);
         self.room.acquire(ticket, ask.lane(), ask.cost);
-        self.expiry.insert((ask.deadline + GRACE, ticket));
-        self.granted.insert(ticket, Grant { ask, at: now, expected });
+        self.expiry.insert((ask.deadline + CANCEL_GRACE, ticket));
+        self.granted.insert(ticket, Grant { request: ask, at: now, expected });
     }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,13 +1,13 @@
-//! The limit that a target's owner keeps on it: who may send now, who waits, and
-//! who is refused. Room is granted by [`crate::room`] under the bound of
-//! [`crate::ramp`], in the order of [`crate::fair`]; `crate::grant` joins them.
+//! Admission control of one target, run by its owner: decides which requests are granted, queued or
+//! refused. [`crate::room`] checks free capacity under the limit of [`crate::ramp`],
+//! [`crate::fair`] defines the order, and `crate::grant` combines them.
 //!
-//! Load pattern: all nodes ask for the same target at once, short and long work
-//! mixed, while the target warms up, changes owner or leaves.
+//! Load pattern: all nodes request permits for the same target at the same time, with short and
+//! long work mixed, while the target warms up, changes owner or leaves.
 
-pub use crate::ask::{Answer, Ask, Capacity, Observed, Outcome, Ticket, priority_of};
 use crate::fair::Queue;
-use crate::ramp::{Cold, Ramp};
+pub use crate::permit::{Answer, Capacity, Observed, Outcome, PermitRequest, Ticket, priority_of};
+use crate::ramp::{ColdCause, Ramp};
 use crate::refuse::Reason;
 use crate::room::{Bound, Claim, Room};
 use crate::throughput::Throughput;
@@ -15,49 +15,47 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A permit's life, counted by the asker from the moment it sent the ask. A
-/// new owner waits this long before its first grant, so that no permit of the
-/// former owner that it knows nothing of can still be used.
-pub const PERMIT_LIFE: Duration = Duration::from_secs(2);
+/// Validity of a permit, counted by the requester from the moment it sent the request. A new owner
+/// waits this long before its first grant, so that unknown permits of the former owner have
+/// expired.
+pub const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// How long after its deadline a permit's room is kept: the sender cancels at
-/// the deadline, and the cancel takes this long at most where it gets through
-/// at all. Without an end, an owner that never hears of the outcome would
-/// lose the room for good.
-pub const GRACE: Duration = Duration::from_secs(2);
+/// Time after the deadline for which a permit keeps its capacity. The sender cancels at the
+/// deadline, and a cancel that arrives at all does so within this time. Without an end, an owner
+/// that never receives the outcome would lose the capacity forever.
+pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
 
-/// Asks that wait at most. At the least work of an ask, about 10 ms of an
-/// engine, more could not start within the greatest usual deadline.
-pub const QUEUE_BOUND: usize = 4_096;
+/// Maximum number of queued requests. Even with the shortest requests, about 10 ms of an engine's
+/// time each, more could not start within the longest usual deadline.
+pub const MAX_QUEUE_LENGTH: usize = 4_096;
 
-/// How long room is held for an urgent long ask that was refused, or whose
-/// permit came back unused. Such an ask is one part of a prompt that needs
-/// several engines at once and can't queue at any; without held room short
-/// work would take each slot as it comes free and the prompt never start. Its
-/// node tries again within a second.
-pub const CLAIM_LIFE: Duration = Duration::from_secs(3);
+/// How long capacity is held for an urgent long request that was refused or whose permit was
+/// returned unused. Such a request is one part of a prompt that needs several engines at the same
+/// time and can't queue at any of them. Without held capacity, short work would take each slot as
+/// it becomes free and the prompt would never start. Its node retries within a second.
+pub const CLAIM_LIFETIME: Duration = Duration::from_secs(3);
 
-/// The least time that a refused caller is told to stay away.
-pub(crate) const RETRY_LEAST: Duration = Duration::from_millis(500);
+/// Minimum retry delay sent with a refusal.
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
-    /// The time that it came with.
-    pub(crate) came_with: Duration,
-    /// The last moment at which a start is in time, by the pace when it came.
-    pub(crate) latest: Instant,
+    pub(crate) request: PermitRequest,
+    /// Time left until the deadline when the request arrived.
+    pub(crate) initial_time_left: Duration,
+    /// Latest start that still meets the deadline, by the pace at arrival.
+    pub(crate) latest_start: Instant,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Grant {
-    pub(crate) ask: Ask,
+    pub(crate) request: PermitRequest,
     pub(crate) at: Instant,
-    /// The time to the first token that was to be expected.
+    /// Predicted time to first token.
     pub(crate) expected: Duration,
 }
 
-/// The permits and the queue of one target.
+/// Permits and queue of one target.
 #[derive(Debug)]
 pub struct Limiter {
     capacity: Capacity,
@@ -65,66 +63,66 @@
     pub(crate) room: Room,
     pub(crate) pace: Throughput,
     pub(crate) queue: Queue,
-    pub(crate) asks: HashMap<Ticket, Waiting>,
-    pub(crate) alone: VecDeque<(Ticket, Instant)>,
+    pub(crate) waiting: HashMap<Ticket, Waiting>,
+    pub(crate) exclusive_queue: VecDeque<(Ticket, Instant)>,
     pub(crate) granted: HashMap<Ticket, Grant>,
     pub(crate) expiry: BTreeSet<(Instant, Ticket)>,
-    latest: BTreeSet<(Instant, Ticket)>,
-    now: Option<Instant>,
-    pub(crate) hold: Option<Instant>,
-    /// Room held for urgent long asks, and until when.
-    pub(crate) claimed: Option<(Claim, Instant)>,
-    confirmed: bool,
-    pub(crate) accepting: bool,
-    /// Whether work failed on the target and no load report has come since.
+    latest_starts: BTreeSet<(Instant, Ticket)>,
+    last_advanced: Option<Instant>,
+    pub(crate) grants_held_until: Option<Instant>,
+    /// Capacity held for urgent long requests, and the end of the hold.
+    pub(crate) held_claim: Option<(Claim, Instant)>,
+    is_lease_confirmed: bool,
+    pub(crate) is_accepting: bool,
+    /// Whether work failed on the target and no load report has arrived since.
     pub(crate) may_be_dead: bool,
-    pub(crate) queue_bound: usize,
-    pub(crate) shed: Option<Instant>,
-    next: Ticket,
+    pub(crate) max_queue_length: usize,
+    pub(crate) last_shed: Option<Instant>,
+    next_ticket: Ticket,
 }
 
 impl Limiter {
-    /// A limiter for a cold target, with nothing granted.
-    pub fn open(capacity: Capacity) -> Self {
+    /// Creates the limiter of a cold target without permits.
+    pub fn new(capacity: Capacity) -> Self {
         Self {
-            ramp: Ramp::open(capacity.streams),
+            ramp: Ramp::new(capacity.streams),
             pace: Throughput::open(capacity.prefill_rate, capacity.streams),
             capacity,
             room: Room::default(),
             queue: Queue::open(),
-            asks: HashMap::new(),
-            alone: VecDeque::new(),
+            waiting: HashMap::new(),
+            exclusive_queue: VecDeque::new(),
             granted: HashMap::new(),
             expiry: BTreeSet::new(),
-            latest: BTreeSet::new(),
-            now: None,
-            hold: None,
-            claimed: None,
-            confirmed: true,
-            accepting: true,
+            latest_starts: BTreeSet::new(),
+            last_advanced: None,
+            grants_held_until: None,
+            held_claim: None,
+            is_lease_confirmed: true,
+            is_accepting: true,
             may_be_dead: false,
-            queue_bound: QUEUE_BOUND,
-            shed: None,
-            next: 1,
+            max_queue_length: MAX_QUEUE_LENGTH,
+            last_shed: None,
+            next_ticket: 1,
         }
     }
 
-    /// As `open`, for an owner that takes the target over: nothing is granted
-    /// within one permit life.
-    pub fn open_after_owner(now: Instant, capacity: Capacity) -> Self {
-        let hold = Some(now + PERMIT_LIFE);
-        Self { hold, ..Self::open(capacity) }
+    /// Like `new`, for an owner that takes over the target: it grants nothing for one permit
+    /// lifetime.
+    pub fn new_after_takeover(now: Instant, capacity: Capacity) -> Self {
+        let hold = Some(now + PERMIT_LIFETIME);
+        Self { grants_held_until: hold, ..Self::new(capacity) }
     }
 
-    /// Sets how many asks may wait.
-    pub fn set_queue_bound(&mut self, bound: usize) {
-        self.queue_bound = bound;
+    /// Sets the maximum number of queued requests.
+    pub fn set_max_queue_length(&mut self, length: usize) {
+        self.max_queue_length = length;
     }
 
     /// Replaces the partners' shares.
     pub fn set_shares(&mut self, shares: impl IntoIterator<Item = (id::Partner, f64)>) {
         self.queue.set_shares(shares);
-        self.shed = None;
+        self.last_shed = None;
     }
 
     /// Replaces the accounts' weights within their partners.
@@ -132,42 +130,42 @@
         self.queue.set_weights(weights);
     }
 
-    /// Says whether the owner's lease is confirmed. While it is not, another
-    /// owner may grant too: each keeps to half, so that both together stay
-    /// within the bound.
-    pub fn set_confirmed(&mut self, now: Instant, confirmed: bool) {
+    /// Sets whether the owner's lease is confirmed. Without a confirmed lease another owner may
+    /// grant at the same time; each then uses half of the limit, so that both together stay within
+    /// it.
+    pub fn set_lease_confirmed(&mut self, now: Instant, is_confirmed: bool) {
         self.advance(now);
-        self.confirmed = confirmed;
+        self.is_lease_confirmed = is_confirmed;
     }
 
-    /// Says whether the target takes new work. Where its zone is out, it
-    /// leaves or its owner drains, the asks that wait are refused at once, so
-    /// that their nodes can go elsewhere while there is time.
+    /// Sets whether the target accepts new work. When it stops accepting because its zone is out,
+    /// it leaves or its owner drains, queued requests are refused immediately, so that their nodes
+    /// can still use another target before the deadline.
     pub fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
         self.advance(now);
-        self.accepting = accepting;
+        self.is_accepting = accepting;
         if accepting {
             return Vec::new();
         }
-        let mut tickets: Vec<Ticket> = self.asks.keys().copied().collect();
+        let mut tickets: Vec<Ticket> = self.waiting.keys().copied().collect();
         tickets.sort_unstable();
         for &ticket in &tickets {
-            self.forget(ticket);
+            self.dequeue(ticket);
         }
         tickets.into_iter().map(|ticket| (ticket, Reason::NoTarget)).collect()
     }
 
-    /// Takes in a load report, which shows that the target lives; says why the
-    /// target ramps anew, if it does.
-    pub fn observe(&mut self, now: Instant, observed: &Observed) -> Option<Cold> {
+    /// Processes a load report, which proves that the target is alive. Returns the cause if the
+    /// target restarts its slow start.
+    pub fn observe(&mut self, now: Instant, observed: &Observed) -> Option<ColdCause> {
         self.advance(now);
         self.may_be_dead = false;
-        self.room.set_foreign(observed.foreign, observed.foreign_kv);
+        self.room.set_foreign(observed.foreign_streams, observed.foreign_kv);
         for (ticket, left) in &observed.prefill_left {
             if let Some(grant) = self.granted.get(ticket) {
                 self.room.correct_prefill(
                     *ticket,
-                    grant.ask.lane(),
+                    grant.request.lane(),
                     *left,
                     self.capacity.prefill_rate,
                 );
@@ -177,56 +175,56 @@
         self.ramp.observe(now, observed.sample)
     }
 
-    /// Asks for a permit.
+    /// Requests a permit.
     ///
-    /// Refused at once is what can't end before its deadline by what stands
-    /// before it: the caller can use its time elsewhere, and the queue holds
-    /// only work that will be of use.
-    pub fn ask(&mut self, now: Instant, ask: Ask) -> Answer {
+    /// Requests that can't finish before their deadline, given the work queued ahead, are refused
+    /// immediately: the caller can use the time elsewhere, and the queue holds only work that can
+    /// still succeed.
+    pub fn request_permit(&mut self, now: Instant, request: PermitRequest) -> Answer {
         self.advance(now);
-        if ask.deadline <= now {
+        if request.deadline <= now {
             return Answer::Refused(Reason::Deadline, Duration::ZERO);
         }
-        if ask.cost.kv() > self.capacity.kv {
+        if request.cost.kv() > self.capacity.kv {
             return Answer::Refused(Reason::TooLong, Duration::ZERO);
         }
-        if !self.accepting || self.may_be_dead {
+        if !self.is_accepting || self.may_be_dead {
             return Answer::Refused(Reason::NoTarget, Duration::ZERO);
         }
-        if let Some(refusal) = self.refuse_late(now, &ask) {
+        if let Some(refusal) = self.refuse_late(now, &request) {
             return refusal;
         }
-        let ticket = self.next;
-        let urgent = ask.urgent;
-        self.next += 1;
-        self.enqueue(now, ticket, ask);
-        if self.next_grant(now) == Some(ticket) || urgent && self.fits_in_claim(now, ticket) {
+        let ticket = self.next_ticket;
+        let is_urgent = request.is_urgent;
+        self.next_ticket += 1;
+        self.enqueue(now, ticket, request);
+        if self.next_grant(now) == Some(ticket) || is_urgent && self.fits_in_claim(now, ticket) {
             self.grant(now, ticket);
             return Answer::Granted(ticket);
         }
-        if urgent {
-            if let Some(ask) = self.forget(ticket) {
-                self.hold_claim(now, &ask);
+        if is_urgent {
+            if let Some(request) = self.dequeue(ticket) {
+                self.hold_claim(now, &request);
             }
-            return Answer::Refused(Reason::Overloaded, RETRY_LEAST);
+            return Answer::Refused(Reason::Overloaded, MIN_RETRY_AFTER);
         }
         Answer::Queued(ticket)
     }
 
-    /// Grants what fits now, and gives up on what can't be in time.
+    /// Grants the requests that fit now, and refuses those that can't meet their deadline.
     pub fn poll(&mut self, now: Instant) -> Vec<(Ticket, Result<(), Reason>)> {
         self.advance(now);
         let mut answers = Vec::new();
-        while let Some(&(latest, ticket)) = self.latest.first() {
-            if latest > now {
+        while let Some(&(latest_start, ticket)) = self.latest_starts.first() {
+            if latest_start > now {
                 break;
             }
-            self.forget(ticket);
+            self.dequeue(ticket);
             answers.push((ticket, Err(Reason::Deadline)));
         }
         while let Some(ticket) = self.next_grant(now) {
             if self.is_late(now, ticket) {
-                self.forget(ticket);
+                self.dequeue(ticket);
                 answers.push((ticket, Err(Reason::Overloaded)));
                 continue;
             }
@@ -237,165 +235,168 @@
         answers
     }
 
-    /// When [`Self::poll`] may have something new to say, if nothing else
-    /// happens before.
+    /// Returns when [`Self::poll`] should be called next if no other event occurs.
     pub fn next_poll(&self, now: Instant) -> Option<Instant> {
-        if self.asks.is_empty() {
+        if self.waiting.is_empty() {
             return self.expiry.first().map(|&(at, _)| at);
         }
-        let latest = self.latest.first().map(|&(at, _)| at);
+        let latest_start = self.latest_starts.first().map(|&(at, _)| at);
         let tick = now + Duration::from_millis(5);
-        latest.into_iter().chain([tick.max(self.hold.unwrap_or(tick))]).min()
+        latest_start.into_iter().chain([tick.max(self.grants_held_until.unwrap_or(tick))]).min()
     }
 
-    /// Notes that the first token of a permit's work came.
-    pub fn start(&mut self, now: Instant, ticket: Ticket) {
+    /// Records that the first token of a permit's work arrived.
+    pub fn record_first_token(&mut self, now: Instant, ticket: Ticket) {
         self.advance(now);
         if let Some(grant) = self.granted.get(&ticket) {
-            self.room.finish_prefill(ticket, grant.ask.lane());
+            self.room.finish_prefill(ticket, grant.request.lane());
         }
     }
 
-    /// Takes back a permit, or takes an ask out of the queue, where nothing
-    /// is known of how it went.
-    pub fn finish(&mut self, ticket: Ticket) {
-        self.forget(ticket);
-        if let (Some(grant), Some(now)) = (self.release(ticket), self.now)
-            && grant.ask.urgent
+    /// Releases a permit, or removes a request from the queue, when the outcome is unknown.
+    pub fn cancel(&mut self, ticket: Ticket) {
+        self.dequeue(ticket);
+        if let (Some(grant), Some(now)) = (self.remove_grant(ticket), self.last_advanced)
+            && grant.request.is_urgent
         {
-            self.hold_claim(now, &grant.ask);
+            self.hold_claim(now, &grant.request);
         }
     }
 
-    /// Takes back a permit and learns from how its work went; says why the
-    /// target ramps anew, if it does.
+    /// Releases a permit and learns from its outcome. Returns the cause if the target restarts its
+    /// slow start.
     ///
-    /// After a failure nothing is granted until the next load report: a permit
-    /// for a dead target costs an attempt, and a suspect that waited behind
-    /// the request that killed the target would be blamed for the death.
-    pub fn settle(&mut self, now: Instant, ticket: Ticket, outcome: Outcome) -> Option<Cold> {
+    /// After a failure nothing is granted until the next load report. A permit for a dead target
+    /// would waste an attempt, and a suspect queued behind the request that killed the target would
+    /// be blamed for the death.
+    pub fn complete(
+        &mut self,
+        now: Instant,
+        ticket: Ticket,
+        outcome: Outcome,
+    ) -> Option<ColdCause> {
         self.advance(now);
-        self.forget(ticket);
-        let grant = self.release(ticket)?;
+        self.dequeue(ticket);
+        let grant = self.remove_grant(ticket)?;
         match outcome {
-            Outcome::Dropped => None,
+            Outcome::Abandoned => None,
             Outcome::Failed => {
                 self.may_be_dead = true;
-                self.ramp.fail(now);
+                self.ramp.record_failure(now);
                 None
             }
-            Outcome::Whole(first_token) => {
+            Outcome::Completed(first_token) => {
                 let first = first_token.unwrap_or(grant.expected);
                 let decode = now.saturating_duration_since(grant.at).saturating_sub(first);
-                self.pace.record_decode(grant.ask.cost.decode, decode);
-                self.ramp.succeed(now, first_token.map(|took| (took, grant.expected)))
+                self.pace.record_decode(grant.request.cost.decode, decode);
+                self.ramp.record_success(now, first_token.map(|took| (took, grant.expected)))
             }
         }
     }
 
-    /// Streams granted.
+    /// Returns the number of granted streams.
     pub fn running(&self) -> usize {
         self.granted.len()
     }
 
-    /// Asks that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
-        self.asks.len()
+        self.waiting.len()
     }
 
-    /// KV cache granted.
+    /// Returns the KV cache granted.
     pub fn kv_granted(&self) -> size::Tokens {
-        self.granted.values().map(|grant| grant.ask.cost.kv()).sum()
+        self.granted.values().map(|grant| grant.request.cost.kv()).sum()
     }
 
-    /// KV cache in use, what others granted with it.
+    /// Returns the KV cache in use, including streams granted by others.
     pub fn kv_used(&self) -> size::Tokens {
         size::Tokens(self.room.kv())
     }
 
-    /// Prompt tokens granted and not prefilled by estimate, or queued.
+    /// Returns the prompt tokens that are queued, or granted and by estimate not prefilled yet.
     pub fn prefill_queued(&self) -> size::Tokens {
         self.prefill_queued_of(false) + self.prefill_queued_of(true)
     }
 
-    /// As [`Self::prefill_queued`], of short or of long work only.
-    pub fn prefill_queued_of(&self, long: bool) -> size::Tokens {
-        let queued = self.queue.queued_work(long);
-        size::Tokens(self.room.prefill_in_flight(long) as u64 + queued)
+    /// Like [`Self::prefill_queued`], for short or for long work only.
+    pub fn prefill_queued_of(&self, is_long: bool) -> size::Tokens {
+        let queued = self.queue.queued_work(is_long);
+        size::Tokens(self.room.prefill_in_flight(is_long) as u64 + queued)
     }
 
-    /// Streams that the target may hold at present.
-    pub fn bound(&self) -> u32 {
-        self.present_bound().slots
+    /// Returns the current maximum number of streams on the target.
+    pub fn stream_limit(&self) -> u32 {
+        self.current_bound().slots
     }
 
-    /// Prompt tokens a second at the target's present warmth.
+    /// Returns the prefill rate in prompt tokens per second at the target's current warmth.
     pub fn prefill_rate(&self) -> u64 {
         self.pace.current_prefill_rate()
     }
 
-    /// The part of the full bound that the ramp has opened, from 0 to 1.
-    pub fn level(&self) -> f64 {
-        self.ramp.level()
+    /// Returns the fraction of the full limit that the slow start allows, from 0 to 1.
+    pub fn ramp_fraction(&self) -> f64 {
+        self.ramp.ramp_fraction()
     }
 
-    /// Whether the target takes new work.
-    pub fn accepting(&self) -> bool {
-        self.accepting
+    /// Returns whether the target accepts new work.
+    pub fn is_accepting(&self) -> bool {
+        self.is_accepting
     }
 
-    pub(crate) fn present_bound(&self) -> Bound {
-        let halves = if self.confirmed { 1 } else { 2 };
+    pub(crate) fn current_bound(&self) -> Bound {
+        let parts = if self.is_lease_confirmed { 1 } else { 2 };
         Bound {
-            slots: self.ramp.bound() / halves,
-            kv: size::Tokens(self.capacity.kv.0 / u64::from(halves)),
+            slots: self.ramp.stream_limit() / parts,
+            kv: size::Tokens(self.capacity.kv.0 / u64::from(parts)),
             prefill_rate: self.pace.shared_prefill_rate(),
         }
     }
 
     fn advance(&mut self, now: Instant) {
-        self.now = Some(now);
+        self.last_advanced = Some(now);
         self.room.advance_prefill(now, self.pace.shared_prefill_rate());
-        let waits = [false, true].map(|long| self.queue.queued_work(long) > 0);
+        let waits = [false, true].map(|is_long| self.queue.queued_work(is_long) > 0);
         self.pace.advance(now, waits);
         while let Some(&(at, ticket)) = self.expiry.first() {
             if at > now {
                 break;
             }
-            self.release(ticket);
+            self.remove_grant(ticket);
         }
     }
 
-    fn enqueue(&mut self, now: Instant, ticket: Ticket, ask: Ask) {
-        let came_with = ask.deadline.saturating_duration_since(now);
-        let time = self.pace.service_time(ask.cost, came_with);
-        let latest = ask.deadline.checked_sub(time).unwrap_or(now).max(now);
-        self.latest.insert((latest, ticket));
-        if ask.alone {
-            self.alone.push_back((ticket, now));
+    fn enqueue(&mut self, now: Instant, ticket: Ticket, request: PermitRequest) {
+        let initial_time_left = request.deadline.saturating_duration_since(now);
+        let time = self.pace.service_time(request.cost, initial_time_left);
+        let latest_start = request.deadline.checked_sub(time).unwrap_or(now).max(now);
+        self.latest_starts.insert((latest_start, ticket));
+        if request.is_exclusive {
+            self.exclusive_queue.push_back((ticket, now));
         } else {
-            let flow = (&ask.partner, &ask.account);
-            self.queue.push(now, flow, ask.lane(), ask.cost.work(), ticket);
+            let flow = (&request.partner, &request.account);
+            self.queue.push(now, flow, request.lane(), request.cost.work(), ticket);
         }
-        self.asks.insert(ticket, Waiting { ask, came_with, latest });
+        self.waiting.insert(ticket, Waiting { request, initial_time_left, latest_start });
     }
 
-    /// Takes an ask out of the queue.
-    pub(crate) fn forget(&mut self, ticket: Ticket) -> Option<Ask> {
-        let Waiting { ask, latest, .. } = self.asks.remove(&ticket)?;
+    /// Removes a request from the queue.
+    pub(crate) fn dequeue(&mut self, ticket: Ticket) -> Option<PermitRequest> {
+        let Waiting { request, latest_start, .. } = self.waiting.remove(&ticket)?;
         self.queue.remove(ticket);
-        if ask.alone {
-            self.alone.retain(|&(queued, _)| queued != ticket);
+        if request.is_exclusive {
+            self.exclusive_queue.retain(|&(queued, _)| queued != ticket);
         }
-        self.latest.remove(&(latest, ticket));
-        Some(ask)
+        self.latest_starts.remove(&(latest_start, ticket));
+        Some(request)
     }
 
-    /// Takes a permit back.
-    fn release(&mut self, ticket: Ticket) -> Option<Grant> {
+    /// Removes a granted permit and frees its capacity.
+    fn remove_grant(&mut self, ticket: Ticket) -> Option<Grant> {
         let grant = self.granted.remove(&ticket)?;
-        self.room.release(ticket, grant.ask.lane(), grant.ask.cost);
-        self.expiry.remove(&(grant.ask.deadline + GRACE, ticket));
+        self.room.release(ticket, grant.request.lane(), grant.request.cost);
+        self.expiry.remove(&(grant.request.deadline + CANCEL_GRACE, ticket));
         Some(grant)
     }
 }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,20 +1,18 @@
-//! Which nodes are alive, by gossip.
+//! Group membership by gossip, in the manner of SWIM.
 //!
-//! A node probes one other at a time, and asks a few more to probe one that is
-//! silent. A node that stays silent is suspected, and counts as dead unless it
-//! refutes that. What changes travels on the probes and is pushed to a few
-//! others at once, so what a node sends doesn't grow with the fleet, and news
-//! reaches all in a logarithm of the nodes.
+//! Each node probes one other node at a time, and asks a few others to probe it if it does not
+//! answer. A node that stays silent is suspected and declared dead unless it refutes the suspicion.
+//! Updates are piggybacked on probes and pushed to a few other nodes, so the traffic per node does
+//! not grow with the fleet, and an update reaches all of `n` nodes in about log `n` rounds.
 //!
-//! Load pattern: hundreds of nodes of which many die, freeze, are cut off or
-//! start at the same moment.
+//! Load pattern: hundreds of nodes of which many die, freeze, are cut off or start at once.
 
 use crate::gossip::{Exchange, Message, Outgoing};
 use crate::member::{Contact, Record, State};
 use crate::probe::Probes;
-pub use crate::roster::Count;
+pub use crate::roster::StateCounts;
 use crate::roster::{Peer, Roster};
-use crate::rumor::{RECORDS_MOST, Rumors};
+use crate::rumor::{MAX_RECORDS, Rumors};
 use hickory_unit::id;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -22,53 +20,49 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Between two calls of [`Membership::tick`].
-pub const TICK: Duration = Duration::from_millis(100);
+/// Interval between calls of [`Membership::tick`].
+pub const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two probes.
-const PROBE_EVERY: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a node is suspected before it counts as dead.
-const DEAD_AFTER: Duration = Duration::from_secs(3);
+/// Time from suspicion until a node is declared dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Between two attempts to have a suspect refute.
-const PRESS_EVERY: Duration = Duration::from_millis(500);
+/// Interval between requests to a suspect to refute the suspicion.
+const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the dead are remembered, so that late statements don't revive them.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// How long dead nodes are remembered, so that late records don't revive them.
+const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
-/// Between two attempts to reach a dead node: the ends of a partition find each
-/// other again by it.
-const RECONNECT_EVERY: Duration = Duration::from_secs(1);
+/// Interval between attempts to reach a dead node, which rejoin the sides of a partition.
+const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two requests for all records, which a node makes where its table
-/// differs from a peer's.
-const PULL_EVERY: Duration = Duration::from_secs(2);
+/// Minimum interval between pulls while the table differs from a peer's.
+const PULL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same while news is under way, which explains most differences.
-const PULL_EVERY_IN_CHURN: Duration = Duration::from_secs(3);
+/// Minimum pull interval while updates spread, since these explain most differences.
+const PULL_INTERVAL_IN_CHURN: Duration = Duration::from_secs(3);
 
-/// The same in the first seconds, in which the table fills.
-const PULL_EVERY_YOUNG: Duration = Duration::from_millis(500);
+/// Minimum pull interval during the start phase, when the table fills.
+const PULL_INTERVAL_AT_START: Duration = Duration::from_millis(500);
 
-/// How long a table counts as young.
-const YOUNG: Duration = Duration::from_secs(3);
+const START_PHASE: Duration = Duration::from_secs(3);
 
-/// Peers below which a node that has just started asks its seeds again.
-const JOINED: usize = 3;
+/// Number of peers below which a node in its start phase contacts its seeds again.
+const MIN_PEERS: usize = 3;
 
-/// Between two calls of a node that found nobody yet.
-const JOIN_EVERY: Duration = Duration::from_millis(300);
+/// Interval between messages to the seeds until enough peers are known.
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Nodes that are asked to probe a silent one.
-const HELPERS: usize = 3;
+/// Number of nodes asked to probe an unresponsive node.
+const INDIRECT_PROBES: usize = 3;
 
-/// Nodes that news is pushed to.
-const FANOUT: usize = 3;
+/// Number of nodes that updates are pushed to.
+const PUSH_FANOUT: usize = 3;
 
-/// A call to [`Membership::tick`] that comes so late was held up: the host was
-/// suspended or had no processor time, and silence of others proves nothing.
-const HELD_UP: Duration = Duration::from_millis(400);
+/// A longer interval between ticks means that this host was suspended or had no processor time, so
+/// the silence of other nodes proves nothing.
+const MAX_TICK_DELAY: Duration = Duration::from_millis(400);
 
 /// A node's table of all nodes.
 #[derive(Clone, Debug)]
@@ -76,57 +70,57 @@
     roster: Roster,
     rumors: Rumors,
     probes: Probes,
-    /// Nodes that are still to be probed in this round.
-    round: Vec<id::Node>,
+    /// Nodes still to be probed in this round.
+    probe_round: Vec<id::Node>,
     seeds: Vec<SocketAddr>,
-    began: Instant,
-    ticked: Instant,
-    probed: Option<Instant>,
-    joined: Option<Instant>,
-    reconnected: Instant,
-    pulled: Option<Instant>,
-    /// Nodes that this one found silent, for its log.
-    silent: Vec<id::Node>,
+    started: Instant,
+    last_tick: Instant,
+    last_probe: Option<Instant>,
+    last_join: Option<Instant>,
+    last_reconnect: Instant,
+    last_pull: Option<Instant>,
+    /// Nodes newly suspected by this node, for its log.
+    new_suspects: Vec<id::Node>,
     random: SmallRng,
 }
 
 impl Membership {
-    /// Opens the table of a node that knows where some others may be.
-    pub fn open(now: Instant, own: Record, seeds: Vec<SocketAddr>, seed: u64) -> Self {
+    /// Creates the table of a node that knows the addresses of some other nodes.
+    pub fn new(now: Instant, own: Record, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         Self {
-            roster: Roster::open(own),
+            roster: Roster::new(own),
             rumors: Rumors::default(),
             probes: Probes::default(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             seeds,
-            began: now,
-            ticked: now,
-            probed: None,
-            joined: None,
-            reconnected: now,
-            pulled: None,
-            silent: Vec::new(),
+            started: now,
+            last_tick: now,
+            last_probe: None,
+            last_join: None,
+            last_reconnect: now,
+            last_pull: None,
+            new_suspects: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// This node's record.
-    pub fn own(&self) -> &Record {
+    /// Returns this node's record.
+    pub fn own_record(&self) -> &Record {
         &self.roster.own
     }
 
-    /// Takes what this node says of itself.
+    /// Replaces the published contact of this node.
     pub fn set_contact(&mut self, contact: Contact) {
         let own = &mut self.roster.own;
         if own.contact != contact {
-            // The digest is of versions, not of contacts.
+            // The digest covers versions, not contacts.
             own.contact = contact;
             let (incarnation, version) = (own.incarnation, own.version);
-            self.raise_own(incarnation, version);
+            self.raise_own_version(incarnation, version);
         }
     }
 
-    /// Takes where further nodes may be.
+    /// Adds addresses where other nodes may be.
     pub fn add_seeds(&mut self, seeds: impl Iterator<Item = SocketAddr>) {
         for seed in seeds {
             if !self.seeds.contains(&seed) {
@@ -135,74 +129,74 @@
         }
     }
 
-    /// Other nodes that are alive.
+    /// Returns the other nodes that are alive.
     pub fn alive(&self) -> impl Iterator<Item = &Record> {
         self.roster.with_state(|state| state == State::Alive)
     }
 
-    /// Other nodes that are not known to be dead.
+    /// Returns the other nodes that are not dead.
     pub fn present(&self) -> impl Iterator<Item = &Record> {
         self.roster.with_state(|state| state != State::Dead)
     }
 
-    /// The record of another node.
+    /// Returns the record of another node.
     pub fn get(&self, node: &id::Node) -> Option<&Record> {
         self.roster.peers.get(node).map(|peer| &peer.record)
     }
 
-    /// How many other nodes are in each state.
-    pub fn count(&self) -> Count {
+    /// Returns the number of other nodes in each state.
+    pub fn count(&self) -> StateCounts {
         self.roster.count()
     }
 
-    /// The nodes that this one itself found silent since it was last asked.
-    pub fn take_silent(&mut self) -> Vec<id::Node> {
-        std::mem::take(&mut self.silent)
+    /// Returns the nodes suspected by this node itself since the last call.
+    pub fn take_new_suspects(&mut self) -> Vec<id::Node> {
+        std::mem::take(&mut self.new_suspects)
     }
 
-    /// Some nodes that are alive, chosen at random.
-    pub fn pick(&mut self, count: usize) -> Vec<SocketAddr> {
+    /// Returns the addresses of randomly chosen nodes that are alive.
+    pub fn pick_alive(&mut self, count: usize) -> Vec<SocketAddr> {
         let alive = self.roster.with_state(|state| state == State::Alive);
-        let addresses = alive.map(|record| record.contact.peers);
+        let addresses = alive.map(|record| record.contact.peer_address);
         addresses.choose_multiple(&mut self.random, count)
     }
 
-    /// Whether there is news that was told to nobody yet.
-    pub fn has_untold(&self) -> bool {
-        self.rumors.has_untold()
+    /// Returns whether there are updates that were not sent to any node yet.
+    pub fn has_unsent_updates(&self) -> bool {
+        self.rumors.has_unsent_updates()
     }
 
-    /// Tells news to a few others at once.
-    pub fn push(&mut self) -> Vec<Outgoing> {
-        if !self.has_untold() {
+    /// Sends unsent updates to a few nodes immediately.
+    pub fn push_updates(&mut self) -> Vec<Outgoing> {
+        if !self.has_unsent_updates() {
             return Vec::new();
         }
-        let targets = self.pick(FANOUT);
-        let send = |to| (to, Message::Rumor(self.take_news()));
+        let targets = self.pick_alive(PUSH_FANOUT);
+        let send = |to| (to, Message::Rumor(self.take_updates()));
         targets.into_iter().map(send).collect()
     }
 
-    /// Does what is due; called every [`TICK`].
+    /// Runs the periodic work; must be called every [`TICK_INTERVAL`].
     pub fn tick(&mut self, now: Instant) -> Vec<Outgoing> {
-        let since_last = now.saturating_duration_since(self.ticked);
-        self.ticked = now;
-        if since_last > HELD_UP {
-            self.forgive(now);
+        let since_last = now.saturating_duration_since(self.last_tick);
+        self.last_tick = now;
+        if since_last > MAX_TICK_DELAY {
+            self.reset_suspicions(now);
         }
         let mut out = Vec::new();
         self.check_probes(now, &mut out);
-        self.press_suspects(now, &mut out);
+        self.remind_suspects(now, &mut out);
         self.expire(now);
         self.join(now, &mut out);
         self.reconnect(now, &mut out);
-        if is_due(self.probed, now, PROBE_EVERY) {
-            self.probed = Some(now);
+        if is_due(self.last_probe, now, PROBE_INTERVAL) {
+            self.last_probe = Some(now);
             out.extend(self.probe_next(now));
         }
         out
     }
 
-    /// Takes a message of a node.
+    /// Processes a message and returns the replies.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -212,141 +206,140 @@
     ) -> Vec<Outgoing> {
         match message {
             Message::Ping(Exchange { sequence, digest, records }) => {
-                self.take_all(now, records);
-                let mut records = self.answer_news(digest);
-                records.extend(self.roster.find_false(node));
+                self.apply_all(now, records);
+                let mut records = self.updates_for(digest);
+                records.extend(self.roster.find_refutable(node));
                 let own = Exchange { sequence, digest: self.roster.digest, records };
                 let mut out = vec![(from, Message::Ack(own))];
                 out.extend(self.pull(now, from, digest));
                 out
             }
             Message::Ack(Exchange { sequence, digest, records }) => {
-                self.take_all(now, records);
-                self.note_alike(digest);
+                self.apply_all(now, records);
+                self.record_equal_digest(digest);
                 let mut out: Vec<Outgoing> =
-                    self.probes.answer(sequence, digest).into_iter().collect();
+                    self.probes.acknowledge(sequence, digest).into_iter().collect();
                 out.extend(self.pull(now, from, digest));
                 out
             }
-            Message::Relay { sequence, to } => {
-                let sequence = self.probes.begin_for(now, from, sequence);
+            Message::IndirectPing { sequence, to } => {
+                let sequence = self.probes.begin_relayed(now, from, sequence);
                 vec![(to, self.ping(sequence))]
             }
             Message::Rumor(records) => {
                 let own = &self.roster.own.node;
-                let is_false = |r: &Record| r.node == *own && r.state != State::Alive;
-                let is_denied = records.iter().any(is_false);
-                self.take_all(now, records);
-                let own = || Message::Rumor(vec![self.own().clone()]);
-                is_denied.then(|| (from, own())).into_iter().collect()
+                let is_false_claim = |r: &Record| r.node == *own && r.state != State::Alive;
+                let is_refutable = records.iter().any(is_false_claim);
+                self.apply_all(now, records);
+                let own = || Message::Rumor(vec![self.own_record().clone()]);
+                is_refutable.then(|| (from, own())).into_iter().collect()
             }
-            Message::List(records) => {
+            Message::Members(records) => {
                 for record in records {
-                    self.take_quietly(now, record);
+                    self.apply_without_gossip(now, record);
                 }
                 Vec::new()
             }
             Message::Pull(own) => {
-                let to = own.contact.peers;
-                self.take(now, own);
-                self.tell_all(to)
+                let to = own.contact.peer_address;
+                self.apply(now, own);
+                self.send_members(to)
             }
         }
     }
 
-    fn tell_all(&self, to: SocketAddr) -> Vec<Outgoing> {
+    fn send_members(&self, to: SocketAddr) -> Vec<Outgoing> {
         let records = self.roster.present();
-        let list = |records: &[Record]| (to, Message::List(records.to_vec()));
-        records.chunks(RECORDS_MOST).map(list).collect()
+        let list = |records: &[Record]| (to, Message::Members(records.to_vec()));
+        records.chunks(MAX_RECORDS).map(list).collect()
     }
 
-    /// Asks for all records where the tables differ.
+    /// Requests all records if the digests differ.
     fn pull(&mut self, now: Instant, from: SocketAddr, digest: u64) -> Option<Outgoing> {
-        let is_young = now.saturating_duration_since(self.began) < YOUNG;
-        let every = match (is_young, self.rumors.is_empty()) {
-            (true, _) => PULL_EVERY_YOUNG,
-            (false, true) => PULL_EVERY,
-            (false, false) => PULL_EVERY_IN_CHURN,
+        let is_starting = now.saturating_duration_since(self.started) < START_PHASE;
+        let interval = match (is_starting, self.rumors.is_empty()) {
+            (true, _) => PULL_INTERVAL_AT_START,
+            (false, true) => PULL_INTERVAL,
+            (false, false) => PULL_INTERVAL_IN_CHURN,
         };
-        if digest == self.roster.digest || !is_due(self.pulled, now, every) {
+        if digest == self.roster.digest || !is_due(self.last_pull, now, interval) {
             return None;
         }
-        self.pulled = Some(now);
-        Some((from, Message::Pull(self.own().clone())))
+        self.last_pull = Some(now);
+        Some((from, Message::Pull(self.own_record().clone())))
     }
 
-    fn take_all(&mut self, now: Instant, records: Vec<Record>) {
-        records.into_iter().for_each(|record| self.take(now, record));
+    fn apply_all(&mut self, now: Instant, records: Vec<Record>) {
+        records.into_iter().for_each(|record| self.apply(now, record));
     }
 
-    fn take(&mut self, now: Instant, record: Record) {
+    fn apply(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
-        if self.take_quietly(now, record) {
-            self.enqueue(node);
+        if self.apply_without_gossip(now, record) {
+            self.enqueue_update(node);
         }
     }
 
-    /// Takes a record that needn't be told; whether it was news.
-    fn take_quietly(&mut self, now: Instant, record: Record) -> bool {
-        if record.node == self.own().node {
+    /// Applies a record without disseminating it; returns whether it changed the table.
+    fn apply_without_gossip(&mut self, now: Instant, record: Record) -> bool {
+        if record.node == self.own_record().node {
             self.refute(&record);
             return false;
         }
         let known = self.get(&record.node);
-        let is_news = known.is_none_or(|known| known.rank() < record.rank());
-        if is_news {
+        let is_newer = known.is_none_or(|known| known.rank() < record.rank());
+        if is_newer {
             self.roster.insert(now, record);
         }
-        is_news
+        is_newer
     }
 
-    /// Changes what this node holds of another one, and tells it.
-    fn change(&mut self, now: Instant, record: Record) {
+    /// Applies and disseminates a state that this node itself found.
+    fn apply_own_finding(&mut self, now: Instant, record: Record) {
         let node = record.node.clone();
         self.roster.insert(now, record);
-        self.enqueue(node);
+        self.enqueue_update(node);
     }
 
-    /// Answers a statement about this node that is later than its own, or that
-    /// doesn't hold.
+    /// Answers a later or false statement about this node with a higher version.
     fn refute(&mut self, record: &Record) {
-        if record.rank() > self.own().rank() {
-            self.raise_own(record.incarnation, record.version);
+        if record.rank() > self.own_record().rank() {
+            self.raise_own_version(record.incarnation, record.version);
         }
     }
 
-    fn raise_own(&mut self, incarnation: id::Incarnation, version: u32) {
-        self.roster.raise_own(incarnation, version);
-        self.enqueue(self.own().node.clone());
+    fn raise_own_version(&mut self, incarnation: id::Incarnation, version: u32) {
+        self.roster.raise_own_version(incarnation, version);
+        self.enqueue_update(self.own_record().node.clone());
     }
 
-    fn enqueue(&mut self, node: id::Node) {
+    fn enqueue_update(&mut self, node: id::Node) {
         self.rumors.add(node, self.roster.peers.len() + 1);
     }
 
-    fn take_news(&mut self) -> Vec<Record> {
+    fn take_updates(&mut self) -> Vec<Record> {
         self.rumors.take(&self.roster)
     }
 
-    /// News for a node whose table has this digest.
-    fn answer_news(&mut self, digest: u64) -> Vec<Record> {
-        self.note_alike(digest);
-        if digest == self.roster.digest { Vec::new() } else { self.take_news() }
+    /// Returns the updates to send to a node whose table has this digest.
+    fn updates_for(&mut self, digest: u64) -> Vec<Record> {
+        self.record_equal_digest(digest);
+        if digest == self.roster.digest { Vec::new() } else { self.take_updates() }
     }
 
-    fn note_alike(&mut self, digest: u64) {
+    fn record_equal_digest(&mut self, digest: u64) {
         if digest == self.roster.digest {
-            self.rumors.note_alike();
+            self.rumors.record_equal_digest();
         }
     }
 
-    /// Drops what this node would conclude from silence while it was held up.
-    fn forgive(&mut self, now: Instant) {
-        self.probes.forget();
+    /// Discards unanswered probes and restarts the timers of suspects.
+    fn reset_suspicions(&mut self, now: Instant) {
+        self.probes.clear();
         for peer in
             self.roster.peers.values_mut().filter(|peer| peer.record.state == State::Suspect)
         {
-            peer.since = now;
+            peer.state_since = now;
         }
     }
 
@@ -354,11 +347,11 @@
         for node in self.probes.take_failed(now) {
             self.suspect(now, &node, out);
         }
-        for (sequence, node) in self.probes.take_silent(now) {
-            let Some(to) = self.get(&node).map(|record| record.contact.peers) else { continue };
+        for (sequence, node) in self.probes.take_unanswered(now) {
+            let Some(to) = self.get(&node).map(|r| r.contact.peer_address) else { continue };
             out.push((to, self.ping(sequence)));
-            let helpers = self.pick(HELPERS).into_iter().filter(|helper| *helper != to);
-            out.extend(helpers.map(|helper| (helper, Message::Relay { sequence, to })));
+            let relays = self.pick_alive(INDIRECT_PROBES).into_iter().filter(|relay| *relay != to);
+            out.extend(relays.map(|relay| (relay, Message::IndirectPing { sequence, to })));
         }
     }
 
@@ -366,73 +359,76 @@
         let known = self.get(node).filter(|record| record.state == State::Alive);
         let Some(record) = known.cloned() else { return };
         let record = Record { state: State::Suspect, ..record };
-        // The suspect hears of it and can refute it at once.
-        out.push((record.contact.peers, Message::Rumor(vec![record.clone()])));
-        self.silent.push(record.node.clone());
-        self.change(now, record);
+        // The suspect receives the suspicion too, so it can refute it immediately.
+        out.push((record.contact.peer_address, Message::Rumor(vec![record.clone()])));
+        self.new_suspects.push(record.node.clone());
+        self.apply_own_finding(now, record);
     }
 
-    /// Tells suspects again that they are suspected: a refutation may have been lost.
-    fn press_suspects(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
+    /// Resends suspicions to the suspects, since a refutation may have been lost.
+    fn remind_suspects(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
         for peer in
             self.roster.peers.values_mut().filter(|peer| peer.record.state == State::Suspect)
         {
-            if now.saturating_duration_since(peer.pressed) >= PRESS_EVERY {
-                peer.pressed = now;
-                out.push((peer.record.contact.peers, Message::Rumor(vec![peer.record.clone()])));
+            if now.saturating_duration_since(peer.last_reminder) >= REMINDER_INTERVAL {
+                peer.last_reminder = now;
+                out.push((
+                    peer.record.contact.peer_address,
+                    Message::Rumor(vec![peer.record.clone()]),
+                ));
             }
         }
     }
 
     fn expire(&mut self, now: Instant) {
         let is_over = |peer: &Peer, state, time| {
-            peer.record.state == state && now.saturating_duration_since(peer.since) >= time
+            peer.record.state == state && now.saturating_duration_since(peer.state_since) >= time
         };
         let over =
-            self.roster.peers.values().filter(|peer| is_over(peer, State::Suspect, DEAD_AFTER));
+            self.roster.peers.values().filter(|p| is_over(p, State::Suspect, SUSPICION_TIMEOUT));
         let dead: Vec<Record> =
             over.map(|peer| Record { state: State::Dead, ..peer.record.clone() }).collect();
         for record in dead {
-            self.change(now, record);
+            self.apply_own_finding(now, record);
         }
-        self.roster.peers.retain(|_, peer| !is_over(peer, State::Dead, FORGOTTEN_AFTER));
+        self.roster.peers.retain(|_, peer| !is_over(peer, State::Dead, DEAD_RETENTION));
     }
 
     fn join(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        if self.present().count() >= JOINED || !is_due(self.joined, now, JOIN_EVERY) {
+        if self.present().count() >= MIN_PEERS || !is_due(self.last_join, now, JOIN_INTERVAL) {
             return;
         }
-        let is_late = now.saturating_duration_since(self.began) > YOUNG;
+        let is_late = now.saturating_duration_since(self.started) > START_PHASE;
         if is_late && self.alive().next().is_some() {
             return;
         }
-        self.joined = Some(now);
-        let own = self.own().contact.peers;
+        self.last_join = Some(now);
+        let own = self.own_record().contact.peer_address;
         let seeds = self.seeds.iter().filter(|seed| **seed != own);
-        out.extend(seeds.map(|seed| (*seed, Message::Pull(self.own().clone()))));
+        out.extend(seeds.map(|seed| (*seed, Message::Pull(self.own_record().clone()))));
     }
 
     fn reconnect(&mut self, now: Instant, out: &mut Vec<Outgoing>) {
-        if now.saturating_duration_since(self.reconnected) < RECONNECT_EVERY {
+        if now.saturating_duration_since(self.last_reconnect) < RECONNECT_INTERVAL {
             return;
         }
-        self.reconnected = now;
+        self.last_reconnect = now;
         let dead = self.roster.with_state(|state| state == State::Dead);
         let dead: Vec<Record> = dead.cloned().collect();
         if let Some(record) = dead.choose(&mut self.random) {
-            let to = record.contact.peers;
-            out.push((to, Message::Rumor(vec![record.clone(), self.own().clone()])));
+            let to = record.contact.peer_address;
+            out.push((to, Message::Rumor(vec![record.clone(), self.own_record().clone()])));
         }
     }
 
     fn probe_next(&mut self, now: Instant) -> Option<Outgoing> {
-        if self.round.is_empty() {
-            self.round = self.present().map(|record| record.node.clone()).collect();
-            self.round.shuffle(&mut self.random);
+        if self.probe_round.is_empty() {
+            self.probe_round = self.present().map(|record| record.node.clone()).collect();
+            self.probe_round.shuffle(&mut self.random);
         }
-        while let Some(node) = self.round.pop() {
+        while let Some(node) = self.probe_round.pop() {
             let Some(record) = self.get(&node).filter(|r| r.state != State::Dead) else { continue };
-            let to = record.contact.peers;
+            let to = record.contact.peer_address;
             let sequence = self.probes.begin(now, node);
             return Some((to, self.ping(sequence)));
         }
@@ -440,10 +436,14 @@
     }
 
     fn ping(&mut self, sequence: u32) -> Message {
-        Message::Ping(Exchange { sequence, digest: self.roster.digest, records: self.take_news() })
+        Message::Ping(Exchange {
+            sequence,
+            digest: self.roster.digest,
+            records: self.take_updates(),
+        })
     }
 }
 
-fn is_due(last: Option<Instant>, now: Instant, every: Duration) -> bool {
-    last.is_none_or(|last| now.saturating_duration_since(last) >= every)
+fn is_due(last: Option<Instant>, now: Instant, interval: Duration) -> bool {
+    last.is_none_or(|last| now.saturating_duration_since(last) >= interval)
 }
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -1,182 +1,178 @@
-//! Requests that crash the targets that run them. A target's death marks all that
-//! ran on it as suspects; a suspect runs again at most once, alone, and success
-//! clears it. Two deaths quarantine the fingerprint on all nodes.
+//! Quarantine of requests that crash their targets. The death of a target marks the requests that
+//! ran on it as suspects. A suspect may run once more, alone; success clears it. After two deaths
+//! the fingerprint is quarantined on all nodes.
 //!
-//! Load pattern: one request kills each engine that runs it, and its caller or a
-//! retry sends it again beside others that are innocent.
+//! Load pattern: one request kills each engine that runs it, and its caller or a retry sends it
+//! again beside innocent requests.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a suspicion or a quarantine lasts without another death: long
-/// enough for a caller that sends again all day, short enough that a mended
-/// engine gets its requests back.
-pub const KEPT: Duration = Duration::from_secs(3_600);
+/// How long a suspicion or a quarantine lasts without another death: long enough to stop a caller
+/// that resends all day, short enough that requests are admitted again after an engine is fixed.
+pub const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Deaths after which a fingerprint is quarantined.
-pub const DEATHS: u32 = 2;
+/// Number of deaths after which a fingerprint is quarantined.
+pub const QUARANTINE_DEATHS: u32 = 2;
 
-/// Fingerprints kept at most, some 200 KB: the death of an engine marks at
-/// most as many as it runs, about a hundred.
-pub const CAPACITY: usize = 4_096;
+/// Maximum number of fingerprints kept, about 200 KB. The death of an engine adds at most the
+/// requests that it runs, about a hundred.
+pub const MAX_FINGERPRINTS: usize = 4_096;
 
-/// What is to be done with a request.
+/// How a request must be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// The request is not suspected.
     Clear,
-    /// It runs alone.
-    Alone,
-    /// It is already being run alone; this one waits for how that ends.
+    /// The request is a suspect and must run alone on its target.
+    RunAlone,
+    /// The suspect is running alone elsewhere; this request waits for the outcome.
     Wait,
-    /// It is not run.
+    /// The request must not run.
     Quarantined,
 }
 
-/// A fingerprint that others should know of.
+/// A suspected or cleared fingerprint, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// Of account and content.
+    /// Fingerprint of account and content.
     pub fingerprint: u64,
-    /// Deaths of targets that ran it; zero where it was cleared.
+    /// Number of targets that died while running it; zero if it was cleared.
     pub deaths: u32,
-    /// Since the last death or clearing.
+    /// Time since the last death or clearing.
     pub age: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     deaths: u32,
-    /// Of the last death, or of the clearing.
+    /// Time of the last death or clearing.
     at: Instant,
-    trial: Option<Instant>,
+    trial_deadline: Option<Instant>,
 }
 
-/// The suspects that a node knows of.
+/// Suspects known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     records: HashMap<u64, Record>,
 }
 
 impl Suspects {
-    /// None yet.
-    pub fn open() -> Self {
+    /// Creates an empty table.
+    pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is to be done with a request.
-    pub fn judge(&mut self, now: Instant, fingerprint: u64) -> Verdict {
+    /// Returns how a request must be handled.
+    pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> Verdict {
         self.expire(now, fingerprint);
         match self.records.get(&fingerprint) {
             None | Some(Record { deaths: 0, .. }) => Verdict::Clear,
-            Some(record) if record.deaths >= DEATHS => Verdict::Quarantined,
-            Some(Record { trial: Some(_), .. }) => Verdict::Wait,
-            Some(_) => Verdict::Alone,
+            Some(record) if record.deaths >= QUARANTINE_DEATHS => Verdict::Quarantined,
+            Some(Record { trial_deadline: Some(_), .. }) => Verdict::Wait,
+            Some(_) => Verdict::RunAlone,
         }
     }
 
-    /// Notes that a suspect is now run alone, until `deadline` at most.
+    /// Records that a suspect now runs alone, until `deadline` at the latest.
     pub fn begin_trial(&mut self, fingerprint: u64, deadline: Instant) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.trial = Some(deadline);
+            record.trial_deadline = Some(deadline);
         }
     }
 
-    /// Notes that a trial ended without a word on the suspect: cancelled, or
-    /// never begun.
-    pub fn drop_trial(&mut self, fingerprint: u64) {
+    /// Records that a trial ended without a result: it was cancelled or never began.
+    pub fn cancel_trial(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
-            record.trial = None;
+            record.trial_deadline = None;
         }
     }
 
-    /// Notes the death of a target with all that ran on it.
+    /// Records the death of a target and the requests that ran on it.
     ///
-    /// Where a suspect ran alone, nothing else can be to blame. Where several
-    /// ran, those that were suspects before are blamed again, and the others
-    /// become suspects.
-    pub fn note_death(&mut self, now: Instant, ran: impl IntoIterator<Item = u64>) {
+    /// A suspect that ran alone is the cause. If several requests ran, earlier suspects get one
+    /// more death and the others become suspects.
+    pub fn record_death(&mut self, now: Instant, ran: impl IntoIterator<Item = u64>) {
         for fingerprint in ran {
             self.expire(now, fingerprint);
             let record = self.records.entry(fingerprint).or_insert(Record {
                 deaths: 0,
                 at: now,
-                trial: None,
+                trial_deadline: None,
             });
-            *record = Record { deaths: record.deaths + 1, at: now, trial: None };
+            *record = Record { deaths: record.deaths + 1, at: now, trial_deadline: None };
         }
-        self.shrink();
+        self.evict_oldest();
     }
 
-    /// Notes that a request ran to its end: it is innocent. What is
-    /// quarantined stays so.
-    pub fn note_success(&mut self, now: Instant, fingerprint: u64) {
+    /// Records that a request completed, which clears a suspect but doesn't lift a quarantine.
+    pub fn record_success(&mut self, now: Instant, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
-            && record.deaths < DEATHS
+            && record.deaths < QUARANTINE_DEATHS
         {
-            *record = Record { deaths: 0, at: now, trial: None };
+            *record = Record { deaths: 0, at: now, trial_deadline: None };
         }
     }
 
-    /// Takes in what another node knows. The later word wins, but a
-    /// quarantine is never lifted by a clearing.
+    /// Merges the suspects of another node. The later statement wins, but a clearing never lifts a
+    /// quarantine.
     pub fn merge(&mut self, now: Instant, suspects: impl IntoIterator<Item = Suspect>) {
-        for suspect in suspects.into_iter().filter(|s| s.age < KEPT) {
+        for suspect in suspects.into_iter().filter(|s| s.age < RETENTION) {
             let at = now.checked_sub(suspect.age).unwrap_or(now);
             let known = self.records.get(&suspect.fingerprint).copied();
-            let newer = known.is_none_or(|known| {
-                suspect.deaths > known.deaths && suspect.deaths >= DEATHS
-                    || at > known.at && known.deaths < DEATHS
+            let is_newer = known.is_none_or(|known| {
+                suspect.deaths > known.deaths && suspect.deaths >= QUARANTINE_DEATHS
+                    || at > known.at && known.deaths < QUARANTINE_DEATHS
             });
-            if newer {
-                let trial = known.and_then(|known| known.trial).filter(|_| suspect.deaths == 1);
-                let record = Record { deaths: suspect.deaths, at, trial };
+            if is_newer {
+                let trial_deadline =
+                    known.and_then(|known| known.trial_deadline).filter(|_| suspect.deaths == 1);
+                let record = Record { deaths: suspect.deaths, at, trial_deadline };
                 self.records.insert(suspect.fingerprint, record);
             }
         }
-        self.shrink();
+        self.evict_oldest();
     }
 
-    /// What other nodes should know.
-    pub fn tell(&self, now: Instant) -> Vec<Suspect> {
-        let told = self.records.iter().map(|(&fingerprint, record)| Suspect {
+    /// Returns the suspects to send to other nodes.
+    pub fn snapshot(&self, now: Instant) -> Vec<Suspect> {
+        let suspects = self.records.iter().map(|(&fingerprint, record)| Suspect {
             fingerprint,
             deaths: record.deaths,
             age: now.saturating_duration_since(record.at),
         });
-        told.filter(|suspect| suspect.age < KEPT).collect()
+        suspects.filter(|suspect| suspect.age < RETENTION).collect()
     }
 
-    /// Fingerprints kept.
+    /// Returns the number of fingerprints kept.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is kept.
+    /// Returns whether no fingerprint is kept.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     fn expire(&mut self, now: Instant, fingerprint: u64) {
         let Some(record) = self.records.get_mut(&fingerprint) else { return };
-        if now.saturating_duration_since(record.at) >= KEPT {
+        if now.saturating_duration_since(record.at) >= RETENTION {
             self.records.remove(&fingerprint);
-        } else if record.trial.is_some_and(|deadline| deadline <= now) {
-            record.trial = None;
+        } else if record.trial_deadline.is_some_and(|deadline| deadline <= now) {
+            record.trial_deadline = None;
         }
     }
 
-    /// Drops the oldest records where there are too many, cleared ones first
-    /// and quarantined ones last; an eighth at once, so that the sort is paid
-    /// for by many insertions.
-    fn shrink(&mut self) {
-        if self.records.len() <= CAPACITY {
+    /// Evicts the oldest records if there are too many: cleared ones first, quarantined ones last.
+    /// It removes an eighth at a time to amortize the sort over many insertions.
+    fn evict_oldest(&mut self) {
+        if self.records.len() <= MAX_FINGERPRINTS {
             return;
         }
         let mut order: Vec<_> = self.records.iter().map(|(&f, r)| (r.deaths, r.at, f)).collect();
         order.sort_unstable();
-        let over = self.records.len() - CAPACITY / 8 * 7;
-        for (_, _, fingerprint) in order.into_iter().take(over) {
+        let excess = self.records.len() - MAX_FINGERPRINTS / 8 * 7;
+        for (_, _, fingerprint) in order.into_iter().take(excess) {
             self.records.remove(&fingerprint);
         }
     }
--- a/crates/policy/src/reserve.rs
+++ b/crates/policy/src/reserve.rs
@@ -16,7 +16,7 @@
 const HEADROOM_DIVISOR: u64 = 8;
 
 /// First and maximum delay after a failed reservation. The maximum is less than the time for which
-/// an engine holds capacity after it refused an urgent request ([`crate::limit::CLAIM_LIFE`]).
+/// an engine holds capacity after it refused an urgent request ([`crate::limit::CLAIM_LIFETIME`]).
 const BASE_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -1,67 +1,70 @@
-//! News of members that a node still has to send on.
+//! Updates of members that a node still has to disseminate.
 
 use crate::member::Record;
 use crate::roster::Roster;
 use hickory_unit::id;
 
-/// Records in one message: a datagram must go through all links unfragmented.
-pub(crate) const RECORDS_MOST: usize = 12;
+/// Maximum number of records per message, so that a datagram fits any link unfragmented.
+pub(crate) const MAX_RECORDS: usize = 12;
 
-/// How often a record is sent on, besides a logarithm of the nodes.
-const SENT_LEAST: u32 = 8;
+/// Number of times that a record is sent, in addition to the logarithm of the number of nodes.
+const BASE_SENDS: u32 = 8;
 
-/// By how much less often a record is sent on after a peer was met that has it.
-const ALIKE: u32 = 3;
+/// Number of sends saved for each peer found to have the same table.
+const EQUAL_DIGEST_SENDS: u32 = 3;
 
-/// A record that is still to be sent on.
+/// The record of a node that is still to be sent.
 #[derive(Clone, Debug)]
-struct News {
+struct Update {
     node: id::Node,
-    left: u32,
-    /// Whether it was sent on at all.
-    told: bool,
+    sends_left: u32,
+    /// Whether it was sent at least once.
+    is_sent: bool,
 }
 
-/// Records to be sent on, each a bounded number of times.
+/// Updates to send, each a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rumors {
-    news: Vec<News>,
+    updates: Vec<Update>,
 }
 
 impl Rumors {
-    /// Puts a node's record in, among so many nodes.
+    /// Adds the record of a node, in a fleet of `nodes` nodes.
     pub(crate) fn add(&mut self, node: id::Node, nodes: usize) {
-        self.news.retain(|news| news.node != node);
+        self.updates.retain(|update| update.node != node);
         let logarithm = u32::BITS - (nodes as u32).leading_zeros();
-        self.news.push(News { node, left: SENT_LEAST + logarithm, told: false });
+        self.updates.push(Update { node, sends_left: BASE_SENDS + logarithm, is_sent: false });
     }
 
-    /// Whether nothing is to be sent on.
+    /// Returns whether there is nothing to send.
     pub(crate) fn is_empty(&self) -> bool {
-        self.news.is_empty()
+        self.updates.is_empty()
     }
 
-    /// Whether there is news that was told to nobody yet.
-    pub(crate) fn has_untold(&self) -> bool {
-        self.news.iter().any(|news| !news.told)
+    /// Returns whether there are updates that were not sent to any node yet.
+    pub(crate) fn has_unsent_updates(&self) -> bool {
+        self.updates.iter().any(|update| !update.is_sent)
     }
 
-    /// The records that were sent on least, which count as sent.
+    /// Returns the least sent records and counts them as sent.
     pub(crate) fn take(&mut self, roster: &Roster) -> Vec<Record> {
-        self.news.sort_by_key(|news| std::cmp::Reverse(news.left));
+        self.updates.sort_by_key(|update| std::cmp::Reverse(update.sends_left));
         let mut records = Vec::new();
-        for news in self.news.iter_mut().take(RECORDS_MOST) {
-            records.extend(roster.get(&news.node).cloned());
-            news.left -= 1;
-            news.told = true;
+        for update in self.updates.iter_mut().take(MAX_RECORDS) {
+            records.extend(roster.get(&update.node).cloned());
+            update.sends_left -= 1;
+            update.is_sent = true;
         }
-        self.news.retain(|news| news.left > 0);
+        self.updates.retain(|update| update.sends_left > 0);
         records
     }
 
-    /// Notes that a peer holds the same: it needs no news, and neither do many others.
-    pub(crate) fn note_alike(&mut self) {
-        self.news.iter_mut().for_each(|news| news.left = news.left.saturating_sub(ALIKE));
-        self.news.retain(|news| news.left > 0);
+    /// Records that a peer has the same table: it needs no updates, and neither do many other
+    /// nodes.
+    pub(crate) fn record_equal_digest(&mut self) {
+        self.updates.iter_mut().for_each(|update| {
+            update.sends_left = update.sends_left.saturating_sub(EQUAL_DIGEST_SENDS)
+        });
+        self.updates.retain(|update| update.sends_left > 0);
     }
 }
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -3,7 +3,7 @@
 //!
 //! Load pattern: more requests arrive than the target can serve, and each has a deadline.
 
-use crate::limit::{Answer, Ask, Limiter, RETRY_LEAST, Ticket, Waiting};
+use crate::limit::{Answer, Limiter, MIN_RETRY_AFTER, PermitRequest, Ticket, Waiting};
 use crate::refuse::Reason;
 use std::time::{Duration, Instant};
 
@@ -20,10 +20,12 @@
 impl Limiter {
     /// Refuses a request on arrival that could not end before its deadline behind the work ahead of
     /// it, or for which the queue has no room.
-    pub(crate) fn refuse_late(&self, now: Instant, ask: &Ask) -> Option<Answer> {
+    pub(crate) fn refuse_late(&self, now: Instant, ask: &PermitRequest) -> Option<Answer> {
         let is_long = ask.cost.is_long();
         let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, is_long);
-        let hold = self.hold.map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
+        let hold = self
+            .grants_held_until
+            .map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         let wait = hold
             + self
                 .pace
@@ -32,36 +34,39 @@
         let lateness = (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + service_time)
             .checked_duration_since(ask.deadline);
         if let Some(lateness) = lateness.filter(|lateness| !lateness.is_zero()) {
-            return Some(Answer::Refused(Reason::Overloaded, lateness.max(RETRY_LEAST)));
+            return Some(Answer::Refused(Reason::Overloaded, lateness.max(MIN_RETRY_AFTER)));
         }
         // A partner that fills the queue must not exclude the others. Beyond the bound, only
         // partners that use less than their part of the queue are admitted.
         let own_asks = self.queue.waiting_asks_of(&ask.partner) as f64;
-        let is_full = self.asks.len() >= self.queue_bound;
-        let is_over_share = own_asks >= self.queue_bound as f64 * self.queue.share_of(&ask.partner);
-        (is_full && (is_over_share || self.asks.len() >= 2 * self.queue_bound))
-            .then(|| Answer::Refused(Reason::Overloaded, wait.max(RETRY_LEAST)))
+        let is_full = self.waiting.len() >= self.max_queue_length;
+        let is_over_share =
+            own_asks >= self.max_queue_length as f64 * self.queue.share_of(&ask.partner);
+        (is_full && (is_over_share || self.waiting.len() >= 2 * self.max_queue_length))
+            .then(|| Answer::Refused(Reason::Overloaded, wait.max(MIN_RETRY_AFTER)))
     }
 
     /// Whether a request could not end in time at the current throughput, which may have dropped
     /// since it arrived. If started, it would be cut off half-finished and its share would be
     /// wasted.
     pub(crate) fn is_late(&self, now: Instant, ticket: Ticket) -> bool {
-        self.asks.get(&ticket).is_some_and(|Waiting { ask, came_with, .. }| {
-            now + self.pace.service_time(ask.cost, *came_with) > ask.deadline
-        })
+        self.waiting.get(&ticket).is_some_and(
+            |Waiting { request: ask, initial_time_left: came_with, .. }| {
+                now + self.pace.service_time(ask.cost, *came_with) > ask.deadline
+            },
+        )
     }
 
     /// Refuses queued requests that have become too late because the target slowed down or the
     /// share of their partner was cut. If they stayed, every later request of their account would
     /// look late, until only they are queued and the partner's share goes to others.
     pub(crate) fn shed_late(&mut self, now: Instant) -> Vec<Ticket> {
-        if self.shed.is_some_and(|at| now < at + SHED_INTERVAL) {
+        if self.last_shed.is_some_and(|at| now < at + SHED_INTERVAL) {
             return Vec::new();
         }
-        self.shed = Some(now);
+        self.last_shed = Some(now);
         let time_left = |ticket: Ticket| {
-            let latest = self.asks.get(&ticket).map_or(now, |waiting| waiting.latest);
+            let latest = self.waiting.get(&ticket).map_or(now, |waiting| waiting.latest_start);
             latest.saturating_duration_since(now).mul_f64(SHED_FACTOR)
         };
         let sizes = [false, true].into_iter();
@@ -71,7 +76,7 @@
             })
             .collect();
         for &ticket in &late {
-            self.forget(ticket);
+            self.dequeue(ticket);
         }
         late
     }
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,34 +1,34 @@
-//! The owner's limit on a target, seen from callers.
+//! Tests of the admission control of one target.
 
 mod common;
 
 use common::{CAPACITY, ask, batch, cost, granted, ms, observed, ticket, warm};
 use hickory_policy::limit::{
-    Answer, Ask, Capacity, GRACE, Limiter, Observed, Outcome, PERMIT_LIFE,
+    Answer, CANCEL_GRACE, Capacity, Limiter, Observed, Outcome, PERMIT_LIFETIME, PermitRequest,
 };
 use hickory_policy::refuse::Reason;
 use hickory_unit::size;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A target with four slots, bound by slots and not by prefill.
+/// A target with four slots, limited by its slots and not by its prefill rate.
 const NARROW: Capacity =
     Capacity { streams: 4, kv: size::Tokens(450_000), prefill_rate: 4_000_000 };
 
-/// Two owners that can't see each other grant on the same target, both with
-/// an unconfirmed lease. Together they must stay within what it bears, also
-/// where the bound is odd.
+/// Guards against overload by two owners that can't see each other and grant permits for the same
+/// target, both without a confirmed lease. Together they must stay within the limit, including an
+/// odd one.
 #[test]
-fn unconfirmed_owner_keeps_to_half() {
+fn owner_without_confirmed_lease_uses_half_the_limit() {
     for streams in [1, 2, 5, 64] {
         let capacity = Capacity { streams, ..NARROW };
         let start = Instant::now();
         let mut total = 0;
         for _ in 0..2 {
             let (now, mut owner) = warm(start, capacity);
-            owner.set_confirmed(now, false);
+            owner.set_lease_confirmed(now, false);
             for _ in 0..100 {
-                owner.ask(now, ask(now, "mawe", 10));
+                owner.request_permit(now, ask(now, "mawe", 10));
             }
             total += owner.running();
         }
@@ -37,79 +37,85 @@
     }
 }
 
-/// A node takes over from an owner that is paused, not dead. Permits that the
-/// paused owner granted last may still be used for one permit life, so the
-/// new owner grants nothing before, and the asks that wait get theirs then.
+/// Guards against a takeover while the former owner is paused but not dead. Permits that it granted
+/// last may be used for one permit lifetime, so the new owner must grant nothing before that;
+/// queued requests get their permits then.
 #[test]
-fn new_owner_waits_one_permit_life() {
+fn new_owner_waits_one_permit_lifetime() {
     let now = Instant::now();
-    let mut limiter = Limiter::open_after_owner(now, CAPACITY);
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 500)));
-    assert_eq!(granted(&mut limiter, now + PERMIT_LIFE - ms(1)), []);
-    assert_eq!(granted(&mut limiter, now + PERMIT_LIFE), [waits]);
+    let mut limiter = Limiter::new_after_takeover(now, CAPACITY);
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME - ms(1)), []);
+    assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waiting]);
 }
 
-/// The load report shows streams that a former owner granted. They run on,
-/// and count against the bound until they are gone.
+/// Streams granted by a former owner appear in the load report. They must count against the limit
+/// until they end.
 #[test]
 fn streams_of_a_former_owner_count() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let foreign = Observed { foreign: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
-    limiter.observe(now, &foreign);
-    limiter.ask(now, ask(now, "mawe", 10));
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 10)));
+    let report =
+        Observed { foreign_streams: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
+    limiter.observe(now, &report);
+    limiter.request_permit(now, ask(now, "mawe", 10));
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
     assert_eq!((limiter.running(), limiter.waiting()), (1, 1));
     limiter.observe(now + ms(10), &observed(1, 100));
-    assert_eq!(granted(&mut limiter, now + ms(10)), [waits]);
+    assert_eq!(granted(&mut limiter, now + ms(10)), [waiting]);
 }
 
-/// The outcome of a stream never reaches the owner: its node died. The room
-/// comes back at the deadline and grace, not earlier and not never.
+/// Guards against capacity that is lost forever when the node that would report the outcome dies.
+/// The permit must expire at the deadline plus the grace time, and not before.
 #[test]
 fn permit_without_outcome_expires() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let short = Ask { deadline: now + ms(3_000), ..ask(now, "mawe", 10) };
+    let short = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 10) };
     for _ in 0..4 {
-        limiter.ask(now, short.clone());
+        limiter.request_permit(now, short.clone());
     }
-    let waits = ticket(limiter.ask(now, ask(now, "mawe", 10)));
-    assert_eq!(granted(&mut limiter, now + ms(2_999) + GRACE), []);
-    assert_eq!(granted(&mut limiter, now + ms(3_000) + GRACE), [waits]);
+    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    assert_eq!(granted(&mut limiter, now + ms(2_999) + CANCEL_GRACE), []);
+    assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waiting]);
 }
 
-/// A suspect of a crash asks to run alone beside a busy target. It must run
-/// beside no other stream, neither those before nor those after it, and the
-/// innocent asks behind it go on when it has ended.
+/// A suspect requests exclusive use of a busy target. No other stream may run beside it, neither
+/// earlier nor later ones, and the requests queued behind it must continue after it.
 #[test]
-fn alone_runs_beside_no_other() {
+fn exclusive_request_runs_alone() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let before = ticket(limiter.ask(now, ask(now, "mawe", 10)));
-    let suspect = ticket(limiter.ask(now, Ask { alone: true, ..ask(now, "mawe", 10) }));
+    let first = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let suspect = ticket(
+        limiter.request_permit(now, PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) }),
+    );
     let now = now + ms(1_500);
-    let behind = ticket(limiter.ask(now, ask(now, "caucao", 10)));
-    assert_eq!(granted(&mut limiter, now), [], "the suspect has waited long enough");
-    limiter.finish(before);
+    let behind = ticket(limiter.request_permit(now, ask(now, "caucao", 10)));
+    assert_eq!(
+        granted(&mut limiter, now),
+        [],
+        "the suspect has waited long enough to block other grants"
+    );
+    limiter.cancel(first);
     assert_eq!(granted(&mut limiter, now), [suspect]);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
-    limiter.finish(suspect);
+    limiter.cancel(suspect);
     assert_eq!(granted(&mut limiter, now + ms(100)), [behind]);
 }
 
-/// A suspect kills the target that it runs on, and its node tells before the
-/// owner has seen the death. The innocent suspect behind it must get no permit
-/// for a dead target, or it counts as having run on it; a new ask goes
-/// elsewhere at once. The next load report shows that the target lives.
+/// A suspect kills its target, and its node reports the failure before the owner sees the death.
+/// The innocent suspect queued behind it must get no permit for the dead target, or the death would
+/// count against it, and new requests must be refused immediately so that they can go elsewhere.
+/// The next load report proves that the target is alive.
 #[test]
-fn nothing_is_granted_after_a_death_until_the_target_reports() {
+fn no_permit_is_granted_after_a_death_until_the_next_load_report() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let suspect = |now| Ask { alone: true, ..ask(now, "mawe", 10) };
-    let crashing = ticket(limiter.ask(now, suspect(now)));
-    let innocent = ticket(limiter.ask(now, suspect(now)));
-    limiter.settle(now, crashing, Outcome::Failed);
+    let suspect = |now| PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) };
+    let crashing = ticket(limiter.request_permit(now, suspect(now)));
+    let innocent = ticket(limiter.request_permit(now, suspect(now)));
+    limiter.complete(now, crashing, Outcome::Failed);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
-    for urgent in [false, true] {
-        let elsewhere = Ask { urgent, ..ask(now, "caucao", 10) };
-        let answer = limiter.ask(now + ms(100), elsewhere);
+    for is_urgent in [false, true] {
+        let elsewhere = PermitRequest { is_urgent, ..ask(now, "caucao", 10) };
+        let answer = limiter.request_permit(now + ms(100), elsewhere);
         assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     }
     assert_eq!((limiter.running(), limiter.waiting()), (0, 1));
@@ -117,37 +123,38 @@
     assert_eq!(granted(&mut limiter, now + ms(200)), [innocent]);
 }
 
-/// Operators take the zone out while asks wait here: all of them are answered
-/// at once, so that their nodes can go to another zone, nothing new is taken,
-/// and when the zone is back the target serves again.
+/// A zone is taken out of service while requests are queued. All of them must be refused
+/// immediately so that their nodes can use another zone, new ones too, and the target must serve
+/// again when the zone is back.
 #[test]
-fn target_that_stops_accepting_answers_its_queue() {
+fn target_that_stops_accepting_refuses_its_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let tickets: Vec<_> = (0..9).map(|_| ticket(limiter.ask(now, ask(now, "mawe", 10)))).collect();
+    let tickets: Vec<_> =
+        (0..9).map(|_| ticket(limiter.request_permit(now, ask(now, "mawe", 10)))).collect();
     let refused = limiter.set_accepting(now, false);
     assert_eq!(refused, tickets[4..].iter().map(|&t| (t, Reason::NoTarget)).collect::<Vec<_>>());
-    let answer = limiter.ask(now, ask(now, "mawe", 10));
+    let answer = limiter.request_permit(now, ask(now, "mawe", 10));
     assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
-    assert_eq!(limiter.running(), 4, "what runs is not cut");
-    tickets[..4].iter().for_each(|&t| limiter.finish(t));
+    assert_eq!(limiter.running(), 4, "running streams are not cancelled");
+    tickets[..4].iter().for_each(|&t| limiter.cancel(t));
     assert_eq!(granted(&mut limiter, now), []);
     limiter.set_accepting(now, true);
-    assert!(matches!(limiter.ask(now, ask(now, "mawe", 10)), Answer::Granted(_)));
+    assert!(matches!(limiter.request_permit(now, ask(now, "mawe", 10)), Answer::Granted(_)));
 }
 
-/// At about twice the load the target bears, callers with 3 s of time are
-/// refused when they ask, not after they waited, and are told how long to
-/// stay away; the target stays busy all the while.
+/// At about twice the load that the target can serve, requests with 3 s until their deadline must
+/// be refused on arrival with a retry delay, not after waiting in the queue, and the target must
+/// stay busy.
 #[test]
-fn hopeless_ask_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_refused_immediately() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let (mut late, mut early, mut whole) = (0, 0, 0);
+    let (mut late, mut early, mut completed) = (0, 0, 0);
     for _ in 0..4_000 {
         now += ms(5);
-        // 60,000 prompt tokens a second, where the engine has 30,000.
-        let ask = Ask { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
-        match limiter.ask(now, ask) {
+        // 60,000 prompt tokens per second arrive; the engine can prefill 30,000.
+        let request = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
+        match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(reason, wait) => {
@@ -164,25 +171,25 @@
         }
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(480)).count();
         for (_, t) in running.drain(..ended) {
-            limiter.settle(now, t, Outcome::Whole(None));
-            whole += 1;
+            limiter.complete(now, t, Outcome::Completed(None));
+            completed += 1;
         }
     }
-    assert!(early > 1_000 && late * 20 <= early, "{late} late beside {early} early");
-    assert!(whole > 1_800, "{whole} of 2,000 that 20 s had room for");
+    assert!(early > 1_000 && late * 20 <= early, "{late} refused late, {early} refused early");
+    assert!(completed > 1_800, "{completed} completed; the target can serve 2,000 in 20 s");
 }
 
-/// Two partners ask for three times what the target bears, with 30 s of time;
-/// then the greater share is cut from 3:1 to 1:3. Asks that waited under the
-/// old share are refused within about a second, not at their deadlines, what
-/// is granted still ends in time, and each partner gets its share of it.
+/// Two partners request three times what the target can serve, with 30 s until the deadline; then
+/// their shares change from 3:1 to 1:3. Queued requests that became late must be refused within
+/// about a second and not at their deadlines, granted work must finish in time, and each partner
+/// must get its new share.
 #[test]
-fn cut_share_refuses_what_became_hopeless() {
+fn reduced_share_refuses_requests_that_became_late() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
     limiter.set_shares([("mawe".into(), 3.0), ("caucao".into(), 1.0)]);
-    let mut asks = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let (mut whole, mut refused_late) = (BTreeMap::<_, f64>::new(), 0);
+    let (mut completed, mut refused_late) = (BTreeMap::<_, f64>::new(), 0);
     for step in 0..12_000_u64 {
         now += ms(5);
         if step == 6_000 {
@@ -191,13 +198,13 @@
         for partner in ["mawe", "caucao"] {
             let size = if partner == "mawe" { 1_000 } else { 1_000 + step * 7_919 % 4_000 };
             let deadline = now + ms(30_000);
-            let ask = Ask { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
-            match limiter.ask(now, ask.clone()) {
+            let request = PermitRequest { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
+            match limiter.request_permit(now, request.clone()) {
                 Answer::Granted(t) => {
-                    asks.insert(t, ask);
+                    requests.insert(t, request);
                     running.push((now, t));
                 }
-                Answer::Queued(t) => drop(asks.insert(t, ask)),
+                Answer::Queued(t) => drop(requests.insert(t, request)),
                 Answer::Refused(..) => {}
             }
         }
@@ -205,104 +212,108 @@
             match answer {
                 Ok(()) => running.push((now, t)),
                 Err(_) if step > 6_500 => {
-                    refused_late += u32::from(asks[&t].deadline < now + ms(5_000));
+                    refused_late += u32::from(requests[&t].deadline < now + ms(5_000));
                 }
                 Err(_) => {}
             }
         }
         // Each answer takes 5 s on a full target.
         for (at, t) in running.extract_if(.., |(at, _)| now >= *at + ms(5_000)) {
-            let ask = &asks[&t];
-            assert!(step < 3_000 || at + ms(5_000) <= ask.deadline, "cut off half done");
-            limiter.settle(now, t, Outcome::Whole(None));
+            let request = &requests[&t];
+            assert!(step < 3_000 || at + ms(5_000) <= request.deadline, "cut off before its end");
+            limiter.complete(now, t, Outcome::Completed(None));
             if step > 8_000 {
-                *whole.entry(ask.partner.to_string()).or_default() += ask.cost.work() as f64;
+                *completed.entry(request.partner.to_string()).or_default() +=
+                    request.cost.work() as f64;
             }
         }
     }
     assert_eq!(refused_late, 0);
-    let part = whole["mawe"] / whole.values().sum::<f64>();
+    let part = completed["mawe"] / completed.values().sum::<f64>();
     assert!((part - 0.25).abs() < 0.02, "{part}");
 }
 
-/// The target decodes five times as slowly as was thought when an ask came.
-/// By the time its turn comes, that is known: it is refused then, instead of
-/// being begun and cut off half done.
+/// The target decodes five times more slowly than estimated when a request arrived. By the time of
+/// its turn the pace is known, so it must be refused rather than started and cut off.
 #[test]
-fn ask_that_a_slower_pace_makes_late_is_not_begun() {
+fn request_made_late_by_a_slower_pace_is_not_started() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let slow = Ask { cost: cost(10, 64), ..ask(now, "mawe", 0) };
-    let running: Vec<_> = (0..4).map(|_| ticket(limiter.ask(now, slow.clone()))).collect();
-    let waits = Ask { deadline: now + ms(6_000), ..slow };
-    let Answer::Queued(waits) = limiter.ask(now, waits) else { panic!("no slot is free") };
+    let slow = PermitRequest { cost: cost(10, 64), ..ask(now, "mawe", 0) };
+    let running: Vec<_> =
+        (0..4).map(|_| ticket(limiter.request_permit(now, slow.clone()))).collect();
+    let waiting = PermitRequest { deadline: now + ms(6_000), ..slow };
+    let Answer::Queued(waiting) = limiter.request_permit(now, waiting) else {
+        panic!("expected the request to be queued: no slot is free")
+    };
     let now = now + ms(4_800);
     for t in running {
-        limiter.settle(now, t, Outcome::Whole(None));
+        limiter.complete(now, t, Outcome::Completed(None));
     }
-    assert_eq!(limiter.poll(now), [(waits, Err(Reason::Overloaded))]);
+    assert_eq!(limiter.poll(now), [(waiting, Err(Reason::Overloaded))]);
 }
 
-/// One partner fills the queue. The other is still let in up to its part, and
-/// an urgent ask is never queued.
+/// One partner fills the queue. The other must still be admitted up to its share, and an urgent
+/// request must never be queued.
 #[test]
-fn flooding_partner_does_not_shut_out_the_other() {
+fn flooding_partner_does_not_keep_others_out_of_the_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    limiter.set_queue_bound(100);
-    let flood = (0..300).map(|_| limiter.ask(now, ask(now, "mawe", 10)));
+    limiter.set_max_queue_length(100);
+    let flood = (0..300).map(|_| limiter.request_permit(now, ask(now, "mawe", 10)));
     let refused = flood.filter(|a| matches!(a, Answer::Refused(Reason::Overloaded, _))).count();
     assert_eq!((refused, limiter.waiting()), (196, 100));
-    assert!(matches!(limiter.ask(now, ask(now, "caucao", 10)), Answer::Queued(_)));
-    let urgent = Ask { urgent: true, ..ask(now, "caucao", 10) };
-    assert!(matches!(limiter.ask(now, urgent), Answer::Refused(Reason::Overloaded, _)));
+    assert!(matches!(limiter.request_permit(now, ask(now, "caucao", 10)), Answer::Queued(_)));
+    let urgent = PermitRequest { is_urgent: true, ..ask(now, "caucao", 10) };
+    assert!(matches!(limiter.request_permit(now, urgent), Answer::Refused(Reason::Overloaded, _)));
     assert_eq!(limiter.waiting(), 101);
 }
 
-/// Reports of 90,000 tokens fill what they may of an engine, and batch work
-/// its slots; a person's question of a thousand tokens finds a slot, memory
-/// and prefill at once.
+/// Guards against bulk work that takes the whole engine: reports of 90,000 tokens or batch work use
+/// as much as they may, and a short interactive question must still find a slot, memory and prefill
+/// capacity immediately.
 #[test]
-fn bulk_work_leaves_room_for_short() {
+fn bulk_work_leaves_capacity_for_short_requests() {
     for (size, running) in [(90_000, 4), (600, 56)] {
         let (start, mut limiter) = warm(Instant::now(), CAPACITY);
         let deadline = start + Duration::from_secs(3_600);
         let mut now = start;
-        let first = limiter.ask(start, Ask { deadline, ..batch(start, "mawe", size) });
+        let first =
+            limiter.request_permit(start, PermitRequest { deadline, ..batch(start, "mawe", size) });
         for _ in 1..100 {
-            limiter.ask(start, Ask { deadline, ..batch(start, "mawe", size) });
+            limiter.request_permit(start, PermitRequest { deadline, ..batch(start, "mawe", size) });
         }
-        // A long prefill takes 3 s here, and ends when its first token comes.
+        // A long prefill takes 3 s here and ends with the first token.
         let mut prefills = vec![(start + ms(3_000), ticket(first))];
         for _ in 0..600 {
             now += ms(50);
             prefills.extend(granted(&mut limiter, now).into_iter().map(|t| (now + ms(3_000), t)));
-            let over = prefills.extract_if(.., |(at, _)| *at <= now);
-            over.for_each(|(_, t)| limiter.start(now, t));
+            let ended = prefills.extract_if(.., |(at, _)| *at <= now);
+            ended.for_each(|(_, t)| limiter.record_first_token(now, t));
         }
         assert_eq!(limiter.running(), running);
         let question = ask(now, "caucao", 1_000);
-        assert!(matches!(limiter.ask(now, question), Answer::Granted(_)));
+        assert!(matches!(limiter.request_permit(now, question), Answer::Granted(_)));
     }
 }
 
-/// Short work keeps all memory busy: one ends and one comes every 25 ms. A
-/// long ask would never find its memory free at one moment; after a while
-/// room is held for it, and the short ones still run in the headroom.
+/// Guards against starvation of long requests. Short work keeps the memory full, with one request
+/// ending and one arriving every 25 ms, so a long request never finds its memory free. After a
+/// while capacity must be held for it, while short requests still run in the headroom.
 #[test]
-fn long_ask_gets_its_room_under_short_load() {
+fn long_request_gets_capacity_under_short_load() {
     let capacity = Capacity { kv: size::Tokens(100_000), streams: 64, ..NARROW };
     let (mut now, mut limiter) = warm(Instant::now(), capacity);
     let short = |now| ask(now, "caucao", 2_400);
     let mut running: std::collections::VecDeque<_> =
-        (0..41).map(|_| ticket(limiter.ask(now, short(now)))).collect();
-    let Answer::Queued(long) = limiter.ask(now, ask(now, "mawe", 60_000)) else {
-        panic!("the memory is full")
+        (0..41).map(|_| ticket(limiter.request_permit(now, short(now)))).collect();
+    let Answer::Queued(long) = limiter.request_permit(now, ask(now, "mawe", 60_000)) else {
+        panic!("expected the request to be queued: the memory is full")
     };
-    let asked = now;
+    let requested_at = now;
     let mut short_runs = 0;
     loop {
         now += ms(25);
-        assert!(now < asked + ms(5_000), "the long ask starved");
-        limiter.ask(now, short(now));
+        assert!(now < requested_at + ms(5_000), "the long request starved");
+        limiter.request_permit(now, short(now));
         let got = granted(&mut limiter, now);
         if got.contains(&long) {
             break;
@@ -310,14 +321,14 @@
         short_runs += got.len();
         running.extend(got);
         if let Some(t) = running.pop_front() {
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
         }
     }
     assert!(short_runs > 30);
 }
 
-/// One target is slow: it takes four times as long as it reports. Asks that
-/// could not end in time are refused by what was measured, not by the report.
+/// One target takes four times as long as it reports. Requests that could not finish in time must
+/// be refused by the measured pace, not by the reported one.
 #[test]
 fn slow_target_refuses_by_its_measured_pace() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
@@ -326,8 +337,8 @@
     let mut refused = 0;
     for _ in 0..4_000 {
         now += ms(10);
-        let ask = Ask { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
-        match limiter.ask(now, ask) {
+        let request = PermitRequest { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
+        match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
             Answer::Refused(..) => refused += 1,
@@ -338,11 +349,11 @@
                 Err(_) => late += 1,
             }
         }
-        // 64 slots of 2 s each: 32 a second where 100 arrive.
+        // 64 slots of 2 s each serve 32 requests per second; 100 arrive.
         let ended = running.iter().filter(|(at, _)| now >= *at + ms(2_000)).count();
         for (_, t) in running.drain(..ended) {
-            limiter.settle(now, t, Outcome::Whole(None));
+            limiter.complete(now, t, Outcome::Completed(None));
         }
     }
-    assert!(refused > 0 && late * 10 <= refused, "{late} late beside {refused} refused");
+    assert!(refused > 0 && late * 10 <= refused, "{late} refused late, {refused} refused early");
 }
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -1,24 +1,24 @@
-//! Slow start: a cold target's bound, seen from callers that send all at once.
+//! Tests of the slow start of a cold target.
 
 mod common;
 
 use common::{ask, granted, ms, observed, sample, ticket, warm};
 use hickory_policy::limit::{Answer, Limiter, Outcome};
-use hickory_policy::ramp::{COLD_BOUND, Cold, Ramp};
+use hickory_policy::ramp::{COLD_STREAM_LIMIT, ColdCause, Ramp};
 use std::time::{Duration, Instant};
 
-/// Callers of all nodes send 200 requests at a target that has just started.
-/// It bears the part of its streams that it reports as warmth, 10 points
-/// more each second. Without the ramp all 64 would arrive at once, it would
-/// fall over, and every one of them would fail.
+/// Callers of all nodes send 200 requests to a target that has just started. It can run the
+/// fraction of its streams given by its reported warmth, which grows by 10 points per second.
+/// Without the ramp all 64 slots would fill at once, and the overloaded target would fail all of
+/// them.
 #[test]
-fn burst_on_cold_target_stays_under_its_warmth() {
+fn burst_on_cold_target_stays_within_reported_warmth() {
     let mut now = Instant::now();
-    let mut limiter = Limiter::open(common::CAPACITY);
+    let mut limiter = Limiter::new(common::CAPACITY);
     let mut running: Vec<(Instant, u64)> = Vec::new();
-    let mut started = 0;
+    let mut completed = 0;
     for _ in 0..200 {
-        if let Answer::Granted(t) = limiter.ask(now, ask(now, "mawe", 500)) {
+        if let Answer::Granted(t) = limiter.request_permit(now, ask(now, "mawe", 500)) {
             running.push((now, t));
         }
     }
@@ -28,67 +28,68 @@
             limiter.observe(now, &observed(1, warmth));
         }
         running.extend(granted(&mut limiter, now).into_iter().map(|t| (now, t)));
-        let bears = (64 * usize::from(warmth) / 100).max(COLD_BOUND as usize);
-        assert!(running.len() <= bears, "{} streams at warmth {warmth}", running.len());
+        let allowed = (64 * usize::from(warmth) / 100).max(COLD_STREAM_LIMIT as usize);
+        assert!(running.len() <= allowed, "{} streams at warmth {warmth}", running.len());
         now += ms(20);
         let (ended, rest): (Vec<_>, Vec<_>) =
             running.into_iter().partition(|&(at, _)| now >= at + ms(400));
         running = rest;
-        started += ended.len();
+        completed += ended.len();
         for (_, t) in ended {
-            limiter.settle(now, t, Outcome::Whole(Some(ms(30))));
+            limiter.complete(now, t, Outcome::Completed(Some(ms(30))));
         }
     }
-    assert_eq!((started, limiter.waiting()), (200, 0));
+    assert_eq!((completed, limiter.waiting()), (200, 0));
 }
 
-/// A new owner takes over a target that has been warm for long: it opens half
-/// of what the target reports at once, so that a change of owner costs
-/// callers no more than that, and the rest within seconds.
+/// A new owner takes over a target that has long been warm. It must allow half of the reported
+/// streams immediately and the rest within seconds, to limit the cost of a change of owner.
 #[test]
-fn new_owner_of_warm_target_opens_half() {
+fn new_owner_of_warm_target_starts_at_half_the_limit() {
     let now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
-    assert_eq!(ramp.bound(), 32);
+    assert_eq!(ramp.stream_limit(), 32);
     ramp.observe(now + ms(1_000), sample(1, 100));
-    assert_eq!(ramp.bound(), 64);
+    assert_eq!(ramp.stream_limit(), 64);
 }
 
-/// A warm target restarts between two reports, or loses its warmth within
-/// the same incarnation: callers must not meet it with the full bound.
+/// A warm target restarts between two reports, or loses its warmth within an incarnation. It must
+/// not be used up to the full limit.
 #[test]
-fn restart_and_fall_of_warmth_ramp_anew() {
-    for (next, cold) in [(sample(2, 10), Cold::Restarted), (sample(1, 40), Cold::WarmthFell)] {
+fn restart_or_warmth_drop_restarts_the_ramp() {
+    for (next, cold) in
+        [(sample(2, 10), ColdCause::Restarted), (sample(1, 40), ColdCause::WarmthFell)]
+    {
         let now = Instant::now();
-        let mut ramp = Ramp::open(64);
+        let mut ramp = Ramp::new(64);
         ramp.observe(now, sample(1, 100));
         ramp.observe(now + ms(1_000), sample(1, 100));
         assert_eq!(ramp.observe(now + ms(2_000), next), Some(cold));
-        assert_eq!(ramp.bound(), COLD_BOUND);
+        assert_eq!(ramp.stream_limit(), COLD_STREAM_LIMIT);
     }
 }
 
-/// The report still says warm, but first tokens take ten times as long: the
-/// third in a row closes the bound; one late token alone does not.
+/// The report still shows a warm target, but first tokens take ten times as long. The third late
+/// token in a row must reduce the limit; a single one must not.
 #[test]
-fn leap_of_first_token_ramps_anew() {
+fn late_first_tokens_restart_the_ramp() {
     let now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     ramp.observe(now, sample(1, 100));
     let late = Some((ms(900), ms(90)));
-    let fine = Some((ms(90), ms(90)));
-    let seen = [late, fine, late, late, late].map(|first| ramp.succeed(now, first));
-    assert_eq!(seen, [None, None, None, None, Some(Cold::LatencyLeapt)]);
-    assert_eq!(ramp.bound(), 8);
+    let on_time = Some((ms(90), ms(90)));
+    let causes = [late, on_time, late, late, late].map(|first| ramp.record_success(now, first));
+    assert_eq!(causes, [None, None, None, None, Some(ColdCause::LatencyLeapt)]);
+    assert_eq!(ramp.stream_limit(), 8);
 }
 
-/// The prefix cache served half of the tokens and now serves none: the
-/// engine lost it. Gaps in the counters (small samples) decide nothing.
+/// The prefix cache served half of the tokens and now serves none, so the engine has lost it.
+/// Samples that are too small must not lead to a decision.
 #[test]
-fn vanished_cache_hits_ramp_anew() {
+fn emptied_prefix_cache_restarts_the_ramp() {
     let mut now = Instant::now();
-    let mut ramp = Ramp::open(64);
+    let mut ramp = Ramp::new(64);
     let mut last = sample(1, 100);
     for _ in 0..4 {
         ramp.observe(now, last);
@@ -100,22 +101,22 @@
     last.cache_misses -= 40_000;
     assert_eq!(ramp.observe(now, last), None, "10,000 tokens are too few to judge");
     last.cache_misses += 60_000;
-    assert_eq!(ramp.observe(now, last), Some(Cold::CacheEmptied));
-    assert_eq!(ramp.bound(), 16);
+    assert_eq!(ramp.observe(now, last), Some(ColdCause::CacheEmptied));
+    assert_eq!(ramp.stream_limit(), 16);
 }
 
-/// A failure halves the bound. The target then reports that it is cold: the
-/// bound starts over, and with time alone it never passes the reported part.
+/// A failure halves the limit. When the target then reports that it is cold, the slow start begins
+/// again, and time alone must not raise the limit above the reported warmth.
 #[test]
-fn failure_halves_the_bound() {
+fn failure_halves_the_limit() {
     let (now, mut limiter) = warm(Instant::now(), common::CAPACITY);
-    let t = ticket(limiter.ask(now, ask(now, "mawe", 500)));
-    limiter.settle(now, t, Outcome::Failed);
-    assert_eq!(limiter.bound(), 32);
+    let t = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    limiter.complete(now, t, Outcome::Failed);
+    assert_eq!(limiter.stream_limit(), 32);
     limiter.observe(now, &observed(1, 30));
-    assert_eq!(limiter.bound(), COLD_BOUND);
+    assert_eq!(limiter.stream_limit(), COLD_STREAM_LIMIT);
     for second in 1..60 {
         limiter.observe(now + Duration::from_secs(second), &observed(1, 30));
     }
-    assert_eq!(limiter.bound(), 64 * 30 / 100);
+    assert_eq!(limiter.stream_limit(), 64 * 30 / 100);
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{CAPACITY, ask, batch, cost, ms, warm};
-use hickory_policy::limit::{Answer, Ask, Limiter, Outcome, Ticket};
+use hickory_policy::limit::{Answer, Limiter, Outcome, PermitRequest, Ticket};
 use hickory_policy::place::{Candidate, hash_target};
 use hickory_policy::reserve::{Impossible, Part, Reservation, Step, backoff, plan_parts};
 use hickory_unit::{id, size};
@@ -96,14 +96,14 @@
         Step::Ask(part) => part,
     };
     let limiter = limiters.get_mut(&part.target).expect("known");
-    let ask = Ask { cost: part.cost, urgent: true, ..batch(now, "mawe", 0) };
-    let granted = match limiter.ask(now, ask) {
+    let ask = PermitRequest { cost: part.cost, is_urgent: true, ..batch(now, "mawe", 0) };
+    let granted = match limiter.request_permit(now, ask) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
         Answer::Queued(_) => panic!("an urgent request was queued"),
     };
     for (target, ticket) in reservation.answer(granted) {
-        limiters.get_mut(&target).expect("known").finish(ticket);
+        limiters.get_mut(&target).expect("known").cancel(ticket);
     }
     None
 }
@@ -136,7 +136,7 @@
             prop_assert!(turns < 5_000, "a reservation starved");
             now += ms(20);
             limiters.values_mut().for_each(|limiter| {
-                limiter.ask(now, Ask { deadline: now + ms(400), ..ask(now, "caucao", 500) });
+                limiter.request_permit(now, PermitRequest { deadline: now + ms(400), ..ask(now, "caucao", 500) });
                 limiter.poll(now);
             });
             let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now)
@@ -147,7 +147,7 @@
                 prop_assert_eq!(held.len(), 3);
                 for (part, ticket) in held {
                     let limiter = limiters.get_mut(&part.target).expect("known");
-                    limiter.settle(now, ticket, Outcome::Whole(None));
+                    limiter.complete(now, ticket, Outcome::Completed(None));
                 }
                 open[index] = None;
             } else if reservation.next_step() == Step::Ask(first_part_by_target(&parts)) {
--- a/crates/policy/tests/resume.rs
+++ b/crates/policy/tests/resume.rs
@@ -1,4 +1,4 @@
-//! Streams that broke off beside busy engines.
+//! Tests of resuming interrupted streams on busy engines.
 
 mod profile;
 
@@ -25,13 +25,13 @@
     }
 }
 
-/// Guards against streams that are given up while all engines are busy for a moment: what
-/// was left of the goal for their first token is no measure for them.
+/// Guards against giving up interrupted streams while all engines are busy for a moment, because
+/// the goal for their first token has already passed.
 #[test]
-fn streams_that_broke_off_wait_for_busy_engines() {
+fn interrupted_streams_wait_for_busy_engines() {
     let profile = profile();
     let now = Instant::now();
-    let due = |gap| resume::due(now, Some(gap), now + ms(8_000)) - now;
+    let max_pause = |gap| resume::resume_deadline(now, Some(gap), now + ms(8_000)) - now;
     let full = Load { prefill_start_delay: ms(60), requests: profile.slots, ..Load::default() };
     let reading = Load {
         prefill_backlog: ms(400),
@@ -42,8 +42,8 @@
     for (prompt, gap, load) in [(5_000, ms(250), full), (154_000, ms(1_000), reading)] {
         let loads = vec![load; 8];
         let choose = |goal| plan::choose_engines(&query(prompt, goal), &profile, &loads);
-        assert!(choose(Duration::ZERO).is_err(), "{prompt}: the goal is gone");
-        let choice = choose(due(gap));
+        assert!(choose(Duration::ZERO).is_err(), "{prompt}: the goal has already passed");
+        let choice = choose(max_pause(gap));
         assert!(matches!(choice, Ok(Choice::Wait(_))), "{prompt}: {choice:?}");
     }
 }
@@ -51,9 +51,9 @@
 #[test]
 fn a_stream_is_resumed_before_its_caller_gives_up() {
     let now = Instant::now();
-    let due = |gap, left| resume::due(now, gap, now + left) - now;
-    assert_eq!(due(Some(ms(250)), ms(8_000)), ms(1_000));
-    assert_eq!(due(Some(ms(1_000)), ms(3_000)), ms(1_500));
-    assert_eq!(due(None, ms(3_000)), ms(1_500));
-    assert_eq!(due(None, Duration::ZERO), Duration::ZERO);
+    let max_pause = |gap, left| resume::resume_deadline(now, gap, now + left) - now;
+    assert_eq!(max_pause(Some(ms(250)), ms(8_000)), ms(1_000));
+    assert_eq!(max_pause(Some(ms(1_000)), ms(3_000)), ms(1_500));
+    assert_eq!(max_pause(None, ms(3_000)), ms(1_500));
+    assert_eq!(max_pause(None, Duration::ZERO), Duration::ZERO);
 }
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -36,7 +36,7 @@
         for size in sizes {
             let case = change(Case::new(nodes, *size));
             for seed in 1..=SEEDS {
-                let outcome = model::play(&case, Policy::ByTurns, seed);
+                let outcome = model::play(&case, Policy::Metered, seed);
                 let fault = find_breach(&case, &outcome, bound, fault);
                 broken.extend(
                     fault.map(|what| format!("{nodes} nodes, {size} bytes, seed {seed}: {what}")),
@@ -48,8 +48,8 @@
 }
 
 fn find_breach(case: &Case, outcome: &Outcome, bound: Duration, fault: Duration) -> Option<String> {
-    let bound = case.written() + bound;
-    let (last, spared) = (outcome.last(), outcome.last_spared());
+    let bound = case.last_write() + bound;
+    let (last, spared) = (outcome.last_time(), outcome.last_unaffected_time());
     let overhead = outcome.overhead(case);
     if last.is_none_or(|last| last > bound + fault) {
         return Some(format!("the last node had it at {last:?}"));
@@ -73,7 +73,7 @@
 fn simultaneous_requests_congest_the_links() {
     let case = Case::new(79, 270_000);
     for seed in 1..=SEEDS {
-        let last = model::play(&case, Policy::AtOnce, seed).last();
+        let last = model::play(&case, Policy::Unlimited, seed).last_time();
         assert!(last.is_none_or(|last| last > Duration::from_secs(3)), "seed {seed}: {last:?}");
     }
 }
@@ -106,7 +106,7 @@
 /// again after the time that the link needs for the transfer.
 #[test]
 fn receivers_stop_reading() {
-    let fault = Fault::Stop { part: 0.05, time: Duration::from_secs(5) };
+    let fault = Fault::StopReading { part: 0.05, time: Duration::from_secs(5) };
     check_bounds(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
@@ -126,14 +126,18 @@
 /// newest version that they have.
 #[test]
 fn configurations_are_written_in_quick_succession() {
-    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { versions: 5, pause: ms(330), ..case });
+    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case {
+        versions: 5,
+        write_interval: ms(330),
+        ..case
+    });
 }
 
 /// As above, with the largest configuration: a link needs more time for one transfer than passes
 /// between two writes.
 #[test]
 fn largest_configurations_are_written_in_quick_succession() {
-    let change = |case| Case { versions: 5, pause: ms(330), ..case };
+    let change = |case| Case { versions: 5, write_interval: ms(330), ..case };
     check_bounds(&[LARGEST_BYTES], Duration::ZERO, change);
 }
 
@@ -141,17 +145,17 @@
 /// time, and slow ones to no more than their links can carry.
 #[test]
 fn link_speeds_differ() {
-    check_bounds(&SIZES, Duration::ZERO, |case| Case { fast: 6, ..case });
+    check_bounds(&SIZES, Duration::ZERO, |case| Case { fast_nodes: 6, ..case });
 }
 
 /// Only one node receives the configuration, and all others request it from that node.
 #[test]
 fn only_one_node_has_it_first() {
-    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { first: 1, ..case });
+    check_bounds(&SIZES[..3], Duration::ZERO, |case| Case { initial_holders: 1, ..case });
 }
 
 /// As above, with the largest configuration.
 #[test]
 fn only_one_node_has_the_largest_first() {
-    check_bounds(&[LARGEST_BYTES], Duration::ZERO, |case| Case { first: 1, ..case });
+    check_bounds(&[LARGEST_BYTES], Duration::ZERO, |case| Case { initial_holders: 1, ..case });
 }
