--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -1,126 +1,127 @@
-//! Giving a large document on: what a giver takes on, whom it names, and whom
-//! those who want it ask.
+//! Tests of document distribution: which transfers a source accepts, whom it refers requesters to,
+//! and which source a requester chooses.
 
-use hickory_policy::spread::{Busy, Choice, Given, Givers, Meter};
+use hickory_policy::spread::{Busy, Choice, Recipients, Sources, UploadMeter};
 use hickory_unit::rate::BytesPerSecond;
 use hickory_unit::size::Bytes;
 use std::time::{Duration, Instant};
 
-/// 2.5 MB in a second.
+/// 2.5 MB per second.
 const LINK: BytesPerSecond = BytesPerSecond(2.5e6);
 
-/// A document that the link needs 100 ms for.
+/// A document that the link sends in 100 ms.
 const DOCUMENT: Bytes = Bytes(250_000);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Nobody would ever get a document that takes longer than the backlog allows.
-/// A giver whose link is idle takes it on, whatever its size.
+/// An idle source must accept a document of any size; otherwise a document that takes longer than
+/// the maximum backlog could never be fetched.
 #[test]
-fn an_idle_giver_takes_on_any_size() {
+fn an_idle_source_accepts_any_size() {
     for size in [0, 1, 250_000, 50_000_000, u64::MAX] {
-        let taken = Meter::default().admit(Instant::now(), Bytes(size), LINK);
-        assert!(taken.is_ok(), "{size} bytes: {taken:?}");
+        let admitted = UploadMeter::default().admit(Instant::now(), Bytes(size), LINK);
+        assert!(admitted.is_ok(), "{size} bytes: {admitted:?}");
     }
 }
 
-/// Takers give up and begin anew if a giver sends to all of them at once. It
-/// takes on the first, turns the rest away until the link is nearly through
-/// with that, and then takes on another one.
+/// Requesters time out and retry if a source sends to all of them at once. It must accept the
+/// first, reject the others until its link has nearly finished that transfer, and then accept
+/// another one.
 #[test]
-fn a_giver_turns_away_what_its_link_cannot_begin_soon() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
-    let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
+fn a_busy_source_rejects_transfers_that_its_link_cannot_start_soon() {
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
+    let admitted = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in [0, 1, 20] {
-        meter.note_left(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 2_500));
+        meter.record_remaining(begin + ms(after), admitted, Bytes(DOCUMENT.0 - after * 2_500));
         let busy = meter.admit(begin + ms(after), DOCUMENT, LINK).unwrap_err();
         assert!(busy.wait > Duration::ZERO, "after {after} ms");
     }
-    meter.note_left(begin + ms(90), taken, Bytes(25_000));
+    meter.record_remaining(begin + ms(90), admitted, Bytes(25_000));
     let next = meter.admit(begin + ms(90), DOCUMENT, LINK).unwrap();
-    meter.end(taken);
+    meter.finish(admitted);
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_err());
-    meter.end(next);
-    assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_ok(), "those turned away left nothing");
+    meter.finish(next);
+    assert!(
+        meter.admit(begin + ms(100), DOCUMENT, LINK).is_ok(),
+        "rejected transfers must not count"
+    );
 }
 
-/// A link is full of callers' answers and carries a tenth of what it could. A
-/// giver that reckons with the whole of it takes on one document after the other,
-/// and none ends in time. It must go by what the link has taken.
+/// A link is full of answers to callers and carries a tenth of its configured rate. A source that
+/// relies on the configured rate would accept one document after another, and none would finish in
+/// time; it must use the measured rate.
 #[test]
-fn a_link_that_carries_less_than_it_is_said_to_is_not_promised_twice() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
-    let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
+fn a_link_slower_than_configured_is_not_overcommitted() {
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
+    let admitted = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (50..=900).step_by(50) {
-        meter.note_left(begin + ms(after), taken, Bytes(DOCUMENT.0 - after * 250));
+        meter.record_remaining(begin + ms(after), admitted, Bytes(DOCUMENT.0 - after * 250));
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_err(), "after {after} ms: {next:?}");
     }
-    // What is left takes this link 40 ms.
-    meter.note_left(begin + ms(960), taken, Bytes(10_000));
+    // The rest takes 40 ms on this link.
+    meter.record_remaining(begin + ms(960), admitted, Bytes(10_000));
     assert!(meter.admit(begin + ms(960), DOCUMENT, LINK).is_ok());
 }
 
-/// The same where connections take what the link has not sent yet.
+/// The same, with connections that buffer bytes the link has not sent yet.
 #[test]
-fn what_connections_buffer_is_not_taken_for_sent() {
-    const BUFFERED: u64 = 60_000;
-    let (begin, mut meter) = (Instant::now(), Meter::default());
-    let taken = meter.admit(begin, DOCUMENT, LINK).unwrap();
+fn buffered_bytes_do_not_count_as_sent() {
+    const BUFFERED_BYTES: u64 = 60_000;
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
+    let admitted = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (0..500).step_by(50) {
-        let left = Bytes(DOCUMENT.0 - BUFFERED - after * 250);
-        meter.note_left(begin + ms(after), taken, left);
+        let remaining = Bytes(DOCUMENT.0 - BUFFERED_BYTES - after * 250);
+        meter.record_remaining(begin + ms(after), admitted, remaining);
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_err(), "after {after} ms: {next:?}");
     }
 }
 
-/// Small documents go to many at once: a giver takes them on one after the
-/// other, until it has enough for its link.
+/// A source must accept several small documents at once, but not more than its link can send.
 #[test]
-fn a_giver_takes_on_several_small_ones() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+fn a_source_accepts_several_small_documents() {
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     let count = (0..1_000).map_while(|_| meter.admit(now, Bytes(2_500), LINK).ok()).count();
-    assert!(count > 10 && count < 200, "{count} at once");
+    assert!(count > 10 && count < 200, "{count} accepted at once");
 }
 
-/// The word that a target leaves must not wait behind a document.
+/// Small messages, such as the announcement that a target leaves, must not queue behind a document.
 #[test]
-fn the_smallest_answers_are_always_taken_on() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+fn the_smallest_answers_are_always_accepted() {
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     meter.admit(now, Bytes(50_000_000), LINK).unwrap();
     assert!(meter.admit(now, Bytes(1_000), LINK).is_ok());
     assert!(meter.admit(now, DOCUMENT, LINK).is_err());
 }
 
-/// All who were turned away would come back while the link is still busy, and
-/// their asking alone would fill it. However little is left on the link and
-/// however much, the wait is neither a moment nor longer than others need to
-/// have the document.
+/// Rejected requesters that retry while the link is still busy would fill it with their requests.
+/// Whatever the backlog, the wait must not be very short, nor longer than others need to get the
+/// document.
 #[test]
-fn whoever_is_turned_away_waits_a_while() {
+fn a_rejected_requester_gets_a_moderate_wait() {
     for size in [DOCUMENT, Bytes(130_000), Bytes(50_000_000)] {
-        let (now, mut meter) = (Instant::now(), Meter::default());
+        let (now, mut meter) = (Instant::now(), UploadMeter::default());
         meter.admit(now, size, LINK).unwrap();
         let busy = meter.admit(now, size, LINK).unwrap_err();
         assert!(busy.wait >= ms(50) && busy.wait <= ms(500), "{size}: {busy:?}");
     }
 }
 
-/// A taker asks and then reads nothing, or a byte now and then. The others are
-/// turned away for a moment, and not for as long as it goes on.
+/// A requester reads nothing, or a byte now and then. Other requesters must be rejected only for a
+/// limited time, not for as long as it does so.
 #[test]
-fn a_taker_that_stops_reading_holds_its_place_for_a_while_only() {
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+fn a_stalled_reader_holds_its_place_for_a_limited_time() {
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     meter.admit(begin, DOCUMENT, LINK).unwrap();
     assert!(meter.admit(begin + ms(100), DOCUMENT, LINK).is_err());
     assert!(meter.admit(begin + ms(1_000), DOCUMENT, LINK).is_ok());
-    let (begin, mut meter) = (Instant::now(), Meter::default());
+    let (begin, mut meter) = (Instant::now(), UploadMeter::default());
     let slow = meter.admit(begin, DOCUMENT, LINK).unwrap();
     for after in (100..10_000).step_by(100) {
-        meter.note_left(begin + ms(after), slow, Bytes(DOCUMENT.0 - after));
+        meter.record_remaining(begin + ms(after), slow, Bytes(DOCUMENT.0 - after));
         let next = meter.admit(begin + ms(after), DOCUMENT, LINK);
         assert!(next.is_ok() || after < 3_000, "after {after} ms");
         if next.is_ok() {
@@ -129,104 +130,107 @@
     }
 }
 
-/// Whoever is sent to a node that has no document yet has asked in vain. A giver
-/// names those alone that have it by now, the latest first, and few of them.
+/// A referral to a node without the document costs a futile request. A source must refer only to
+/// nodes that have it by now, the latest first, and only to a few.
 #[test]
-fn a_giver_names_only_those_that_have_it() {
-    let (begin, mut given) = (Instant::now(), Given::default());
-    assert!(given.name(begin).is_empty());
-    given.note(begin + ms(100), 1);
-    given.note(begin + ms(200), 2);
-    assert!(given.name(begin + ms(99)).is_empty());
-    assert_eq!(given.name(begin + ms(100)), [1]);
-    assert_eq!(given.name(begin + ms(200)), [2, 1]);
+fn a_source_refers_only_to_nodes_that_have_the_document() {
+    let (begin, mut recipients) = (Instant::now(), Recipients::default());
+    assert!(recipients.recent(begin).is_empty());
+    recipients.record(begin + ms(100), 1);
+    recipients.record(begin + ms(200), 2);
+    assert!(recipients.recent(begin + ms(99)).is_empty());
+    assert_eq!(recipients.recent(begin + ms(100)), [1]);
+    assert_eq!(recipients.recent(begin + ms(200)), [2, 1]);
     for node in 3..100 {
-        given.note(begin + ms(300), node);
+        recipients.record(begin + ms(300), node);
     }
-    let named = given.name(begin + ms(300));
-    assert!(named.len() > 1 && named.len() < 20, "{named:?}");
-    assert_eq!(named[0], 99);
-    given.clear();
-    assert!(given.name(begin + ms(300)).is_empty(), "of another document they have nothing");
+    let referrals = recipients.recent(begin + ms(300));
+    assert!(referrals.len() > 1 && referrals.len() < 20, "{referrals:?}");
+    assert_eq!(referrals[0], 99);
+    recipients.clear();
+    assert!(recipients.recent(begin + ms(300)).is_empty(), "the recipients have another document");
 }
 
-/// A node that was given the document twice, as after a broken answer, is named
-/// once, and not before it has it.
+/// A node that received the document twice, for example after an interrupted answer, must be
+/// referred to once, and not before it has the document.
 #[test]
-fn a_node_that_was_given_it_twice_is_named_once() {
-    let (begin, mut given) = (Instant::now(), Given::default());
-    given.note(begin, 1);
-    given.note(begin + ms(100), 1);
-    assert!(given.name(begin).is_empty());
-    assert_eq!(given.name(begin + ms(100)), [1]);
+fn a_repeated_recipient_is_referred_to_once() {
+    let (begin, mut recipients) = (Instant::now(), Recipients::default());
+    recipients.record(begin, 1);
+    recipients.record(begin + ms(100), 1);
+    assert!(recipients.recent(begin).is_empty());
+    assert_eq!(recipients.recent(begin + ms(100)), [1]);
 }
 
-/// A taker that asks busy givers again and again fills their links. It asks the
-/// one that is free, whichever chance would have it, be that one heard or named.
+/// A requester must not fill the links of busy sources with requests. It must choose the free one
+/// for every random value, whether it is a known holder or a referral.
 #[test]
-fn a_busy_giver_is_not_asked_while_another_is_free() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
+fn a_busy_source_is_not_asked_while_another_is_free() {
+    let (now, mut sources) = (Instant::now(), Sources::default());
     let busy = Busy { wait: ms(100) };
-    givers.note_busy(now, 1, busy, &[], 0.5);
-    givers.note_busy(now, 2, busy, &[4], 0.5);
-    givers.note_failed(now, 3);
-    for chance in [0.0, 0.3, 0.6, 0.99, 1.0] {
-        assert_eq!(givers.choose(now, &[1, 2, 3], chance), Choice::Ask(4), "it was named");
-        assert_eq!(givers.choose(now, &[1, 2, 3, 4], chance), Choice::Ask(4));
+    sources.record_busy(now, 1, busy, &[], 0.5);
+    sources.record_busy(now, 2, busy, &[4], 0.5);
+    sources.record_failure(now, 3);
+    for random in [0.0, 0.3, 0.6, 0.99, 1.0] {
+        assert_eq!(sources.choose(now, &[1, 2, 3], random), Choice::Fetch(4), "it is a referral");
+        assert_eq!(sources.choose(now, &[1, 2, 3, 4], random), Choice::Fetch(4));
     }
 }
 
-/// All that are known are busy: a taker waits, no shorter than it was told, and
-/// then asks again. Two that were turned away together come back apart.
+/// When all known sources are busy, a requester must wait at least as long as requested and then
+/// retry. Two requesters rejected at the same time must retry at different times.
 #[test]
-fn a_taker_asks_again_after_the_wait() {
+fn a_requester_retries_after_the_wait() {
     let now = Instant::now();
-    let waits = [0.0, 0.5].map(|chance| {
-        let mut givers = Givers::default();
-        givers.note_busy(now, 1, Busy { wait: ms(100) }, &[], chance);
-        let Choice::Wait(wait) = givers.choose(now, &[1], 0.0) else { panic!("asks a busy one") };
+    let waits = [0.0, 0.5].map(|random| {
+        let mut sources = Sources::default();
+        sources.record_busy(now, 1, Busy { wait: ms(100) }, &[], random);
+        let Choice::Wait(wait) = sources.choose(now, &[1], 0.0) else {
+            panic!("expected a wait: the only source is busy")
+        };
         assert!(wait >= ms(100) && wait <= ms(200), "{wait:?}");
-        assert_eq!(givers.choose(now + wait, &[1], 0.0), Choice::Ask(1));
+        assert_eq!(sources.choose(now + wait, &[1], 0.0), Choice::Fetch(1));
         wait
     });
     assert_ne!(waits[0], waits[1]);
 }
 
-/// A link of no rate at all, as a wrong setting may have it, must not stop the
-/// node, nor hold back documents for ever once it is set right.
+/// A link rate of zero or another invalid value, as after a wrong setting, must not make the node
+/// panic, nor block transfers after the rate is corrected.
 #[test]
-fn a_link_without_rate_is_survived() {
-    let (now, mut meter) = (Instant::now(), Meter::default());
+fn an_invalid_link_rate_does_not_block_later_transfers() {
+    let (now, mut meter) = (Instant::now(), UploadMeter::default());
     for rate in [0.0, -1.0, f64::NAN, f64::MIN_POSITIVE] {
         let _ = meter.admit(now, DOCUMENT, BytesPerSecond(rate));
     }
     assert!(meter.admit(now + Duration::from_secs(120), DOCUMENT, LINK).is_ok());
 }
 
-/// A giver that failed is left alone, but not for ever: it may be the only one.
+/// A failed source must be avoided for a while but not forever: it may be the only one.
 #[test]
-fn a_giver_that_failed_is_asked_again_later() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
-    assert_eq!(givers.choose(now, &[], 0.5), Choice::Nobody);
-    givers.note_failed(now, 1);
-    let Choice::Wait(wait) = givers.choose(now, &[1], 0.5) else { panic!("asks at once") };
+fn a_failed_source_is_asked_again_later() {
+    let (now, mut sources) = (Instant::now(), Sources::default());
+    assert_eq!(sources.choose(now, &[], 0.5), Choice::NoSource);
+    sources.record_failure(now, 1);
+    let Choice::Wait(wait) = sources.choose(now, &[1], 0.5) else {
+        panic!("expected a wait: the only source failed")
+    };
     assert!(wait <= Duration::from_secs(5), "{wait:?}");
-    assert_eq!(givers.choose(now + wait, &[1], 0.5), Choice::Ask(1));
+    assert_eq!(sources.choose(now + wait, &[1], 0.5), Choice::Fetch(1));
 }
 
-/// A taker whose own link is full never gets an answer: it leaves each giver
-/// before its answer can have come, and begins with the next one. After some such
-/// failures it waits as long as for a giver that is the only one.
+/// A requester whose own link is full would never get an answer if it always left each source after
+/// the short timeout. After several failures it must wait as long as for the only source.
 #[test]
-fn a_taker_that_all_givers_fail_grows_patient() {
-    let (now, mut givers) = (Instant::now(), Givers::default());
-    let heard = [1, 2, 3, 4, 5];
-    let hasty = givers.patience(1, &heard);
-    assert!(hasty < givers.patience(1, &[1]), "another one is known");
-    for giver in heard {
-        givers.note_failed(now, giver);
+fn a_requester_uses_the_long_timeout_after_several_failures() {
+    let (now, mut sources) = (Instant::now(), Sources::default());
+    let holders = [1, 2, 3, 4, 5];
+    let short_timeout = sources.response_timeout(1, &holders);
+    assert!(short_timeout < sources.response_timeout(1, &[1]), "another source is known");
+    for source in holders {
+        sources.record_failure(now, source);
     }
-    assert_eq!(givers.patience(1, &heard), givers.patience(1, &[1]));
-    givers.note_answered();
-    assert_eq!(givers.patience(1, &heard), hasty);
+    assert_eq!(sources.response_timeout(1, &holders), sources.response_timeout(1, &[1]));
+    sources.record_response();
+    assert_eq!(sources.response_timeout(1, &holders), short_timeout);
 }
--- a/crates/policy/tests/spread/case.rs
+++ b/crates/policy/tests/spread/case.rs
@@ -1,109 +1,119 @@
-//! What is replayed, and how it ended.
+//! Cases of the replay and their outcomes.
 
 use std::time::Duration;
 
-/// The rate of a usual link, in bytes per second.
+/// Rate of a normal link, in bytes per second.
 pub const LINK_BYTES_PER_SECOND: f64 = 2.5e6;
 
-/// The rate of a fast link, in bytes per second.
+/// Rate of a fast link, in bytes per second.
 pub const FAST_LINK_BYTES_PER_SECOND: f64 = 25e6;
 
-/// How givers and takers behave.
+/// How sources and requesters behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Every taker asks a giver for the whole at each look, every giver gives
-    /// to all, and what is not there in time is thrown away.
-    AtOnce,
-    /// Givers and takers follow the rules of `spread`.
-    ByTurns,
+    /// Every requester asks a source for the whole document at each poll, every source serves all
+    /// requests, and incomplete answers are discarded after the timeout.
+    Unlimited,
+    /// Sources and requesters follow the rules of `spread`.
+    Metered,
 }
 
-/// A fault, or none.
+/// A fault injected into the replay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Two of the first nodes die, without a word to those they send to.
+    /// Two of the initial holders die without notice.
     Death {
         at: Duration,
     },
-    /// Some takers ask and then read nothing, from their first answer on.
-    Stop {
+    /// Some requesters stop reading from their first answer on, for a time.
+    StopReading {
         part: f64,
         time: Duration,
     },
-    /// A third of the nodes, none of the first, is cut off from the others.
+    /// A third of the nodes, none of them an initial holder, is cut off from the others.
     Cut {
         begin: Duration,
         end: Duration,
     },
 }
 
-/// A fleet and what spreads in it.
+/// A fleet and the documents that are distributed in it.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub nodes: usize,
-    /// Bytes of a configuration.
+    /// Size of a configuration in bytes.
     pub size: u64,
-    /// Nodes that have each configuration when it is written.
-    pub first: usize,
-    /// Nodes with a fast link.
-    pub fast: usize,
-    /// Configurations that are written, each in place of the one before.
+    /// Number of nodes that have each configuration when it is written.
+    pub initial_holders: usize,
+    /// Number of nodes with a fast link.
+    pub fast_nodes: usize,
+    /// Number of configurations written, each replacing the one before.
     pub versions: u32,
-    /// Between two of them.
-    pub pause: Duration,
+    /// Interval between two writes.
+    pub write_interval: Duration,
     pub fault: Fault,
 }
 
 impl Case {
     pub fn new(nodes: usize, size: u64) -> Self {
-        let pause = Duration::ZERO;
-        Self { nodes, size, first: 3, fast: 0, versions: 1, pause, fault: Fault::None }
+        let write_interval = Duration::ZERO;
+        Self {
+            nodes,
+            size,
+            initial_holders: 3,
+            fast_nodes: 0,
+            versions: 1,
+            write_interval,
+            fault: Fault::None,
+        }
     }
 
-    /// When the last configuration is written.
-    pub fn written(&self) -> Duration {
-        self.pause * (self.versions - 1)
+    /// Returns when the last configuration is written.
+    pub fn last_write(&self) -> Duration {
+        self.write_interval * (self.versions - 1)
     }
 }
 
-/// How a replay ended.
+/// Outcome of a replay.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// When each taker that lives had the last configuration, in order; those
-    /// that never had it are not in it.
-    pub times: Vec<Duration>,
-    /// As `times`, of those alone that no fault kept from it.
-    pub spared: Vec<Duration>,
-    /// Takers that live, and those of them that no fault kept from it.
-    pub takers: usize,
-    pub spared_takers: usize,
-    /// Bytes of configurations that were sent.
-    pub bytes: f64,
-    pub busy: u64,
-    /// The greatest number of answers on one link.
-    pub widest: usize,
+    /// Sorted times at which the living requesters had the last configuration; those that never got
+    /// it are left out.
+    pub completion_times: Vec<Duration>,
+    /// The same for the requesters that no fault kept from it.
+    pub unaffected_times: Vec<Duration>,
+    /// Number of living requesters.
+    pub requesters: usize,
+    /// Number of living requesters that no fault kept from it.
+    pub unaffected_requesters: usize,
+    /// Bytes of configurations sent.
+    pub bytes_sent: f64,
+    /// Number of answers without a document.
+    pub busy_answers: u64,
+    /// Maximum number of concurrent answers on one link.
+    pub max_answers_per_link: usize,
 }
 
 impl Outcome {
-    /// When the last node had it.
-    pub fn last(&self) -> Option<Duration> {
-        self.part(1.0)
+    /// Returns when the last requester had the configuration.
+    pub fn last_time(&self) -> Option<Duration> {
+        self.time_of_part(1.0)
     }
 
-    /// When this part of the takers had it.
-    pub fn part(&self, part: f64) -> Option<Duration> {
-        let count = (self.takers as f64 * part).ceil() as usize;
-        self.times.get(count - 1).copied()
+    /// Returns when this fraction of the requesters had the configuration.
+    pub fn time_of_part(&self, part: f64) -> Option<Duration> {
+        let count = (self.requesters as f64 * part).ceil() as usize;
+        self.completion_times.get(count - 1).copied()
     }
 
-    /// When the last node had it that no fault kept from it.
-    pub fn last_spared(&self) -> Option<Duration> {
-        self.spared.get(self.spared_takers - 1).copied()
+    /// Returns when the last requester had it that no fault kept from it.
+    pub fn last_unaffected_time(&self) -> Option<Duration> {
+        self.unaffected_times.get(self.unaffected_requesters - 1).copied()
     }
 
-    /// Bytes that were sent, for each that had to be.
+    /// Returns the number of bytes sent per byte that had to be sent.
     pub fn overhead(&self, case: &Case) -> f64 {
-        self.bytes / (case.size * self.takers as u64 * u64::from(case.versions)) as f64
+        self.bytes_sent / (case.size * self.requesters as u64 * u64::from(case.versions)) as f64
     }
 }
