--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -154,7 +154,7 @@
             node: self.core.me().clone(),
             ready: configuration.is_some() && self.core.stage() == Stage::Serving,
             draining: self.core.stage() != Stage::Serving,
-            platform: self.core.member.confirmed(self.core.now()),
+            platform: self.core.member.is_lease_valid(self.core.now()),
             version: configuration.map_or(id::Release(0), |c| c.version),
         }
     }
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -204,7 +204,7 @@
     let permit = &leave.permit;
     // A claimant that was paused past its window must not send: a resend may
     // have been told by then that this call has not run.
-    if claim.is_some_and(|claim| !claim.may_send(core.clock.now())) {
+    if claim.is_some_and(|claim| !claim.can_send(core.clock.now())) {
         permit::give_back(core, &leave.target, permit, &leave.stream, Ending::NotSent, None);
         return Err(Error::NotSent("the claim's window to send has passed".into()));
     }
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -7,7 +7,7 @@
 use hickory_release::configuration::Configuration;
 use hickory_settings::Node as Settings;
 use hickory_state::claim::Ledger;
-use hickory_state::config::Keeper;
+use hickory_state::config::Manager;
 use hickory_state::member::{Info, Member};
 use hickory_state::owner::{Owners, Probe};
 use hickory_store::http::Platform;
@@ -42,7 +42,7 @@
 pub(crate) struct LinkProbe(pub(crate) Arc<OnceLock<Links>>);
 
 impl Probe for LinkProbe {
-    async fn alive(&self, node: &Info) -> bool {
+    async fn is_alive(&self, node: &Info) -> bool {
         match self.0.get() {
             Some(links) => links.probe(node.peers, PROBE_TIMEOUT).await.is_ok(),
             None => false,
@@ -65,7 +65,7 @@
     pub(crate) links: Arc<OnceLock<Links>>,
     pub(crate) fetches: Fetches,
     pub(crate) member: Member<Port, System>,
-    pub(crate) keeper: Keeper<Port, System>,
+    pub(crate) keeper: Manager<Port, System>,
     pub(crate) owners: Owners<Port, System, LinkProbe>,
     pub(crate) ledger: Ledger<Port, System>,
     pub(crate) view: View,
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -40,5 +40,5 @@
         tokio::time::sleep(LOOK_INTERVAL).await;
     }
     core.stage.send_replace(Stage::Closed);
-    core.member.leave().await;
+    core.member.deregister().await;
 }
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -7,7 +7,7 @@
 use crate::sweep::Found;
 use hickory_policy::limit::{Capacity, Observed};
 use hickory_policy::ramp::Sample;
-use hickory_state::owner::Terms;
+use hickory_state::owner::Allowance;
 use hickory_store::host::{Host, Kind};
 use hickory_target::Error;
 use hickory_target::engine::{Cancelled, Engines, Report};
@@ -34,7 +34,7 @@
 /// Follows the ownership: one task for each owned target.
 pub(crate) async fn follow_owned(core: Arc<Core>) {
     let mut running: HashMap<id::Target, (id::Epoch, tokio::task::AbortHandle)> = HashMap::new();
-    let mut changed = core.owners.changed();
+    let mut changed = core.owners.subscribe();
     loop {
         let owned = core.owners.owned();
         running.retain(|target, (epoch, task)| {
@@ -94,9 +94,10 @@
     let configuration = core.configuration();
     let in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
     let owned = core.owners.owned();
-    let terms = owned.iter().find(|owned| owned.target == host.target).map(|owned| owned.terms);
-    let waited = !matches!(terms, None | Some(Terms::Wait(_)));
-    let confirmed = matches!(terms, Some(Terms::Full));
+    let allowance =
+        owned.iter().find(|owned| owned.target == host.target).map(|owned| owned.allowance);
+    let waited = !matches!(allowance, None | Some(Allowance::WaitUntil(_)));
+    let confirmed = matches!(allowance, Some(Allowance::Full));
     let now = core.now();
     core.table.with(&host.target, |owned| {
         let known = owned.capacity.streams > 0;
@@ -139,7 +140,7 @@
 fn take_report(core: &Core, target: &id::Target, report: &Report) {
     let now = core.now();
     let nodes = core.member.nodes();
-    let confirmed = core.member.confirmed(now);
+    let confirmed = core.member.is_lease_valid(now);
     // The list of nodes says nothing while the platform can't be reached.
     let is_live = |node: &id::Node| !confirmed || nodes.contains_key(node);
     let resume = core.time(core.settings.times.resume_ms);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -43,7 +43,7 @@
 use hickory_release::note::Note;
 use hickory_settings::Node as Settings;
 use hickory_state::claim::{self, Ledger};
-use hickory_state::config::{Keeper, Rejection};
+use hickory_state::config::{Manager, Rejection};
 use hickory_state::member::{Info, Member};
 use hickory_state::owner::Owners;
 use hickory_store::http::{Address, Platform};
@@ -184,8 +184,8 @@
         targets: Targets::open(TARGET_TIMEOUT),
         links,
         fetches: peers::Fetches::default(),
-        keeper: Keeper::spawn(platform.clone(), clock),
-        ledger: Ledger::open(platform.clone(), clock, me, claim::Options::default()),
+        keeper: Manager::spawn(platform.clone(), clock),
+        ledger: Ledger::new(platform.clone(), clock, me, claim::Options::default()),
         member,
         owners,
         platform,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -92,7 +92,7 @@
 fn take_gossip(core: &Core, gossip: &Gossip) {
     core.view.merge(core.clock.now(), gossip);
     core.record.merge(core.now(), &gossip.suspects);
-    core.owners.heard(&gossip.node, gossip.owners);
+    core.owners.record_peer_revision(&gossip.node, gossip.owners);
 }
 
 /// Exchanges gossip with every peer, and fetches what a peer knows better: a
@@ -110,7 +110,7 @@
             // that can't renew its lease is off the others' lists, and they
             // begin none with it: it would miss every note, and stop to grant
             // on its targets as if it heard nobody. So it begins them all.
-            if info.node > *core.me() || !core.member.confirmed(core.now()) {
+            if info.node > *core.me() || !core.member.is_lease_valid(core.now()) {
                 tokio::spawn(exchange(core.clone(), links.clone(), info.clone()));
             }
         }
@@ -152,7 +152,7 @@
         && let Ok(Some(document)) = links.release(info.peers, core.peer_timeout()).await
         && let Ok(configuration) = serde_json::from_str(&document.text)
     {
-        core.keeper.offer(configuration);
+        core.keeper.apply_if_newer(configuration);
     }
 }
 
@@ -161,7 +161,7 @@
     if gossip.owners > core.owners.revision()
         && let Ok(Some(document)) = links.owners(info.peers, core.peer_timeout()).await
     {
-        core.owners.offer(document.version, &document.text);
+        core.owners.apply_if_newer(document.version, &document.text);
     }
 }
 
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -41,7 +41,7 @@
 async fn finish<D: Dialect, S: Store, C: Clock>(core: Arc<Core<D, S, C>>) {
     if let Some(member) = core.member.get().cloned() {
         // The store may be unreachable, and the stop doesn't wait for it.
-        tokio::spawn(async move { member.leave().await });
+        tokio::spawn(async move { member.deregister().await });
     }
     let started = core.now();
     let max_drain_time = core.bounds().grace_period.saturating_sub(SHUTDOWN_RESERVE);
--- a/crates/path/src/sync.rs
+++ b/crates/path/src/sync.rs
@@ -89,7 +89,7 @@
         draining: false,
     };
     core.member.get_or_init(|| {
-        Member::register(core.store.clone(), core.clock.clone(), info, REGISTRATION)
+        Member::spawn_registration(core.store.clone(), core.clock.clone(), info, REGISTRATION)
     });
     std::future::pending().await
 }
@@ -192,16 +192,17 @@
     core: Arc<Core<D, S, C>>,
     prefix: &'static str,
 ) {
-    let options = follow::Options { prefix: prefix.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
-    let follower = Follower::open(options, rand::random());
+    let options =
+        follow::Options { prefix: prefix.into(), watch_timeout: WATCH_WAIT, jitter: WATCH_SPREAD };
+    let follower = Follower::new(options, rand::random());
     let (store, clock) = (core.store.clone(), core.clock.clone());
     let mut outage = Outage::default();
     follow::run(store, clock, follower, move |follower, step, sent| {
         let now = core.now();
         // A watch whose history is gone is answered, and followed by a list.
-        let answered = step.confirmed || step.pause.is_zero();
+        let answered = step.is_confirmed || step.delay.is_zero();
         let may_lapse = match answered {
-            true if step.confirmed => outage.note_answer(now.saturating_duration_since(sent)),
+            true if step.is_confirmed => outage.note_answer(now.saturating_duration_since(sent)),
             true => false,
             false => {
                 outage.note_failure();
@@ -211,10 +212,10 @@
         core.note_store_reachable(answered);
         if prefix == D::TARGET_PREFIX {
             let leads = with_candidates(&core, leads);
-            follower.set_spread(if leads { WATCH_SPREAD } else { FOLLOWING_SPREAD });
+            follower.set_jitter(if leads { WATCH_SPREAD } else { FOLLOWING_SPREAD });
         }
-        if step.changed {
-            let entries = follower.view().values();
+        if step.is_changed {
+            let entries = follower.entries().values();
             let at = follower.revision();
             core.update_items(may_lapse, |items| items.take_all(now, prefix, entries, at));
         }
--- a/crates/state/examples/calls.rs
+++ b/crates/state/examples/calls.rs
@@ -8,7 +8,7 @@
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
 use hickory_state::claim::{self, Answer, Ledger, Outcome};
-use hickory_state::config::Keeper;
+use hickory_state::config::Manager;
 use hickory_state::member::{Info, Member};
 use hickory_state::owner::{Owners, Probe};
 use hickory_store::store::{Batch, Entry, Error, Lease, Revision, Store, Write};
@@ -82,7 +82,7 @@
 struct Alive;
 
 impl Probe for Alive {
-    async fn alive(&self, _: &Info) -> bool {
+    async fn is_alive(&self, _: &Info) -> bool {
         true
     }
 }
@@ -90,7 +90,7 @@
 struct Node {
     _member: Member<Counted, System>,
     _owners: Owners<Counted, System, Alive>,
-    keeper: Keeper<Counted, System>,
+    manager: Manager<Counted, System>,
     ledger: Ledger<Counted, System>,
 }
 
@@ -110,9 +110,9 @@
     let permit = Duration::from_secs(1);
     let owners = Owners::spawn(store.clone(), System, member.clone(), Alive, permit);
     owners.set_targets(targets);
-    let ledger = Ledger::open(store.clone(), System, node, claim::Options::default());
-    let keeper = Keeper::spawn(store.clone(), System);
-    Node { _member: member, _owners: owners, keeper, ledger }
+    let ledger = Ledger::new(store.clone(), System, node, claim::Options::default());
+    let manager = Manager::spawn(store.clone(), System);
+    Node { _member: member, _owners: owners, manager, ledger }
 }
 
 fn print_counts(name: &str, counts: &Counts, nodes: usize, time: Duration) {
@@ -196,9 +196,9 @@
     }
     let begun = Instant::now();
     let note = Note { operation: "one".into(), ..Note::default() };
-    let accepted = nodes[0].keeper.accept(&note).await.map(|next| next.version);
+    let accepted = nodes[0].manager.accept(&note).await.map(|next| next.version);
     for node in &nodes {
-        let mut changes = node.keeper.subscribe();
+        let mut changes = node.manager.subscribe();
         let _ = changes.wait_for(|current| current.is_some()).await;
     }
     println!("note {accepted:?} in force on {count} nodes after {:?}", begun.elapsed());
--- a/crates/state/src/terms.rs
+++ b/crates/state/src/allowance.rs
@@ -6,7 +6,7 @@
 //! successor until it knows that the predecessor has stopped.
 
 use crate::assign::{Assigner, Taken};
-use crate::owner::Terms;
+use crate::owner::Allowance;
 use crate::table::{Entry, Holder};
 use std::time::{Duration, Instant};
 
@@ -17,9 +17,9 @@
 /// When terms are looked at again that no certain time ends.
 const AGAIN: Duration = Duration::from_millis(500);
 
-/// What this node knows of its own standing.
+/// What this node knows of its own status.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Standing {
+pub(crate) struct Status {
     /// Whether its lease is certainly valid.
     pub(crate) lease: bool,
     /// When its registration was sent.
@@ -33,7 +33,7 @@
     resumed_at: Option<Instant>,
 }
 
-impl Standing {
+impl Status {
     /// Notes the time; a leap in it is a pause of this process.
     pub(crate) fn tick(&mut self, now: Instant) {
         let paused = self.ticked_at.is_some_and(|at| at + PAUSE < now);
@@ -60,7 +60,7 @@
 }
 
 /// The terms of a target that this node owns.
-pub(crate) fn decide(assigner: &Assigner, now: Instant, entry: &Entry, taken: &Taken) -> Terms {
+pub(crate) fn decide(assigner: &Assigner, now: Instant, entry: &Entry, taken: &Taken) -> Allowance {
     let options = &assigner.options;
     // Permits of the predecessor live for one permit's life. One that has not
     // handed over may have come back before the takeover was written, and
@@ -68,21 +68,22 @@
     let predecessor = if entry.before.is_empty() { Duration::ZERO } else { options.fresh };
     let until = taken.at + predecessor + options.permit;
     if now < until {
-        return Terms::Wait(until);
+        return Allowance::WaitUntil(until);
     }
-    let again = Terms::Wait(now + AGAIN);
-    let standing = &assigner.standing;
-    if !standing.awake() {
+    let again = Allowance::WaitUntil(now + AGAIN);
+    let status = &assigner.status;
+    if !status.awake() {
         return again;
     }
-    let confirmed = standing.confirmed(now, options.fresh);
+    let confirmed = status.confirmed(now, options.fresh);
     if !confirmed && is_alone(assigner, now) {
         return again;
     }
-    let unsure = entry.before.iter().filter(|holder| !gone(assigner, now, holder, taken)).count();
+    let unsure =
+        entry.before.iter().filter(|holder| !is_gone(assigner, now, holder, taken)).count();
     match unsure {
-        0 if confirmed => Terms::Full,
-        0 | 1 => Terms::Half,
+        0 if confirmed => Allowance::Full,
+        0 | 1 => Allowance::Half,
         // Two former owners may hold half each.
         _ => again,
     }
@@ -96,19 +97,24 @@
 fn is_alone(assigner: &Assigner, now: Instant) -> bool {
     let me = &assigner.me.node;
     let others = assigner.nodes.keys().chain(assigner.missing.keys()).any(|node| node != me);
-    let heard = assigner.standing.heard_at.is_some_and(|at| now < at + assigner.options.alone);
+    let heard = assigner.status.heard_at.is_some_and(|at| now < at + assigner.options.alone);
     others && !heard
 }
 
 /// Whether a former owner certainly grants nothing any more, and no permit of
 /// it can be used.
-pub(crate) fn gone(assigner: &Assigner, now: Instant, holder: &Holder, taken: &Taken) -> bool {
+pub(crate) fn is_gone(assigner: &Assigner, now: Instant, holder: &Holder, taken: &Taken) -> bool {
     let stopped = taken.stopped.get(holder);
     stopped.is_some_and(|at| *at + assigner.options.permit <= now)
 }
 
 /// Whether a former owner has stopped granting by `now`.
-pub(crate) fn stopped(assigner: &Assigner, now: Instant, holder: &Holder, taken: &Taken) -> bool {
+pub(crate) fn has_stopped(
+    assigner: &Assigner,
+    now: Instant,
+    holder: &Holder,
+    taken: &Taken,
+) -> bool {
     // A later process of its name runs.
     let present = assigner.nodes.get(&holder.node);
     if present.is_some_and(|info| info.incarnation != holder.incarnation) {
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -5,10 +5,10 @@
 //! that one node writes and the rest see it done. The document's
 //! compare-and-swap decides between two that write at once.
 
+use crate::allowance::{self, Status};
 use crate::member::{Info, Nodes, View};
 use crate::owner::{Owned, Owner};
 use crate::table::{Document, Holder};
-use crate::terms::{self, Standing};
 use hickory_store::store::{self, Error, Revision};
 use hickory_unit::id;
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,7 +106,7 @@
     pub(crate) revision: Revision,
     /// The service has no document.
     pub(crate) absent: bool,
-    pub(crate) standing: Standing,
+    pub(crate) status: Status,
     pub(crate) targets: BTreeSet<id::Target>,
     pub(crate) nodes: Arc<Nodes>,
     pub(crate) registered: BTreeMap<Holder, Instant>,
@@ -137,7 +137,7 @@
             document: Document::default(),
             revision: Revision(0),
             absent: false,
-            standing: Standing::default(),
+            status: Status::default(),
             targets: BTreeSet::new(),
             nodes: Arc::default(),
             registered: BTreeMap::new(),
@@ -178,8 +178,8 @@
         let mine = self.taken.iter().filter(|(target, _)| !self.giving.contains(*target));
         mine.filter_map(|(target, taken)| {
             let entry = self.document.owners.get(target)?;
-            let terms = terms::decide(self, now, entry, taken);
-            Some(Owned { target: target.clone(), epoch: taken.epoch, terms })
+            let allowance = allowance::decide(self, now, entry, taken);
+            Some(Owned { target: target.clone(), epoch: taken.epoch, allowance })
         })
         .collect()
     }
@@ -208,8 +208,8 @@
 
     /// Takes what is known of the registrations.
     pub fn see(&mut self, now: Instant, view: View) {
-        self.standing.lease = view.confirmed;
-        self.standing.registered_at = view.registered_at;
+        self.status.lease = view.is_lease_valid;
+        self.status.registered_at = view.registered_at;
         self.contact_since = view.contact_since;
         self.me.draining = view.draining;
         let nodes = std::mem::replace(&mut self.nodes, view.nodes);
@@ -233,7 +233,7 @@
     pub fn read(&mut self, now: Instant, sent: Instant, entry: Option<&store::Entry>) -> bool {
         let Some(entry) = entry else {
             self.absent = true;
-            self.standing.read_at = Some(sent);
+            self.status.read_at = Some(sent);
             return false;
         };
         let Ok(document) = serde_json::from_str(&entry.value) else {
@@ -242,24 +242,24 @@
         self.absent = false;
         // A replica that lags tells nothing of the present.
         if entry.revision >= self.revision {
-            self.standing.read_at = Some(sent);
+            self.status.read_at = Some(sent);
         }
         self.adopt(now, entry.revision, document)
     }
 
     /// Notes that the service confirmed the document known.
     pub fn confirm(&mut self, sent: Instant) {
-        self.standing.read_at = Some(sent);
+        self.status.read_at = Some(sent);
     }
 
     /// Takes the document from a peer.
-    pub fn offer(&mut self, now: Instant, revision: Revision, document: Document) -> bool {
+    pub fn apply_if_newer(&mut self, now: Instant, revision: Revision, document: Document) -> bool {
         self.adopt(now, revision, document)
     }
 
     /// Notes that a node was heard, with the revision that it knows.
-    pub fn heard(&mut self, now: Instant, node: &id::Node, revision: Revision) {
-        self.standing.heard_at = Some(now);
+    pub fn record_peer_revision(&mut self, now: Instant, node: &id::Node, revision: Revision) {
+        self.status.heard_at = Some(now);
         self.heard.insert(node.clone(), revision);
     }
 
@@ -293,12 +293,12 @@
     /// Notes the time, and which former owners have stopped by now. Once known
     /// it stays known, whatever becomes of them later.
     pub(crate) fn tick(&mut self, now: Instant) {
-        self.standing.tick(now);
+        self.status.tick(now);
         let mut found = Vec::new();
         for (target, taken) in &self.taken {
             let before = self.document.owners.get(target).map(|entry| &entry.before);
             let open = before.into_iter().flatten().filter(|h| !taken.stopped.contains_key(*h));
-            let stopped = open.filter(|holder| terms::stopped(self, now, holder, taken));
+            let stopped = open.filter(|holder| allowance::has_stopped(self, now, holder, taken));
             found.extend(stopped.map(|holder| (target.clone(), holder.clone())));
         }
         for (target, holder) in found {
@@ -319,7 +319,7 @@
         match result {
             Ok(revision) => {
                 self.absent = false;
-                self.standing.read_at = Some(sent);
+                self.status.read_at = Some(sent);
                 self.adopt(now, revision, document)
             }
             Err(Error::Conflict(entry)) => {
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -51,7 +51,7 @@
 /// lost, may have run.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// This node alone may send it, once, while [`Claim::may_send`] holds.
+    /// This node alone may send it, once, while [`Claim::can_send`] holds.
     Granted(Claim),
     /// The key was claimed before; refused as `ran: unknown`, or answered
     /// with the outcome where one is stored.
@@ -100,7 +100,7 @@
     ///
     /// Failure: the process stands still between its claim and the send; its
     /// caller has long been refused when it goes on. It must not run then.
-    pub fn may_send(&self, now: Instant) -> bool {
+    pub fn can_send(&self, now: Instant) -> bool {
         now < self.send_by && !self.spent.load(Ordering::SeqCst)
     }
 
@@ -150,7 +150,7 @@
 
 impl<S: Store, C: Clock> Ledger<S, C> {
     /// Opens the ledger; `me` names this node in the logs.
-    pub fn open(store: S, clock: C, me: id::Node, options: Options) -> Self {
+    pub fn new(store: S, clock: C, me: id::Node, options: Options) -> Self {
         let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
         let leases = Mutex::default();
         Self { inner: Arc::new(Inner { store, clock, me, options, shards, leases }) }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -18,8 +18,8 @@
 pub const KEY: &str = "configuration";
 
 /// Watches of the head key: one call in ten seconds and node at rest.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-const WATCH_SPREAD: Duration = Duration::from_millis(500);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const WATCH_JITTER: Duration = Duration::from_millis(500);
 
 /// Why a note was not accepted.
 #[derive(Clone, Debug, derive_more::Display, PartialEq)]
@@ -46,19 +46,19 @@
 
 /// Keeps the configuration in force.
 #[derive(Clone, Debug)]
-pub struct Keeper<S, C> {
+pub struct Manager<S, C> {
     store: S,
     clock: C,
     current: watch::Sender<Option<Arc<Configuration>>>,
 }
 
-impl<S: Store, C: Clock> Keeper<S, C> {
+impl<S: Store, C: Clock> Manager<S, C> {
     /// Reads the configuration and follows it.
     pub fn spawn(store: S, clock: C) -> Self {
         let (current, _) = watch::channel(None);
-        let keeper = Self { store, clock, current };
-        tokio::spawn(keeper.clone().follow());
-        keeper
+        let manager = Self { store, clock, current };
+        tokio::spawn(manager.clone().follow());
+        manager
     }
 
     /// The configuration in force; `None` while none is known, when this node
@@ -74,7 +74,7 @@
 
     /// Applies a configuration, from a peer or the service, where its version
     /// is higher.
-    pub fn offer(&self, configuration: Configuration) -> bool {
+    pub fn apply_if_newer(&self, configuration: Configuration) -> bool {
         self.current.send_if_modified(|current| {
             let newer = supersedes(&configuration, current.as_deref());
             if newer {
@@ -101,24 +101,27 @@
             };
             if let Some(end) = acceptance.answered(self.clock.now(), reply) {
                 let accepted = end?;
-                self.offer((*accepted).clone());
+                self.apply_if_newer((*accepted).clone());
                 return Ok(accepted);
             }
         }
     }
 
     async fn follow(self) {
-        let options =
-            follow::Options { prefix: KEY.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
+        let options = follow::Options {
+            prefix: KEY.into(),
+            watch_timeout: WATCH_TIMEOUT,
+            jitter: WATCH_JITTER,
+        };
         let seed = Uuid::new_v4().as_u128() as u64;
-        let follower = Follower::open(options, seed);
-        let keeper = self.clone();
+        let follower = Follower::new(options, seed);
+        let manager = self.clone();
         follow::run(self.store, self.clock, follower, move |follower, step, _| {
-            if let Some(entry) = follower.view().get(KEY)
-                && step.changed
+            if let Some(entry) = follower.entries().get(KEY)
+                && step.is_changed
             {
                 match serde_json::from_str(&entry.value) {
-                    Ok(configuration) => drop(keeper.offer(configuration)),
+                    Ok(configuration) => drop(manager.apply_if_newer(configuration)),
                     Err(error) => log::error!(error:%; "the configuration can't be read"),
                 }
             }
--- a/crates/state/src/follow.rs
+++ b/crates/state/src/follow.rs
@@ -11,15 +11,16 @@
 
 /// Pauses after failures, from the first to the longest. The longest is what a
 /// restarted node may miss of the service's return.
-const FAILURE_WAIT: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(700));
+const FAILURE_DELAYS: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_millis(700));
 
 /// How far watches are spread after a change, for each node of the fleet: a key that
 /// changes all the time leaves room for other reads.
-const SPREAD_PER_NODE: Duration = Duration::from_micros(2_200);
+const JITTER_PER_NODE: Duration = Duration::from_micros(2_200);
 
 /// Between two lists, though the watch reports nothing amiss: whatever a
 /// watch has missed is found by then.
-const LIST_EVERY: Duration = Duration::from_secs(300);
+const LIST_INTERVAL: Duration = Duration::from_secs(300);
 
 /// What is followed, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,12 +29,12 @@
     pub prefix: String,
     /// How long a watch may wait. Bounded, since one whose connection went
     /// silent would otherwise never end, and since its end confirms the view.
-    pub wait: Duration,
+    pub watch_timeout: Duration,
     /// Watches go out again at random within this time after a change.
     ///
     /// Load pattern: all nodes' watches end at one change. They come back spread, and
     /// take the next changes together.
-    pub spread: Duration,
+    pub jitter: Duration,
 }
 
 /// A call to the service.
@@ -63,18 +64,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
     /// Whether the view changed.
-    pub changed: bool,
+    pub is_changed: bool,
     /// Whether the service confirmed the view.
-    pub confirmed: bool,
+    pub is_confirmed: bool,
     /// How long to wait before the next call.
-    pub pause: Duration,
+    pub delay: Duration,
 }
 
 /// The view of the keys with a prefix.
 #[derive(Clone, Debug)]
 pub struct Follower {
     options: Options,
-    view: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, Entry>,
     after: Revision,
     listed: Option<Instant>,
     failures: Backoff,
@@ -82,14 +83,14 @@
 
 impl Follower {
     /// A view of nothing.
-    pub fn open(options: Options, seed: u64) -> Self {
-        let failures = Backoff::open(FAILURE_WAIT.0, FAILURE_WAIT.1, seed);
-        Self { options, view: BTreeMap::new(), after: Revision(0), listed: None, failures }
+    pub fn new(options: Options, seed: u64) -> Self {
+        let failures = Backoff::open(FAILURE_DELAYS.0, FAILURE_DELAYS.1, seed);
+        Self { options, entries: BTreeMap::new(), after: Revision(0), listed: None, failures }
     }
 
     /// The keys as last seen.
-    pub fn view(&self) -> &BTreeMap<String, Entry> {
-        &self.view
+    pub fn entries(&self) -> &BTreeMap<String, Entry> {
+        &self.entries
     }
 
     /// The revision of the service that the view is of.
@@ -100,19 +101,19 @@
     /// Takes the size of the fleet: the larger, the wider its watches are
     /// spread after a change.
     pub fn set_fleet(&mut self, nodes: usize) {
-        self.options.spread = self.options.spread.max(SPREAD_PER_NODE * nodes as u32);
+        self.options.jitter = self.options.jitter.max(JITTER_PER_NODE * nodes as u32);
     }
 
     /// Changes how far watches are spread after a change, from the next one on.
-    pub fn set_spread(&mut self, spread: Duration) {
-        self.options.spread = spread;
+    pub fn set_jitter(&mut self, jitter: Duration) {
+        self.options.jitter = jitter;
     }
 
     /// The next call.
     pub fn next(&self, now: Instant) -> Call {
         match self.listed {
-            Some(at) if now < at + LIST_EVERY => {
-                Call::Watch { after: self.after, wait: self.options.wait }
+            Some(at) if now < at + LIST_INTERVAL => {
+                Call::Watch { after: self.after, wait: self.options.watch_timeout }
             }
             _ => Call::List,
         }
@@ -126,44 +127,44 @@
                 self.listed = Some(now);
                 self.after = revision;
                 let entries = entries.into_iter().map(|entry| (entry.key.clone(), entry));
-                let before = std::mem::replace(&mut self.view, entries.collect());
-                let changed = before != self.view;
-                self.step(changed)
+                let before = std::mem::replace(&mut self.entries, entries.collect());
+                let is_changed = before != self.entries;
+                self.step(is_changed)
             }
             Reply::Watched(Ok(batch)) if batch.compacted => {
                 self.listed = None;
-                Step { changed: false, confirmed: false, pause: Duration::ZERO }
+                Step { is_changed: false, is_confirmed: false, delay: Duration::ZERO }
             }
             Reply::Watched(Ok(batch)) if batch.revision >= self.after => {
                 self.failures.reset();
                 self.after = batch.revision;
-                let changed = batch.events.into_iter().map(|event| self.apply(event));
-                let changed = changed.fold(false, |any, one| any | one);
-                self.step(changed)
+                let changes = batch.events.into_iter().map(|event| self.apply(event));
+                let is_changed = changes.fold(false, |any, one| any | one);
+                self.step(is_changed)
             }
             // An answer from before what was seen already comes from a replica
             // that lags: it neither changes nor confirms anything.
-            _ => Step { changed: false, confirmed: false, pause: self.failures.fail() },
+            _ => Step { is_changed: false, is_confirmed: false, delay: self.failures.fail() },
         }
     }
 
-    fn step(&mut self, changed: bool) -> Step {
-        let spread = if changed { self.options.spread } else { Duration::ZERO };
-        Step { changed, confirmed: true, pause: self.failures.spread(spread) }
+    fn step(&mut self, is_changed: bool) -> Step {
+        let jitter = if is_changed { self.options.jitter } else { Duration::ZERO };
+        Step { is_changed, is_confirmed: true, delay: self.failures.spread(jitter) }
     }
 
     fn apply(&mut self, event: hickory_store::store::Event) -> bool {
-        let known = self.view.get(&event.key).map_or(Revision(0), |entry| entry.revision);
+        let known = self.entries.get(&event.key).map_or(Revision(0), |entry| entry.revision);
         if event.revision <= known {
             return false;
         }
         match event.value {
             Some(value) => {
                 let entry = Entry { key: event.key.clone(), value, revision: event.revision };
-                self.view.insert(event.key, entry);
+                self.entries.insert(event.key, entry);
                 true
             }
-            None => self.view.remove(&event.key).is_some(),
+            None => self.entries.remove(&event.key).is_some(),
         }
     }
 }
@@ -188,6 +189,6 @@
         if !take(&mut follower, step, sent) {
             return;
         }
-        tokio::time::sleep(step.pause).await;
+        tokio::time::sleep(step.delay).await;
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -9,12 +9,13 @@
 //! |---------------|------------|---------------------------------------------|
 //! | membership    | [`member`] | [`lease`]                                   |
 //! | configuration | [`config`] | [`head`]                                    |
-//! | ownership     | [`owner`]  | [`assign`], [`plan`], [`terms`], [`table`] |
+//! | ownership     | [`owner`]  | [`assign`], [`plan`], [`allowance`], [`table`] |
 //! | claims        | [`claim`]  | [`group`], [`page`]                         |
 //!
 //! [`follow`] keeps a view of keys for the first three, [`retry`] says when to
 //! try again, and [`rank`] which node is first for a target.
 
+pub mod allowance;
 pub mod assign;
 pub mod claim;
 pub mod config;
@@ -30,4 +31,3 @@
 pub mod rank;
 pub mod retry;
 pub mod table;
-pub mod terms;
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -18,8 +18,8 @@
 pub const PREFIX: &str = "nodes/";
 
 /// Watches of the registrations: one call in ten seconds and node at rest.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-const WATCH_SPREAD: Duration = Duration::from_millis(300);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const WATCH_JITTER: Duration = Duration::from_millis(300);
 
 /// What a node tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     /// The registered nodes.
     pub nodes: Arc<Nodes>,
     /// Whether this node's own lease is certainly valid.
-    pub confirmed: bool,
+    pub is_lease_valid: bool,
     /// When this node's registration under its present lease was sent.
     pub registered_at: Option<Instant>,
     /// Since when the service has answered each call for the registrations;
@@ -84,14 +84,14 @@
     /// Registers the node and keeps its lease until the handle says it leaves.
     /// The lease lives for `ttl`, longer where the fleet is large.
     pub fn spawn(store: S, clock: C, info: Info, ttl: Duration) -> Self {
-        let member = Self::register(store, clock, info, ttl);
+        let member = Self::spawn_registration(store, clock, info, ttl);
         tokio::spawn(member.clone().keep_view(make_seed()));
         member
     }
 
     /// Registers the node and keeps its lease, without following the others:
     /// for nodes that learn of each other in another way.
-    pub fn register(store: S, clock: C, info: Info, ttl: Duration) -> Self {
+    pub fn spawn_registration(store: S, clock: C, info: Info, ttl: Duration) -> Self {
         let keeper = Keeper::open(info, ttl, make_seed());
         let shared = Shared { keeper, contact_since: None, left: false };
         let (nodes, _) = watch::channel(Arc::default());
@@ -121,12 +121,12 @@
     }
 
     /// Told of each change of [`Member::nodes`].
-    pub fn changed(&self) -> watch::Receiver<Arc<Nodes>> {
+    pub fn subscribe(&self) -> watch::Receiver<Arc<Nodes>> {
         self.nodes.subscribe()
     }
 
     /// Whether this node's lease is certainly valid at `now`.
-    pub fn confirmed(&self, now: Instant) -> bool {
+    pub fn is_lease_valid(&self, now: Instant) -> bool {
         let shared = self.lock();
         !shared.left && shared.keeper.confirmed(now)
     }
@@ -137,7 +137,7 @@
         let shared = self.lock();
         View {
             nodes,
-            confirmed: !shared.left && shared.keeper.confirmed(now),
+            is_lease_valid: !shared.left && shared.keeper.confirmed(now),
             registered_at: shared.keeper.registered_at(),
             contact_since: shared.contact_since,
             draining: shared.keeper.me().draining,
@@ -151,7 +151,7 @@
     }
 
     /// Ends the registration.
-    pub async fn leave(&self) {
+    pub async fn deregister(&self) {
         let lease = {
             let mut shared = self.lock();
             shared.left = true;
@@ -196,18 +196,21 @@
     }
 
     async fn keep_view(self, seed: u64) {
-        let options =
-            follow::Options { prefix: PREFIX.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
-        let follower = Follower::open(options, seed ^ 2);
+        let options = follow::Options {
+            prefix: PREFIX.into(),
+            watch_timeout: WATCH_TIMEOUT,
+            jitter: WATCH_JITTER,
+        };
+        let follower = Follower::new(options, seed ^ 2);
         let member = self.clone();
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
-            if step.changed {
+            if step.is_changed {
                 member.take_view(follower);
-                follower.set_fleet(follower.view().len());
+                follower.set_fleet(follower.entries().len());
             }
             let mut shared = member.lock();
             let since = shared.contact_since.unwrap_or(sent);
-            shared.contact_since = step.confirmed.then_some(since);
+            shared.contact_since = step.is_confirmed.then_some(since);
             !shared.left
         })
         .await;
@@ -218,7 +221,7 @@
             let info = serde_json::from_str::<Info>(&entry.value).ok()?;
             Some((info, entry.revision))
         };
-        let seen: Vec<_> = follower.view().values().filter_map(read).collect();
+        let seen: Vec<_> = follower.entries().values().filter_map(read).collect();
         let mut shared = self.lock();
         shared.keeper.set_fleet(seen.len());
         for (info, revision) in &seen {
--- a/crates/state/src/owner.rs
+++ b/crates/state/src/owner.rs
@@ -1,5 +1,5 @@
 //! Ownership of targets: one document, changed by compare-and-swap. The
-//! decisions stand in [`crate::assign`] and [`crate::terms`].
+//! decisions stand in [`crate::assign`] and [`crate::allowance`].
 
 use crate::assign::{Assigner, Options};
 use crate::follow::{self, Follower};
@@ -19,8 +19,8 @@
 
 /// Watches of the document. Their ends confirm it, so `Options::fresh` allows
 /// for two of them.
-const WATCH_WAIT: Duration = Duration::from_millis(700);
-const WATCH_SPREAD: Duration = Duration::from_millis(100);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(700);
+const WATCH_JITTER: Duration = Duration::from_millis(100);
 
 /// Between two looks at what there is to do.
 const TICK: Duration = Duration::from_millis(200);
@@ -32,7 +32,7 @@
 pub trait Probe: Clone + Send + Sync + 'static {
     /// Whether the node answered. Judges the path with a new connection: an
     /// old one may be silent for good while the node runs.
-    fn alive(&self, node: &Info) -> impl Future<Output = bool> + Send;
+    fn is_alive(&self, node: &Info) -> impl Future<Output = bool> + Send;
 }
 
 /// Who owns a target.
@@ -46,9 +46,9 @@
 
 /// What an owner may grant at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Terms {
+pub enum Allowance {
     /// Nothing before the time given.
-    Wait(Instant),
+    WaitUntil(Instant),
     /// At most half of what the target bears.
     Half,
     /// All that it bears.
@@ -63,7 +63,7 @@
     /// The epoch of the ownership.
     pub epoch: id::Epoch,
     /// What may be granted.
-    pub terms: Terms,
+    pub allowance: Allowance,
 }
 
 /// The running ownership.
@@ -118,7 +118,7 @@
     }
 
     /// Told of each change of the document; carries its revision.
-    pub fn changed(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -141,12 +141,12 @@
     }
 
     /// Takes a document from a peer where its revision is higher.
-    pub fn offer(&self, revision: u64, text: &str) -> bool {
+    pub fn apply_if_newer(&self, revision: u64, text: &str) -> bool {
         let Ok(document) = serde_json::from_str(text) else {
             return false;
         };
         let now = self.clock.now();
-        let changed = self.lock().offer(now, Revision(revision), document);
+        let changed = self.lock().apply_if_newer(now, Revision(revision), document);
         self.tell(changed)
     }
 
@@ -154,9 +154,9 @@
     /// knows. Must be called for each exchange with a peer: an owner without
     /// the service goes on only while it hears others, and a new owner learns
     /// from it that its predecessor has stopped.
-    pub fn heard(&self, node: &id::Node, revision: u64) {
+    pub fn record_peer_revision(&self, node: &id::Node, revision: u64) {
         let now = self.clock.now();
-        self.lock().heard(now, node, Revision(revision));
+        self.lock().record_peer_revision(now, node, Revision(revision));
     }
 
     /// Hands all targets over, at a planned stop; returns whether none is
@@ -186,15 +186,18 @@
     }
 
     async fn follow(self) {
-        let options =
-            follow::Options { prefix: KEY.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
+        let options = follow::Options {
+            prefix: KEY.into(),
+            watch_timeout: WATCH_TIMEOUT,
+            jitter: WATCH_JITTER,
+        };
         let seed = uuid::Uuid::new_v4().as_u128() as u64;
         let owners = self.clone();
-        let follower = Follower::open(options, seed);
+        let follower = Follower::new(options, seed);
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
-            if step.confirmed {
+            if step.is_confirmed {
                 let now = owners.clock.now();
-                let changed = owners.lock().read(now, sent, follower.view().get(KEY));
+                let changed = owners.lock().read(now, sent, follower.entries().get(KEY));
                 owners.tell(changed);
             }
             follower.set_fleet(owners.member.nodes().len());
@@ -219,9 +222,9 @@
             // Each in a task of its own: a silent node must hold up nothing.
             let owners = self.clone();
             tokio::spawn(async move {
-                let alive = owners.probe.alive(&info).await;
+                let is_alive = owners.probe.is_alive(&info).await;
                 let now = owners.clock.now();
-                owners.lock().probed(now, &info, alive);
+                owners.lock().probed(now, &info, is_alive);
             });
         }
         let Some((write, document)) = write else {
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -1,12 +1,12 @@
 //! What a node does next about ownership: whom it probes, and which targets it
 //! takes, hands over and forgets.
 
+use crate::allowance;
 use crate::assign::{Assigner, Missing};
 use crate::member::Info;
 use crate::owner::KEY;
 use crate::rank::{rank_nodes, spread_target};
 use crate::table::{Document, Entry, Holder};
-use crate::terms;
 use hickory_store::store::{Expect, Revision, Write};
 use hickory_unit::id;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
         self.tick(now);
         // Without a valid lease of its own, or without the service's present
         // word, a node would act on what may be long past.
-        if !self.standing.confirmed(now, self.options.fresh) {
+        if !self.status.confirmed(now, self.options.fresh) {
             return Plan::default();
         }
         let mut plan = Plan::default();
@@ -119,7 +119,7 @@
         let info = self.find_info(&holder.node)?;
         let missing = self.missing.entry(holder.node.clone());
         let since = missing.or_insert(Missing { info: info.clone(), since: now, met: false }).since;
-        let settled = self.contact_since?.max(self.standing.registered_at?) + self.options.grace;
+        let settled = self.contact_since?.max(self.status.registered_at?) + self.options.grace;
         if now < settled {
             return None;
         }
@@ -204,7 +204,8 @@
         };
         // Former owners of whom this one is not sure stay on the list.
         let taken = self.taken.get(target);
-        let unsure = |holder: &&Holder| taken.is_none_or(|t| !terms::gone(self, now, holder, t));
+        let unsure =
+            |holder: &&Holder| taken.is_none_or(|t| !allowance::is_gone(self, now, holder, t));
         let before = entry.before.iter().filter(unsure).filter(|h| h.node != info.node);
         next.assign(target, &info, before.cloned().collect());
         self.giving.insert(target.clone());
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -5,9 +5,9 @@
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
 use hickory_state::claim::{Answer, Doubt, Ledger, Options, Outcome};
-use hickory_state::config::{Keeper, Rejection};
+use hickory_state::config::{Manager, Rejection};
 use hickory_state::member::{Info, Member};
-use hickory_state::owner::{Owned, Owners, Probe, Terms};
+use hickory_state::owner::{Allowance, Owned, Owners, Probe};
 use hickory_store::store::Store;
 use hickory_unit::clock::{Clock, System};
 use hickory_unit::id::{self, Incarnation};
@@ -30,7 +30,7 @@
 }
 
 fn open_ledger(store: &Memory) -> Ledger<Memory, System> {
-    Ledger::open(store.clone(), System, "a".into(), Options::default())
+    Ledger::new(store.clone(), System, "a".into(), Options::default())
 }
 
 /// One order is sent to nine nodes at once, over a thousand times, while some
@@ -73,7 +73,7 @@
         panic!("not granted");
     };
     a.settle(&claim, Outcome::NotRun).await.unwrap();
-    assert!(!claim.may_send(System.now()));
+    assert!(!claim.can_send(System.now()));
     let Answer::Granted(claim) = b.claim(key, 7, deadline).await else {
         panic!("not granted anew");
     };
@@ -106,19 +106,19 @@
     let (near, far, cut) = (service.join(), service.join(), service.join());
     cut.set(|faults| faults.down = true);
     near.set(|faults| faults.lose_answers = 1);
-    let a = Keeper::spawn(near, System);
-    let b = Keeper::spawn(far, System);
-    let c = Keeper::spawn(cut, System);
+    let a = Manager::spawn(near, System);
+    let b = Manager::spawn(far, System);
+    let c = Manager::spawn(cut, System);
     let note = |operation: &str| Note { operation: operation.into(), ..Note::default() };
     let accepted = a.accept(&note("first")).await.unwrap();
     assert_eq!(accepted.version, id::Release(1));
-    let version = |keeper: &Keeper<Memory, System>| keeper.current().map(|c| c.version.0);
+    let version = |manager: &Manager<Memory, System>| manager.current().map(|c| c.version.0);
     wait_for("the watch tells it", || version(&b) == Some(1)).await;
     let rejection = b.accept(&note("second")).await.unwrap_err();
     assert!(matches!(rejection, Rejection::Conflict { present } if present.version.0 == 1));
     assert_eq!(version(&c), None);
-    assert!(c.offer((*accepted).clone()));
-    assert!(!c.offer(Configuration::default()));
+    assert!(c.apply_if_newer((*accepted).clone()));
+    assert!(!c.apply_if_newer(Configuration::default()));
     assert_eq!(version(&c), Some(1));
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl Probe for Fleet {
-    async fn alive(&self, _: &Info) -> bool {
+    async fn is_alive(&self, _: &Info) -> bool {
         !self.dead.load(Ordering::SeqCst)
     }
 }
@@ -155,7 +155,7 @@
 }
 
 fn count_full(node: &Node) -> usize {
-    node.1.owned().iter().filter(|owned| owned.terms == Terms::Full).count()
+    node.1.owned().iter().filter(|owned| owned.allowance == Allowance::Full).count()
 }
 
 /// Three nodes share five targets; one stops as planned and hands its own
@@ -171,7 +171,7 @@
     most.0.set_draining().await;
     assert!(most.1.release_all().await);
     assert!(most.1.owned().is_empty());
-    most.0.leave().await;
+    most.0.deregister().await;
     wait_for("the others serve all", || total() == 5 && count_full(most) == 0).await;
     // The node that left follows nothing any more, so only the others tell.
     let others = || nodes.iter().filter(|node| !std::ptr::eq(*node, most));
@@ -195,7 +195,7 @@
     stores[lost].set(|faults| faults.down = true);
     fleet.dead.store(true, Ordering::SeqCst);
     let heir = &nodes[1 - lost];
-    let waits = |owned: &Owned| matches!(owned.terms, Terms::Wait(_));
+    let waits = |owned: &Owned| matches!(owned.allowance, Allowance::WaitUntil(_));
     let serves = || heir.1.owned().iter().filter(|owned| !waits(owned)).count() == 5;
     wait_for("the heir serves all", serves).await;
 }
--- a/crates/state/tests/follow.rs
+++ b/crates/state/tests/follow.rs
@@ -70,10 +70,10 @@
             Command::Failed => Reply::Watched(Err(Error::Unknown("lost".into()))),
         };
         let step = self.follower.answered(self.now, reply);
-        let view = self.follower.view().values();
+        let view = self.follower.entries().values();
         let view: Vec<_> = view.map(|entry| format!("{}={}", entry.key, entry.revision)).collect();
-        let waits = step.pause > Duration::ZERO;
-        write!(output, "changed {} confirmed {} ", step.changed, step.confirmed)?;
+        let waits = step.delay > Duration::ZERO;
+        write!(output, "changed {} confirmed {} ", step.is_changed, step.is_confirmed)?;
         writeln!(output, "waits {waits} [{}]", view.join(" "))?;
         Ok(output)
     }
@@ -81,10 +81,10 @@
 
 #[test]
 fn gaps() {
-    let wait = Duration::from_secs(10);
-    let spread = Duration::from_millis(300);
-    let options = Options { prefix: "nodes/".into(), wait, spread };
-    let follower = Follower::open(options, 1);
+    let watch_timeout = Duration::from_secs(10);
+    let jitter = Duration::from_millis(300);
+    let options = Options { prefix: "nodes/".into(), watch_timeout, jitter };
+    let follower = Follower::new(options, 1);
     let mut runner = Runner { now: Instant::now(), follower };
     goldenscript::run(&mut runner, "tests/scripts/follow/gaps").unwrap();
 }
--- a/crates/state/tests/world/mod.rs
+++ b/crates/state/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use hickory_state::assign::{Assigner, Options};
 use hickory_state::lease::{Call, Keeper, Reply};
 use hickory_state::member::{Info, Nodes, View};
-use hickory_state::owner::{KEY, Terms};
+use hickory_state::owner::{Allowance, KEY};
 use hickory_state::plan::Plan;
 use hickory_state::table::Document;
 use hickory_store::store::{Entry, Error, Expect, Revision, Write};
@@ -57,7 +57,7 @@
     pub nodes: BTreeMap<String, Node>,
     pub late: Vec<Write>,
     pub targets: Vec<id::Target>,
-    /// Terms granted lately, by target and node: when, and how much.
+    /// Allowance granted lately, by target and node: when, and how much.
     grants: BTreeMap<(id::Target, String), Vec<(Instant, f64)>>,
     pub remembered: Option<Entry>,
     epoch: id::Epoch,
@@ -145,7 +145,7 @@
         if let Some(node) = self.nodes.get_mut(name) {
             let view = View {
                 nodes: node.nodes.clone(),
-                confirmed: node.keeper.confirmed(now),
+                is_lease_valid: node.keeper.confirmed(now),
                 registered_at: node.keeper.registered_at(),
                 contact_since: node.contact_since,
                 draining: node.keeper.me().draining,
@@ -161,10 +161,10 @@
             return;
         };
         for owned in node.assigner.owned(now) {
-            let share = match owned.terms {
-                Terms::Wait(_) => continue,
-                Terms::Half => 0.5,
-                Terms::Full => 1.0,
+            let share = match owned.allowance {
+                Allowance::WaitUntil(_) => continue,
+                Allowance::Half => 0.5,
+                Allowance::Full => 1.0,
             };
             let grants = self.grants.entry((owned.target, name.to_owned())).or_default();
             grants.push((now, share));
@@ -226,11 +226,11 @@
             if self.reaches(name, peer)
                 && let Some(node) = self.nodes.get_mut(peer)
             {
-                node.assigner.heard(self.now, &name.into(), revision);
+                node.assigner.record_peer_revision(self.now, &name.into(), revision);
                 if node.assigner.revision() < revision {
                     let document = self.nodes[name].assigner.document().clone();
                     if let Some(node) = self.nodes.get_mut(peer) {
-                        node.assigner.offer(self.now, revision, document);
+                        node.assigner.apply_if_newer(self.now, revision, document);
                     }
                 }
             }
@@ -329,7 +329,7 @@
         let now = self.now;
         let running = self.nodes.values_mut().filter(|node| node.alive && !node.paused);
         let owned = running.flat_map(|node| node.assigner.owned(now));
-        owned.filter(|owned| owned.terms == Terms::Full).count()
+        owned.filter(|owned| owned.allowance == Allowance::Full).count()
     }
 
     /// What was granted in the last step.
@@ -350,12 +350,12 @@
                 continue;
             }
             let owned = node.assigner.owned(now).into_iter().map(|owned| {
-                let terms = match owned.terms {
-                    Terms::Wait(_) => "wait",
-                    Terms::Half => "half",
-                    Terms::Full => "full",
+                let allowance = match owned.allowance {
+                    Allowance::WaitUntil(_) => "wait",
+                    Allowance::Half => "half",
+                    Allowance::Full => "full",
                 };
-                format!("{}@{} {terms}", owned.target, owned.epoch)
+                format!("{}@{} {allowance}", owned.target, owned.epoch)
             });
             lines.push(format!("{name} [{}]", owned.collect::<Vec<_>>().join(", ")));
         }
