--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -19,51 +19,51 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
     /// The life of a permit.
-    pub permit: Duration,
+    pub permit_ttl: Duration,
     /// How long the service's last word on the document counts: two watches
     /// of [`crate::owner`], the widest spread between them, and a slow call.
-    pub fresh: Duration,
+    pub max_document_age: Duration,
     /// How long an owner without a valid lease goes on without hearing any
     /// other node.
-    pub alone: Duration,
+    pub isolation_timeout: Duration,
     /// Between the turns of two ranks: longer than a write and the watches
     /// that tell of it take, so that the second rank finds it done.
-    pub step: Duration,
+    pub rank_delay: Duration,
     /// Before the first turn for a target without any owner, so that nodes
     /// which start together see each other.
-    pub start: Duration,
+    pub startup_delay: Duration,
     /// After this node's own registration, or after the service was away,
     /// before a node counts as lost: all leases may have lapsed at once, and
     /// each node needs a while to register anew.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// How long a probe's answer counts.
-    pub probe: Duration,
+    pub probe_validity: Duration,
     /// How long a node must have been registered before targets move to it.
-    pub stable: Duration,
+    pub min_registered_time: Duration,
     /// Between two targets that this node moves.
-    pub rebalance: Duration,
+    pub move_interval: Duration,
     /// After this time without a lease a node counts as gone for good, though
     /// nothing else says so. Longer than regions lose each other.
-    pub lost: Duration,
+    pub lost_timeout: Duration,
     /// How long a target must be off the host list before it is forgotten.
-    pub forget: Duration,
+    pub forget_delay: Duration,
 }
 
 impl Options {
     /// The times for a life of permits and a time to live of leases.
-    pub fn of(permit: Duration, ttl: Duration) -> Self {
+    pub fn new(permit_ttl: Duration, ttl: Duration) -> Self {
         Self {
-            permit,
-            fresh: Duration::from_secs(3),
-            alone: Duration::from_secs(10),
-            step: Duration::from_millis(400),
-            start: Duration::from_millis(500),
-            grace: 2 * ttl,
-            probe: Duration::from_secs(3),
-            stable: Duration::from_secs(10),
-            rebalance: Duration::from_secs(2),
-            lost: Duration::from_secs(7_200),
-            forget: Duration::from_secs(600),
+            permit_ttl,
+            max_document_age: Duration::from_secs(3),
+            isolation_timeout: Duration::from_secs(10),
+            rank_delay: Duration::from_millis(400),
+            startup_delay: Duration::from_millis(500),
+            grace_period: 2 * ttl,
+            probe_validity: Duration::from_secs(3),
+            min_registered_time: Duration::from_secs(10),
+            move_interval: Duration::from_secs(2),
+            lost_timeout: Duration::from_secs(7_200),
+            forget_delay: Duration::from_secs(600),
         }
     }
 }
@@ -75,19 +75,19 @@
     pub(crate) since: Instant,
     /// Whether this node and that one were registered at the same time, so
     /// that it knows it is not the only one.
-    pub(crate) met: bool,
+    pub(crate) has_met: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Probed {
+pub(crate) struct ProbeResult {
     pub(crate) incarnation: id::Incarnation,
     pub(crate) at: Instant,
-    pub(crate) alive: bool,
+    pub(crate) is_alive: bool,
 }
 
 /// A target of this node, since when.
 #[derive(Clone, Debug)]
-pub(crate) struct Taken {
+pub(crate) struct Acquisition {
     pub(crate) epoch: id::Epoch,
     /// When this node learnt of it.
     pub(crate) at: Instant,
@@ -100,59 +100,59 @@
 /// The ownership decisions of one node.
 #[derive(Debug)]
 pub struct Assigner {
-    pub(crate) me: Info,
+    pub(crate) info: Info,
     pub(crate) options: Options,
     pub(crate) document: Document,
     pub(crate) revision: Revision,
     /// The service has no document.
-    pub(crate) absent: bool,
+    pub(crate) is_absent: bool,
     pub(crate) status: Status,
     pub(crate) targets: BTreeSet<id::Target>,
     pub(crate) nodes: Arc<Nodes>,
-    pub(crate) registered: BTreeMap<Holder, Instant>,
+    pub(crate) registered_since: BTreeMap<Holder, Instant>,
     pub(crate) missing: BTreeMap<id::Node, Missing>,
     pub(crate) contact_since: Option<Instant>,
-    pub(crate) free: BTreeMap<id::Target, Instant>,
-    pub(crate) unlisted: BTreeMap<id::Target, Instant>,
-    pub(crate) probes: BTreeMap<id::Node, Probed>,
+    pub(crate) unowned_since: BTreeMap<id::Target, Instant>,
+    pub(crate) unlisted_since: BTreeMap<id::Target, Instant>,
+    pub(crate) probe_results: BTreeMap<id::Node, ProbeResult>,
     /// Probes that are under way, since when.
-    pub(crate) probing: BTreeMap<id::Node, Instant>,
+    pub(crate) probes_in_flight: BTreeMap<id::Node, Instant>,
     /// The revisions that other nodes know.
-    pub(crate) heard: BTreeMap<id::Node, Revision>,
-    pub(crate) taken: BTreeMap<id::Target, Taken>,
+    pub(crate) peer_revisions: BTreeMap<id::Node, Revision>,
+    pub(crate) acquired: BTreeMap<id::Target, Acquisition>,
     /// Targets that a write gives away whose fate is not known.
-    pub(crate) giving: BTreeSet<id::Target>,
+    pub(crate) transferring: BTreeSet<id::Target>,
     /// A write got no answer and may still take effect.
-    pub(crate) unsettled: bool,
-    pub(crate) releasing: bool,
-    pub(crate) moved_at: Option<Instant>,
+    pub(crate) has_unresolved_write: bool,
+    pub(crate) is_releasing: bool,
+    pub(crate) last_move_at: Option<Instant>,
 }
 
 impl Assigner {
     /// A node that knows nothing yet.
-    pub fn open(me: Info, options: Options) -> Self {
+    pub fn new(info: Info, options: Options) -> Self {
         Self {
-            me,
+            info,
             options,
             document: Document::default(),
             revision: Revision(0),
-            absent: false,
+            is_absent: false,
             status: Status::default(),
             targets: BTreeSet::new(),
             nodes: Arc::default(),
-            registered: BTreeMap::new(),
+            registered_since: BTreeMap::new(),
             missing: BTreeMap::new(),
             contact_since: None,
-            free: BTreeMap::new(),
-            unlisted: BTreeMap::new(),
-            probes: BTreeMap::new(),
-            probing: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            giving: BTreeSet::new(),
-            unsettled: false,
-            releasing: false,
-            moved_at: None,
+            unowned_since: BTreeMap::new(),
+            unlisted_since: BTreeMap::new(),
+            probe_results: BTreeMap::new(),
+            probes_in_flight: BTreeMap::new(),
+            peer_revisions: BTreeMap::new(),
+            acquired: BTreeMap::new(),
+            transferring: BTreeSet::new(),
+            has_unresolved_write: false,
+            is_releasing: false,
+            last_move_at: None,
         }
     }
 
@@ -175,18 +175,19 @@
     /// The targets of this node, with what may be granted at `now`.
     pub fn owned(&mut self, now: Instant) -> Vec<Owned> {
         self.tick(now);
-        let mine = self.taken.iter().filter(|(target, _)| !self.giving.contains(*target));
-        mine.filter_map(|(target, taken)| {
-            let entry = self.document.owners.get(target)?;
-            let allowance = allowance::decide(self, now, entry, taken);
-            Some(Owned { target: target.clone(), epoch: taken.epoch, allowance })
-        })
-        .collect()
+        let owned = self.acquired.iter().filter(|(target, _)| !self.transferring.contains(*target));
+        owned
+            .filter_map(|(target, acquisition)| {
+                let entry = self.document.owners.get(target)?;
+                let allowance = allowance::decide(self, now, entry, acquisition);
+                Some(Owned { target: target.clone(), epoch: acquisition.epoch, allowance })
+            })
+            .collect()
     }
 
     /// Whether no target is this node's.
-    pub fn holds_nothing(&self) -> bool {
-        self.taken.is_empty()
+    pub fn has_no_targets(&self) -> bool {
+        self.acquired.is_empty()
     }
 
     /// Names the targets on the host list.
@@ -194,62 +195,62 @@
         self.targets = targets.iter().cloned().collect();
         for target in self.document.owners.keys() {
             if self.targets.contains(target) {
-                self.unlisted.remove(target);
+                self.unlisted_since.remove(target);
             } else {
-                self.unlisted.entry(target.clone()).or_insert(now);
+                self.unlisted_since.entry(target.clone()).or_insert(now);
             }
         }
     }
 
     /// From now on all targets of this node are given away.
     pub fn release(&mut self) {
-        self.releasing = true;
+        self.is_releasing = true;
     }
 
     /// Takes what is known of the registrations.
-    pub fn see(&mut self, now: Instant, view: View) {
-        self.status.lease = view.is_lease_valid;
+    pub fn update_membership(&mut self, now: Instant, view: View) {
+        self.status.is_lease_valid = view.is_lease_valid;
         self.status.registered_at = view.registered_at;
         self.contact_since = view.contact_since;
-        self.me.draining = view.draining;
+        self.info.draining = view.draining;
         let nodes = std::mem::replace(&mut self.nodes, view.nodes);
-        let met = nodes.contains_key(&self.me.node);
+        let has_met = nodes.contains_key(&self.info.node);
         for (node, info) in nodes.iter().filter(|(node, _)| !self.nodes.contains_key(*node)) {
-            let missing = Missing { info: info.clone(), since: now, met };
+            let missing = Missing { info: info.clone(), since: now, has_met };
             self.missing.insert(node.clone(), missing);
         }
         self.missing.retain(|node, missing| {
-            let recent = now < missing.since + self.options.lost;
-            recent && !self.nodes.contains_key(node) && !self.document.left(&missing.info)
+            let recent = now < missing.since + self.options.lost_timeout;
+            recent && !self.nodes.contains_key(node) && !self.document.has_left(&missing.info)
         });
         let holders: BTreeSet<_> = self.nodes.values().map(Holder::of).collect();
-        self.registered.retain(|holder, _| holders.contains(holder));
+        self.registered_since.retain(|holder, _| holders.contains(holder));
         for holder in holders {
-            self.registered.entry(holder).or_insert(now);
+            self.registered_since.entry(holder).or_insert(now);
         }
     }
 
     /// Takes the document from the service, whose call was sent at `sent`.
-    pub fn read(&mut self, now: Instant, sent: Instant, entry: Option<&store::Entry>) -> bool {
+    pub fn on_read(&mut self, now: Instant, sent: Instant, entry: Option<&store::Entry>) -> bool {
         let Some(entry) = entry else {
-            self.absent = true;
-            self.status.read_at = Some(sent);
+            self.is_absent = true;
+            self.status.confirmed_at = Some(sent);
             return false;
         };
         let Ok(document) = serde_json::from_str(&entry.value) else {
             return false;
         };
-        self.absent = false;
+        self.is_absent = false;
         // A replica that lags tells nothing of the present.
         if entry.revision >= self.revision {
-            self.status.read_at = Some(sent);
+            self.status.confirmed_at = Some(sent);
         }
         self.adopt(now, entry.revision, document)
     }
 
     /// Notes that the service confirmed the document known.
-    pub fn confirm(&mut self, sent: Instant) {
-        self.status.read_at = Some(sent);
+    pub fn confirm_document(&mut self, sent: Instant) {
+        self.status.confirmed_at = Some(sent);
     }
 
     /// Takes the document from a peer.
@@ -259,15 +260,15 @@
 
     /// Notes that a node was heard, with the revision that it knows.
     pub fn record_peer_revision(&mut self, now: Instant, node: &id::Node, revision: Revision) {
-        self.status.heard_at = Some(now);
-        self.heard.insert(node.clone(), revision);
+        self.status.peer_heard_at = Some(now);
+        self.peer_revisions.insert(node.clone(), revision);
     }
 
     /// Takes the answer to a probe.
-    pub fn probed(&mut self, now: Instant, info: &Info, alive: bool) {
-        self.probing.remove(&info.node);
-        let probed = Probed { incarnation: info.incarnation, at: now, alive };
-        self.probes.insert(info.node.clone(), probed);
+    pub fn on_probe_result(&mut self, now: Instant, info: &Info, is_alive: bool) {
+        self.probes_in_flight.remove(&info.node);
+        let result = ProbeResult { incarnation: info.incarnation, at: now, is_alive };
+        self.probe_results.insert(info.node.clone(), result);
     }
 
     /// Adopts a document with a higher revision only: nothing reverts.
@@ -276,16 +277,16 @@
             return false;
         }
         // Writes under the condition of an older revision can't take effect.
-        self.settle();
+        self.resolve_write();
         self.revision = revision;
         self.document = document;
-        let me = Holder::of(&self.me);
-        let mine = self.document.owners.iter().filter(|(_, entry)| entry.holder == me);
-        let mine: BTreeMap<_, _> = mine.map(|(target, entry)| (target, entry.epoch)).collect();
-        self.taken.retain(|target, taken| mine.get(target) == Some(&taken.epoch));
-        for (target, epoch) in mine {
-            let taken = Taken { epoch, at: now, revision, stopped: BTreeMap::new() };
-            self.taken.entry(target.clone()).or_insert(taken);
+        let local = Holder::of(&self.info);
+        let owned = self.document.owners.iter().filter(|(_, entry)| entry.holder == local);
+        let owned: BTreeMap<_, _> = owned.map(|(target, entry)| (target, entry.epoch)).collect();
+        self.acquired.retain(|target, acquired| owned.get(target) == Some(&acquired.epoch));
+        for (target, epoch) in owned {
+            let acquisition = Acquisition { epoch, at: now, revision, stopped: BTreeMap::new() };
+            self.acquired.entry(target.clone()).or_insert(acquisition);
         }
         true
     }
@@ -295,21 +296,23 @@
     pub(crate) fn tick(&mut self, now: Instant) {
         self.status.tick(now);
         let mut found = Vec::new();
-        for (target, taken) in &self.taken {
+        for (target, acquisition) in &self.acquired {
             let before = self.document.owners.get(target).map(|entry| &entry.before);
-            let open = before.into_iter().flatten().filter(|h| !taken.stopped.contains_key(*h));
-            let stopped = open.filter(|holder| allowance::has_stopped(self, now, holder, taken));
+            let open =
+                before.into_iter().flatten().filter(|h| !acquisition.stopped.contains_key(*h));
+            let stopped =
+                open.filter(|holder| allowance::has_stopped(self, now, holder, acquisition));
             found.extend(stopped.map(|holder| (target.clone(), holder.clone())));
         }
         for (target, holder) in found {
-            if let Some(taken) = self.taken.get_mut(&target) {
-                taken.stopped.insert(holder, now);
+            if let Some(acquisition) = self.acquired.get_mut(&target) {
+                acquisition.stopped.insert(holder, now);
             }
         }
     }
 
     /// Takes the answer to the write of a plan, sent at `sent`.
-    pub fn wrote(
+    pub fn on_write_result(
         &mut self,
         now: Instant,
         sent: Instant,
@@ -318,31 +321,31 @@
     ) -> bool {
         match result {
             Ok(revision) => {
-                self.absent = false;
-                self.status.read_at = Some(sent);
+                self.is_absent = false;
+                self.status.confirmed_at = Some(sent);
                 self.adopt(now, revision, document)
             }
             Err(Error::Conflict(entry)) => {
-                self.settle();
-                self.read(now, sent, entry.as_ref())
+                self.resolve_write();
+                self.on_read(now, sent, entry.as_ref())
             }
             // It may yet take effect: what it gives away stays given, and the
             // next plan writes under the same condition, which settles it.
             Err(Error::Unknown(_)) => {
-                self.unsettled = true;
+                self.has_unresolved_write = true;
                 false
             }
             Err(Error::NotDone(_) | Error::LeaseLapsed) => {
-                if !self.unsettled {
-                    self.settle();
+                if !self.has_unresolved_write {
+                    self.resolve_write();
                 }
                 false
             }
         }
     }
 
-    fn settle(&mut self) {
-        self.giving.clear();
-        self.unsettled = false;
+    fn resolve_write(&mut self) {
+        self.transferring.clear();
+        self.has_unresolved_write = false;
     }
 }
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -3,11 +3,11 @@
 //!
 //! A claim stays in the ledger for as long as any node accepts its key, so
 //! that no second one is ever granted unless the first was stored as not run.
-//! The decisions stand in [`crate::group`] and [`crate::page`]; here are the
+//! The decisions stand in [`crate::group_commit`] and [`crate::page`]; here are the
 //! tasks that make the calls, one for each page in use.
 
-use crate::group::{Call, End, Group, Reply, Ticket};
-use crate::page::{Name, SHARDS, find_page};
+use crate::group_commit::{Call, Completion, GroupCommit, Reply, Ticket};
+use crate::page::{Name, SHARD_COUNT, find_page};
 pub use crate::page::{Options, Outcome};
 use hickory_store::store::{Error, Lease, Store};
 use hickory_unit::clock::Clock;
@@ -20,26 +20,26 @@
 use uuid::Uuid;
 
 /// A page that nobody asks for is forgotten after this time, to bound memory.
-const IDLE_TIME: Duration = Duration::from_secs(10);
+const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Bounds between two looks at the deadlines while a call is open: new claims
 /// may have come with an earlier one.
-const TICK_MIN: Duration = Duration::from_millis(5);
-const TICK_MAX: Duration = Duration::from_millis(50);
+const MIN_TICK: Duration = Duration::from_millis(5);
+const MAX_TICK: Duration = Duration::from_millis(50);
 
 /// Why the ledger can't tell whether a request with this key has run.
 #[derive(Clone, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum Doubt {
+pub enum LedgerError {
     /// The ledger could not be read. This node sends nothing, but an earlier
     /// attempt with the same key may have run.
     #[display("the ledger can't be read: {_0}")]
-    Unread(String),
+    ReadFailed(String),
     /// The claim's write got no answer. This node sends nothing.
     #[display("no answer to the claim: {_0}")]
     Unanswered(String),
     /// The page takes no more claims. This node sends nothing.
     #[display("the page of the ledger is full")]
-    Full,
+    PageFull,
 }
 
 /// The answer to a claim.
@@ -69,7 +69,7 @@
     /// `ran: no`.
     NotDone(String),
     /// `ran: unknown`.
-    Unknown(Doubt),
+    Unknown(LedgerError),
 }
 
 /// A claim that this node holds.
@@ -78,12 +78,12 @@
     key: Uuid,
     id: Uuid,
     send_by: Instant,
-    spent: Arc<AtomicBool>,
+    is_used: Arc<AtomicBool>,
 }
 
 impl Claim {
     pub(crate) fn new(key: Uuid, id: Uuid, send_by: Instant) -> Self {
-        Self { key, id, send_by, spent: Arc::default() }
+        Self { key, id, send_by, is_used: Arc::default() }
     }
 
     /// The idempotency key.
@@ -101,23 +101,23 @@
     /// Failure: the process stands still between its claim and the send; its
     /// caller has long been refused when it goes on. It must not run then.
     pub fn can_send(&self, now: Instant) -> bool {
-        now < self.send_by && !self.spent.load(Ordering::SeqCst)
+        now < self.send_by && !self.is_used.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn spend(&self) {
-        self.spent.store(true, Ordering::SeqCst);
+    pub(crate) fn mark_used(&self) {
+        self.is_used.store(true, Ordering::SeqCst);
     }
 
     /// Takes the one leave to send; `true` at most once for all clones.
-    pub fn begin(&self, now: Instant) -> bool {
-        now < self.send_by && !self.spent.swap(true, Ordering::SeqCst)
+    pub fn try_begin_send(&self, now: Instant) -> bool {
+        now < self.send_by && !self.is_used.swap(true, Ordering::SeqCst)
     }
 }
 
 #[derive(Debug)]
 struct Slot {
-    group: Group,
-    waiters: BTreeMap<Ticket, oneshot::Sender<End>>,
+    group: GroupCommit,
+    waiters: BTreeMap<Ticket, oneshot::Sender<Completion>>,
     notify: Arc<Notify>,
 }
 
@@ -125,7 +125,7 @@
 struct Inner<S, C> {
     store: S,
     clock: C,
-    me: id::Node,
+    node: id::Node,
     options: Options,
     shards: Vec<Mutex<BTreeMap<u64, Slot>>>,
     /// One lease a minute serves the pages of all shards.
@@ -150,46 +150,51 @@
 
 impl<S: Store, C: Clock> Ledger<S, C> {
     /// Opens the ledger; `me` names this node in the logs.
-    pub fn new(store: S, clock: C, me: id::Node, options: Options) -> Self {
-        let shards = (0..SHARDS).map(|_| Mutex::default()).collect();
+    pub fn new(store: S, clock: C, node: id::Node, options: Options) -> Self {
+        let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         let leases = Mutex::default();
-        Self { inner: Arc::new(Inner { store, clock, me, options, shards, leases }) }
+        Self { inner: Arc::new(Inner { store, clock, node, options, shards, leases }) }
     }
 
     /// Claims a key for a request with the fingerprint given. Ends at
     /// `deadline`, or at the end of the send window, at the latest.
     pub async fn claim(&self, key: Uuid, fingerprint: u64, deadline: Instant) -> Answer {
-        // The monotonic time is taken first: see `Group::claim`.
+        // The monotonic time is taken first: see `GroupCommit::claim`.
         let now = self.inner.clock.now();
         let name = match find_page(key, self.inner.clock.wall_ms(), &self.inner.options) {
             Ok(name) => name,
             Err(unfit) => {
-                log::info!(node:% = self.inner.me, key:%, unfit:%; "key refused");
+                log::info!(node:% = self.inner.node, key:%, unfit:%; "key refused");
                 return Answer::TooOld;
             }
         };
         let claim = Uuid::new_v4();
-        let end = self.ask(name, |group| group.claim(now, key, fingerprint, claim, deadline)).await;
-        match end {
-            Some(End::Claimed(answer)) => answer,
-            _ => Answer::Unknown(Doubt::Unanswered("the ledger was closed".into())),
+        let completion =
+            self.submit(name, |group| group.claim(now, key, fingerprint, claim, deadline)).await;
+        match completion {
+            Some(Completion::Claimed(answer)) => answer,
+            _ => Answer::Unknown(LedgerError::Unanswered("the ledger was closed".into())),
         }
     }
 
     /// Stores how a claimed request ended. [`Outcome::NotRun`] only where no
     /// byte of it certainly went to a target; nothing may be sent under the
     /// claim afterwards, whatever this returns.
-    pub async fn settle(&self, claim: &Claim, outcome: Outcome) -> Result<(), Doubt> {
-        claim.spend();
+    pub async fn settle(&self, claim: &Claim, outcome: Outcome) -> Result<(), LedgerError> {
+        claim.mark_used();
         let now = self.inner.clock.now();
         let name = Name::of(claim.key);
-        match self.ask(name, |group| group.settle(now, claim, outcome)).await {
-            Some(End::Settled(result)) => result,
-            _ => Err(Doubt::Unanswered("the ledger was closed".into())),
+        match self.submit(name, |group| group.settle(now, claim, outcome)).await {
+            Some(Completion::Settled(result)) => result,
+            _ => Err(LedgerError::Unanswered("the ledger was closed".into())),
         }
     }
 
-    async fn ask(&self, name: Name, push: impl FnOnce(&mut Group) -> Ticket) -> Option<End> {
+    async fn submit(
+        &self,
+        name: Name,
+        push: impl FnOnce(&mut GroupCommit) -> Ticket,
+    ) -> Option<Completion> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut shard = lock(&self.inner.shards[usize::from(name.shard)]);
@@ -206,7 +211,7 @@
         let notify = Arc::new(Notify::new());
         tokio::spawn(self.inner.clone().run(name, notify.clone()));
         Slot {
-            group: Group::open(name, self.inner.options, seed),
+            group: GroupCommit::new(name, self.inner.options, seed),
             waiters: BTreeMap::new(),
             notify,
         }
@@ -217,7 +222,7 @@
 enum Step {
     Call(Call),
     Wait(Duration),
-    End,
+    Stop,
 }
 
 impl<S: Store, C: Clock> Inner<S, C> {
@@ -225,12 +230,12 @@
     async fn run(self: Arc<Self>, name: Name, notify: Arc<Notify>) {
         let mut idle_since = self.clock.now();
         loop {
-            match self.step(name, &mut idle_since) {
+            match self.next_step(name, &mut idle_since) {
                 Step::Call(call) => self.serve_call(name, call).await,
                 Step::Wait(wait) => {
                     let _ = tokio::time::timeout(wait, notify.notified()).await;
                 }
-                Step::End => return,
+                Step::Stop => return,
             }
         }
     }
@@ -246,7 +251,7 @@
                 reply = &mut call => {
                     let mut shard = lock(&self.shards[usize::from(name.shard)]);
                     if let Some(slot) = shard.get_mut(&name.minute) {
-                        slot.group.answered(self.clock.now(), reply);
+                        slot.group.on_reply(self.clock.now(), reply);
                     }
                     return;
                 }
@@ -260,40 +265,43 @@
         let mut shard = lock(&self.shards[usize::from(name.shard)]);
         let now = self.clock.now();
         let Some(slot) = shard.get_mut(&name.minute) else {
-            return IDLE_TIME;
+            return PAGE_IDLE_TIMEOUT;
         };
         slot.group.tick(now);
-        slot.deliver(now);
-        let wake = slot.group.wake().map_or(IDLE_TIME, |at| at.saturating_duration_since(now));
-        wake.clamp(TICK_MIN, TICK_MAX)
+        slot.deliver_completions(now);
+        let wake = slot
+            .group
+            .next_wakeup()
+            .map_or(PAGE_IDLE_TIMEOUT, |at| at.saturating_duration_since(now));
+        wake.clamp(MIN_TICK, MAX_TICK)
     }
 
-    fn step(&self, name: Name, idle_since: &mut Instant) -> Step {
+    fn next_step(&self, name: Name, idle_since: &mut Instant) -> Step {
         let mut shard = lock(&self.shards[usize::from(name.shard)]);
         let Some(slot) = shard.get_mut(&name.minute) else {
-            return Step::End;
+            return Step::Stop;
         };
         let now = self.clock.now();
-        let call = slot.group.next(now, self.clock.wall_ms());
-        slot.deliver(now);
+        let call = slot.group.next_call(now, self.clock.wall_ms());
+        slot.deliver_completions(now);
         if let Some(call) = call {
             return Step::Call(call);
         }
-        if !slot.group.idle() {
+        if !slot.group.is_idle() {
             *idle_since = now;
-            let wake = slot.group.wake().unwrap_or(now);
+            let wake = slot.group.next_wakeup().unwrap_or(now);
             return Step::Wait(wake.saturating_duration_since(now));
         }
         // A page that vanished before its time is remembered, so that no
         // claim is granted again on the empty one that would take its place.
-        let keep = if slot.group.gone() {
-            name.time_left(self.clock.wall_ms(), &self.options)
+        let keep = if slot.group.is_page_lost() {
+            name.ttl(self.clock.wall_ms(), &self.options)
         } else {
-            IDLE_TIME.saturating_sub(now.saturating_duration_since(*idle_since))
+            PAGE_IDLE_TIMEOUT.saturating_sub(now.saturating_duration_since(*idle_since))
         };
         if keep.is_zero() {
             shard.remove(&name.minute);
-            return Step::End;
+            return Step::Stop;
         }
         Step::Wait(keep)
     }
@@ -318,20 +326,20 @@
         }
         let lease = self.store.grant(ttl).await?;
         let mut leases = lock(&self.leases);
-        let kept = self.options.kept.as_secs() / 60 + 2;
-        leases.retain(|other, _| other + kept >= minute);
+        let retention_minutes = self.options.key_retention.as_secs() / 60 + 2;
+        leases.retain(|other, _| other + retention_minutes >= minute);
         Ok(*leases.entry(minute).or_insert(lease))
     }
 }
 
 impl Slot {
-    fn deliver(&mut self, now: Instant) {
-        for (ticket, end) in self.group.take_ended() {
+    fn deliver_completions(&mut self, now: Instant) {
+        for (ticket, completion) in self.group.take_completions() {
             let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
             // The asker is gone and will never send: a resend may claim anew.
-            if let Err(End::Claimed(Answer::Granted(claim))) = waiter.send(end) {
+            if let Err(Completion::Claimed(Answer::Granted(claim))) = waiter.send(completion) {
                 self.group.settle(now, &claim, Outcome::NotRun);
             }
         }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -92,14 +92,14 @@
             note.operation = Uuid::new_v4().to_string();
         }
         let seed = Uuid::new_v4().as_u128() as u64;
-        let mut acceptance = Acceptance::open(self.clock.now(), note, self.current(), seed);
+        let mut acceptance = Acceptance::new(self.clock.now(), note, self.current(), seed);
         loop {
-            tokio::time::sleep(acceptance.pause(self.clock.now())).await;
-            let reply = match acceptance.next() {
+            tokio::time::sleep(acceptance.delay(self.clock.now())).await;
+            let reply = match acceptance.next_call() {
                 Call::Get => Reply::Got(self.store.get(KEY).await),
                 Call::Write(write) => Reply::Wrote(self.store.write(write).await),
             };
-            if let Some(end) = acceptance.answered(self.clock.now(), reply) {
+            if let Some(end) = acceptance.on_reply(self.clock.now(), reply) {
                 let accepted = end?;
                 self.apply_if_newer((*accepted).clone());
                 return Ok(accepted);
--- a/crates/state/src/follow.rs
+++ b/crates/state/src/follow.rs
@@ -76,16 +76,16 @@
 pub struct Follower {
     options: Options,
     entries: BTreeMap<String, Entry>,
-    after: Revision,
-    listed: Option<Instant>,
-    failures: Backoff,
+    revision: Revision,
+    listed_at: Option<Instant>,
+    backoff: Backoff,
 }
 
 impl Follower {
     /// A view of nothing.
     pub fn new(options: Options, seed: u64) -> Self {
-        let failures = Backoff::open(FAILURE_DELAYS.0, FAILURE_DELAYS.1, seed);
-        Self { options, entries: BTreeMap::new(), after: Revision(0), listed: None, failures }
+        let backoff = Backoff::new(FAILURE_DELAYS.0, FAILURE_DELAYS.1, seed);
+        Self { options, entries: BTreeMap::new(), revision: Revision(0), listed_at: None, backoff }
     }
 
     /// The keys as last seen.
@@ -95,12 +95,12 @@
 
     /// The revision of the service that the view is of.
     pub fn revision(&self) -> Revision {
-        self.after
+        self.revision
     }
 
     /// Takes the size of the fleet: the larger, the wider its watches are
     /// spread after a change.
-    pub fn set_fleet(&mut self, nodes: usize) {
+    pub fn set_fleet_size(&mut self, nodes: usize) {
         self.options.jitter = self.options.jitter.max(JITTER_PER_NODE * nodes as u32);
     }
 
@@ -110,50 +110,50 @@
     }
 
     /// The next call.
-    pub fn next(&self, now: Instant) -> Call {
-        match self.listed {
+    pub fn next_call(&self, now: Instant) -> Call {
+        match self.listed_at {
             Some(at) if now < at + LIST_INTERVAL => {
-                Call::Watch { after: self.after, wait: self.options.watch_timeout }
+                Call::Watch { after: self.revision, wait: self.options.watch_timeout }
             }
             _ => Call::List,
         }
     }
 
     /// Takes the answer to a call.
-    pub fn answered(&mut self, now: Instant, reply: Reply) -> Step {
+    pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Step {
         match reply {
-            Reply::Listed(Ok((entries, revision))) if revision >= self.after => {
-                self.failures.reset();
-                self.listed = Some(now);
-                self.after = revision;
+            Reply::Listed(Ok((entries, revision))) if revision >= self.revision => {
+                self.backoff.reset();
+                self.listed_at = Some(now);
+                self.revision = revision;
                 let entries = entries.into_iter().map(|entry| (entry.key.clone(), entry));
                 let before = std::mem::replace(&mut self.entries, entries.collect());
                 let is_changed = before != self.entries;
                 self.step(is_changed)
             }
             Reply::Watched(Ok(batch)) if batch.compacted => {
-                self.listed = None;
+                self.listed_at = None;
                 Step { is_changed: false, is_confirmed: false, delay: Duration::ZERO }
             }
-            Reply::Watched(Ok(batch)) if batch.revision >= self.after => {
-                self.failures.reset();
-                self.after = batch.revision;
-                let changes = batch.events.into_iter().map(|event| self.apply(event));
+            Reply::Watched(Ok(batch)) if batch.revision >= self.revision => {
+                self.backoff.reset();
+                self.revision = batch.revision;
+                let changes = batch.events.into_iter().map(|event| self.apply_event(event));
                 let is_changed = changes.fold(false, |any, one| any | one);
                 self.step(is_changed)
             }
             // An answer from before what was seen already comes from a replica
             // that lags: it neither changes nor confirms anything.
-            _ => Step { is_changed: false, is_confirmed: false, delay: self.failures.fail() },
+            _ => Step { is_changed: false, is_confirmed: false, delay: self.backoff.next_delay() },
         }
     }
 
     fn step(&mut self, is_changed: bool) -> Step {
         let jitter = if is_changed { self.options.jitter } else { Duration::ZERO };
-        Step { is_changed, is_confirmed: true, delay: self.failures.spread(jitter) }
+        Step { is_changed, is_confirmed: true, delay: self.backoff.jitter(jitter) }
     }
 
-    fn apply(&mut self, event: hickory_store::store::Event) -> bool {
+    fn apply_event(&mut self, event: hickory_store::store::Event) -> bool {
         let known = self.entries.get(&event.key).map_or(Revision(0), |entry| entry.revision);
         if event.revision <= known {
             return false;
@@ -169,24 +169,24 @@
     }
 }
 
-/// Follows until `take` says to stop. It is told of each step, with the time
+/// Follows until `on_step` says to stop. It is told of each step, with the time
 /// at which the call was sent: what the answer says held then or later.
 pub async fn run<S: Store, C: Clock>(
     store: S,
     clock: C,
     mut follower: Follower,
-    mut take: impl FnMut(&mut Follower, Step, Instant) -> bool,
+    mut on_step: impl FnMut(&mut Follower, Step, Instant) -> bool,
 ) {
     loop {
         let sent = clock.now();
-        let reply = match follower.next(sent) {
+        let reply = match follower.next_call(sent) {
             Call::List => Reply::Listed(store.list(&follower.options.prefix).await),
             Call::Watch { after, wait } => {
                 Reply::Watched(store.watch(&follower.options.prefix, after, wait).await)
             }
         };
-        let step = follower.answered(clock.now(), reply);
-        if !take(&mut follower, step, sent) {
+        let step = follower.on_reply(clock.now(), reply);
+        if !on_step(&mut follower, step, sent) {
             return;
         }
         tokio::time::sleep(step.delay).await;
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -11,13 +11,13 @@
 use std::time::{Duration, Instant};
 
 /// How long a note is tried to be accepted.
-const ACCEPT_TIME: Duration = Duration::from_secs(5);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-const RETRY_WAIT: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
 /// Reads of a version before the one that the note names; after these the
 /// note is refused, since it may name a version that never was.
-const STALE_READS_MAX: u32 = 3;
+const MAX_STALE_READS: u32 = 3;
 
 /// Whether `next` may take the place of `current`: only a higher version.
 ///
@@ -46,7 +46,7 @@
 }
 
 /// The end of an acceptance.
-pub type Verdict = Result<Arc<Configuration>, Rejection>;
+pub type AcceptanceResult = Result<Arc<Configuration>, Rejection>;
 
 /// The acceptance of one release note.
 #[derive(Debug)]
@@ -58,73 +58,73 @@
     /// The write to make, with the configuration that it stores.
     write: Option<(Write, Arc<Configuration>)>,
     /// A write got no answer.
-    unanswered: bool,
+    has_unanswered_write: bool,
     stale_reads: u32,
     retry_at: Option<Instant>,
-    retries: Backoff,
+    backoff: Backoff,
 }
 
 impl Acceptance {
     /// Begins to accept a note. Its operation id must be unique: the only way
     /// to tell, after a lost answer, whether this note took effect or a like
     /// one of another operator.
-    pub fn open(now: Instant, note: Note, known: Option<Arc<Configuration>>, seed: u64) -> Self {
+    pub fn new(now: Instant, note: Note, known: Option<Arc<Configuration>>, seed: u64) -> Self {
         Self {
             note,
             known,
-            deadline: now + ACCEPT_TIME,
+            deadline: now + ACCEPT_TIMEOUT,
             write: None,
-            unanswered: false,
+            has_unanswered_write: false,
             stale_reads: 0,
             retry_at: None,
-            retries: Backoff::open(RETRY_WAIT.0, RETRY_WAIT.1, seed),
+            backoff: Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1, seed),
         }
     }
 
     /// How long to wait before the next call.
-    pub fn pause(&self, now: Instant) -> Duration {
+    pub fn delay(&self, now: Instant) -> Duration {
         self.retry_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
     /// The next call.
-    pub fn next(&self) -> Call {
+    pub fn next_call(&self) -> Call {
         self.write.as_ref().map_or(Call::Get, |(write, _)| Call::Write(write.clone()))
     }
 
     /// Takes the answer to a call; returns the end, once there is one.
-    pub fn answered(&mut self, now: Instant, reply: Reply) -> Option<Verdict> {
+    pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Option<AcceptanceResult> {
         self.retry_at = None;
         let end = match reply {
-            Reply::Got(Ok(entry)) => self.read(now, entry),
+            Reply::Got(Ok(entry)) => self.on_entry(now, entry),
             Reply::Wrote(Ok(_)) => self.write.take().map(|(_, next)| Ok(next)),
             Reply::Wrote(Err(Error::Conflict(entry))) => {
                 self.write = None;
-                self.read(now, entry)
+                self.on_entry(now, entry)
             }
             // The same write again under the same condition: if the one
             // without an answer took effect, this one's conflict returns a
             // configuration that holds the operation; if not, it can't any
             // more once this one has.
             Reply::Wrote(Err(Error::Unknown(_))) => {
-                self.unanswered = true;
-                self.retry_at = Some(now + self.retries.fail());
+                self.has_unanswered_write = true;
+                self.retry_at = Some(now + self.backoff.next_delay());
                 None
             }
             Reply::Got(Err(_)) | Reply::Wrote(Err(_)) => {
-                self.retry_at = Some(now + self.retries.fail());
+                self.retry_at = Some(now + self.backoff.next_delay());
                 None
             }
         };
-        end.or_else(|| (self.deadline <= now).then(|| Err(self.give_up())))
+        end.or_else(|| (self.deadline <= now).then(|| Err(self.timeout_rejection())))
     }
 
-    fn give_up(&self) -> Rejection {
+    fn timeout_rejection(&self) -> Rejection {
         let text = "the service did not answer in time".to_owned();
-        if self.unanswered { Rejection::Unknown(text) } else { Rejection::NotDone(text) }
+        if self.has_unanswered_write { Rejection::Unknown(text) } else { Rejection::NotDone(text) }
     }
 
     /// Decides by the configuration in the service.
-    fn read(&mut self, now: Instant, entry: Option<Entry>) -> Option<Verdict> {
+    fn on_entry(&mut self, now: Instant, entry: Option<Entry>) -> Option<AcceptanceResult> {
         let (present, expect) = match &entry {
             None => (Configuration::default(), Expect::Absent),
             Some(entry) => match serde_json::from_str(&entry.value) {
@@ -159,10 +159,10 @@
 
     /// The read may come from a replica that lags, or the note names a version
     /// that never was.
-    fn on_stale_read(&mut self, now: Instant, present: Configuration) -> Option<Verdict> {
+    fn on_stale_read(&mut self, now: Instant, present: Configuration) -> Option<AcceptanceResult> {
         self.stale_reads += 1;
-        if self.stale_reads < STALE_READS_MAX {
-            self.retry_at = Some(now + self.retries.fail());
+        if self.stale_reads < MAX_STALE_READS {
+            self.retry_at = Some(now + self.backoff.next_delay());
             return None;
         }
         let known = self.known.clone().filter(|known| supersedes(known, Some(&present)));
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -9,7 +9,7 @@
 /// Renewals a second that the whole fleet may make: half of the several
 /// hundred writes that the service takes go to renewals, claims, ownership
 /// and configuration together, and of these renewals get a half.
-const RENEWALS_MAX: f64 = 76.0;
+const MAX_FLEET_RENEWALS_PER_SECOND: f64 = 76.0;
 
 /// Renewals within one time to live: two may be lost in a row.
 const RENEWALS_PER_TTL: u32 = 3;
@@ -37,67 +37,67 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct HeldLease {
     lease: Lease,
     ttl: Duration,
     /// When the last successful renewal was sent.
-    renewed: Instant,
+    renewed_at: Instant,
 }
 
 /// The lease and the registration of one node.
 #[derive(Debug)]
-pub struct Keeper {
-    me: Info,
-    ttl: Duration,
-    fleet: usize,
-    held: Option<Held>,
+pub struct Registration {
+    info: Info,
+    min_ttl: Duration,
+    fleet_size: usize,
+    held: Option<HeldLease>,
     /// The revision of the registration under the held lease.
-    registered: Option<Revision>,
+    registered_revision: Option<Revision>,
     registered_at: Option<Instant>,
     /// Whether the last registration sent said that the node is stopping.
-    told_draining: bool,
-    next_at: Option<Instant>,
-    failures: Backoff,
-    replaced: bool,
+    is_draining_registered: bool,
+    next_call_at: Option<Instant>,
+    backoff: Backoff,
+    is_replaced: bool,
 }
 
-impl Keeper {
+impl Registration {
     /// A node that holds nothing yet; `ttl` is the least time to live.
-    pub fn open(me: Info, ttl: Duration, seed: u64) -> Self {
-        let failures = Backoff::open(ttl / 20, ttl / 5, seed);
+    pub fn new(info: Info, min_ttl: Duration, seed: u64) -> Self {
+        let backoff = Backoff::new(min_ttl / 20, min_ttl / 5, seed);
         Self {
-            me,
-            ttl,
-            fleet: 1,
+            info,
+            min_ttl,
+            fleet_size: 1,
             held: None,
-            registered: None,
+            registered_revision: None,
             registered_at: None,
-            told_draining: false,
-            next_at: None,
-            failures,
-            replaced: false,
+            is_draining_registered: false,
+            next_call_at: None,
+            backoff,
+            is_replaced: false,
         }
     }
 
     /// What the node tells of itself.
-    pub fn me(&self) -> &Info {
-        &self.me
+    pub fn info(&self) -> &Info {
+        &self.info
     }
 
     /// The least time to live.
-    pub fn ttl(&self) -> Duration {
-        self.ttl
+    pub fn min_ttl(&self) -> Duration {
+        self.min_ttl
     }
 
     /// Tells that the node is stopping, at the next call.
     pub fn set_draining(&mut self) {
-        self.me.draining = true;
-        self.next_at = None;
+        self.info.draining = true;
+        self.next_call_at = None;
     }
 
     /// Takes the number of nodes, which the time to live grows with.
-    pub fn set_fleet(&mut self, nodes: usize) {
-        self.fleet = nodes.max(1);
+    pub fn set_fleet_size(&mut self, nodes: usize) {
+        self.fleet_size = nodes.max(1);
     }
 
     /// Takes the registration under this node's name as it was seen.
@@ -105,14 +105,16 @@
     /// Failure: a process is paused, and another is started under its name.
     /// The paused one must give way for good when it resumes, or the two
     /// would overwrite each other's registration in turn.
-    pub fn see(&mut self, incarnation: id::Incarnation, revision: Revision) {
-        let mine = self.registered.is_some_and(|registered| registered < revision);
-        self.replaced |= mine && incarnation != self.me.incarnation;
+    pub fn observe(&mut self, incarnation: id::Incarnation, revision: Revision) {
+        let is_newer = self
+            .registered_revision
+            .is_some_and(|registered_revision| registered_revision < revision);
+        self.is_replaced |= is_newer && incarnation != self.info.incarnation;
     }
 
     /// Whether another process has taken this node's name.
-    pub fn replaced(&self) -> bool {
-        self.replaced
+    pub fn is_replaced(&self) -> bool {
+        self.is_replaced
     }
 
     /// The lease held, to be given up.
@@ -126,9 +128,9 @@
     /// this node from when it *sent* it, which is earlier, and it gives up a
     /// quarter sooner, so that clocks which run at different speeds don't
     /// make up the difference. A paused process finds the time passed.
-    pub fn confirmed(&self, now: Instant) -> bool {
-        let valid = self.held.is_some_and(|held| now < held.renewed + held.ttl * 3 / 4);
-        valid && self.registered_at.is_some() && !self.replaced
+    pub fn is_valid(&self, now: Instant) -> bool {
+        let is_valid = self.held.is_some_and(|held| now < held.renewed_at + held.ttl * 3 / 4);
+        is_valid && self.registered_at.is_some() && !self.is_replaced
     }
 
     /// When the registration under the present lease was sent.
@@ -137,86 +139,87 @@
     }
 
     /// The time to live at the present size of the fleet.
-    pub fn wanted_ttl(&self) -> Duration {
-        let least = self.fleet as f64 * f64::from(RENEWALS_PER_TTL) / RENEWALS_MAX;
-        self.ttl.max(Duration::from_secs_f64(least))
+    pub fn fleet_ttl(&self) -> Duration {
+        let min_secs =
+            self.fleet_size as f64 * f64::from(RENEWALS_PER_TTL) / MAX_FLEET_RENEWALS_PER_SECOND;
+        self.min_ttl.max(Duration::from_secs_f64(min_secs))
     }
 
     /// When the next call is due; `None`: never again.
-    pub fn wake(&self, now: Instant) -> Option<Instant> {
-        (!self.replaced).then(|| self.next_at.unwrap_or(now))
+    pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
+        (!self.is_replaced).then(|| self.next_call_at.unwrap_or(now))
     }
 
     /// The next call, where one is due.
-    pub fn next(&mut self, now: Instant) -> Option<Call> {
-        if self.replaced || self.next_at.is_some_and(|at| now < at) {
+    pub fn next_call(&mut self, now: Instant) -> Option<Call> {
+        if self.is_replaced || self.next_call_at.is_some_and(|at| now < at) {
             return None;
         }
         // A lease that is much shorter than the fleet now wants is left to
         // lapse, and its registration moves to a new one.
-        let held = self.held.filter(|held| held.ttl * 5 / 4 >= self.wanted_ttl());
+        let held = self.held.filter(|held| held.ttl * 5 / 4 >= self.fleet_ttl());
         let Some(held) = held else {
-            return Some(Call::Grant(self.wanted_ttl()));
+            return Some(Call::Grant(self.fleet_ttl()));
         };
-        if self.told() {
+        if self.is_registration_current() {
             return Some(Call::Renew(held.lease));
         }
-        self.told_draining = self.me.draining;
+        self.is_draining_registered = self.info.draining;
         Some(Call::Register(Write {
-            key: format!("{PREFIX}{}", self.me.node),
-            value: serde_json::to_string(&self.me).ok(),
+            key: format!("{PREFIX}{}", self.info.node),
+            value: serde_json::to_string(&self.info).ok(),
             expect: Expect::Any,
             lease: Some(held.lease),
         }))
     }
 
     /// Takes the answer to a call that was sent at `sent`.
-    pub fn answered(&mut self, now: Instant, sent: Instant, reply: Reply) {
+    pub fn on_reply(&mut self, now: Instant, sent: Instant, reply: Reply) {
         match reply {
             Reply::Granted(Ok(lease)) => {
-                let ttl = self.wanted_ttl();
-                self.held = Some(Held { lease, ttl, renewed: sent });
-                self.registered = None;
+                let ttl = self.fleet_ttl();
+                self.held = Some(HeldLease { lease, ttl, renewed_at: sent });
+                self.registered_revision = None;
                 self.registered_at = None;
-                self.next_at = None;
+                self.next_call_at = None;
             }
             Reply::Registered(Ok(revision)) => {
-                self.registered = Some(revision);
+                self.registered_revision = Some(revision);
                 self.registered_at.get_or_insert(sent);
-                self.rest(now);
+                self.schedule_renewal(now);
             }
             Reply::Renewed(Ok(())) => {
                 if let Some(held) = &mut self.held {
-                    held.renewed = sent;
+                    held.renewed_at = sent;
                 }
-                self.rest(now);
+                self.schedule_renewal(now);
             }
             Reply::Renewed(Err(Error::LeaseLapsed))
             | Reply::Registered(Err(Error::LeaseLapsed)) => {
                 self.held = None;
-                self.registered = None;
+                self.registered_revision = None;
                 self.registered_at = None;
-                self.next_at = Some(now + self.failures.spread(self.ttl / 20));
+                self.next_call_at = Some(now + self.backoff.jitter(self.min_ttl / 20));
             }
             Reply::Granted(Err(_)) | Reply::Registered(Err(_)) | Reply::Renewed(Err(_)) => {
-                self.next_at = Some(now + self.failures.fail());
+                self.next_call_at = Some(now + self.backoff.next_delay());
             }
         }
     }
 
     /// Whether the registration says what it should.
-    fn told(&self) -> bool {
-        self.registered.is_some() && self.told_draining == self.me.draining
+    fn is_registration_current(&self) -> bool {
+        self.registered_revision.is_some() && self.is_draining_registered == self.info.draining
     }
 
-    fn rest(&mut self, now: Instant) {
-        self.failures.reset();
-        if !self.told() {
-            self.next_at = None;
+    fn schedule_renewal(&mut self, now: Instant) {
+        self.backoff.reset();
+        if !self.is_registration_current() {
+            self.next_call_at = None;
             return;
         }
-        let ttl = self.held.map_or(self.ttl, |held| held.ttl);
+        let ttl = self.held.map_or(self.min_ttl, |held| held.ttl);
         let interval = ttl / RENEWALS_PER_TTL;
-        self.next_at = Some(now + interval - self.failures.spread(interval / 10));
+        self.next_call_at = Some(now + interval - self.backoff.jitter(interval / 10));
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -10,7 +10,7 @@
 //! | membership    | [`member`] | [`lease`]                                   |
 //! | configuration | [`config`] | [`head`]                                    |
 //! | ownership     | [`owner`]  | [`assign`], [`plan`], [`allowance`], [`table`] |
-//! | claims        | [`claim`]  | [`group`], [`page`]                         |
+//! | claims        | [`claim`]  | [`group_commit`], [`page`]                         |
 //!
 //! [`follow`] keeps a view of keys for the first three, [`retry`] says when to
 //! try again, and [`rank`] which node is first for a target.
@@ -20,11 +20,11 @@
 pub mod claim;
 pub mod config;
 pub mod follow;
-pub mod group;
+pub mod group_commit;
 pub mod head;
 pub mod lease;
 pub mod member;
-mod op;
+mod operation;
 pub mod owner;
 pub mod page;
 pub mod plan;
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -3,7 +3,7 @@
 //! The decisions stand in [`crate::lease`] and [`crate::follow`].
 
 use crate::follow::{self, Follower};
-use crate::lease::{Call, Keeper, Reply};
+use crate::lease::{Call, Registration, Reply};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -59,15 +59,15 @@
     pub draining: bool,
 }
 
-fn make_seed() -> u64 {
+fn random_seed() -> u64 {
     uuid::Uuid::new_v4().as_u128() as u64
 }
 
 #[derive(Debug)]
 struct Shared {
-    keeper: Keeper,
+    registration: Registration,
     contact_since: Option<Instant>,
-    left: bool,
+    has_left: bool,
 }
 
 /// A running registration with its view of the other nodes.
@@ -85,19 +85,19 @@
     /// The lease lives for `ttl`, longer where the fleet is large.
     pub fn spawn(store: S, clock: C, info: Info, ttl: Duration) -> Self {
         let member = Self::spawn_registration(store, clock, info, ttl);
-        tokio::spawn(member.clone().keep_view(make_seed()));
+        tokio::spawn(member.clone().follow_nodes(random_seed()));
         member
     }
 
     /// Registers the node and keeps its lease, without following the others:
     /// for nodes that learn of each other in another way.
     pub fn spawn_registration(store: S, clock: C, info: Info, ttl: Duration) -> Self {
-        let keeper = Keeper::open(info, ttl, make_seed());
-        let shared = Shared { keeper, contact_since: None, left: false };
+        let registration = Registration::new(info, ttl, random_seed());
+        let shared = Shared { registration, contact_since: None, has_left: false };
         let (nodes, _) = watch::channel(Arc::default());
         let wake = Arc::default();
         let member = Self { store, clock, shared: Arc::new(Mutex::new(shared)), nodes, wake };
-        tokio::spawn(member.clone().keep_lease());
+        tokio::spawn(member.clone().run_lease());
         member
     }
 
@@ -106,13 +106,13 @@
     }
 
     /// What this node tells of itself.
-    pub fn me(&self) -> Info {
-        self.lock().keeper.me().clone()
+    pub fn info(&self) -> Info {
+        self.lock().registration.info().clone()
     }
 
     /// The least time to live of its lease.
-    pub fn ttl(&self) -> Duration {
-        self.lock().keeper.ttl()
+    pub fn min_ttl(&self) -> Duration {
+        self.lock().registration.min_ttl()
     }
 
     /// The registered nodes, as last seen.
@@ -128,7 +128,7 @@
     /// Whether this node's lease is certainly valid at `now`.
     pub fn is_lease_valid(&self, now: Instant) -> bool {
         let shared = self.lock();
-        !shared.left && shared.keeper.confirmed(now)
+        !shared.has_left && shared.registration.is_valid(now)
     }
 
     /// What is known of the registrations at `now`.
@@ -137,16 +137,16 @@
         let shared = self.lock();
         View {
             nodes,
-            is_lease_valid: !shared.left && shared.keeper.confirmed(now),
-            registered_at: shared.keeper.registered_at(),
+            is_lease_valid: !shared.has_left && shared.registration.is_valid(now),
+            registered_at: shared.registration.registered_at(),
             contact_since: shared.contact_since,
-            draining: shared.keeper.me().draining,
+            draining: shared.registration.info().draining,
         }
     }
 
     /// Tells the others that this node is stopping.
     pub async fn set_draining(&self) {
-        self.lock().keeper.set_draining();
+        self.lock().registration.set_draining();
         self.wake.notify_one();
     }
 
@@ -154,8 +154,8 @@
     pub async fn deregister(&self) {
         let lease = {
             let mut shared = self.lock();
-            shared.left = true;
-            shared.keeper.lease()
+            shared.has_left = true;
+            shared.registration.lease()
         };
         self.wake.notify_one();
         if let Some(lease) = lease {
@@ -163,23 +163,23 @@
         }
     }
 
-    async fn keep_lease(self) {
+    async fn run_lease(self) {
         loop {
             let now = self.clock.now();
             let (call, wake) = {
                 let mut shared = self.lock();
-                if shared.left {
+                if shared.has_left {
                     return;
                 }
-                (shared.keeper.next(now), shared.keeper.wake(now))
+                (shared.registration.next_call(now), shared.registration.next_wakeup(now))
             };
             let Some(wake) = wake else {
-                log::error!(node:% = self.me().node; "another process has this node's name");
+                log::error!(node:% = self.info().node; "another process has this node's name");
                 return;
             };
             if let Some(call) = call {
                 let reply = self.call(call).await;
-                self.lock().keeper.answered(self.clock.now(), now, reply);
+                self.lock().registration.on_reply(self.clock.now(), now, reply);
             } else {
                 let wait = wake.saturating_duration_since(now);
                 let _ = tokio::time::timeout(wait, self.wake.notified()).await;
@@ -195,7 +195,7 @@
         }
     }
 
-    async fn keep_view(self, seed: u64) {
+    async fn follow_nodes(self, seed: u64) {
         let options = follow::Options {
             prefix: PREFIX.into(),
             watch_timeout: WATCH_TIMEOUT,
@@ -205,28 +205,28 @@
         let member = self.clone();
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
             if step.is_changed {
-                member.take_view(follower);
-                follower.set_fleet(follower.entries().len());
+                member.update_nodes(follower);
+                follower.set_fleet_size(follower.entries().len());
             }
             let mut shared = member.lock();
             let since = shared.contact_since.unwrap_or(sent);
             shared.contact_since = step.is_confirmed.then_some(since);
-            !shared.left
+            !shared.has_left
         })
         .await;
     }
 
-    fn take_view(&self, follower: &Follower) {
+    fn update_nodes(&self, follower: &Follower) {
         let read = |entry: &hickory_store::store::Entry| {
             let info = serde_json::from_str::<Info>(&entry.value).ok()?;
             Some((info, entry.revision))
         };
         let seen: Vec<_> = follower.entries().values().filter_map(read).collect();
         let mut shared = self.lock();
-        shared.keeper.set_fleet(seen.len());
+        shared.registration.set_fleet_size(seen.len());
         for (info, revision) in &seen {
-            if info.node == shared.keeper.me().node {
-                shared.keeper.see(info.incarnation, *revision);
+            if info.node == shared.registration.info().node {
+                shared.registration.observe(info.incarnation, *revision);
             }
         }
         drop(shared);
--- a/crates/state/src/owner.rs
+++ b/crates/state/src/owner.rs
@@ -23,10 +23,10 @@
 const WATCH_JITTER: Duration = Duration::from_millis(100);
 
 /// Between two looks at what there is to do.
-const TICK: Duration = Duration::from_millis(200);
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a planned stop tries to hand its targets over.
-const RELEASE_TIME: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Asks over a new connection whether a node still runs.
 pub trait Probe: Clone + Send + Sync + 'static {
@@ -76,19 +76,19 @@
     assigner: Arc<Mutex<Assigner>>,
     /// One write at a time: the answer to a second could be taken for that of
     /// the first.
-    writing: Arc<tokio::sync::Mutex<()>>,
-    changed: watch::Sender<u64>,
+    write_lock: Arc<tokio::sync::Mutex<()>>,
+    revision: watch::Sender<u64>,
 }
 
 impl<S: Store, C: Clock, P: Probe> Owners<S, C, P> {
     /// Follows the document and takes targets that have no owner. `permit` is
     /// the life of a permit, which a new owner waits out.
-    pub fn spawn(store: S, clock: C, member: Member<S, C>, probe: P, permit: Duration) -> Self {
-        let options = Options::of(permit, member.ttl());
-        let assigner = Arc::new(Mutex::new(Assigner::open(member.me(), options)));
-        let (changed, _) = watch::channel(0);
+    pub fn spawn(store: S, clock: C, member: Member<S, C>, probe: P, permit_ttl: Duration) -> Self {
+        let options = Options::new(permit_ttl, member.min_ttl());
+        let assigner = Arc::new(Mutex::new(Assigner::new(member.info(), options)));
+        let (revision, _) = watch::channel(0);
         let owners =
-            Self { store, clock, member, probe, assigner, writing: Arc::default(), changed };
+            Self { store, clock, member, probe, assigner, write_lock: Arc::default(), revision };
         tokio::spawn(owners.clone().follow());
         tokio::spawn(owners.clone().run());
         owners
@@ -99,10 +99,10 @@
     }
 
     /// The assigner, told of the registrations first.
-    fn look(&self, now: Instant) -> MutexGuard<'_, Assigner> {
+    fn refresh_assigner(&self, now: Instant) -> MutexGuard<'_, Assigner> {
         let view = self.member.view(now);
         let mut assigner = self.lock();
-        assigner.see(now, view);
+        assigner.update_membership(now, view);
         assigner
     }
 
@@ -114,12 +114,12 @@
     /// The targets that this node owns, with what may be granted at present.
     pub fn owned(&self) -> Vec<Owned> {
         let now = self.clock.now();
-        self.look(now).owned(now)
+        self.refresh_assigner(now).owned(now)
     }
 
     /// Told of each change of the document; carries its revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+        self.revision.subscribe()
     }
 
     /// The revision of the document known.
@@ -147,7 +147,7 @@
         };
         let now = self.clock.now();
         let changed = self.lock().apply_if_newer(now, Revision(revision), document);
-        self.tell(changed)
+        self.notify_if_changed(changed)
     }
 
     /// Notes that a node was heard, with the revision of the document that it
@@ -164,23 +164,23 @@
     /// node's lease has lapsed.
     pub async fn release_all(&self) -> bool {
         self.lock().release();
-        let deadline = self.clock.now() + RELEASE_TIME;
+        let deadline = self.clock.now() + RELEASE_TIMEOUT;
         loop {
-            self.step().await;
+            self.run_plan().await;
             let now = self.clock.now();
-            if self.lock().holds_nothing() {
+            if self.lock().has_no_targets() {
                 return true;
             }
             if deadline <= now {
                 return false;
             }
-            tokio::time::sleep(TICK / 2).await;
+            tokio::time::sleep(PLAN_INTERVAL / 2).await;
         }
     }
 
-    fn tell(&self, changed: bool) -> bool {
+    fn notify_if_changed(&self, changed: bool) -> bool {
         if changed {
-            self.changed.send_replace(self.revision());
+            self.revision.send_replace(self.revision());
         }
         changed
     }
@@ -197,34 +197,34 @@
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
             if step.is_confirmed {
                 let now = owners.clock.now();
-                let changed = owners.lock().read(now, sent, follower.entries().get(KEY));
-                owners.tell(changed);
+                let changed = owners.lock().on_read(now, sent, follower.entries().get(KEY));
+                owners.notify_if_changed(changed);
             }
-            follower.set_fleet(owners.member.nodes().len());
+            follower.set_fleet_size(owners.member.nodes().len());
             true
         })
         .await;
     }
 
     async fn run(self) {
-        let mut changed = self.changed.subscribe();
+        let mut changed = self.revision.subscribe();
         loop {
-            self.step().await;
-            let _ = tokio::time::timeout(TICK, changed.changed()).await;
+            self.run_plan().await;
+            let _ = tokio::time::timeout(PLAN_INTERVAL, changed.changed()).await;
         }
     }
 
-    async fn step(&self) {
-        let _writing = self.writing.lock().await;
+    async fn run_plan(&self) {
+        let _write_guard = self.write_lock.lock().await;
         let now = self.clock.now();
-        let Plan { probes, write } = self.look(now).plan(now);
+        let Plan { probes, write } = self.refresh_assigner(now).plan(now);
         for info in probes {
             // Each in a task of its own: a silent node must hold up nothing.
             let owners = self.clone();
             tokio::spawn(async move {
                 let is_alive = owners.probe.is_alive(&info).await;
                 let now = owners.clock.now();
-                owners.lock().probed(now, &info, is_alive);
+                owners.lock().on_probe_result(now, &info, is_alive);
             });
         }
         let Some((write, document)) = write else {
@@ -234,7 +234,7 @@
         if let Err(error) = &result {
             log::debug!(error:%; "ownership not written");
         }
-        let changed = self.lock().wrote(self.clock.now(), now, result, document);
-        self.tell(changed);
+        let changed = self.lock().on_write_result(self.clock.now(), now, result, document);
+        self.notify_if_changed(changed);
     }
 }
--- a/crates/state/src/retry.rs
+++ b/crates/state/src/retry.rs
@@ -9,24 +9,24 @@
 /// keep it down.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    min_delay: Duration,
+    max_delay: Duration,
     failures: u32,
     state: u64,
 }
 
 impl Backoff {
-    /// Waits of `first` after one failure, doubled with each further one up to
-    /// `most`; each is then shortened at random by up to a half.
-    pub fn open(first: Duration, most: Duration, seed: u64) -> Self {
-        Self { first, most, failures: 0, state: seed }
+    /// Waits of `min_delay` after one failure, doubled with each further one up to
+    /// `max_delay`; each is then shortened at random by up to a half.
+    pub fn new(min_delay: Duration, max_delay: Duration, seed: u64) -> Self {
+        Self { min_delay, max_delay, failures: 0, state: seed }
     }
 
     /// The wait after one more failure.
-    pub fn fail(&mut self) -> Duration {
-        let full = self.first.saturating_mul(1 << self.failures.min(16)).min(self.most);
+    pub fn next_delay(&mut self) -> Duration {
+        let full = self.min_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_delay);
         self.failures = self.failures.saturating_add(1);
-        full.mul_f64(0.5 + self.unit() / 2.0)
+        full.mul_f64(0.5 + self.random_unit() / 2.0)
     }
 
     /// Notes a success.
@@ -34,13 +34,13 @@
         self.failures = 0;
     }
 
-    /// A random share of `most`, to spread what many nodes do at one event.
-    pub fn spread(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.unit())
+    /// A random share of `max_delay`, to spread what many nodes do at one event.
+    pub fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.random_unit())
     }
 
     /// A number from 0 to 1, by the SplitMix64 generator.
-    fn unit(&mut self) -> f64 {
+    fn random_unit(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -56,23 +56,23 @@
         let entry = Entry { holder: Holder::of(info), epoch: self.epoch, before };
         self.owners.insert(target.clone(), entry);
         self.holders.insert(info.node.clone(), info.clone());
-        self.forget_holders();
+        self.remove_unused_holders();
     }
 
     /// Removes a target.
     pub fn remove(&mut self, target: &id::Target) {
         self.epoch = id::Epoch(self.epoch.0 + 1);
         self.owners.remove(target);
-        self.forget_holders();
+        self.remove_unused_holders();
     }
 
     /// Whether a node that is not registered any more left by a planned stop:
     /// it said that it was stopping, and holds nothing.
-    pub(crate) fn left(&self, info: &Info) -> bool {
+    pub(crate) fn has_left(&self, info: &Info) -> bool {
         info.draining && !self.owners.values().any(|entry| entry.holder == Holder::of(info))
     }
 
-    fn forget_holders(&mut self) {
+    fn remove_unused_holders(&mut self) {
         let owners = &self.owners;
         self.holders.retain(|node, _| owners.values().any(|entry| entry.holder.node == *node));
     }
--- a/crates/state/tests/claim.rs
+++ b/crates/state/tests/claim.rs
@@ -8,7 +8,7 @@
 use goldenscript::Context;
 use hickory_standin::store::Core;
 use hickory_state::claim::{Answer, Claim};
-use hickory_state::group::{Call, End, Group, Reply};
+use hickory_state::group_commit::{Call, Completion, GroupCommit, Reply};
 use hickory_state::page::{Options, Outcome, find_page};
 use hickory_store::store::{Error, Expect, Write};
 use hickory_unit::clock::{Clock, Manual};
@@ -52,7 +52,7 @@
 
 #[derive(Default)]
 struct Node {
-    group: Option<Group>,
+    group: Option<GroupCommit>,
     checked: BTreeMap<String, Instant>,
     names: BTreeMap<u64, String>,
     claims: BTreeMap<String, Claim>,
@@ -62,7 +62,7 @@
     clock: Manual,
     service: Core,
     nodes: BTreeMap<String, Node>,
-    late: Vec<Write>,
+    late_writes: Vec<Write>,
     runs: BTreeMap<String, u32>,
     claims: u128,
 }
@@ -77,12 +77,12 @@
 }
 
 impl Runner {
-    fn open() -> Self {
+    fn new() -> Self {
         Self {
             clock: Manual::start(),
             service: Core::default(),
             nodes: BTreeMap::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             runs: BTreeMap::new(),
             claims: 0,
         }
@@ -93,7 +93,7 @@
         let now = self.clock.now();
         let wall = self.clock.wall_ms();
         let group = self.nodes.get_mut(name)?.group.as_mut()?;
-        let call = group.next(now, wall)?;
+        let call = group.next_call(now, wall)?;
         let unknown = || Error::Unknown("lost".into());
         let (text, reply) = match (call, lost) {
             (Call::Get, None) => ("get", Reply::Got(Ok(self.service.get(now, "ledger/0/1440")))),
@@ -104,7 +104,7 @@
                     None => self.service.write(now, write),
                     Some("answer") => self.service.write(now, write).and(Err(unknown())),
                     Some("late") => {
-                        self.late.push(write);
+                        self.late_writes.push(write);
                         Err(unknown())
                     }
                     Some("down") => Err(Error::NotDone("down".into())),
@@ -121,12 +121,12 @@
             Reply::Got(Err(e)) | Reply::Granted(Err(e)) | Reply::Wrote(Err(e)) => e.to_string(),
         };
         self.clock.advance(Duration::from_secs(slow));
-        group.answered(self.clock.now(), reply);
+        group.on_reply(self.clock.now(), reply);
         Some(format!("{text}: {result}\n"))
     }
 
     /// What has ended at the node.
-    fn collect(&mut self, name: &str) -> String {
+    fn take_completions(&mut self, name: &str) -> String {
         let Some(node) = self.nodes.get_mut(name) else {
             return String::new();
         };
@@ -134,19 +134,19 @@
             return String::new();
         };
         let mut output = String::new();
-        for (ticket, end) in group.take_ended() {
+        for (ticket, end) in group.take_completions() {
             let key = &node.names[&ticket];
             let text = match end {
-                End::Settled(result) => format!("settled {result:?}"),
-                End::Claimed(Answer::Granted(claim)) => {
+                Completion::Settled(result) => format!("settled {result:?}"),
+                Completion::Claimed(Answer::Granted(claim)) => {
                     node.claims.insert(key.clone(), claim);
                     "granted".into()
                 }
-                End::Claimed(Answer::NotDone(_)) => {
+                Completion::Claimed(Answer::NotDone(_)) => {
                     let runs = self.runs.get(key).copied().unwrap_or_default();
                     format!("not run (true: {})", runs == 0)
                 }
-                End::Claimed(answer) => format!("{answer:?}"),
+                Completion::Claimed(answer) => format!("{answer:?}"),
             };
             let _ = writeln!(output, "{key}: {text}");
         }
@@ -163,9 +163,9 @@
             Command::Check(key) => match find_page(make_key(key), wall, &Options::default()) {
                 Ok(page) => {
                     node.checked.insert(key.clone(), now);
-                    node.group.get_or_insert_with(|| Group::open(page, Options::default(), 1));
+                    node.group.get_or_insert_with(|| GroupCommit::new(page, Options::default(), 1));
                 }
-                Err(unfit) => writeln!(output, "{key}: {unfit}")?,
+                Err(error) => writeln!(output, "{key}: {error}")?,
             },
             Command::Claim { key, fingerprint, within } => {
                 if !node.checked.contains_key(key) {
@@ -190,16 +190,16 @@
                 }
             }
             Command::Arrive => {
-                let write = self.late.pop().ok_or("nothing is late")?;
+                let write = self.late_writes.pop().ok_or("nothing is late")?;
                 writeln!(output, "late write: {:?}", self.service.write(now, write).is_ok())?;
             }
             Command::Lose => {
                 let key = "ledger/0/1440".into();
-                let gone = Write { key, value: None, expect: Expect::Any, lease: None };
-                self.service.write(now, gone)?;
+                let removal = Write { key, value: None, expect: Expect::Any, lease: None };
+                self.service.write(now, removal)?;
             }
             Command::Send(key) => {
-                if node.claims.get(key).is_some_and(|claim| claim.begin(now)) {
+                if node.claims.get(key).is_some_and(|claim| claim.try_begin_send(now)) {
                     let runs = self.runs.entry(key.clone()).or_default();
                     *runs += 1;
                     writeln!(output, "{key}: sent, runs {runs}")?;
@@ -222,7 +222,7 @@
                 }
             }
         }
-        Ok(output + &self.collect(name))
+        Ok(output + &self.take_completions(name))
     }
 }
 
@@ -237,7 +237,7 @@
 
 fn run(script: &str) {
     let path = format!("tests/scripts/claim/{script}");
-    goldenscript::run(&mut Runner::open(), path).unwrap();
+    goldenscript::run(&mut Runner::new(), path).unwrap();
 }
 
 #[test]
@@ -281,6 +281,6 @@
 }
 
 #[test]
-fn together() {
-    run("together");
+fn batched_claims() {
+    run("batched_claims");
 }
--- a/crates/state/tests/claim_walk.rs
+++ b/crates/state/tests/claim_walk.rs
@@ -3,7 +3,7 @@
 
 use hickory_standin::store::Core;
 use hickory_state::claim::{Answer, Claim};
-use hickory_state::group::{Call, End, Group, Reply};
+use hickory_state::group_commit::{Call, Completion, GroupCommit, Reply};
 use hickory_state::page::{Options, Outcome, find_page};
 use hickory_store::store::{Entry, Error, Write};
 use rand::rngs::SmallRng;
@@ -22,17 +22,17 @@
 enum Attempt {
     /// The node has read its clock and found the key fit.
     Checked(Instant),
-    Asked,
+    Pending,
     Granted(Claim),
-    Over,
+    Idle,
 }
 
 struct Node {
-    group: Group,
+    group: GroupCommit,
     /// How far its wall clock is ahead; the sum of two is within the skew.
     skew_ms: u64,
     attempt: Attempt,
-    open: Option<Reply>,
+    pending_reply: Option<Reply>,
 }
 
 struct Walk {
@@ -41,9 +41,9 @@
     wall_ms: u64,
     steps: &'static [u64],
     service: Core,
-    late: Vec<Write>,
+    late_writes: Vec<Write>,
     /// What was read last, for a stale read.
-    read: Option<Entry>,
+    last_read: Option<Entry>,
     nodes: Vec<Node>,
     runs: u32,
     claims: u128,
@@ -56,22 +56,22 @@
 impl Walk {
     /// A walk whose key has the given age, and whose clock moves by one of the
     /// steps, in milliseconds.
-    fn open(seed: u64, age_ms: u64, steps: &'static [u64]) -> Self {
+    fn new(seed: u64, age_ms: u64, steps: &'static [u64]) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let page = find_page(key(), MINUTE * 60_000 + 59_000, &Options::default()).unwrap();
         let nodes = (0..2).map(|_| Node {
-            group: Group::open(page, Options::default(), random.random()),
+            group: GroupCommit::new(page, Options::default(), random.random()),
             skew_ms: random.random_range(0..=5_000),
-            attempt: Attempt::Over,
-            open: None,
+            attempt: Attempt::Idle,
+            pending_reply: None,
         });
         Self {
             now: Instant::now(),
             wall_ms: MINUTE * 60_000 + 59_000 + age_ms,
             steps,
             service: Core::default(),
-            late: Vec::new(),
-            read: None,
+            late_writes: Vec::new(),
+            last_read: None,
             nodes: nodes.collect(),
             runs: 0,
             claims: 0,
@@ -88,65 +88,67 @@
                 self.wall_ms += step;
                 self.service.expire(self.now);
             }
-            1 if !self.late.is_empty() => {
-                let write = self.late.swap_remove(self.random.random_range(0..self.late.len()));
+            1 if !self.late_writes.is_empty() => {
+                let write = self
+                    .late_writes
+                    .swap_remove(self.random.random_range(0..self.late_writes.len()));
                 let _ = self.service.write(self.now, write);
             }
-            2..=4 => self.move_attempt(index),
-            _ => self.move_call(index),
+            2..=4 => self.step_attempt(index),
+            _ => self.step_call(index),
         }
-        self.collect(index);
+        self.take_completions(index);
     }
 
     /// The caller's side of the node: each arm may be reached after any pause.
-    fn move_attempt(&mut self, index: usize) {
+    fn step_attempt(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let wall_ms = self.wall_ms + node.skew_ms;
-        node.attempt = match std::mem::replace(&mut node.attempt, Attempt::Over) {
-            Attempt::Over => match find_page(key(), wall_ms, &Options::default()) {
+        node.attempt = match std::mem::replace(&mut node.attempt, Attempt::Idle) {
+            Attempt::Idle => match find_page(key(), wall_ms, &Options::default()) {
                 Ok(_) => Attempt::Checked(now),
-                Err(_) => Attempt::Over,
+                Err(_) => Attempt::Idle,
             },
             Attempt::Checked(at) => {
                 self.claims += 1;
                 let deadline = at + Duration::from_secs(self.random.random_range(1..60));
                 node.group.claim(at, key(), 1, Uuid::from_u128(self.claims), deadline);
-                Attempt::Asked
+                Attempt::Pending
             }
-            Attempt::Asked => Attempt::Asked,
+            Attempt::Pending => Attempt::Pending,
             Attempt::Granted(claim) => {
-                let ran = self.random.random_bool(0.7) && claim.begin(now);
-                if ran {
+                let has_run = self.random.random_bool(0.7) && claim.try_begin_send(now);
+                if has_run {
                     self.runs += 1;
                 }
                 let answered = Outcome::Answered { status: 200, body: None };
-                let outcome = if ran { answered } else { Outcome::NotRun };
+                let outcome = if has_run { answered } else { Outcome::NotRun };
                 if self.random.random_bool(0.7) {
                     node.group.settle(now, &claim, outcome);
                 }
                 // Whatever is asked of the claim afterwards must not run.
-                self.runs += u32::from(claim.begin(now));
-                Attempt::Over
+                self.runs += u32::from(claim.try_begin_send(now));
+                Attempt::Idle
             }
         };
     }
 
-    fn move_call(&mut self, index: usize) {
+    fn step_call(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        if let Some(reply) = node.open.take() {
-            node.group.answered(self.now, reply);
+        if let Some(reply) = node.pending_reply.take() {
+            node.group.on_reply(self.now, reply);
             return;
         }
         let wall_ms = self.wall_ms + node.skew_ms;
-        let Some(call) = node.group.next(self.now, wall_ms) else {
+        let Some(call) = node.group.next_call(self.now, wall_ms) else {
             return;
         };
         let unknown = Err(Error::Unknown("lost".into()));
-        node.open = Some(match call {
+        node.pending_reply = Some(match call {
             Call::Get => {
                 let fresh = self.service.get(self.now, &format!("ledger/0/{MINUTE}"));
-                let stale = std::mem::replace(&mut self.read, fresh.clone());
+                let stale = std::mem::replace(&mut self.last_read, fresh.clone());
                 Reply::Got(Ok(if self.random.random_bool(0.2) { stale } else { fresh }))
             }
             Call::Grant(ttl) => Reply::Granted(Ok(self.service.grant(self.now, ttl))),
@@ -154,7 +156,7 @@
                 0 => self.service.write(self.now, write).and(unknown),
                 1 => unknown,
                 2 => {
-                    self.late.push(write);
+                    self.late_writes.push(write);
                     unknown
                 }
                 3 => Err(Error::NotDone("down".into())),
@@ -163,18 +165,18 @@
         });
     }
 
-    fn collect(&mut self, index: usize) {
-        for (_, end) in self.nodes[index].group.take_ended() {
-            let End::Claimed(answer) = end else {
+    fn take_completions(&mut self, index: usize) {
+        for (_, end) in self.nodes[index].group.take_completions() {
+            let Completion::Claimed(answer) = end else {
                 continue;
             };
             self.nodes[index].attempt = match answer {
                 Answer::Granted(claim) => Attempt::Granted(claim),
                 Answer::NotDone(_) => {
                     assert_eq!(self.runs, 0, "not run was said of a request that ran");
-                    Attempt::Over
+                    Attempt::Idle
                 }
-                _ => Attempt::Over,
+                _ => Attempt::Idle,
             };
         }
     }
@@ -184,7 +186,7 @@
 fn walk_all(age_ms: u64, steps: &'static [u64]) -> u64 {
     let mut ran = 0;
     for seed in 0..SEEDS {
-        let mut walk = Walk::open(seed, age_ms, steps);
+        let mut walk = Walk::new(seed, age_ms, steps);
         for step in 0..STEPS {
             walk.step();
             assert!(walk.runs <= 1, "seed {seed} ran twice by step {step}");
@@ -203,7 +205,7 @@
 /// The key is about to grow too old while its page is about to go: whoever
 /// still accepts the one must still find the other.
 #[test]
-fn at_the_end_of_the_window() {
+fn at_most_once_at_key_expiry() {
     let ran = walk_all(570_000, &[10, 300, 5_000, 5_000, 10_000, 20_000]);
     assert!(ran > SEEDS / 4, "the walk hardly runs anything: {ran}");
 }
--- a/crates/state/tests/config.rs
+++ b/crates/state/tests/config.rs
@@ -11,7 +11,7 @@
 use hickory_release::note::Note;
 use hickory_standin::store::Core;
 use hickory_state::config::{KEY, Rejection};
-use hickory_state::head::{Acceptance, Call, Reply, Verdict, supersedes};
+use hickory_state::head::{Acceptance, AcceptanceResult, Call, Reply, supersedes};
 use hickory_store::store::{Entry, Error, Write};
 use hickory_unit::id;
 use rand::rngs::SmallRng;
@@ -60,13 +60,13 @@
     now: Instant,
     service: Core,
     nodes: BTreeMap<String, Node>,
-    late: Vec<Write>,
+    late_writes: Vec<Write>,
     remembered: Option<Entry>,
 }
 
 type Output = Result<String, Box<dyn std::error::Error>>;
 
-fn offer(current: &mut Option<Arc<Configuration>>, entry: Option<&Entry>) {
+fn apply_entry(current: &mut Option<Arc<Configuration>>, entry: Option<&Entry>) {
     let read = entry.and_then(|entry| serde_json::from_str::<Configuration>(&entry.value).ok());
     if let Some(next) = read
         && supersedes(&next, current.as_deref())
@@ -76,12 +76,12 @@
 }
 
 impl World {
-    fn open() -> Self {
+    fn new() -> Self {
         Self {
             now: Instant::now(),
             service: Core::default(),
             nodes: BTreeMap::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             remembered: None,
         }
     }
@@ -90,15 +90,15 @@
         let node = self.nodes.entry(name.into()).or_default();
         let against = id::Release(against);
         let note = Note { against, operation: operation.into(), ..Note::default() };
-        node.acceptance = Some(Acceptance::open(self.now, note, node.current.clone(), 1));
+        node.acceptance = Some(Acceptance::new(self.now, note, node.current.clone(), 1));
     }
 
     /// Makes a call; returns its name and the end of the acceptance.
-    fn call(&mut self, name: &str, lost: &str) -> Option<(&'static str, Option<Verdict>)> {
+    fn call(&mut self, name: &str, lost: &str) -> Option<(&'static str, Option<AcceptanceResult>)> {
         let node = self.nodes.get_mut(name)?;
         let acceptance = node.acceptance.as_mut()?;
         let unknown = || Error::Unknown("lost".into());
-        let (text, reply) = match (acceptance.next(), lost) {
+        let (text, reply) = match (acceptance.next_call(), lost) {
             (Call::Get, "stale") => ("stale get", Reply::Got(Ok(self.remembered.clone()))),
             (Call::Get, "" | "answer" | "late") => {
                 ("get", Reply::Got(Ok(self.service.get(self.now, KEY))))
@@ -109,7 +109,7 @@
                 ("unanswered write", Reply::Wrote(result.and(Err(unknown()))))
             }
             (Call::Write(write), "late") => {
-                self.late.push(write);
+                self.late_writes.push(write);
                 ("late write", Reply::Wrote(Err(unknown())))
             }
             (Call::Write(_), "call") => ("lost write", Reply::Wrote(Err(unknown()))),
@@ -118,7 +118,7 @@
             }
             (Call::Write(write), _) => ("write", Reply::Wrote(self.service.write(self.now, write))),
         };
-        let end = acceptance.answered(self.now, reply);
+        let end = acceptance.on_reply(self.now, reply);
         if let Some(end) = &end {
             node.acceptance = None;
             if let Ok(next) = end
@@ -149,7 +149,7 @@
                 }
             }
             Command::Arrive => {
-                let write = self.late.pop().ok_or("nothing is late")?;
+                let write = self.late_writes.pop().ok_or("nothing is late")?;
                 let took_effect = self.service.write(self.now, write).is_ok();
                 writeln!(output, "took effect: {took_effect}")?;
             }
@@ -157,15 +157,15 @@
             Command::Read { stale } => {
                 let fresh = self.service.get(self.now, KEY);
                 let entry = if *stale { self.remembered.clone() } else { fresh };
-                offer(&mut self.nodes.entry(name).or_default().current, entry.as_ref());
+                apply_entry(&mut self.nodes.entry(name).or_default().current, entry.as_ref());
             }
             Command::Peer(peer) => {
-                let theirs = self.nodes.get(peer).and_then(|node| node.current.clone());
+                let peer_current = self.nodes.get(peer).and_then(|node| node.current.clone());
                 let node = self.nodes.entry(name).or_default();
-                if let Some(theirs) = theirs
-                    && supersedes(&theirs, node.current.as_deref())
+                if let Some(peer_current) = peer_current
+                    && supersedes(&peer_current, node.current.as_deref())
                 {
-                    node.current = Some(theirs);
+                    node.current = Some(peer_current);
                 }
             }
             Command::Restart => drop(self.nodes.remove(&name)),
@@ -184,7 +184,7 @@
 
 fn run(script: &str) {
     let path = format!("tests/scripts/config/{script}");
-    goldenscript::run(&mut World::open(), path).unwrap();
+    goldenscript::run(&mut World::new(), path).unwrap();
 }
 
 #[test]
@@ -215,16 +215,16 @@
     let mut accepted = 0;
     for seed in 0..5_000 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut world = World::open();
+        let mut world = World::new();
         let mut seen: BTreeMap<u64, Vec<String>> = BTreeMap::new();
         let mut ends: Vec<(String, bool)> = Vec::new();
-        let mut asked: BTreeMap<&str, String> = BTreeMap::new();
+        let mut requested: BTreeMap<&str, String> = BTreeMap::new();
         for step in 0..60 {
             let name = ["a", "b"][random.random_range(0..2)];
             let before = version(&world, name);
             match random.random_range(0..10) {
-                0 if !world.late.is_empty() => {
-                    let write = world.late.remove(0);
+                0 if !world.late_writes.is_empty() => {
+                    let write = world.late_writes.remove(0);
                     let _ = world.service.write(world.now, write);
                 }
                 1 => world.remembered = world.service.get(world.now, KEY),
@@ -232,21 +232,24 @@
                     let stale = random.random_bool(0.3);
                     let fresh = world.service.get(world.now, KEY);
                     let entry = if stale { world.remembered.clone() } else { fresh };
-                    offer(&mut world.nodes.entry(name.into()).or_default().current, entry.as_ref());
+                    apply_entry(
+                        &mut world.nodes.entry(name.into()).or_default().current,
+                        entry.as_ref(),
+                    );
                 }
                 3 => world.now += Duration::from_millis(random.random_range(0..3_000)),
                 _ => {
-                    let idle = world.nodes.get(name).is_none_or(|n| n.acceptance.is_none());
-                    if idle {
-                        asked.insert(name, format!("op{step}"));
+                    let is_idle = world.nodes.get(name).is_none_or(|n| n.acceptance.is_none());
+                    if is_idle {
+                        requested.insert(name, format!("op{step}"));
                         world.accept(name, &format!("op{step}"), before);
                     }
                     let losses = ["", "", "", "", "answer", "call", "late", "stale", "down"];
                     let lost = losses[random.random_range(0..losses.len())];
                     match world.call(name, lost) {
-                        Some((_, Some(Ok(_)))) => ends.push((asked[name].clone(), true)),
+                        Some((_, Some(Ok(_)))) => ends.push((requested[name].clone(), true)),
                         Some((_, Some(Err(Rejection::Unknown(_)))) | (_, None)) | None => {}
-                        Some((_, Some(Err(_)))) => ends.push((asked[name].clone(), false)),
+                        Some((_, Some(Err(_)))) => ends.push((requested[name].clone(), false)),
                     }
                 }
             }
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -4,7 +4,7 @@
 use hickory_release::configuration::Configuration;
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
-use hickory_state::claim::{Answer, Doubt, Ledger, Options, Outcome};
+use hickory_state::claim::{Answer, Ledger, LedgerError, Options, Outcome};
 use hickory_state::config::{Manager, Rejection};
 use hickory_state::member::{Info, Member};
 use hickory_state::owner::{Allowance, Owned, Owners, Probe};
@@ -18,15 +18,15 @@
 use tokio::task::JoinSet;
 use uuid::Uuid;
 
-const HANG: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(HANG, wait).await.is_ok(), "not reached: {what}");
+    assert!(tokio::time::timeout(MAX_WAIT, wait).await.is_ok(), "not reached: {what}");
 }
 
 fn open_ledger(store: &Memory) -> Ledger<Memory, System> {
@@ -37,10 +37,10 @@
 /// answers of the service are lost. One attempt is granted; every other is
 /// told that the order may have run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn same_key_everywhere() {
+async fn same_key_at_all_nodes() {
     let service = Memory::default();
     let key = Uuid::now_v7();
-    let deadline = System.now() + HANG;
+    let deadline = System.now() + MAX_WAIT;
     let mut claims = JoinSet::new();
     for node in 0..9 {
         let store = service.join();
@@ -64,11 +64,11 @@
 /// The outcome that one node stores is what a resend through another gets,
 /// and a request that was not run may be claimed anew.
 #[tokio::test]
-async fn outcomes() {
+async fn stored_outcomes() {
     let service = Memory::default();
     let (a, b) = (open_ledger(&service.join()), open_ledger(&service.join()));
     let key = Uuid::now_v7();
-    let deadline = System.now() + HANG;
+    let deadline = System.now() + MAX_WAIT;
     let Answer::Granted(claim) = a.claim(key, 7, deadline).await else {
         panic!("not granted");
     };
@@ -89,19 +89,19 @@
 #[tokio::test]
 async fn silent_service() {
     let store = Memory::default();
-    store.set(|faults| faults.delay = HANG);
+    store.set(|faults| faults.delay = MAX_WAIT);
     let ledger = open_ledger(&store);
     let deadline = System.now() + Duration::from_millis(200);
     let claim = ledger.claim(Uuid::now_v7(), 7, deadline);
-    let answer = tokio::time::timeout(HANG / 2, claim).await.expect("answered at the deadline");
-    assert!(matches!(answer, Answer::Unknown(Doubt::Unread(_))), "{answer:?}");
+    let answer = tokio::time::timeout(MAX_WAIT / 2, claim).await.expect("answered at the deadline");
+    assert!(matches!(answer, Answer::Unknown(LedgerError::ReadFailed(_))), "{answer:?}");
 }
 
 /// A note accepted at one node is in force at another by its watch, at a third
 /// that has lost the service by its peer, and a second operator's note against
 /// the same version meets a conflict. The first answer is lost.
 #[tokio::test]
-async fn notes() {
+async fn accepted_note_reaches_all_nodes() {
     let service = Memory::default();
     let (near, far, cut) = (service.join(), service.join(), service.join());
     cut.set(|faults| faults.down = true);
@@ -161,7 +161,7 @@
 /// Three nodes share five targets; one stops as planned and hands its own
 /// over in one write; then it is gone from the registrations.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn owners() {
+async fn planned_stop() {
     let service = Memory::default();
     let fleet = Fleet::default();
     let nodes = ["a", "b", "c"].map(|name| spawn_node(service.join(), name, &fleet));
@@ -194,8 +194,8 @@
     let lost = usize::from(count_full(&nodes[1]) > 0);
     stores[lost].set(|faults| faults.down = true);
     fleet.dead.store(true, Ordering::SeqCst);
-    let heir = &nodes[1 - lost];
+    let successor = &nodes[1 - lost];
     let waits = |owned: &Owned| matches!(owned.allowance, Allowance::WaitUntil(_));
-    let serves = || heir.1.owned().iter().filter(|owned| !waits(owned)).count() == 5;
-    wait_for("the heir serves all", serves).await;
+    let serves = || successor.1.owned().iter().filter(|owned| !waits(owned)).count() == 5;
+    wait_for("the successor serves all", serves).await;
 }
--- a/crates/state/tests/follow.rs
+++ b/crates/state/tests/follow.rs
@@ -38,7 +38,7 @@
         let mut output = String::new();
         let reply = match command {
             Command::Next => {
-                writeln!(output, "{:?}", self.follower.next(self.now))?;
+                writeln!(output, "{:?}", self.follower.next_call(self.now))?;
                 return Ok(output);
             }
             Command::Advance(seconds) => {
@@ -69,12 +69,13 @@
             }
             Command::Failed => Reply::Watched(Err(Error::Unknown("lost".into()))),
         };
-        let step = self.follower.answered(self.now, reply);
-        let view = self.follower.entries().values();
-        let view: Vec<_> = view.map(|entry| format!("{}={}", entry.key, entry.revision)).collect();
-        let waits = step.delay > Duration::ZERO;
+        let step = self.follower.on_reply(self.now, reply);
+        let entries = self.follower.entries().values();
+        let entries: Vec<_> =
+            entries.map(|entry| format!("{}={}", entry.key, entry.revision)).collect();
+        let has_delay = step.delay > Duration::ZERO;
         write!(output, "changed {} confirmed {} ", step.is_changed, step.is_confirmed)?;
-        writeln!(output, "waits {waits} [{}]", view.join(" "))?;
+        writeln!(output, "waits {has_delay} [{}]", entries.join(" "))?;
         Ok(output)
     }
 }
--- a/crates/state/tests/member.rs
+++ b/crates/state/tests/member.rs
@@ -6,7 +6,7 @@
 
 use goldenscript::Context;
 use hickory_standin::store::Core;
-use hickory_state::lease::{Call, Keeper, Reply};
+use hickory_state::lease::{Call, Registration, Reply};
 use hickory_state::member::Info;
 use hickory_store::store::Error;
 use hickory_unit::id::Incarnation;
@@ -34,49 +34,51 @@
     Run(u64),
     /// Time passes; the process is paused.
     Pause(f64),
-    Fleet(usize),
+    FleetSize(usize),
     /// The process sees the registration under its name.
-    See,
+    Observe,
     Show,
 }
 
 struct Runner {
     now: Instant,
     service: Core,
-    keepers: BTreeMap<String, Keeper>,
+    registrations: BTreeMap<String, Registration>,
     calls: u32,
 }
 
 impl Runner {
     fn call(&mut self, name: &str, lost: &str, slow: f64, drain: bool) -> Option<String> {
         let sent = self.now;
-        let keeper = self.keepers.get_mut(name)?;
-        let call = keeper.next(sent)?;
+        let registration = self.registrations.get_mut(name)?;
+        let call = registration.next_call(sent)?;
         self.calls += 1;
         let text = format!("{call:?}");
         let text = text.split(['(', ' ']).next().unwrap_or("").to_owned();
         let unknown = || Error::Unknown("lost".into());
-        let arrives = lost != "call";
-        let answered = lost.is_empty();
+        let is_delivered = lost != "call";
+        let is_answered = lost.is_empty();
         let reply = match call {
             Call::Grant(ttl) => {
                 let lease = self.service.grant(sent, ttl);
-                Reply::Granted(if answered { Ok(lease) } else { Err(unknown()) })
+                Reply::Granted(if is_answered { Ok(lease) } else { Err(unknown()) })
             }
             Call::Register(write) => {
-                let result = if arrives { self.service.write(sent, write) } else { Err(unknown()) };
-                Reply::Registered(if answered { result } else { Err(unknown()) })
+                let result =
+                    if is_delivered { self.service.write(sent, write) } else { Err(unknown()) };
+                Reply::Registered(if is_answered { result } else { Err(unknown()) })
             }
             Call::Renew(lease) => {
-                let result = if arrives { self.service.renew(sent, lease) } else { Err(unknown()) };
-                Reply::Renewed(if answered { result } else { Err(unknown()) })
+                let result =
+                    if is_delivered { self.service.renew(sent, lease) } else { Err(unknown()) };
+                Reply::Renewed(if is_answered { result } else { Err(unknown()) })
             }
         };
         self.now += Duration::from_secs_f64(slow);
         if drain {
-            keeper.set_draining();
+            registration.set_draining();
         }
-        keeper.answered(self.now, sent, reply);
+        registration.on_reply(self.now, sent, reply);
         Some(text)
     }
 }
@@ -103,7 +105,7 @@
                     incarnation: Incarnation(*incarnation),
                     draining: false,
                 };
-                self.keepers.insert(name, Keeper::open(info, Duration::from_secs(5), 1));
+                self.registrations.insert(name, Registration::new(info, Duration::from_secs(5), 1));
             }
             Command::Call { lost, slow, drain } => {
                 let call = self.call(&name, lost.as_deref().unwrap_or(""), *slow, *drain);
@@ -121,22 +123,22 @@
                 writeln!(output, "{calls:?}")?;
             }
             Command::Pause(seconds) => self.now += Duration::from_secs_f64(*seconds),
-            Command::Fleet(nodes) => {
-                self.keepers.get_mut(&name).ok_or("no process")?.set_fleet(*nodes);
+            Command::FleetSize(nodes) => {
+                self.registrations.get_mut(&name).ok_or("no process")?.set_fleet_size(*nodes);
             }
-            Command::See => {
+            Command::Observe => {
                 let entry = self.service.get(self.now, "nodes/a").ok_or("not registered")?;
                 let info: Info = serde_json::from_str(&entry.value)?;
-                let keeper = self.keepers.get_mut(&name).ok_or("no process")?;
-                keeper.see(info.incarnation, entry.revision);
+                let registration = self.registrations.get_mut(&name).ok_or("no process")?;
+                registration.observe(info.incarnation, entry.revision);
             }
             Command::Show => {
-                let keeper = self.keepers.get(&name).ok_or("no process")?;
+                let registration = self.registrations.get(&name).ok_or("no process")?;
                 let entry = self.service.get(self.now, "nodes/a");
                 let info = entry.and_then(|e| serde_json::from_str::<Info>(&e.value).ok());
                 let seen = info.map(|info| (info.incarnation.0, info.draining));
-                let confirmed = keeper.confirmed(self.now);
-                write!(output, "confirmed {confirmed} replaced {} ", keeper.replaced())?;
+                let confirmed = registration.is_valid(self.now);
+                write!(output, "confirmed {confirmed} replaced {} ", registration.is_replaced())?;
                 writeln!(output, "registered {seen:?}")?;
             }
         }
@@ -145,8 +147,9 @@
 }
 
 fn run(script: &str) {
-    let keepers = BTreeMap::new();
-    let mut runner = Runner { now: Instant::now(), service: Core::default(), keepers, calls: 0 };
+    let registrations = BTreeMap::new();
+    let mut runner =
+        Runner { now: Instant::now(), service: Core::default(), registrations, calls: 0 };
     goldenscript::run(&mut runner, format!("tests/scripts/member/{script}")).unwrap();
 }
 
--- a/crates/state/tests/owner.rs
+++ b/crates/state/tests/owner.rs
@@ -18,29 +18,29 @@
     Pause(Vec<String>),
     Resume(Vec<String>),
     /// Cuts nodes off the service only.
-    Cut(Vec<String>),
+    CutService(Vec<String>),
     /// Cuts nodes off the service and off the other nodes; they reach each
     /// other.
-    Part(Vec<String>),
+    Partition(Vec<String>),
     /// The same, as a second group.
-    PartAgain(Vec<String>),
+    PartitionSecond(Vec<String>),
     /// Cuts nodes off the other nodes, and makes them miss the document,
     /// though they renew their leases.
-    Blind(Vec<String>),
+    HideDocument(Vec<String>),
     /// New connections to the nodes fail, though they run.
-    Deaf(Vec<String>),
+    RefuseConnections(Vec<String>),
     Heal(Vec<String>),
     /// Remembers the document for stale reads.
     Remember,
     /// The nodes read the remembered document.
-    Stale(Vec<String>),
+    ReadStale(Vec<String>),
     /// What was granted in the last step.
-    Granted,
+    LastGrants,
     /// The service goes down.
     Down,
     Up,
     /// All leases lapse at once.
-    Lapse,
+    ExpireLeases,
     Drain(Vec<String>),
     /// The node's next write goes wrong.
     Lose {
@@ -49,7 +49,7 @@
     },
     /// Runs until a write is held up.
     RunUntilLate,
-    Arrive,
+    DeliverLate,
     Show,
 }
 
@@ -78,40 +78,42 @@
             }
             Command::Start(names) => names.iter().for_each(|name| self.0.start(name)),
             Command::Run(seconds) => self.0.run(Duration::from_secs_f64(*seconds)),
-            Command::Kill(names) => self.each(names, |node| node.alive = false),
-            Command::Pause(names) => self.each(names, |node| node.paused = true),
-            Command::Resume(names) => self.each(names, |node| node.paused = false),
-            Command::Cut(names) => self.each(names, |node| node.service = false),
-            Command::Part(names) => self.each(names, |node| {
-                node.service = false;
+            Command::Kill(names) => self.each(names, |node| node.is_alive = false),
+            Command::Pause(names) => self.each(names, |node| node.is_paused = true),
+            Command::Resume(names) => self.each(names, |node| node.is_paused = false),
+            Command::CutService(names) => self.each(names, |node| node.has_service = false),
+            Command::Partition(names) => self.each(names, |node| {
+                node.has_service = false;
                 node.group = 1;
             }),
-            Command::PartAgain(names) => self.each(names, |node| {
-                node.service = false;
+            Command::PartitionSecond(names) => self.each(names, |node| {
+                node.has_service = false;
                 node.group = 2;
             }),
-            Command::Blind(names) => self.each(names, |node| {
-                node.blind = true;
+            Command::HideDocument(names) => self.each(names, |node| {
+                node.is_document_hidden = true;
                 node.group = 1;
             }),
-            Command::Deaf(names) => self.each(names, |node| node.deaf = true),
+            Command::RefuseConnections(names) => {
+                self.each(names, |node| node.refuses_connections = true)
+            }
             Command::Remember => self.0.remembered = self.0.core.get(self.0.now, KEY),
-            Command::Stale(names) => {
+            Command::ReadStale(names) => {
                 let (now, entry) = (self.0.now, self.0.remembered.clone());
                 self.each(names, |node| {
-                    node.assigner.read(now, now, entry.as_ref());
+                    node.assigner.on_read(now, now, entry.as_ref());
                 });
             }
-            Command::Granted => writeln!(output, "{}", self.0.granted())?,
+            Command::LastGrants => writeln!(output, "{}", self.0.last_grants())?,
             Command::Heal(names) => self.each(names, |node| {
-                node.service = true;
-                node.deaf = false;
-                node.blind = false;
+                node.has_service = true;
+                node.refuses_connections = false;
+                node.is_document_hidden = false;
                 node.group = 0;
             }),
-            Command::Down => self.0.up = false,
-            Command::Up => self.0.up = true,
-            Command::Lapse => self.0.lapse_all(),
+            Command::Down => self.0.is_service_up = false,
+            Command::Up => self.0.is_service_up = true,
+            Command::ExpireLeases => self.0.expire_all_leases(),
             Command::Drain(names) => names.iter().for_each(|name| self.0.drain(name)),
             Command::Lose { node, what } => {
                 let loss = match what.as_str() {
@@ -124,12 +126,14 @@
             }
             Command::RunUntilLate => {
                 for _ in 0..300 {
-                    if self.0.late.is_empty() {
+                    if self.0.late_writes.is_empty() {
                         self.0.step();
                     }
                 }
             }
-            Command::Arrive => writeln!(output, "took effect: {}", self.0.arrive())?,
+            Command::DeliverLate => {
+                writeln!(output, "took effect: {}", self.0.deliver_late_write())?
+            }
             Command::Show => writeln!(output, "{}", self.0.show())?,
         }
         Ok(output)
@@ -137,7 +141,7 @@
 }
 
 fn run(script: &str) {
-    goldenscript::run(&mut Runner(World::open()), format!("tests/scripts/owner/{script}")).unwrap();
+    goldenscript::run(&mut Runner(World::new()), format!("tests/scripts/owner/{script}")).unwrap();
 }
 
 #[test]
@@ -156,8 +160,8 @@
 }
 
 #[test]
-fn parted() {
-    run("parted");
+fn partitioned() {
+    run("partitioned");
 }
 
 #[test]
@@ -176,13 +180,13 @@
 }
 
 #[test]
-fn slow_return() {
-    run("slow_return");
+fn late_registration() {
+    run("late_registration");
 }
 
 #[test]
-fn two_in_doubt() {
-    run("two_in_doubt");
+fn two_possible_grantors() {
+    run("two_possible_grantors");
 }
 
 #[test]
--- a/crates/state/tests/world/mod.rs
+++ b/crates/state/tests/world/mod.rs
@@ -6,7 +6,7 @@
 
 use hickory_standin::store::Core;
 use hickory_state::assign::{Assigner, Options};
-use hickory_state::lease::{Call, Keeper, Reply};
+use hickory_state::lease::{Call, Registration, Reply};
 use hickory_state::member::{Info, Nodes, View};
 use hickory_state::owner::{Allowance, KEY};
 use hickory_state::plan::Plan;
@@ -32,17 +32,17 @@
 
 pub struct Node {
     pub assigner: Assigner,
-    keeper: Keeper,
-    pub alive: bool,
-    pub paused: bool,
+    registration: Registration,
+    pub is_alive: bool,
+    pub is_paused: bool,
     /// Whether it reaches the service.
-    pub service: bool,
+    pub has_service: bool,
     /// Nodes reach those of the same group.
     pub group: u32,
     /// It does not get the document, though it renews its lease.
-    pub blind: bool,
+    pub is_document_hidden: bool,
     /// New connections to it fail, though it runs.
-    pub deaf: bool,
+    pub refuses_connections: bool,
     pub loss: Option<Loss>,
     contact_since: Option<Instant>,
     nodes: Arc<Nodes>,
@@ -53,9 +53,9 @@
 pub struct World {
     pub now: Instant,
     pub core: Core,
-    pub up: bool,
+    pub is_service_up: bool,
     pub nodes: BTreeMap<String, Node>,
-    pub late: Vec<Write>,
+    pub late_writes: Vec<Write>,
     pub targets: Vec<id::Target>,
     /// Allowance granted lately, by target and node: when, and how much.
     grants: BTreeMap<(id::Target, String), Vec<(Instant, f64)>>,
@@ -66,13 +66,13 @@
 }
 
 impl World {
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self {
             now: Instant::now(),
             core: Core::default(),
-            up: true,
+            is_service_up: true,
             nodes: BTreeMap::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             targets: Vec::new(),
             grants: BTreeMap::new(),
             remembered: None,
@@ -96,14 +96,14 @@
             draining: false,
         };
         let node = Node {
-            assigner: Assigner::open(info.clone(), Options::of(PERMIT, TTL)),
-            keeper: Keeper::open(info, TTL, self.incarnations),
-            alive: true,
-            paused: false,
-            service: true,
+            assigner: Assigner::new(info.clone(), Options::new(PERMIT, TTL)),
+            registration: Registration::new(info, TTL, self.incarnations),
+            is_alive: true,
+            is_paused: false,
+            has_service: true,
             group: 0,
-            blind: false,
-            deaf: false,
+            is_document_hidden: false,
+            refuses_connections: false,
             loss: None,
             contact_since: None,
             nodes: Arc::default(),
@@ -125,37 +125,37 @@
         self.core.expire(self.now);
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
-            if self.nodes[name].alive && !self.nodes[name].paused {
+            if self.nodes[name].is_alive && !self.nodes[name].is_paused {
                 // Grants come first: a process that was paused knows nothing
                 // yet of what happened meanwhile.
                 self.grant(name);
-                self.talk_to_service(name);
+                self.call_service(name);
                 if self.steps.is_multiple_of(5) {
-                    self.talk_to_peers(name);
+                    self.exchange_with_peers(name);
                 }
-                self.act(name);
+                self.run_plan(name);
             }
         }
         self.check();
     }
 
     /// What the assigner is told of the registrations.
-    fn look(&mut self, name: &str) {
+    fn refresh_membership(&mut self, name: &str) {
         let now = self.now;
         if let Some(node) = self.nodes.get_mut(name) {
             let view = View {
                 nodes: node.nodes.clone(),
-                is_lease_valid: node.keeper.confirmed(now),
-                registered_at: node.keeper.registered_at(),
+                is_lease_valid: node.registration.is_valid(now),
+                registered_at: node.registration.registered_at(),
                 contact_since: node.contact_since,
-                draining: node.keeper.me().draining,
+                draining: node.registration.info().draining,
             };
-            node.assigner.see(now, view);
+            node.assigner.update_membership(now, view);
         }
     }
 
     fn grant(&mut self, name: &str) {
-        self.look(name);
+        self.refresh_membership(name);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
@@ -171,37 +171,37 @@
         }
     }
 
-    fn talk_to_service(&mut self, name: &str) {
+    fn call_service(&mut self, name: &str) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
-        if !(self.up && node.service) {
+        if !(self.is_service_up && node.has_service) {
             node.contact_since = None;
             return;
         }
         node.contact_since.get_or_insert(now);
-        while let Some(call) = node.keeper.next(now) {
+        while let Some(call) = node.registration.next_call(now) {
             let reply = match call {
                 Call::Grant(ttl) => Reply::Granted(Ok(self.core.grant(now, ttl))),
                 Call::Register(write) => Reply::Registered(self.core.write(now, write)),
                 Call::Renew(lease) => Reply::Renewed(self.core.renew(now, lease)),
             };
-            node.keeper.answered(now, now, reply);
+            node.registration.on_reply(now, now, reply);
         }
-        if node.blind {
+        if node.is_document_hidden {
             return;
         }
         node.assigner.set_targets(now, &self.targets);
         if node.read_at.replace(self.core.revision()) == Some(self.core.revision()) {
-            node.assigner.confirm(now);
+            node.assigner.confirm_document(now);
             return;
         }
         let entries = self.core.list(now, "nodes/").0;
         let infos = entries.iter().filter_map(|entry| {
             let info: Info = serde_json::from_str(&entry.value).ok()?;
-            if info.node == node.keeper.me().node {
-                node.keeper.see(info.incarnation, entry.revision);
+            if info.node == node.registration.info().node {
+                node.registration.observe(info.incarnation, entry.revision);
             }
             Some((info.node.clone(), info))
         });
@@ -209,17 +209,17 @@
         if nodes != *node.nodes {
             node.nodes = Arc::new(nodes);
         }
-        node.assigner.read(now, now, self.core.get(now, KEY).as_ref());
+        node.assigner.on_read(now, now, self.core.get(now, KEY).as_ref());
     }
 
     fn reaches(&self, from: &str, to: &str) -> bool {
         let (from, to) = (&self.nodes[from], &self.nodes[to]);
-        to.alive && !to.paused && from.group == to.group
+        to.is_alive && !to.is_paused && from.group == to.group
     }
 
     /// Each tells each that it reaches what it knows, and fetches the newer
     /// document.
-    fn talk_to_peers(&mut self, name: &str) {
+    fn exchange_with_peers(&mut self, name: &str) {
         let revision = self.nodes[name].assigner.revision();
         let peers: Vec<String> = self.nodes.keys().cloned().collect();
         for peer in peers.iter().filter(|peer| *peer != name) {
@@ -237,25 +237,25 @@
         }
     }
 
-    fn act(&mut self, name: &str) {
-        self.look(name);
+    fn run_plan(&mut self, name: &str) {
+        self.refresh_membership(name);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
         let Plan { probes, write } = node.assigner.plan(now);
         for info in probes {
-            let alive = self.nodes.contains_key(info.node.as_str())
+            let is_alive = self.nodes.contains_key(info.node.as_str())
                 && self.reaches(name, info.node.as_str())
-                && !self.nodes[info.node.as_str()].deaf;
+                && !self.nodes[info.node.as_str()].refuses_connections;
             if let Some(node) = self.nodes.get_mut(name) {
-                node.assigner.probed(now, &info, alive);
+                node.assigner.on_probe_result(now, &info, is_alive);
             }
         }
         if let Some((write, document)) = write {
             let result = self.write(name, write);
             if let Some(node) = self.nodes.get_mut(name) {
-                node.assigner.wrote(now, now, result, document);
+                node.assigner.on_write_result(now, now, result, document);
             }
         }
     }
@@ -265,35 +265,35 @@
         let Some(node) = self.nodes.get_mut(name) else {
             return unknown;
         };
-        let reached = self.up && node.service;
+        let is_reachable = self.is_service_up && node.has_service;
         match node.loss.take() {
-            _ if !reached => Err(Error::NotDone("down".into())),
+            _ if !is_reachable => Err(Error::NotDone("down".into())),
             None => self.core.write(self.now, write),
             Some(Loss::Answer) => self.core.write(self.now, write).and(unknown),
             Some(Loss::Call) => unknown,
             Some(Loss::Late) => {
-                self.late.push(write);
+                self.late_writes.push(write);
                 unknown
             }
         }
     }
 
     /// A late write takes effect, if it still may.
-    pub fn arrive(&mut self) -> bool {
-        let write = self.late.pop();
+    pub fn deliver_late_write(&mut self) -> bool {
+        let write = self.late_writes.pop();
         write.is_some_and(|write| self.core.write(self.now, write).is_ok())
     }
 
     /// Stops a node as planned: it says so, and hands its targets over.
     pub fn drain(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
-            node.keeper.set_draining();
+            node.registration.set_draining();
             node.assigner.release();
         }
     }
 
     /// The service loses all registrations and leases at once.
-    pub fn lapse_all(&mut self) {
+    pub fn expire_all_leases(&mut self) {
         for entry in self.core.list(self.now, "nodes/").0 {
             let write = Write { key: entry.key, value: None, expect: Expect::Any, lease: None };
             let _ = self.core.write(self.now, write);
@@ -309,8 +309,8 @@
         let (now, mut sums) = (self.now, BTreeMap::<&id::Target, f64>::new());
         for ((target, _), grants) in &mut self.grants {
             grants.retain(|(at, _)| now < *at + PERMIT);
-            let most = grants.iter().fold(0.0, |most: f64, (_, share)| most.max(*share));
-            *sums.entry(target).or_default() += most;
+            let max_share = grants.iter().fold(0.0, |max: f64, (_, share)| max.max(*share));
+            *sums.entry(target).or_default() += max_share;
         }
         let worst = sums.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
         let worst = worst.map(|(target, sum)| (target.clone(), sum));
@@ -325,15 +325,15 @@
     }
 
     /// Targets in full terms of a node that runs.
-    pub fn served(&mut self) -> usize {
+    pub fn count_full(&mut self) -> usize {
         let now = self.now;
-        let running = self.nodes.values_mut().filter(|node| node.alive && !node.paused);
+        let running = self.nodes.values_mut().filter(|node| node.is_alive && !node.is_paused);
         let owned = running.flat_map(|node| node.assigner.owned(now));
         owned.filter(|owned| owned.allowance == Allowance::Full).count()
     }
 
     /// What was granted in the last step.
-    pub fn granted(&self) -> String {
+    pub fn last_grants(&self) -> String {
         let now = self.now;
         let last = |grants: &Vec<(Instant, f64)>| grants.last().is_some_and(|(at, _)| *at == now);
         let lines = self.grants.iter().filter(|(_, grants)| last(grants));
@@ -345,8 +345,8 @@
         let now = self.now;
         let mut lines = Vec::new();
         for (name, node) in &mut self.nodes {
-            if !node.alive || node.paused {
-                lines.push(format!("{name} {}", if node.alive { "paused" } else { "dead" }));
+            if !node.is_alive || node.is_paused {
+                lines.push(format!("{name} {}", if node.is_alive { "paused" } else { "dead" }));
                 continue;
             }
             let owned = node.assigner.owned(now).into_iter().map(|owned| {
