--- a/crates/state/src/allowance.rs
+++ b/crates/state/src/allowance.rs
@@ -1,8 +1,8 @@
-//! What an owner may grant, so that two nodes which both take themselves for
-//! a target's owner never grant more than it bears between them.
+//! How much of a target's capacity an owner may grant, such that two nodes which both
+//! believe that they own the target never grant more than its capacity together.
 //!
-//! At any time at most one node holds full terms, and only while no other
-//! grants; an owner that can't confirm itself holds half, and so does its
+//! At any time at most one node has the full allowance, and only while no other node
+//! grants anything. An owner that can't confirm its ownership has half, and so has its
 //! successor until it knows that the predecessor has stopped.
 
 use crate::assign::{Acquisition, Assigner};
@@ -10,31 +10,30 @@
 use crate::table::{Entry, Holder};
 use std::time::{Duration, Instant};
 
-/// Longer between two looks at the clock than any busy process takes: it was
-/// paused.
+/// A longer time between two ticks means that the process was paused; a busy process
+/// doesn't reach it.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// When terms are looked at again that no certain time ends.
+/// When to decide again if the wait has no known end.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What this node knows of its own status.
+/// What this node knows about itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Status {
     /// Whether its lease is certainly valid.
     pub(crate) is_lease_valid: bool,
     /// When its registration was sent.
     pub(crate) registered_at: Option<Instant>,
-    /// When the service last confirmed the document, by when the call was
-    /// sent.
+    /// When the call was sent by which the service last confirmed the document.
     pub(crate) confirmed_at: Option<Instant>,
-    /// When any other node was heard.
+    /// When it last had contact with any other node.
     pub(crate) peer_heard_at: Option<Instant>,
     last_tick_at: Option<Instant>,
     resumed_at: Option<Instant>,
 }
 
 impl Status {
-    /// Notes the time; a leap in it is a pause of this process.
+    /// Records the time and detects pauses of this process.
     pub(crate) fn tick(&mut self, now: Instant) {
         let was_paused = self.last_tick_at.is_some_and(|at| at + PAUSE_THRESHOLD < now);
         if was_paused {
@@ -43,24 +42,25 @@
         self.last_tick_at = Some(now);
     }
 
-    /// Whether this node is certainly what the document says it is: its lease
-    /// is valid, and the service spoke lately. A takeover that was decided
-    /// while this node was lost may be written after it came back; the new
-    /// owner waits as long as a word counts here.
+    /// Whether this node certainly owns what the document says: its lease is valid, and
+    /// the service confirmed the document within `max_age`.
+    ///
+    /// A takeover that was decided while this node was lost may be written after it came
+    /// back. The new owner therefore waits for `max_age` as well.
     pub(crate) fn is_confirmed(&self, now: Instant, max_age: Duration) -> bool {
         self.is_lease_valid
             && self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + max_age)
     }
 
-    /// Whether the service or another node was heard since this process was
-    /// paused last.
+    /// Whether the service or another node has been in contact since the last pause of
+    /// this process.
     fn has_contact_since_pause(&self) -> bool {
         let last_contact = self.confirmed_at.max(self.peer_heard_at);
         self.resumed_at.is_none_or(|resumed| last_contact.is_some_and(|at| resumed <= at))
     }
 }
 
-/// The terms of a target that this node owns.
+/// Returns the allowance for a target that this node owns.
 pub(crate) fn decide(
     assigner: &Assigner,
     now: Instant,
@@ -68,9 +68,9 @@
     acquisition: &Acquisition,
 ) -> Allowance {
     let options = &assigner.options;
-    // Permits of the predecessor live for one permit's life. One that has not
-    // handed over may have come back before the takeover was written, and
-    // goes on until its word of the document is stale.
+    // Permits of the predecessor expire after `permit_ttl`. A predecessor that has not
+    // handed the target over may have come back before the takeover was written, and
+    // continues until its confirmation of the document expires.
     let predecessor_time =
         if entry.before.is_empty() { Duration::ZERO } else { options.max_document_age };
     let until = acquisition.at + predecessor_time + options.permit_ttl;
@@ -96,11 +96,11 @@
     }
 }
 
-/// Whether this node hears none of the others, though there are some.
+/// Whether this node has no contact with any other node, although there are some.
 ///
-/// Failure: a node loses the service and all peers, but not its targets and
-/// callers. Others take its targets over, and it never learns of it. While
-/// the platform is down but the nodes hear each other, owners go on.
+/// It handles a node that loses the service and all peers, but not its targets and
+/// callers: others take its targets over, and it doesn't learn of it. While the service
+/// is down but the nodes have contact with each other, owners continue.
 fn is_alone(assigner: &Assigner, now: Instant) -> bool {
     let local = &assigner.info.node;
     let has_others = assigner.nodes.keys().chain(assigner.missing.keys()).any(|node| node != local);
@@ -111,8 +111,8 @@
     has_others && !has_peer_contact
 }
 
-/// Whether a former owner certainly grants nothing any more, and no permit of
-/// it can be used.
+/// Whether a former owner certainly grants nothing more, and all its permits have
+/// expired.
 pub(crate) fn is_gone(
     assigner: &Assigner,
     now: Instant,
@@ -123,14 +123,14 @@
     stopped.is_some_and(|at| *at + assigner.options.permit_ttl <= now)
 }
 
-/// Whether a former owner has stopped granting by `now`.
+/// Whether a former owner has certainly stopped granting at `now`.
 pub(crate) fn has_stopped(
     assigner: &Assigner,
     now: Instant,
     holder: &Holder,
     acquisition: &Acquisition,
 ) -> bool {
-    // A later process of its name runs.
+    // A later process with its name is running.
     let present = assigner.nodes.get(&holder.node);
     if present.is_some_and(|info| info.incarnation != holder.incarnation) {
         return true;
@@ -144,9 +144,11 @@
         || is_cut_off(assigner, now, holder, acquisition)
 }
 
-/// Whether a former owner, if it still runs, has stopped because it hears
-/// nobody: it is the only node that is missing, so every node it may hear
-/// knows this document and has told it, and without any it stops.
+/// Whether a former owner, if it is still running, has stopped for lack of contact with
+/// other nodes.
+///
+/// That holds if it is the only missing node: every node that could contact it knows this
+/// document and would pass it on, and without any contact it stops.
 fn is_cut_off(
     assigner: &Assigner,
     now: Instant,
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -1,9 +1,9 @@
-//! Who owns which target: the decisions of one node, without input or output.
+//! Assignment of targets to owners: the decisions of one node, without input or output.
 //!
-//! There is no leader. Each node sees the same document and registrations,
-//! works out its rank for a target that lost its owner, and waits by rank, so
-//! that one node writes and the rest see it done. The document's
-//! compare-and-swap decides between two that write at once.
+//! There is no leader. Each node sees the same document and registrations, computes its
+//! rank for a target that lost its owner, and waits in proportion to its rank, so that
+//! one node writes and the others see the result. If two nodes write at once, the
+//! compare-and-swap on the document decides.
 
 use crate::allowance::{self, Status};
 use crate::member::{Info, Nodes, View};
@@ -15,42 +15,44 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Times of ownership.
+/// Timing parameters of ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The life of a permit.
+    /// Lifetime of a permit.
     pub permit_ttl: Duration,
-    /// How long the service's last word on the document counts: two watches
-    /// of [`crate::owner`], the widest spread between them, and a slow call.
+    /// How long a confirmation of the document by the service counts: two watches of
+    /// [`crate::owner`], the largest jitter between them, and a slow call.
     pub max_document_age: Duration,
-    /// How long an owner without a valid lease goes on without hearing any
-    /// other node.
+    /// How long an owner without a valid lease continues without contact with any other
+    /// node.
     pub isolation_timeout: Duration,
-    /// Between the turns of two ranks: longer than a write and the watches
-    /// that tell of it take, so that the second rank finds it done.
+    /// Delay between the takeover attempts of two consecutive ranks. It is longer than a
+    /// write and the watches that report it, so that the second rank sees the result of
+    /// the first.
     pub rank_delay: Duration,
-    /// Before the first turn for a target without any owner, so that nodes
+    /// Delay before the first takeover of a target that never had an owner, so that nodes
     /// which start together see each other.
     pub startup_delay: Duration,
-    /// After this node's own registration, or after the service was away,
-    /// before a node counts as lost: all leases may have lapsed at once, and
-    /// each node needs a while to register anew.
+    /// Time after this node's own registration, or after an outage of the service, before
+    /// another node counts as lost. All leases may have expired at once, and nodes need
+    /// time to register again.
     pub grace_period: Duration,
-    /// How long a probe's answer counts.
+    /// How long the result of a probe counts.
     pub probe_validity: Duration,
-    /// How long a node must have been registered before targets move to it.
+    /// How long a node must have been registered before targets are moved to it.
     pub min_registered_time: Duration,
-    /// Between two targets that this node moves.
+    /// Minimum interval between two targets that this node moves.
     pub move_interval: Duration,
-    /// After this time without a lease a node counts as gone for good, though
-    /// nothing else says so. Longer than regions lose each other.
+    /// After this time without a lease a node counts as gone, even if nothing else shows
+    /// it. It is longer than network partitions between regions last.
     pub lost_timeout: Duration,
-    /// How long a target must be off the host list before it is forgotten.
+    /// How long a target must be off the host list before it is removed from the
+    /// document.
     pub forget_delay: Duration,
 }
 
 impl Options {
-    /// The times for a life of permits and a time to live of leases.
+    /// Returns the parameters for a lifetime of permits and a time to live of leases.
     pub fn new(permit_ttl: Duration, ttl: Duration) -> Self {
         Self {
             permit_ttl,
@@ -68,13 +70,13 @@
     }
 }
 
-/// A node that was registered and is not any more.
+/// A node that was registered and no longer is.
 #[derive(Clone, Debug)]
 pub(crate) struct Missing {
     pub(crate) info: Info,
     pub(crate) since: Instant,
-    /// Whether this node and that one were registered at the same time, so
-    /// that it knows it is not the only one.
+    /// Whether this node and the missing one were registered at the same time, so that
+    /// the missing one knows of other nodes.
     pub(crate) has_met: bool,
 }
 
@@ -85,15 +87,16 @@
     pub(crate) is_alive: bool,
 }
 
-/// A target of this node, since when.
+/// A target that this node owns according to the document.
 #[derive(Clone, Debug)]
 pub(crate) struct Acquisition {
     pub(crate) epoch: id::Epoch,
-    /// When this node learnt of it.
+    /// When this node learned of it.
     pub(crate) at: Instant,
-    /// The revision that told it.
+    /// The revision of the document that assigned it.
     pub(crate) revision: Revision,
-    /// Former owners that have stopped granting, since when at the latest.
+    /// Former owners that have stopped granting, with the time at which this became
+    /// known.
     pub(crate) stopped: BTreeMap<Holder, Instant>,
 }
 
@@ -104,7 +107,7 @@
     pub(crate) options: Options,
     pub(crate) document: Document,
     pub(crate) revision: Revision,
-    /// The service has no document.
+    /// Whether the service has no document.
     pub(crate) is_absent: bool,
     pub(crate) status: Status,
     pub(crate) targets: BTreeSet<id::Target>,
@@ -115,21 +118,21 @@
     pub(crate) unowned_since: BTreeMap<id::Target, Instant>,
     pub(crate) unlisted_since: BTreeMap<id::Target, Instant>,
     pub(crate) probe_results: BTreeMap<id::Node, ProbeResult>,
-    /// Probes that are under way, since when.
+    /// Probes without a result yet, with their start times.
     pub(crate) probes_in_flight: BTreeMap<id::Node, Instant>,
-    /// The revisions that other nodes know.
+    /// The revisions of the document that other nodes know.
     pub(crate) peer_revisions: BTreeMap<id::Node, Revision>,
     pub(crate) acquired: BTreeMap<id::Target, Acquisition>,
-    /// Targets that a write gives away whose fate is not known.
+    /// Targets that an unresolved write assigns to other nodes.
     pub(crate) transferring: BTreeSet<id::Target>,
-    /// A write got no answer and may still take effect.
+    /// Whether a write got no reply and may still take effect.
     pub(crate) has_unresolved_write: bool,
     pub(crate) is_releasing: bool,
     pub(crate) last_move_at: Option<Instant>,
 }
 
 impl Assigner {
-    /// A node that knows nothing yet.
+    /// Creates an assigner that knows no document and no other node.
     pub fn new(info: Info, options: Options) -> Self {
         Self {
             info,
@@ -156,23 +159,23 @@
         }
     }
 
-    /// Who owns a target.
+    /// Returns the owner of a target.
     pub fn owner(&self, target: &id::Target) -> Option<Owner> {
         let entry = self.document.owners.get(target)?;
         Some(Owner { node: entry.holder.node.clone(), epoch: entry.epoch })
     }
 
-    /// The document known.
+    /// Returns the document known.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// The revision of the document known.
+    /// Returns the revision of the document known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The targets of this node, with what may be granted at `now`.
+    /// Returns the targets of this node with their allowances at `now`.
     pub fn owned(&mut self, now: Instant) -> Vec<Owned> {
         self.tick(now);
         let owned = self.acquired.iter().filter(|(target, _)| !self.transferring.contains(*target));
@@ -185,12 +188,12 @@
             .collect()
     }
 
-    /// Whether no target is this node's.
+    /// Whether this node owns no target.
     pub fn has_no_targets(&self) -> bool {
         self.acquired.is_empty()
     }
 
-    /// Names the targets on the host list.
+    /// Sets the targets on the host list.
     pub fn set_targets(&mut self, now: Instant, targets: &[id::Target]) {
         self.targets = targets.iter().cloned().collect();
         for target in self.document.owners.keys() {
@@ -202,12 +205,12 @@
         }
     }
 
-    /// From now on all targets of this node are given away.
+    /// From now on plans hand all targets of this node over.
     pub fn release(&mut self) {
         self.is_releasing = true;
     }
 
-    /// Takes what is known of the registrations.
+    /// Updates the state of the membership.
     pub fn update_membership(&mut self, now: Instant, view: View) {
         self.status.is_lease_valid = view.is_lease_valid;
         self.status.registered_at = view.registered_at;
@@ -230,7 +233,8 @@
         }
     }
 
-    /// Takes the document from the service, whose call was sent at `sent`.
+    /// Processes the document from the service, read by a call that was sent at `sent`;
+    /// returns whether it changed.
     pub fn on_read(&mut self, now: Instant, sent: Instant, entry: Option<&store::Entry>) -> bool {
         let Some(entry) = entry else {
             self.is_absent = true;
@@ -241,37 +245,37 @@
             return false;
         };
         self.is_absent = false;
-        // A replica that lags tells nothing of the present.
+        // A read from a lagging replica doesn't confirm the document.
         if entry.revision >= self.revision {
             self.status.confirmed_at = Some(sent);
         }
         self.adopt(now, entry.revision, document)
     }
 
-    /// Notes that the service confirmed the document known.
+    /// Records that the service confirmed the document known.
     pub fn confirm_document(&mut self, sent: Instant) {
         self.status.confirmed_at = Some(sent);
     }
 
-    /// Takes the document from a peer.
+    /// Applies the document from a peer if its revision is higher.
     pub fn apply_if_newer(&mut self, now: Instant, revision: Revision, document: Document) -> bool {
         self.adopt(now, revision, document)
     }
 
-    /// Notes that a node was heard, with the revision that it knows.
+    /// Records contact with a node and the revision of the document that it knows.
     pub fn record_peer_revision(&mut self, now: Instant, node: &id::Node, revision: Revision) {
         self.status.peer_heard_at = Some(now);
         self.peer_revisions.insert(node.clone(), revision);
     }
 
-    /// Takes the answer to a probe.
+    /// Processes the result of a probe.
     pub fn on_probe_result(&mut self, now: Instant, info: &Info, is_alive: bool) {
         self.probes_in_flight.remove(&info.node);
         let result = ProbeResult { incarnation: info.incarnation, at: now, is_alive };
         self.probe_results.insert(info.node.clone(), result);
     }
 
-    /// Adopts a document with a higher revision only: nothing reverts.
+    /// Adopts a document only if its revision is higher, so that ownership never reverts.
     fn adopt(&mut self, now: Instant, revision: Revision, document: Document) -> bool {
         if revision <= self.revision {
             return false;
@@ -291,8 +295,8 @@
         true
     }
 
-    /// Notes the time, and which former owners have stopped by now. Once known
-    /// it stays known, whatever becomes of them later.
+    /// Records the time, and which former owners have stopped by now. This is kept,
+    /// whatever happens to them later.
     pub(crate) fn tick(&mut self, now: Instant) {
         self.status.tick(now);
         let mut found = Vec::new();
@@ -311,7 +315,7 @@
         }
     }
 
-    /// Takes the answer to the write of a plan, sent at `sent`.
+    /// Processes the reply to the write of a plan that was sent at `sent`.
     pub fn on_write_result(
         &mut self,
         now: Instant,
@@ -329,8 +333,8 @@
                 self.resolve_write();
                 self.on_read(now, sent, entry.as_ref())
             }
-            // It may yet take effect: what it gives away stays given, and the
-            // next plan writes under the same condition, which settles it.
+            // The write may still take effect. Its transfers remain in force on this
+            // node, and the next plan writes under the same condition, which resolves it.
             Err(Error::Unknown(_)) => {
                 self.has_unresolved_write = true;
                 false
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -1,10 +1,10 @@
-//! The claim ledger: a request that must not run twice is claimed by
-//! compare-and-swap before its first byte goes to a target.
+//! The claim ledger: a request that must not run twice is claimed by compare-and-swap
+//! before its first byte is sent to a target.
 //!
-//! A claim stays in the ledger for as long as any node accepts its key, so
-//! that no second one is ever granted unless the first was stored as not run.
-//! The decisions stand in [`crate::group_commit`] and [`crate::page`]; here are the
-//! tasks that make the calls, one for each page in use.
+//! A claim stays in the ledger for as long as any node accepts its key, so that a second
+//! one is granted only if the first was stored as not run. The decisions are made in
+//! [`crate::group_commit`] and [`crate::page`]; this module has the tasks that make the
+//! calls, one for each page in use.
 
 use crate::group_commit::{Call, Completion, GroupCommit, Reply, Ticket};
 use crate::page::{Name, SHARD_COUNT, find_page};
@@ -19,54 +19,53 @@
 use tokio::sync::{Notify, oneshot};
 use uuid::Uuid;
 
-/// A page that nobody asks for is forgotten after this time, to bound memory.
+/// A page without operations is dropped after this time, to bound memory.
 const PAGE_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Bounds between two looks at the deadlines while a call is open: new claims
-/// may have come with an earlier one.
+/// Bounds of the interval between two checks of the deadlines while a call is in flight:
+/// new claims with earlier deadlines may have arrived.
 const MIN_TICK: Duration = Duration::from_millis(5);
 const MAX_TICK: Duration = Duration::from_millis(50);
 
 /// Why the ledger can't tell whether a request with this key has run.
 #[derive(Clone, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum LedgerError {
-    /// The ledger could not be read. This node sends nothing, but an earlier
-    /// attempt with the same key may have run.
+    /// The ledger could not be read. This node sends nothing, but an earlier attempt with
+    /// the same key may have run.
     #[display("the ledger can't be read: {_0}")]
     ReadFailed(String),
-    /// The claim's write got no answer. This node sends nothing.
+    /// The write of the claim got no reply. This node sends nothing.
     #[display("no answer to the claim: {_0}")]
     Unanswered(String),
-    /// The page takes no more claims. This node sends nothing.
+    /// The page accepts no more claims. This node sends nothing.
     #[display("the page of the ledger is full")]
     PageFull,
 }
 
 /// The answer to a claim.
 ///
-/// "Not run" is said of the key, over all its attempts, since that is what a
-/// caller acts on: told so, it may place the order anew under another key.
-/// Hence a ledger that can't be read answers [`Answer::Unknown`], though this
-/// node certainly sends nothing: an earlier attempt, whose answer the caller
-/// lost, may have run.
+/// "Not run" refers to the key, over all its attempts, because a caller that gets it may
+/// send the request again under another key. If the ledger can't be read the answer is
+/// therefore [`Answer::Unknown`]: this node sends nothing, but an earlier attempt, whose
+/// answer the caller lost, may have run.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// This node alone may send it, once, while [`Claim::can_send`] holds.
+    /// Only this node may send the request, once, while [`Claim::can_send`] returns
+    /// `true`.
     Granted(Claim),
-    /// The key was claimed before; refused as `ran: unknown`, or answered
-    /// with the outcome where one is stored.
+    /// The key was claimed before. The request is refused as `ran: unknown`, or answered
+    /// with the outcome if one is stored.
     Repeated {
         /// The stored outcome.
         outcome: Option<Outcome>,
     },
-    /// The key was used with another content; this content has not run.
+    /// The key was used with different content; this content has not run.
     Reused,
-    /// The key is older than the ledger keeps, or lies in the future:
-    /// `ran: unknown`. The page of an old key may be gone with its claim; a
-    /// key too early for this node's clock may have been fit for another's.
+    /// The key is older than the ledger's retention, or in the future: `ran: unknown`.
+    /// The page of an old key may be gone with its claim; a key that is too early for
+    /// this node's clock may have been valid by another node's clock.
     TooOld,
-    /// No attempt with this key had begun, and this one never will:
-    /// `ran: no`.
+    /// No attempt with this key has begun, and this one never will: `ran: no`.
     NotDone(String),
     /// `ran: unknown`.
     Unknown(LedgerError),
@@ -86,20 +85,20 @@
         Self { key, id, send_by, is_used: Arc::default() }
     }
 
-    /// The idempotency key.
+    /// Returns the idempotency key.
     pub fn key(&self) -> Uuid {
         self.key
     }
 
-    /// Names the claim.
+    /// Returns the id of the claim.
     pub fn id(&self) -> Uuid {
         self.id
     }
 
     /// Whether the request may still be sent under this claim.
     ///
-    /// Failure: the process stands still between its claim and the send; its
-    /// caller has long been refused when it goes on. It must not run then.
+    /// It may not if the process was paused between the claim and the send: by then the
+    /// caller has been refused, and the request must not run.
     pub fn can_send(&self, now: Instant) -> bool {
         now < self.send_by && !self.is_used.load(Ordering::SeqCst)
     }
@@ -108,7 +107,8 @@
         self.is_used.store(true, Ordering::SeqCst);
     }
 
-    /// Takes the one leave to send; `true` at most once for all clones.
+    /// Uses the claim's single permission to send; returns `true` at most once over all
+    /// clones.
     pub fn try_begin_send(&self, now: Instant) -> bool {
         now < self.send_by && !self.is_used.swap(true, Ordering::SeqCst)
     }
@@ -128,11 +128,11 @@
     node: id::Node,
     options: Options,
     shards: Vec<Mutex<BTreeMap<u64, Slot>>>,
-    /// One lease a minute serves the pages of all shards.
+    /// One lease per minute, shared by the pages of all shards.
     leases: Mutex<BTreeMap<u64, Lease>>,
 }
 
-/// The ledger.
+/// The claim ledger.
 #[derive(Debug)]
 pub struct Ledger<S, C> {
     inner: Arc<Inner<S, C>>,
@@ -149,17 +149,17 @@
 }
 
 impl<S: Store, C: Clock> Ledger<S, C> {
-    /// Opens the ledger; `me` names this node in the logs.
+    /// Creates a ledger; `node` names this node in the logs.
     pub fn new(store: S, clock: C, node: id::Node, options: Options) -> Self {
         let shards = (0..SHARD_COUNT).map(|_| Mutex::default()).collect();
         let leases = Mutex::default();
         Self { inner: Arc::new(Inner { store, clock, node, options, shards, leases }) }
     }
 
-    /// Claims a key for a request with the fingerprint given. Ends at
-    /// `deadline`, or at the end of the send window, at the latest.
+    /// Claims a key for a request with the given fingerprint. Returns at `deadline` or at
+    /// the end of the send window at the latest.
     pub async fn claim(&self, key: Uuid, fingerprint: u64, deadline: Instant) -> Answer {
-        // The monotonic time is taken first: see `GroupCommit::claim`.
+        // The monotonic clock is read before the wall clock: see `GroupCommit::claim`.
         let now = self.inner.clock.now();
         let name = match find_page(key, self.inner.clock.wall_ms(), &self.inner.options) {
             Ok(name) => name,
@@ -177,9 +177,9 @@
         }
     }
 
-    /// Stores how a claimed request ended. [`Outcome::NotRun`] only where no
-    /// byte of it certainly went to a target; nothing may be sent under the
-    /// claim afterwards, whatever this returns.
+    /// Stores how a claimed request ended. [`Outcome::NotRun`] requires that certainly no
+    /// byte was sent to a target. Nothing may be sent under the claim afterwards,
+    /// whatever this returns.
     pub async fn settle(&self, claim: &Claim, outcome: Outcome) -> Result<(), LedgerError> {
         claim.mark_used();
         let now = self.inner.clock.now();
@@ -218,7 +218,7 @@
     }
 }
 
-/// What a page's task does next.
+/// The next step of a page's task.
 enum Step {
     Call(Call),
     Wait(Duration),
@@ -226,7 +226,7 @@
 }
 
 impl<S: Store, C: Clock> Inner<S, C> {
-    /// Serves one page until nobody asks for it any more.
+    /// Serves one page until it has been idle for a while.
     async fn run(self: Arc<Self>, name: Name, notify: Arc<Notify>) {
         let mut idle_since = self.clock.now();
         loop {
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Makes a call; meanwhile refuses what passes its deadline, so that a
-    /// slow service delays no caller beyond it.
+    /// Makes a call. Meanwhile it completes operations that pass their deadline, so that
+    /// a slow service delays no caller beyond it.
     async fn serve_call(&self, name: Name, call: Call) {
         let call = self.call(name, call);
         tokio::pin!(call);
@@ -260,7 +260,8 @@
         }
     }
 
-    /// Refuses what has passed its deadline; returns how long until the next.
+    /// Completes operations that passed their deadline; returns the time until the next
+    /// check.
     fn tick(&self, name: Name) -> Duration {
         let mut shard = lock(&self.shards[usize::from(name.shard)]);
         let now = self.clock.now();
@@ -292,8 +293,8 @@
             let wake = slot.group.next_wakeup().unwrap_or(now);
             return Step::Wait(wake.saturating_duration_since(now));
         }
-        // A page that vanished before its time is remembered, so that no
-        // claim is granted again on the empty one that would take its place.
+        // A page that was lost early is remembered, so that no claim is granted again on
+        // the empty page that would take its place.
         let keep = if slot.group.is_page_lost() {
             name.ttl(self.clock.wall_ms(), &self.options)
         } else {
@@ -338,7 +339,8 @@
             let Some(waiter) = self.waiters.remove(&ticket) else {
                 continue;
             };
-            // The asker is gone and will never send: a resend may claim anew.
+            // The caller is gone and won't send the request: a resend may claim the key
+            // again.
             if let Err(Completion::Claimed(Answer::Granted(claim))) = waiter.send(completion) {
                 self.group.settle(now, &claim, Outcome::NotRun);
             }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,6 +1,8 @@
-//! The configuration: one head key, changed by compare-and-swap on its
-//! version, followed by a watch, and taken from peers while the service is
-//! down. The decisions stand in [`crate::head`].
+//! The configuration: one key of the service (the head key), changed by compare-and-swap
+//! on its version and followed by a watch. While the service is down, nodes get it from
+//! peers.
+//!
+//! The decisions are made in [`crate::head`].
 
 use crate::follow::{self, Follower};
 use crate::head::{Acceptance, Call, Reply, supersedes};
@@ -17,34 +19,35 @@
 /// The head key.
 pub const KEY: &str = "configuration";
 
-/// Watches of the head key: one call in ten seconds and node at rest.
+/// Watches of the head key. Without changes each node makes one such call every ten
+/// seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const WATCH_JITTER: Duration = Duration::from_millis(500);
 
-/// Why a note was not accepted.
+/// Why a release note was not accepted.
 #[derive(Clone, Debug, derive_more::Display, PartialEq)]
 pub enum Rejection {
-    /// It was written against another version; the present one is given.
+    /// The note was written against a version other than the current one.
     #[display("the configuration has version {}", present.version)]
     Conflict {
         /// The configuration in force.
         present: Box<Configuration>,
     },
-    /// It is invalid; all findings are given.
+    /// The note is invalid; contains all findings.
     #[display("{} findings", _0.len())]
     Invalid(Vec<Finding>),
-    /// It certainly did not take effect.
+    /// The change certainly did not take effect.
     #[display("not done: {_0}")]
     NotDone(String),
-    /// It may have taken effect. Sent again with the same operation id, it is
-    /// accepted at most once.
+    /// The change may have taken effect. A note that is sent again with the same
+    /// operation id is applied at most once.
     #[display("no answer: {_0}")]
     Unknown(String),
 }
 
 impl std::error::Error for Rejection {}
 
-/// Keeps the configuration in force.
+/// Follows the configuration in force and accepts release notes.
 #[derive(Clone, Debug)]
 pub struct Manager<S, C> {
     store: S,
@@ -53,7 +56,7 @@
 }
 
 impl<S: Store, C: Clock> Manager<S, C> {
-    /// Reads the configuration and follows it.
+    /// Starts to follow the configuration.
     pub fn spawn(store: S, clock: C) -> Self {
         let (current, _) = watch::channel(None);
         let manager = Self { store, clock, current };
@@ -61,19 +64,19 @@
         manager
     }
 
-    /// The configuration in force; `None` while none is known, when this node
-    /// is not ready to serve.
+    /// Returns the configuration in force; `None` until one is known, during which time
+    /// this node is not ready to serve.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.borrow().clone()
     }
 
-    /// Told of each change.
+    /// Returns a receiver of the changes of [`Manager::current`].
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<Configuration>>> {
         self.current.subscribe()
     }
 
-    /// Applies a configuration, from a peer or the service, where its version
-    /// is higher.
+    /// Applies a configuration from a peer or the service if its version is higher than
+    /// the current one; returns whether it did.
     pub fn apply_if_newer(&self, configuration: Configuration) -> bool {
         self.current.send_if_modified(|current| {
             let newer = supersedes(&configuration, current.as_deref());
@@ -85,7 +88,7 @@
         })
     }
 
-    /// Accepts a release note, within some five seconds.
+    /// Accepts a release note, or rejects it after about five seconds.
     pub async fn accept(&self, note: &Note) -> Result<Arc<Configuration>, Rejection> {
         let mut note = note.clone();
         if note.operation.is_empty() {
--- a/crates/state/src/follow.rs
+++ b/crates/state/src/follow.rs
@@ -1,7 +1,6 @@
-//! Following keys of the service: list once, then watch.
+//! Following keys of the service: one list call, then watches from its revision on.
 //!
-//! [`Follower`] decides the next call and keeps the view; [`run`] makes the
-//! calls.
+//! [`Follower`] decides the next call and keeps the entries; [`run`] makes the calls.
 
 use crate::retry::Backoff;
 use hickory_store::store::{Batch, Entry, Error, Revision, Store};
@@ -9,69 +8,70 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Pauses after failures, from the first to the longest. The longest is what a
-/// restarted node may miss of the service's return.
+/// Minimum and maximum retry delay after a failed call. The maximum bounds how late a
+/// node notices that the service is back.
 const FAILURE_DELAYS: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(700));
 
-/// How far watches are spread after a change, for each node of the fleet: a key that
-/// changes all the time leaves room for other reads.
+/// Jitter before the next watch after a change, for each node of the fleet. It limits the
+/// read load of a key that changes all the time, so that other reads get through.
 const JITTER_PER_NODE: Duration = Duration::from_micros(2_200);
 
-/// Between two lists, though the watch reports nothing amiss: whatever a
-/// watch has missed is found by then.
+/// Interval between two list calls. A change that a watch has silently missed is found by
+/// the next list.
 const LIST_INTERVAL: Duration = Duration::from_secs(300);
 
-/// What is followed, and how.
+/// Which keys are followed, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The prefix of the keys.
+    /// The prefix of the followed keys.
     pub prefix: String,
-    /// How long a watch may wait. Bounded, since one whose connection went
-    /// silent would otherwise never end, and since its end confirms the view.
+    /// How long one watch call may wait for changes. It is bounded because a watch on a
+    /// connection that went silent would otherwise never end, and because the end of a
+    /// watch confirms the entries.
     pub watch_timeout: Duration,
-    /// Watches go out again at random within this time after a change.
+    /// After a change the next watch is sent at a random time within this duration.
     ///
-    /// Load pattern: all nodes' watches end at one change. They come back spread, and
-    /// take the next changes together.
+    /// A change ends the watches of all nodes at once. The jitter spreads their next
+    /// calls, and one call then returns several changes.
     pub jitter: Duration,
 }
 
 /// A call to the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Read all keys.
+    /// Read all keys with the prefix.
     List,
     /// Wait for changes.
     Watch {
-        /// Changes after this revision.
+        /// Only changes after this revision.
         after: Revision,
-        /// How long to wait.
+        /// How long to wait for a change.
         wait: Duration,
     },
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To [`Call::List`].
+    /// The reply to [`Call::List`].
     Listed(Result<(Vec<Entry>, Revision), Error>),
-    /// To [`Call::Watch`].
+    /// The reply to [`Call::Watch`].
     Watched(Result<Batch, Error>),
 }
 
-/// What an answer brought.
+/// The effect of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// Whether the view changed.
+    /// Whether the entries changed.
     pub is_changed: bool,
-    /// Whether the service confirmed the view.
+    /// Whether the service confirmed that the entries are up to date.
     pub is_confirmed: bool,
     /// How long to wait before the next call.
     pub delay: Duration,
 }
 
-/// The view of the keys with a prefix.
+/// A local copy of the keys with a prefix, kept up to date by list and watch calls.
 #[derive(Clone, Debug)]
 pub struct Follower {
     options: Options,
@@ -82,34 +82,33 @@
 }
 
 impl Follower {
-    /// A view of nothing.
+    /// Creates a follower without any entries.
     pub fn new(options: Options, seed: u64) -> Self {
         let backoff = Backoff::new(FAILURE_DELAYS.0, FAILURE_DELAYS.1, seed);
         Self { options, entries: BTreeMap::new(), revision: Revision(0), listed_at: None, backoff }
     }
 
-    /// The keys as last seen.
+    /// Returns the entries as last read.
     pub fn entries(&self) -> &BTreeMap<String, Entry> {
         &self.entries
     }
 
-    /// The revision of the service that the view is of.
+    /// Returns the revision of the service that the entries reflect.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes the size of the fleet: the larger, the wider its watches are
-    /// spread after a change.
+    /// Sets the number of nodes; the jitter after a change grows with it.
     pub fn set_fleet_size(&mut self, nodes: usize) {
         self.options.jitter = self.options.jitter.max(JITTER_PER_NODE * nodes as u32);
     }
 
-    /// Changes how far watches are spread after a change, from the next one on.
+    /// Sets the jitter that applies from the next change on.
     pub fn set_jitter(&mut self, jitter: Duration) {
         self.options.jitter = jitter;
     }
 
-    /// The next call.
+    /// Returns the next call.
     pub fn next_call(&self, now: Instant) -> Call {
         match self.listed_at {
             Some(at) if now < at + LIST_INTERVAL => {
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Takes the answer to a call.
+    /// Processes the reply to a call.
     pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Step {
         match reply {
             Reply::Listed(Ok((entries, revision))) if revision >= self.revision => {
@@ -142,8 +141,8 @@
                 let is_changed = changes.fold(false, |any, one| any | one);
                 self.step(is_changed)
             }
-            // An answer from before what was seen already comes from a replica
-            // that lags: it neither changes nor confirms anything.
+            // A reply that is older than what was read before comes from a lagging
+            // replica: it neither changes nor confirms the entries.
             _ => Step { is_changed: false, is_confirmed: false, delay: self.backoff.next_delay() },
         }
     }
@@ -169,8 +168,9 @@
     }
 }
 
-/// Follows until `on_step` says to stop. It is told of each step, with the time
-/// at which the call was sent: what the answer says held then or later.
+/// Makes the follower's calls until `on_step` returns `false`. `on_step` gets each step
+/// and the time at which its call was sent: what the reply says was true at that time or
+/// later.
 pub async fn run<S: Store, C: Clock>(
     store: S,
     clock: C,
--- a/crates/state/src/group_commit.rs
+++ b/crates/state/src/group_commit.rs
@@ -1,8 +1,8 @@
 //! Group commit on one page of the ledger, without input or output.
 //!
-//! A [`GroupCommit`] collects what this node wants to change on a page, names the
-//! next call to the service and takes its answer. One call is open at a time;
-//! what comes meanwhile goes into the next write together.
+//! A [`GroupCommit`] collects the operations of this node on a page, decides the next
+//! call to the service and processes its reply. One call is in flight at a time;
+//! operations that arrive meanwhile share the next write.
 
 use crate::claim::{Answer, Claim, LedgerError};
 use crate::operation::{Decision, Operation, Task};
@@ -12,17 +12,17 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// The waits after a lost race and after a failed call: a race is won within
-/// a few round trips, an outage takes longer.
+/// Minimum and maximum retry delays after a conflict and after a failed call: a conflict
+/// is resolved within a few round trips, an outage takes longer.
 const RACE_DELAYS: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(100));
 const FAILURE_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-/// A page known for longer is read before it is written: others write it in turn, so
-/// a write on what is known from the last one would mostly be lost and made again,
-/// and the service bears several times more reads than writes.
+/// A page that was read earlier is read again before it is written. Other nodes write it
+/// too, so most writes based on an older read would conflict, and the service handles
+/// several times more reads than writes.
 const MAX_PAGE_AGE: Duration = Duration::from_millis(25);
 
-/// Names something asked of a group.
+/// Identifies an operation of a group commit.
 pub type Ticket = u64;
 
 /// A call to the service.
@@ -30,46 +30,46 @@
 pub enum Call {
     /// Read the page.
     Get,
-    /// Open a lease for the page.
+    /// Open a lease for the page with this time to live.
     Grant(Duration),
     /// Write the page.
     Write(Write),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To [`Call::Get`].
+    /// The reply to [`Call::Get`].
     Got(Result<Option<Entry>, Error>),
-    /// To [`Call::Grant`].
+    /// The reply to [`Call::Grant`].
     Granted(Result<Lease, Error>),
-    /// To [`Call::Write`].
+    /// The reply to [`Call::Write`].
     Wrote(Result<Revision, Error>),
 }
 
-/// The end of something asked of a group.
+/// The result of an operation.
 #[derive(Clone, Debug)]
 pub enum Completion {
-    /// Of a claim.
+    /// The result of a claim.
     Claimed(Answer),
-    /// Of an outcome to be stored.
+    /// The result of storing an outcome.
     Settled(Result<(), LedgerError>),
 }
 
-/// What is known of the page in the service.
+/// What this node knows of the page in the service.
 #[derive(Clone, Debug)]
 enum KnownPage {
     Unread,
     Absent,
     Present(Revision, Page),
-    /// It was there and is gone: what it held is not known any more.
+    /// The page existed and was lost; what it contained is no longer known.
     Lost,
 }
 
-/// The open write.
+/// The write in flight.
 #[derive(Clone, Debug)]
 struct PendingWrite {
-    /// The operations in it; set for those that store an outcome.
+    /// The operations in it; `true` for those that store an outcome.
     written: Vec<(Ticket, bool)>,
     page: Page,
 }
@@ -82,8 +82,8 @@
     known_page: KnownPage,
     /// When the page was last read or written.
     known_at: Option<Instant>,
-    /// The last call read it, for what is to be written next: however long
-    /// that took, another read would only put the write off for good.
+    /// Whether the last call read the page for the next write. Even if that call was
+    /// slow, another read would only delay the write again.
     is_just_read: bool,
     read_count: u64,
     operations: Vec<Operation>,
@@ -98,7 +98,7 @@
 }
 
 impl GroupCommit {
-    /// A group that knows nothing of its page.
+    /// Creates a group commit that has not read its page.
     pub fn new(name: Name, options: Options, seed: u64) -> Self {
         Self {
             name,
@@ -119,14 +119,12 @@
         }
     }
 
-    /// Asks for a claim; `claim` is its unique id.
+    /// Starts a claim; `claim` is its unique id.
     ///
-    /// The time by which the request must be sent counts from `now`, which is
-    /// before any write of the claim was sent and no later than the check of
-    /// the key's age. Failure: this process stands still between that check
-    /// and its write until the page has gone; the write then makes a new,
-    /// empty page and succeeds, though the request ran elsewhere. It is
-    /// enough because the page outlives the send window of every accepted key.
+    /// The send window counts from `now`, which precedes every write of the claim and isn't later
+    /// than the check of the key's age. A process that is paused between that check and its write
+    /// until the page is gone creates a new, empty page and claims the key, although the request
+    /// ran elsewhere. The page outlives the send window of every accepted key, so it can't send.
     pub fn claim(
         &mut self,
         now: Instant,
@@ -139,12 +137,12 @@
         self.add(key, claim, Task::Claim { fingerprint, send_by }, now, send_by)
     }
 
-    /// Asks to store the outcome of a claim of this node, which can't be sent
-    /// under any more: a resend may run once "not run" is stored.
+    /// Starts to store the outcome of a claim of this node. Nothing can be sent under the claim
+    /// afterwards, and a resend may run once "not run" is stored.
     pub fn settle(&mut self, now: Instant, claim: &Claim, outcome: Outcome) -> Ticket {
         claim.mark_used();
-        // A resend may come at once after "not run" was said, so that is
-        // stored at once; for an answer the caller does not wait.
+        // A caller that gets "not run" may resend at once, so this outcome is stored
+        // without delay. The caller of an answered request doesn't wait for it.
         let not_before = match outcome {
             Outcome::NotRun => now,
             Outcome::Answered { .. } => now + self.options.settle_delay,
@@ -178,18 +176,17 @@
         ticket
     }
 
-    /// Whether the page was seen to vanish before its time.
+    /// Whether the page was lost before its lease expired.
     pub fn is_page_lost(&self) -> bool {
         matches!(self.known_page, KnownPage::Lost)
     }
 
-    /// Whether nothing is asked and no call is open.
+    /// Whether there are no operations and no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.operations.is_empty() && !self.is_call_in_flight
     }
 
-    /// When [`GroupCommit::next_call`] has something to do at the latest, if nothing
-    /// else happens.
+    /// Returns when [`GroupCommit::next_call`] is due if nothing else happens.
     pub fn next_wakeup(&self) -> Option<Instant> {
         let due = self.operations.iter().map(|op| op.not_before).min();
         let work = due.map(|due| self.retry_at.map_or(due, |at| at.max(due)));
@@ -197,17 +194,18 @@
         if self.is_call_in_flight { deadline } else { work.into_iter().chain(deadline).min() }
     }
 
-    /// What has ended since the last call.
+    /// Returns the results since the last call.
     pub fn take_completions(&mut self) -> Vec<(Ticket, Completion)> {
         std::mem::take(&mut self.completions)
     }
 
-    /// Ends what has passed its deadline, also while a call is open.
+    /// Completes the operations that have passed their deadline, also while a call is in
+    /// flight.
     pub fn tick(&mut self, now: Instant) {
         self.expire(now);
     }
 
-    /// The next call to the service, if one is to be made now.
+    /// Returns the next call to the service if one is due.
     pub fn next_call(&mut self, now: Instant, wall_ms: u64) -> Option<Call> {
         self.expire(now);
         if self.is_call_in_flight || self.retry_at.is_some_and(|at| now < at) {
@@ -272,7 +270,7 @@
         Some(Call::Write(write))
     }
 
-    /// Takes the answer to the open call.
+    /// Processes the reply to the call in flight.
     pub fn on_reply(&mut self, now: Instant, reply: Reply) {
         self.is_call_in_flight = false;
         self.retry_at = None;
@@ -290,8 +288,7 @@
     fn on_read_result(&mut self, now: Instant, result: Result<Option<Entry>, Error>) {
         match result {
             Ok(Some(entry)) => self.adopt_page(now, &entry),
-            // A page that was there and is not found may be a stale read;
-            // the next write's condition tells.
+            // A missing page may be a stale read; the condition of the next write settles it.
             Ok(None) => {
                 self.read_count += 1;
                 if matches!(self.known_page, KnownPage::Unread) {
@@ -331,16 +328,15 @@
                 KnownPage::Present(..) => self.known_page = KnownPage::Lost,
                 _ => self.lease = None,
             },
-            // No answer: the same claims go into a write with the same
-            // condition. If the lost one took effect, the new one fails its
-            // condition and the page returned holds them; if not, the new one
-            // takes effect and the lost one never can. A mere read could not
-            // tell this: the lost write may still be on its way.
+            // The same claims are written again under the same condition. If the write
+            // without a reply took effect, the new one conflicts and gets a page with
+            // these claims; otherwise the new one takes effect and the first no longer
+            // can. A read would not do, as the first write may still be in flight.
             Err(Error::Unknown(_) | Error::NotDone(_)) => self.retry_after_failure(now),
         }
     }
 
-    /// Adopts a page from the service, never one older than the known.
+    /// Adopts a page from the service unless it is older than the known one.
     fn adopt_page(&mut self, now: Instant, entry: &Entry) {
         let known = match &self.known_page {
             KnownPage::Present(revision, _) => *revision,
@@ -369,7 +365,7 @@
         };
         match op.task {
             Task::Settle(_) if is_settle => self.complete(ticket, Completion::Settled(Ok(()))),
-            // Given up while its claim was on the way: not run still has to
+            // The claim was given up while its write was in flight: "not run" must still
             // be stored.
             Task::Settle(_) => {}
             Task::Claim { send_by, .. } => {
@@ -379,8 +375,8 @@
         }
     }
 
-    /// Ends an operation. A claim that may stand in the ledger, and under
-    /// which this node will not send, is stored as not run.
+    /// Completes an operation. A claim that may be in the ledger, but under which this
+    /// node won't send, is then stored as not run.
     fn complete(&mut self, ticket: Ticket, completion: Completion) {
         let Some(index) = self.operations.iter().position(|op| op.ticket == ticket) else {
             return;
@@ -427,7 +423,7 @@
         }
     }
 
-    /// Answers repeated keys by what is known, since no later reading comes.
+    /// Answers repeated keys from the known page, since the read failed.
     fn complete_from_known_page(&mut self) {
         let KnownPage::Present(_, page) = &self.known_page else {
             return;
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -1,5 +1,5 @@
-//! The configuration's head key, without input or output: which configuration
-//! is in force, and how a release note is accepted.
+//! The head key of the configuration, without input or output: which configuration is in
+//! force, and how a release note is accepted.
 
 use crate::config::{KEY, Rejection};
 use crate::retry::Backoff;
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a note is tried to be accepted.
+/// How long the acceptance of a note is tried.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Minimum and maximum retry delay after a failed call.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
-/// Reads of a version before the one that the note names; after these the
-/// note is refused, since it may name a version that never was.
+/// Reads of a version lower than the one that the note names. After these the note is
+/// rejected, since it may name a version that never existed.
 const MAX_STALE_READS: u32 = 3;
 
-/// Whether `next` may take the place of `current`: only a higher version.
+/// Whether `next` may replace `current`, which requires a higher version.
 ///
-/// A configuration comes from the service, from a lagging replica of it, and
-/// from peers, in any order. With this one rule none of them can revert it.
+/// Configurations arrive in any order from the service, from its lagging replicas and
+/// from peers. This rule ensures that none of them reverts the configuration in force.
 pub fn supersedes(next: &Configuration, current: Option<&Configuration>) -> bool {
     current.is_none_or(|current| current.version < next.version)
 }
@@ -32,32 +33,33 @@
 pub enum Call {
     /// Read the head key.
     Get,
-    /// Write it.
+    /// Write the head key.
     Write(Write),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To [`Call::Get`].
+    /// The reply to [`Call::Get`].
     Got(Result<Option<Entry>, Error>),
-    /// To [`Call::Write`].
+    /// The reply to [`Call::Write`].
     Wrote(Result<Revision, Error>),
 }
 
-/// The end of an acceptance.
+/// The result of an acceptance: the configuration that contains the note, or the
+/// rejection.
 pub type AcceptanceResult = Result<Arc<Configuration>, Rejection>;
 
 /// The acceptance of one release note.
 #[derive(Debug)]
 pub struct Acceptance {
     note: Note,
-    /// The configuration in force here: the service's must not be older.
+    /// The configuration in force on this node; one from the service must not be older.
     known: Option<Arc<Configuration>>,
     deadline: Instant,
     /// The write to make, with the configuration that it stores.
     write: Option<(Write, Arc<Configuration>)>,
-    /// A write got no answer.
+    /// Whether a write got no reply.
     has_unanswered_write: bool,
     stale_reads: u32,
     retry_at: Option<Instant>,
@@ -65,9 +67,9 @@
 }
 
 impl Acceptance {
-    /// Begins to accept a note. Its operation id must be unique: the only way
-    /// to tell, after a lost answer, whether this note took effect or a like
-    /// one of another operator.
+    /// Starts to accept a note. Its operation id must be unique, because after a lost
+    /// reply it is the only way to tell whether this note took effect or an identical one
+    /// of another operator.
     pub fn new(now: Instant, note: Note, known: Option<Arc<Configuration>>, seed: u64) -> Self {
         Self {
             note,
@@ -81,17 +83,17 @@
         }
     }
 
-    /// How long to wait before the next call.
+    /// Returns how long to wait before the next call.
     pub fn delay(&self, now: Instant) -> Duration {
         self.retry_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
-    /// The next call.
+    /// Returns the next call.
     pub fn next_call(&self) -> Call {
         self.write.as_ref().map_or(Call::Get, |(write, _)| Call::Write(write.clone()))
     }
 
-    /// Takes the answer to a call; returns the end, once there is one.
+    /// Processes the reply to a call; returns the result once there is one.
     pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Option<AcceptanceResult> {
         self.retry_at = None;
         let end = match reply {
@@ -101,10 +103,10 @@
                 self.write = None;
                 self.on_entry(now, entry)
             }
-            // The same write again under the same condition: if the one
-            // without an answer took effect, this one's conflict returns a
-            // configuration that holds the operation; if not, it can't any
-            // more once this one has.
+            // The same write is sent again under the same condition. If the first one
+            // took effect, the second one conflicts and gets a configuration that
+            // contains the operation. If the second one takes effect, the first one no
+            // longer can.
             Reply::Wrote(Err(Error::Unknown(_))) => {
                 self.has_unanswered_write = true;
                 self.retry_at = Some(now + self.backoff.next_delay());
@@ -123,7 +125,7 @@
         if self.has_unanswered_write { Rejection::Unknown(text) } else { Rejection::NotDone(text) }
     }
 
-    /// Decides by the configuration in the service.
+    /// Decides by the configuration that the service holds.
     fn on_entry(&mut self, now: Instant, entry: Option<Entry>) -> Option<AcceptanceResult> {
         let (present, expect) = match &entry {
             None => (Configuration::default(), Expect::Absent),
@@ -157,8 +159,8 @@
         }
     }
 
-    /// The read may come from a replica that lags, or the note names a version
-    /// that never was.
+    /// Handles a version that is too low: either the read came from a lagging replica, or
+    /// the note names a version that never existed.
     fn on_stale_read(&mut self, now: Instant, present: Configuration) -> Option<AcceptanceResult> {
         self.stale_reads += 1;
         if self.stale_reads < MAX_STALE_READS {
@@ -167,8 +169,9 @@
         }
         let known = self.known.clone().filter(|known| supersedes(known, Some(&present)));
         match known {
-            // Written over, an older head would take the versions that nodes
-            // already have in force, and no node would apply it.
+            // The service has lost versions. A write on the older head would reuse
+            // version numbers that nodes already have in force, and no node would apply
+            // it.
             Some(known) if known.version == self.note.against => {
                 let text = format!("the service has version {}", present.version);
                 Some(Err(Rejection::NotDone(text)))
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,4 +1,4 @@
-//! Keeping a node's lease and registration, without input or output.
+//! The lease and the registration of one node, without input or output.
 
 use crate::member::{Info, PREFIX};
 use crate::retry::Backoff;
@@ -6,18 +6,18 @@
 use hickory_unit::id;
 use std::time::{Duration, Instant};
 
-/// Renewals a second that the whole fleet may make: half of the several
-/// hundred writes that the service takes go to renewals, claims, ownership
-/// and configuration together, and of these renewals get a half.
+/// Lease renewals per second of the whole fleet. The service handles several hundred
+/// writes per second; half of them are for renewals, claims, ownership and configuration
+/// together, and renewals get half of that.
 const MAX_FLEET_RENEWALS_PER_SECOND: f64 = 76.0;
 
-/// Renewals within one time to live: two may be lost in a row.
+/// Renewals within one time to live, so that two lost renewals in a row do no harm.
 const RENEWALS_PER_TTL: u32 = 3;
 
 /// A call to the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Open a lease.
+    /// Open a lease with this time to live.
     Grant(Duration),
     /// Write the registration.
     Register(Write),
@@ -25,14 +25,14 @@
     Renew(Lease),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To [`Call::Grant`].
+    /// The reply to [`Call::Grant`].
     Granted(Result<Lease, Error>),
-    /// To [`Call::Register`].
+    /// The reply to [`Call::Register`].
     Registered(Result<Revision, Error>),
-    /// To [`Call::Renew`].
+    /// The reply to [`Call::Renew`].
     Renewed(Result<(), Error>),
 }
 
@@ -40,7 +40,7 @@
 struct HeldLease {
     lease: Lease,
     ttl: Duration,
-    /// When the last successful renewal was sent.
+    /// When the last successful grant or renewal was sent.
     renewed_at: Instant,
 }
 
@@ -51,10 +51,10 @@
     min_ttl: Duration,
     fleet_size: usize,
     held: Option<HeldLease>,
-    /// The revision of the registration under the held lease.
+    /// The revision of the registration under the current lease.
     registered_revision: Option<Revision>,
     registered_at: Option<Instant>,
-    /// Whether the last registration sent said that the node is stopping.
+    /// Whether the last registration sent says that the node is draining.
     is_draining_registered: bool,
     next_call_at: Option<Instant>,
     backoff: Backoff,
@@ -62,7 +62,7 @@
 }
 
 impl Registration {
-    /// A node that holds nothing yet; `ttl` is the least time to live.
+    /// Creates a node without a lease; `min_ttl` is the minimum time to live.
     pub fn new(info: Info, min_ttl: Duration, seed: u64) -> Self {
         let backoff = Backoff::new(min_ttl / 20, min_ttl / 5, seed);
         Self {
@@ -79,32 +79,32 @@
         }
     }
 
-    /// What the node tells of itself.
+    /// Returns the contents of the registration.
     pub fn info(&self) -> &Info {
         &self.info
     }
 
-    /// The least time to live.
+    /// Returns the minimum time to live.
     pub fn min_ttl(&self) -> Duration {
         self.min_ttl
     }
 
-    /// Tells that the node is stopping, at the next call.
+    /// Marks the node as draining; the next call registers this.
     pub fn set_draining(&mut self) {
         self.info.draining = true;
         self.next_call_at = None;
     }
 
-    /// Takes the number of nodes, which the time to live grows with.
+    /// Sets the number of nodes; the time to live grows with it.
     pub fn set_fleet_size(&mut self, nodes: usize) {
         self.fleet_size = nodes.max(1);
     }
 
-    /// Takes the registration under this node's name as it was seen.
+    /// Processes the registration that the service has under this node's name.
     ///
-    /// Failure: a process is paused, and another is started under its name.
-    /// The paused one must give way for good when it resumes, or the two
-    /// would overwrite each other's registration in turn.
+    /// It guards against two processes with one name: a process is paused, and another
+    /// one is started in its place. When the paused process resumes it must stop for
+    /// good, or the two would keep overwriting each other's registration.
     pub fn observe(&mut self, incarnation: id::Incarnation, revision: Revision) {
         let is_newer = self
             .registered_revision
@@ -112,51 +112,51 @@
         self.is_replaced |= is_newer && incarnation != self.info.incarnation;
     }
 
-    /// Whether another process has taken this node's name.
+    /// Whether another process has registered under this node's name.
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// The lease held, to be given up.
+    /// Returns the current lease, so that it can be revoked.
     pub fn lease(&self) -> Option<Lease> {
         self.held.map(|held| held.lease)
     }
 
-    /// Whether the lease is certainly valid at `now`, and the node registered.
+    /// Whether the lease is certainly valid at `now` and the node is registered.
     ///
-    /// The service counts the time to live from when it handles a renewal;
-    /// this node from when it *sent* it, which is earlier, and it gives up a
-    /// quarter sooner, so that clocks which run at different speeds don't
-    /// make up the difference. A paused process finds the time passed.
+    /// The service counts the time to live from when it handles a renewal. This node
+    /// counts from when it *sent* the renewal, which is earlier, and stops after three
+    /// quarters of the time, so that a difference in clock speed can't make up for it. A
+    /// process that was paused finds that the time has passed.
     pub fn is_valid(&self, now: Instant) -> bool {
         let is_valid = self.held.is_some_and(|held| now < held.renewed_at + held.ttl * 3 / 4);
         is_valid && self.registered_at.is_some() && !self.is_replaced
     }
 
-    /// When the registration under the present lease was sent.
+    /// Returns when the registration under the current lease was sent.
     pub fn registered_at(&self) -> Option<Instant> {
         self.registered_at
     }
 
-    /// The time to live at the present size of the fleet.
+    /// Returns the time to live for the current size of the fleet.
     pub fn fleet_ttl(&self) -> Duration {
         let min_secs =
             self.fleet_size as f64 * f64::from(RENEWALS_PER_TTL) / MAX_FLEET_RENEWALS_PER_SECOND;
         self.min_ttl.max(Duration::from_secs_f64(min_secs))
     }
 
-    /// When the next call is due; `None`: never again.
+    /// Returns when the next call is due; `None` if no call is ever due again.
     pub fn next_wakeup(&self, now: Instant) -> Option<Instant> {
         (!self.is_replaced).then(|| self.next_call_at.unwrap_or(now))
     }
 
-    /// The next call, where one is due.
+    /// Returns the next call if one is due.
     pub fn next_call(&mut self, now: Instant) -> Option<Call> {
         if self.is_replaced || self.next_call_at.is_some_and(|at| now < at) {
             return None;
         }
-        // A lease that is much shorter than the fleet now wants is left to
-        // lapse, and its registration moves to a new one.
+        // A lease that is much shorter than the size of the fleet requires is left to
+        // expire, and the registration moves to a new one.
         let held = self.held.filter(|held| held.ttl * 5 / 4 >= self.fleet_ttl());
         let Some(held) = held else {
             return Some(Call::Grant(self.fleet_ttl()));
@@ -173,7 +173,7 @@
         }))
     }
 
-    /// Takes the answer to a call that was sent at `sent`.
+    /// Processes the reply to a call that was sent at `sent`.
     pub fn on_reply(&mut self, now: Instant, sent: Instant, reply: Reply) {
         match reply {
             Reply::Granted(Ok(lease)) => {
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Whether the registration says what it should.
+    /// Whether the stored registration matches this node's information.
     fn is_registration_current(&self) -> bool {
         self.registered_revision.is_some() && self.is_draining_registered == self.info.draining
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,19 +1,19 @@
-//! What nodes agree on through the platform's key-value service: membership,
-//! configuration, ownership of targets, and the claims of requests that must
+//! State that the nodes of a fleet agree on through the platform's key-value service:
+//! membership, configuration, ownership of targets, and the claims of requests that must
 //! not run twice.
 //!
-//! Each part has a pure half, which turns answers, events and the time into
-//! the next call, and a thin driver that makes the calls:
+//! Each part consists of a pure state machine, which turns replies, events and the time
+//! into the next call, and a thin driver that makes the calls:
 //!
-//! | part          | driver     | pure half                                   |
-//! |---------------|------------|---------------------------------------------|
-//! | membership    | [`member`] | [`lease`]                                   |
-//! | configuration | [`config`] | [`head`]                                    |
+//! | part          | driver     | pure state machine                             |
+//! |---------------|------------|------------------------------------------------|
+//! | membership    | [`member`] | [`lease`]                                      |
+//! | configuration | [`config`] | [`head`]                                       |
 //! | ownership     | [`owner`]  | [`assign`], [`plan`], [`allowance`], [`table`] |
-//! | claims        | [`claim`]  | [`group_commit`], [`page`]                         |
+//! | claims        | [`claim`]  | [`group_commit`], [`page`]                     |
 //!
-//! [`follow`] keeps a view of keys for the first three, [`retry`] says when to
-//! try again, and [`rank`] which node is first for a target.
+//! [`follow`] keeps a local copy of watched keys for the first three, [`retry`]
+//! implements the backoff, and [`rank`] orders the nodes for each target.
 
 pub mod allowance;
 pub mod assign;
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -1,6 +1,7 @@
-//! Membership: a lease and a registration for each node.
+//! Membership: each node keeps a lease and a registration, and follows those of the
+//! others.
 //!
-//! The decisions stand in [`crate::lease`] and [`crate::follow`].
+//! The decisions are made in [`crate::lease`] and [`crate::follow`].
 
 use crate::follow::{self, Follower};
 use crate::lease::{Call, Registration, Reply};
@@ -14,46 +15,47 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
 
-/// The prefix of the registrations.
+/// The key prefix of the registrations.
 pub const PREFIX: &str = "nodes/";
 
-/// Watches of the registrations: one call in ten seconds and node at rest.
+/// Watches of the registrations. Without changes each node makes one such call every ten
+/// seconds.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 const WATCH_JITTER: Duration = Duration::from_millis(300);
 
-/// What a node tells of itself.
+/// The registration of a node: its addresses and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Info {
-    /// Its name.
+    /// The name of the node.
     pub node: id::Node,
-    /// The availability zone it stands in.
+    /// The availability zone in which it runs.
     pub zone: id::Zone,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for other nodes.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub admin: SocketAddr,
-    /// Differs after each start.
+    /// Identifies the process; different after each start.
     pub incarnation: id::Incarnation,
-    /// Whether it is stopping.
+    /// Whether the node is stopping.
     pub draining: bool,
 }
 
 /// The nodes by name.
 pub type Nodes = BTreeMap<id::Node, Info>;
 
-/// What is known of the registrations, for decisions that rest on them.
+/// The state of the membership on which ownership decisions are based.
 #[derive(Clone, Debug)]
 pub struct View {
     /// The registered nodes.
     pub nodes: Arc<Nodes>,
     /// Whether this node's own lease is certainly valid.
     pub is_lease_valid: bool,
-    /// When this node's registration under its present lease was sent.
+    /// When this node's registration under its current lease was sent.
     pub registered_at: Option<Instant>,
-    /// Since when the service has answered each call for the registrations;
-    /// `None` while it does not.
+    /// Since when the service has answered every call for the registrations; `None` while
+    /// it doesn't answer.
     pub contact_since: Option<Instant>,
     /// Whether this node is stopping.
     pub draining: bool,
@@ -70,7 +72,7 @@
     has_left: bool,
 }
 
-/// A running registration with its view of the other nodes.
+/// The running registration of this node, with the registrations of the others.
 #[derive(Clone, Debug)]
 pub struct Member<S, C> {
     store: S,
@@ -81,16 +83,16 @@
 }
 
 impl<S: Store, C: Clock> Member<S, C> {
-    /// Registers the node and keeps its lease until the handle says it leaves.
-    /// The lease lives for `ttl`, longer where the fleet is large.
+    /// Registers the node, keeps its lease until [`Member::deregister`] and follows the
+    /// other nodes. The lease lives for `ttl`, longer if the fleet is large.
     pub fn spawn(store: S, clock: C, info: Info, ttl: Duration) -> Self {
         let member = Self::spawn_registration(store, clock, info, ttl);
         tokio::spawn(member.clone().follow_nodes(random_seed()));
         member
     }
 
-    /// Registers the node and keeps its lease, without following the others:
-    /// for nodes that learn of each other in another way.
+    /// Registers the node and keeps its lease without following the other nodes, for
+    /// nodes that learn of each other in another way.
     pub fn spawn_registration(store: S, clock: C, info: Info, ttl: Duration) -> Self {
         let registration = Registration::new(info, ttl, random_seed());
         let shared = Shared { registration, contact_since: None, has_left: false };
@@ -105,22 +107,22 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this node tells of itself.
+    /// Returns this node's registration.
     pub fn info(&self) -> Info {
         self.lock().registration.info().clone()
     }
 
-    /// The least time to live of its lease.
+    /// Returns the minimum time to live of the lease.
     pub fn min_ttl(&self) -> Duration {
         self.lock().registration.min_ttl()
     }
 
-    /// The registered nodes, as last seen.
+    /// Returns the registered nodes as last read.
     pub fn nodes(&self) -> Arc<Nodes> {
         self.nodes.borrow().clone()
     }
 
-    /// Told of each change of [`Member::nodes`].
+    /// Returns a receiver of the changes of [`Member::nodes`].
     pub fn subscribe(&self) -> watch::Receiver<Arc<Nodes>> {
         self.nodes.subscribe()
     }
@@ -131,7 +133,7 @@
         !shared.has_left && shared.registration.is_valid(now)
     }
 
-    /// What is known of the registrations at `now`.
+    /// Returns the state of the membership at `now`.
     pub fn view(&self, now: Instant) -> View {
         let nodes = self.nodes();
         let shared = self.lock();
@@ -144,13 +146,13 @@
         }
     }
 
-    /// Tells the others that this node is stopping.
+    /// Registers that this node is stopping.
     pub async fn set_draining(&self) {
         self.lock().registration.set_draining();
         self.wake.notify_one();
     }
 
-    /// Ends the registration.
+    /// Ends the registration and revokes the lease.
     pub async fn deregister(&self) {
         let lease = {
             let mut shared = self.lock();
--- a/crates/state/src/operation.rs
+++ b/crates/state/src/operation.rs
@@ -1,5 +1,5 @@
-//! One change that a node wants on a page of the ledger: a claim, or the
-//! outcome of one.
+//! One change that a node wants to make to a page of the ledger: a claim, or the outcome
+//! of one.
 
 use crate::claim::{Answer, Claim, LedgerError};
 use crate::group_commit::{Completion, Ticket};
@@ -19,31 +19,31 @@
     pub(crate) key: Uuid,
     pub(crate) claim: Uuid,
     pub(crate) task: Task,
-    /// Not written before.
+    /// Not written before this time.
     pub(crate) not_before: Instant,
-    /// Given up after.
+    /// Given up at this time.
     pub(crate) deadline: Instant,
-    /// The reading of the page that was the latest when this was asked; a
-    /// later one is evidence of the page within the life of the request.
+    /// The number of reads of the page before this operation started. A later read shows
+    /// the page as it was during the operation.
     pub(crate) read_count: u64,
-    /// Set once it went into a write.
+    /// Whether it was part of a write.
     pub(crate) is_sent: bool,
-    /// Nobody waits for its end.
+    /// Whether its result is no longer awaited.
     pub(crate) is_detached: bool,
 }
 
-/// What a page says of an operation.
+/// What to do with an operation, given the page.
 pub(crate) enum Decision {
-    /// It has still to be written.
+    /// Include it in the next write.
     Write,
-    /// It waits for the write that is about to go, or for a later reading.
+    /// Wait for the next read of the page.
     Defer,
-    /// It has ended.
+    /// It is complete.
     Complete(Completion),
 }
 
 impl Operation {
-    /// The end of an operation that is given up on.
+    /// Returns the result of an operation that is given up.
     pub(crate) fn give_up(&self, error: LedgerError) -> Completion {
         match self.task {
             Task::Claim { .. } => Completion::Claimed(Answer::Unknown(error)),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// What the page, of `size` bytes and read as number `read_count`, says of
-    /// this operation.
+    /// Decides what to do with the operation, given the page, its size in bytes and the
+    /// number of reads so far.
     pub(crate) fn evaluate(
         &self,
         now: Instant,
@@ -78,7 +78,7 @@
             (Task::Claim { .. }, Some(record)) if record.outcome == Some(Outcome::NotRun) => {
                 Decision::Write
             }
-            // What was read before this was asked may lack the outcome.
+            // A page that was read before the claim started may not have the outcome yet.
             (Task::Claim { .. }, Some(_)) if !has_newer_read => Decision::Defer,
             (Task::Claim { .. }, Some(record)) => {
                 let outcome = record.outcome.clone();
@@ -93,10 +93,10 @@
         }
     }
 
-    /// The answer where the claim certainly stands in the ledger.
+    /// Returns the answer if the claim is certainly stored in the ledger.
     ///
-    /// Too late, it is this node's and stays unused: nobody has run the
-    /// request, and nobody can before it is stored as not run.
+    /// If that is too late to send, the claim belongs to this node and stays unused: the
+    /// request has not run, and can't run before the claim is stored as not run.
     pub(crate) fn grant(&self, now: Instant, send_by: Instant) -> Answer {
         if now < send_by {
             Answer::Granted(Claim::new(self.key, self.claim, send_by))
@@ -105,7 +105,8 @@
         }
     }
 
-    /// Writes the operation into the page; returns how much that adds at most.
+    /// Applies the operation to the page; returns the maximum number of bytes that this
+    /// adds.
     pub(crate) fn apply(&self, page: &mut Page, page_size: usize) -> usize {
         match &self.task {
             Task::Claim { fingerprint, .. } => {
--- a/crates/state/src/owner.rs
+++ b/crates/state/src/owner.rs
@@ -1,5 +1,6 @@
-//! Ownership of targets: one document, changed by compare-and-swap. The
-//! decisions stand in [`crate::assign`] and [`crate::allowance`].
+//! Ownership of targets: one document, changed by compare-and-swap.
+//!
+//! The decisions are made in [`crate::assign`], [`crate::plan`] and [`crate::allowance`].
 
 use crate::assign::{Assigner, Options};
 use crate::follow::{self, Follower};
@@ -17,41 +18,41 @@
 /// The key of the ownership document.
 pub const KEY: &str = "owners";
 
-/// Watches of the document. Their ends confirm it, so `Options::fresh` allows
-/// for two of them.
+/// Watches of the document. The end of each watch confirms it;
+/// `Options::max_document_age` allows for two of them.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(700);
 const WATCH_JITTER: Duration = Duration::from_millis(100);
 
-/// Between two looks at what there is to do.
+/// Interval between two plans when the document doesn't change.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a planned stop tries to hand its targets over.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks over a new connection whether a node still runs.
+/// Checks over a new connection whether a node is running.
 pub trait Probe: Clone + Send + Sync + 'static {
-    /// Whether the node answered. Judges the path with a new connection: an
-    /// old one may be silent for good while the node runs.
+    /// Whether the node answered. It has to use a new connection, because an old one may
+    /// be dead although the node is running.
     fn is_alive(&self, node: &Info) -> impl Future<Output = bool> + Send;
 }
 
-/// Who owns a target.
+/// The owner of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The node.
     pub node: id::Node,
-    /// Rises with each change; the fencing number of orders.
+    /// The fencing epoch of orders to the target; rises with each change of ownership.
     pub epoch: id::Epoch,
 }
 
-/// What an owner may grant at present.
+/// How much of a target's capacity its owner may grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Allowance {
-    /// Nothing before the time given.
+    /// Nothing before the given time.
     WaitUntil(Instant),
-    /// At most half of what the target bears.
+    /// At most half of the capacity.
     Half,
-    /// All that it bears.
+    /// The whole capacity.
     Full,
 }
 
@@ -62,11 +63,11 @@
     pub target: id::Target,
     /// The epoch of the ownership.
     pub epoch: id::Epoch,
-    /// What may be granted.
+    /// How much of its capacity may be granted.
     pub allowance: Allowance,
 }
 
-/// The running ownership.
+/// The running ownership of targets on this node.
 #[derive(Clone, Debug)]
 pub struct Owners<S, C, P> {
     store: S,
@@ -74,15 +75,16 @@
     member: Member<S, C>,
     probe: P,
     assigner: Arc<Mutex<Assigner>>,
-    /// One write at a time: the answer to a second could be taken for that of
-    /// the first.
+    /// Allows one write at a time. With two in flight, the reply to one could be applied
+    /// as that of the other.
     write_lock: Arc<tokio::sync::Mutex<()>>,
     revision: watch::Sender<u64>,
 }
 
 impl<S: Store, C: Clock, P: Probe> Owners<S, C, P> {
-    /// Follows the document and takes targets that have no owner. `permit` is
-    /// the life of a permit, which a new owner waits out.
+    /// Follows the document and takes over targets without an owner. `permit_ttl` is the
+    /// lifetime of a permit; a new owner grants nothing until the permits of its
+    /// predecessor have expired.
     pub fn spawn(store: S, clock: C, member: Member<S, C>, probe: P, permit_ttl: Duration) -> Self {
         let options = Options::new(permit_ttl, member.min_ttl());
         let assigner = Arc::new(Mutex::new(Assigner::new(member.info(), options)));
@@ -98,7 +100,7 @@
         self.assigner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The assigner, told of the registrations first.
+    /// Returns the assigner with the current membership.
     fn refresh_assigner(&self, now: Instant) -> MutexGuard<'_, Assigner> {
         let view = self.member.view(now);
         let mut assigner = self.lock();
@@ -106,41 +108,42 @@
         assigner
     }
 
-    /// Who owns a target, as last seen.
+    /// Returns the owner of a target as last read.
     pub fn owner(&self, target: &id::Target) -> Option<Owner> {
         self.lock().owner(target)
     }
 
-    /// The targets that this node owns, with what may be granted at present.
+    /// Returns the targets that this node owns, with their current allowances.
     pub fn owned(&self) -> Vec<Owned> {
         let now = self.clock.now();
         self.refresh_assigner(now).owned(now)
     }
 
-    /// Told of each change of the document; carries its revision.
+    /// Returns a receiver of the revision of the document, notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// The revision of the document known.
+    /// Returns the revision of the document known.
     pub fn revision(&self) -> u64 {
         self.lock().revision().0
     }
 
-    /// Names the targets that need an owner.
+    /// Sets the targets that need an owner.
     pub fn set_targets(&self, targets: &[id::Target]) {
         let now = self.clock.now();
         self.lock().set_targets(now, targets);
     }
 
-    /// The document as text with its revision, for a peer.
+    /// Returns the revision and the text of the document, for a peer.
     pub fn document(&self) -> (u64, String) {
         let assigner = self.lock();
         let text = serde_json::to_string(assigner.document()).unwrap_or_default();
         (assigner.revision().0, text)
     }
 
-    /// Takes a document from a peer where its revision is higher.
+    /// Applies a document from a peer if its revision is higher than the known one;
+    /// returns whether it did.
     pub fn apply_if_newer(&self, revision: u64, text: &str) -> bool {
         let Ok(document) = serde_json::from_str(text) else {
             return false;
@@ -150,18 +153,19 @@
         self.notify_if_changed(changed)
     }
 
-    /// Notes that a node was heard, with the revision of the document that it
-    /// knows. Must be called for each exchange with a peer: an owner without
-    /// the service goes on only while it hears others, and a new owner learns
-    /// from it that its predecessor has stopped.
+    /// Records contact with a peer and the revision of the document that it knows.
+    ///
+    /// Must be called for each exchange with a peer: an owner without the service
+    /// continues only while it has contact with others, and a new owner uses the revision
+    /// to see that its predecessor has stopped.
     pub fn record_peer_revision(&self, node: &id::Node, revision: u64) {
         let now = self.clock.now();
         self.lock().record_peer_revision(now, node, Revision(revision));
     }
 
-    /// Hands all targets over, at a planned stop; returns whether none is
-    /// left. Without the service none can be: they are taken over once the
-    /// node's lease has lapsed.
+    /// Hands all targets over at a planned stop; returns whether none is left. It can't
+    /// do so while the service is down: the targets are then taken over once the node's
+    /// lease has expired.
     pub async fn release_all(&self) -> bool {
         self.lock().release();
         let deadline = self.clock.now() + RELEASE_TIMEOUT;
@@ -219,7 +223,8 @@
         let now = self.clock.now();
         let Plan { probes, write } = self.refresh_assigner(now).plan(now);
         for info in probes {
-            // Each in a task of its own: a silent node must hold up nothing.
+            // Each probe runs in a task of its own, so that an unresponsive node delays
+            // nothing else.
             let owners = self.clone();
             tokio::spawn(async move {
                 let is_alive = owners.probe.is_alive(&info).await;
--- a/crates/state/src/page.rs
+++ b/crates/state/src/page.rs
@@ -1,5 +1,5 @@
-//! A page of the claim ledger: the claims of the keys of one shard whose own
-//! time lies in one minute.
+//! A page of the claim ledger: the claims of one shard's keys whose timestamps lie in the
+//! same minute.
 
 use derive_more::Display;
 use hickory_store::store::Lease;
@@ -8,41 +8,41 @@
 use std::time::Duration;
 use uuid::Uuid;
 
-/// Shards of the ledger. All nodes must agree on it, so it is no setting.
+/// Number of shards of the ledger. It is not a setting, because all nodes must agree on
+/// it.
 ///
-/// Load: hundreds of claims a second. More shards mean fewer nodes that write
-/// the same page at once, and more writes; at 16, a page of a minute with 300
-/// claims a second holds about 1,100 claims in 200 KB.
+/// The ledger is built for hundreds of claims per second. More shards mean fewer nodes
+/// that write the same page at once, and more writes. With 16 shards and 300 claims per
+/// second, the page of one minute holds about 1,100 claims in 200 KB.
 pub const SHARD_COUNT: u128 = 16;
 
-/// A page takes no new claim above this size, in bytes of text: what is left
-/// below the service's bound takes the outcomes of the claims it holds.
+/// A page with a longer text accepts no new claims. The rest, up to the service's limit
+/// on values, is left for the outcomes of the claims in the page.
 pub const MAX_PAGE_BYTES_FOR_CLAIMS: usize = 640 << 10;
 
-/// Above this size outcomes are stored without their body.
+/// A page with a longer text stores outcomes without their bodies.
 pub const MAX_PAGE_BYTES_FOR_BODIES: usize = 512 << 10;
 
-/// The greatest body that is stored.
+/// Bodies that are longer are not stored.
 pub const MAX_STORED_BODY_BYTES: usize = 2 << 10;
 
-/// The greatest text of a claim without its outcome.
+/// Maximum text length of a claim without its outcome.
 pub(crate) const MAX_RECORD_BYTES: usize = 128;
 
 const MS_PER_MINUTE: u64 = 60_000;
 
-/// Times of the ledger.
+/// Timing parameters of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// How long a key is accepted after its own time.
+    /// How long after its timestamp a key is accepted.
     pub key_retention: Duration,
-    /// The greatest difference between any two clocks, hosts' or callers'.
+    /// Maximum difference between any two clocks of hosts or callers.
     pub max_clock_skew: Duration,
-    /// How long after a claim was asked for its request may be sent.
+    /// How long after the start of a claim its request may be sent.
     pub send_window: Duration,
-    /// How long the outcome of an answered request may wait for others, to
-    /// be stored with them in one write.
+    /// How long the outcome of an answered request may wait to share a write with others.
     pub settle_delay: Duration,
-    /// How long an outcome is tried to be stored.
+    /// How long storing an outcome is tried.
     pub settle_timeout: Duration,
 }
 
@@ -62,13 +62,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Certainly no byte went to any target: a resend may claim anew.
+    /// No byte was sent to any target: a resend may claim the key again.
     NotRun,
-    /// It was answered.
+    /// The request was answered.
     Answered {
         /// The HTTP status.
         status: u16,
-        /// The body; `None` where it was too large to be kept.
+        /// The body; `None` if it was too large to be stored.
         body: Option<String>,
     },
 }
@@ -79,10 +79,10 @@
     /// Hash of the account and the content.
     #[serde(rename = "f")]
     pub fingerprint: u64,
-    /// Names the claim; differs for each attempt to claim.
+    /// Id of the claim; different for each attempt to claim the key.
     #[serde(rename = "c")]
     pub claim: Uuid,
-    /// How it ended, once known.
+    /// How the request ended, once known.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
 }
@@ -90,15 +90,15 @@
 /// The claims of one shard and minute.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The lease that removes the page. It stands in the page, because each
-    /// write must name it: one that does not would unbind the page, which
-    /// would then stay for good.
+    /// The lease that removes the page when it expires. It is stored in the page because
+    /// each write has to name it: a write without it would detach the page from the
+    /// lease, and the page would never be removed.
     pub lease: Lease,
     /// The claims by key.
     pub claims: BTreeMap<Uuid, Record>,
 }
 
-/// Names a page.
+/// Identifies a page.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("ledger/{shard}/{minute}")]
 pub struct Name {
@@ -111,22 +111,22 @@
 /// Why a key has no page.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum KeyError {
-    /// It holds no time.
+    /// It contains no timestamp.
     #[display("not a UUIDv7")]
     NotUuidV7,
-    /// Its page may be gone already.
+    /// Its page may already have been removed.
     #[display("older than the ledger keeps")]
     TooOld,
-    /// Its time is still to come.
+    /// Its timestamp is in the future.
     #[display("from the future")]
     InFuture,
 }
 
-/// The page of a key, at wall-clock time `wall_ms`.
+/// Returns the page of a key at wall-clock time `wall_ms`.
 ///
-/// The key's own time chooses the page, so that all nodes look in the same
-/// place and the whole page can go at once. That is safe only while no node
-/// accepts a key whose page may be gone, hence the check of its age.
+/// The key's own timestamp determines the page, so that all nodes use the same one and a
+/// whole page can be removed at once. This is safe only if no node accepts a key whose
+/// page may be gone, hence the check of the key's age.
 pub fn find_page(key: Uuid, wall_ms: u64, options: &Options) -> Result<Name, KeyError> {
     if key.get_version_num() != 7 {
         return Err(KeyError::NotUuidV7);
@@ -141,13 +141,13 @@
     Ok(Name::of(key))
 }
 
-/// The time within a UUIDv7, in milliseconds since the Unix epoch.
+/// Returns the timestamp of a UUIDv7 in milliseconds since the Unix epoch.
 fn timestamp_ms(key: Uuid) -> u64 {
     (key.as_u128() >> 80) as u64
 }
 
 impl Name {
-    /// The page of a key that was found fit before.
+    /// Returns the page of a key that passed [`find_page`] before.
     pub(crate) fn of(key: Uuid) -> Self {
         Self {
             shard: (key.as_u128() % SHARD_COUNT) as u8,
@@ -155,12 +155,12 @@
         }
     }
 
-    /// How long the page must stay from `wall_ms` on.
+    /// Returns how long the page must be kept from `wall_ms` on.
     ///
-    /// Any node may accept a key of this minute until its own clock, which
-    /// may lag by the skew, passes the minute's end and the kept time; the
-    /// claim is then written within the send window. The skew counts twice:
-    /// this node's clock may be ahead just as the other lags.
+    /// Any node may accept a key of this minute until its own clock, which may lag by the
+    /// skew, passes the end of the minute plus the key retention; the claim is then
+    /// written within the send window. The skew counts twice because this node's clock
+    /// may be ahead while the other one lags.
     pub fn ttl(&self, wall_ms: u64, options: &Options) -> Duration {
         let end = Duration::from_millis((self.minute + 1) * MS_PER_MINUTE);
         let retention = options.key_retention + 2 * options.max_clock_skew + options.send_window;
@@ -169,8 +169,8 @@
 }
 
 impl Outcome {
-    /// The greatest text it takes in a page; each byte of a body may become
-    /// six when it is escaped.
+    /// Returns the maximum text length of the outcome in a page; each byte of a body may
+    /// become six when it is escaped.
     pub(crate) fn max_encoded_bytes(&self) -> usize {
         match self {
             Self::Answered { body, .. } => 64 + body.as_ref().map_or(0, |body| 6 * body.len()),
@@ -178,7 +178,8 @@
         }
     }
 
-    /// The outcome as it is stored in a page of `size` bytes.
+    /// Returns the outcome as it is stored in a page of `page_size` bytes: without its
+    /// body if the body or the page is too large.
     pub fn without_large_body(self, page_size: usize) -> Self {
         match self {
             Self::Answered { status, body } => {
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -1,5 +1,5 @@
-//! What a node does next about ownership: whom it probes, and which targets it
-//! takes, hands over and forgets.
+//! What a node does next about ownership: which nodes it probes, and which targets it
+//! takes over, hands over and removes.
 
 use crate::allowance;
 use crate::assign::{Assigner, Missing};
@@ -11,7 +11,7 @@
 use hickory_unit::id;
 use std::time::{Duration, Instant};
 
-/// Targets that the whole fleet moves in a second, to balance.
+/// Targets that the whole fleet moves per second to balance the load.
 const MAX_MOVES_PER_SECOND: f64 = 5.0;
 
 /// What a node does next.
@@ -19,16 +19,16 @@
 pub struct Plan {
     /// Nodes to probe.
     pub probes: Vec<Info>,
-    /// The document to write, with its condition.
+    /// The write of the document, with the document that it stores.
     pub write: Option<(Write, Document)>,
 }
 
 impl Assigner {
-    /// What to do at `now`.
+    /// Returns what to do at `now`.
     pub fn plan(&mut self, now: Instant) -> Plan {
         self.tick(now);
-        // Without a valid lease of its own, or without the service's present
-        // word, a node would act on what may be long past.
+        // Without a valid lease or a recent confirmation of the document, the decisions
+        // could be based on outdated state.
         if !self.status.is_confirmed(now, self.options.max_document_age) {
             return Plan::default();
         }
@@ -49,7 +49,7 @@
         plan
     }
 
-    /// Nodes that targets may go to.
+    /// Returns the nodes that targets may be assigned to.
     fn eligible_nodes(&self) -> impl Iterator<Item = &id::Node> {
         let local = &self.info;
         self.nodes
@@ -59,7 +59,8 @@
             .map(|info| &info.node)
     }
 
-    /// When it is this node's turn for a target that is free since `since`.
+    /// Returns when this node may take a target over that has no owner since `since`;
+    /// `None` if it isn't eligible.
     fn takeover_time(&self, target: &id::Target, since: Instant) -> Option<Instant> {
         let ranked = rank_nodes(target, self.eligible_nodes());
         let rank = ranked.iter().position(|node| **node == self.info.node)?;
@@ -100,23 +101,24 @@
         next.assign(target, &self.info, before);
     }
 
-    /// Since when a target is free whose owner's name belongs to a later
-    /// process. That process itself need not wait; for the others the two
-    /// views may just be of different ages.
+    /// Returns since when a target has no owner whose owner was replaced by a later
+    /// process with the same name.
+    ///
+    /// That process itself need not wait. For the other nodes, the document and the
+    /// registrations may just have been read at different times.
     fn replaced_since(&mut self, now: Instant, target: &id::Target, entry: &Entry) -> Instant {
         let since = *self.unowned_since.entry(target.clone()).or_insert(now);
         let is_own = entry.holder.node == self.info.node;
         since + if is_own { Duration::ZERO } else { self.options.max_document_age }
     }
 
-    /// Since when a target's owner is certainly lost: its lease is gone, and a
-    /// new connection to it failed.
+    /// Returns since when the owner of a target is certainly lost: its lease has expired,
+    /// and a probe over a new connection failed.
     ///
-    /// Failure: the service was away, and every lease lapsed at once; or an
-    /// owner lost only the service. Its targets would change hands, with
-    /// nothing granted meanwhile, though it serves well. The grace and the
-    /// probe are enough: an owner that runs either registers again in time
-    /// or answers.
+    /// Without the grace period and the probe, targets of healthy owners would be taken
+    /// over, and would grant nothing meanwhile, when the service was down and all leases
+    /// expired at once, or when an owner lost only the service. An owner that is running
+    /// either registers again within the grace period or answers the probe.
     fn lost_since(&mut self, now: Instant, entry: &Entry, plan: &mut Plan) -> Option<Instant> {
         let holder = &entry.holder;
         let info = self.find_info(&holder.node)?;
@@ -146,14 +148,14 @@
         }
     }
 
-    /// Where a node was reached last. A later process of its name does as
-    /// well: while that one answers, its targets are left to it.
+    /// Returns the last known registration of a node. A later process with the same name
+    /// will do: while it answers, it keeps the targets.
     fn find_info(&self, node: &id::Node) -> Option<Info> {
         let missing = self.missing.get(node).map(|missing| &missing.info);
         missing.or_else(|| self.document.holders.get(node)).cloned()
     }
 
-    /// Gives all targets away at a planned stop, in one write.
+    /// Hands all targets over in one write at a planned stop.
     fn plan_release(&mut self, now: Instant, next: &mut Document) {
         if !self.is_releasing {
             return;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Moves one target at a time to a node that ranks before this one.
+    /// Moves one target at a time to a node that ranks higher than this one.
     fn plan_move(&mut self, now: Instant, next: &mut Document) {
         if self.is_releasing {
             return;
@@ -174,8 +176,8 @@
         if self.last_move_at.is_some_and(|at| now < at + self.options.move_interval) {
             return;
         }
-        // Many targets move when a zone returns. Each move wakes the watches of the
-        // whole fleet, so they are spread over the time in which the service bears
+        // Many targets move when a zone returns. Each move ends the watches of the whole
+        // fleet, so the moves are spread over a time in which the service can handle
         // them.
         let window = Duration::from_secs_f64(self.nodes.len() as f64 / MAX_MOVES_PER_SECOND);
         let is_stable = |target: &id::Target, node: &id::Node| {
@@ -196,8 +198,8 @@
         }
     }
 
-    /// Gives a target to the first other node. From here on nothing is granted
-    /// for it, until the write is known not to have taken effect.
+    /// Assigns a target to the highest-ranking other node. From now on this node grants
+    /// nothing for it, until the write is known not to have taken effect.
     fn transfer(&mut self, now: Instant, target: &id::Target, next: &mut Document) -> bool {
         let ranked = rank_nodes(target, self.eligible_nodes());
         let successor = ranked.into_iter().find(|node| **node != self.info.node);
@@ -207,7 +209,7 @@
         let Some(entry) = self.document.owners.get(target) else {
             return false;
         };
-        // Former owners of whom this one is not sure stay on the list.
+        // Former owners that may still grant stay on the list.
         let acquisition = self.acquired.get(target);
         let may_still_grant = |holder: &&Holder| {
             acquisition.is_none_or(|a| !allowance::is_gone(self, now, holder, a))
@@ -218,7 +220,7 @@
         true
     }
 
-    /// Removes targets of this node that are off the host list for long.
+    /// Removes targets of this node that have been off the host list for long.
     fn plan_forget(&mut self, now: Instant, next: &mut Document) {
         let forget_delay = self.options.forget_delay;
         self.unlisted_since.retain(|target, _| self.document.owners.contains_key(target));
--- a/crates/state/src/rank.rs
+++ b/crates/state/src/rank.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing: every node works out by itself which node is first for
-//! a target, and a node that comes or goes moves only its own share.
+//! Rendezvous hashing: every node computes by itself which node ranks first for a target,
+//! and a node that joins or leaves moves only its own share of the targets.
 
 use hickory_unit::id;
 
-/// The nodes by their rank for a target, first rank first.
+/// Returns the nodes in rank order for a target, highest rank first.
 pub fn rank_nodes<'a>(
     target: &id::Target,
     nodes: impl Iterator<Item = &'a id::Node>,
@@ -13,15 +13,17 @@
     ranked.into_iter().map(|(_, node)| node).collect()
 }
 
-/// A number from 0 to 1 that spreads the targets evenly.
+/// Returns a number from 0 to 1 derived from the target, evenly distributed over targets.
 pub fn target_fraction(target: &id::Target) -> f64 {
     hash_pair(target, &id::Node::from("")) as f64 / u64::MAX as f64
 }
 
-/// The same on every node and in every version of the program: the nodes of a
-/// fleet must agree while it is upgraded, so no hasher of the standard library
-/// serves. FNV-1a over both names, then the finalizer of MurmurHash3, since
-/// FNV alone hardly mixes the last bytes.
+/// Hashes a target and a node: FNV-1a over both names, then the finalizer of MurmurHash3,
+/// because FNV alone hardly mixes the last bytes.
+///
+/// The result must be the same on every node and in every version of the program, since
+/// the nodes of a fleet have to agree during an upgrade. The hashers of the standard
+/// library don't guarantee that.
 fn hash_pair(target: &id::Target, node: &id::Node) -> u64 {
     let bytes = target.as_str().bytes().chain([0]).chain(node.as_str().bytes());
     let sum = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
--- a/crates/state/src/retry.rs
+++ b/crates/state/src/retry.rs
@@ -1,12 +1,12 @@
-//! The time between two tries of a failed call.
+//! Retry delays for failed calls.
 
 use std::time::Duration;
 
 /// Exponential backoff with jitter.
 ///
-/// All nodes meet the same outage. Without the jitter their calls would come in step
-/// and the service would fall over each time it returns; without the growth they would
-/// keep it down.
+/// All nodes see the same outage. Without jitter their retries would arrive in lockstep
+/// and overload the service each time it returns; without exponential growth they would
+/// keep it overloaded.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     min_delay: Duration,
@@ -16,30 +16,31 @@
 }
 
 impl Backoff {
-    /// Waits of `min_delay` after one failure, doubled with each further one up to
-    /// `max_delay`; each is then shortened at random by up to a half.
+    /// Starts at `min_delay` after the first failure and doubles with each further one,
+    /// up to `max_delay`. Each delay is then shortened at random by up to a half.
     pub fn new(min_delay: Duration, max_delay: Duration, seed: u64) -> Self {
         Self { min_delay, max_delay, failures: 0, state: seed }
     }
 
-    /// The wait after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     pub fn next_delay(&mut self) -> Duration {
         let full = self.min_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_delay);
         self.failures = self.failures.saturating_add(1);
         full.mul_f64(0.5 + self.random_unit() / 2.0)
     }
 
-    /// Notes a success.
+    /// Records a success: the next failure starts at the minimum delay again.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// A random share of `max_delay`, to spread what many nodes do at one event.
+    /// Returns a random duration below `max`, to spread what many nodes do in response to
+    /// the same event.
     pub fn jitter(&mut self, max: Duration) -> Duration {
         max.mul_f64(self.random_unit())
     }
 
-    /// A number from 0 to 1, by the SplitMix64 generator.
+    /// Returns a number from 0 to 1, drawn from the SplitMix64 generator.
     fn random_unit(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.state;
--- a/crates/state/src/table.rs
+++ b/crates/state/src/table.rs
@@ -5,52 +5,52 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A process that holds, or held, a target.
+/// A process that owns, or owned, a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Holder {
     /// The node.
     pub node: id::Node,
-    /// Which process of that name.
+    /// Identifies the process among those with this node's name.
     pub incarnation: id::Incarnation,
 }
 
 /// The ownership of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The owner.
+    /// The current owner.
     #[serde(flatten)]
     pub holder: Holder,
-    /// Rises with each change; the fencing number of orders.
+    /// The fencing epoch of orders to the target; rises with each change of ownership.
     pub epoch: id::Epoch,
-    /// Former owners that have not handed over and may not know that they
-    /// are owners no more.
+    /// Former owners that have not handed the target over and may still believe that they
+    /// own it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub before: Vec<Holder>,
 }
 
-/// All ownerships, as they stand under one key.
+/// The ownership of all targets, stored under one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The last epoch given. It counts the changes of all targets, so that a
-    /// target that was forgotten and comes back does not begin anew.
+    /// The last epoch assigned. It is shared by all targets, so that a target that was
+    /// removed and comes back doesn't start again with a low epoch.
     pub epoch: id::Epoch,
-    /// The ownerships by target.
+    /// The ownership by target.
     pub owners: BTreeMap<id::Target, Entry>,
-    /// Where the holders are reached: a node that started after one of them
-    /// was lost must still be able to probe it.
+    /// The registrations of the owners: a node that started after an owner was lost must
+    /// still be able to probe it.
     pub holders: BTreeMap<id::Node, Info>,
 }
 
 impl Holder {
-    /// The process that tells of itself.
+    /// Returns the process of a registration.
     pub fn of(info: &Info) -> Self {
         Self { node: info.node.clone(), incarnation: info.incarnation }
     }
 }
 
 impl Document {
-    /// Gives a target to a node; `before` are the former owners that may not
-    /// know of it.
+    /// Assigns a target to a node; `before` are the former owners that may not know of
+    /// it.
     pub fn assign(&mut self, target: &id::Target, info: &Info, before: Vec<Holder>) {
         self.epoch = id::Epoch(self.epoch.0 + 1);
         let entry = Entry { holder: Holder::of(info), epoch: self.epoch, before };
@@ -66,8 +66,8 @@
         self.remove_unused_holders();
     }
 
-    /// Whether a node that is not registered any more left by a planned stop:
-    /// it said that it was stopping, and holds nothing.
+    /// Whether a node that is no longer registered left by a planned stop: it was
+    /// draining and owns nothing.
     pub(crate) fn has_left(&self, info: &Info) -> bool {
         info.draining && !self.owners.values().any(|entry| entry.holder == Holder::of(info))
     }
