--- a/crates/state/examples/calls.rs
+++ b/crates/state/examples/calls.rs
@@ -1,9 +1,9 @@
-//! Counts the calls that nodes make to the key-value service, for the
-//! capacity page: `calls NODES SECONDS [CLAIMS_A_SECOND]`.
+//! Counts the calls that nodes make to the key-value service, for capacity planning:
+//! `calls NODES SECONDS [CLAIMS_PER_SECOND]`.
 //!
-//! All nodes run in this process over an in-memory service. After the start
-//! the calls of the given time are counted at rest, then with the claims, and
-//! then through one change of the configuration.
+//! All nodes run in this process with an in-memory service. After the start the calls are
+//! counted for the given time at rest, then with claims, and then during one change
+//! of the configuration.
 
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
@@ -22,7 +22,7 @@
 
 type Counts = BTreeMap<(&'static str, String), u64>;
 
-/// A store that counts calls by kind and by the first part of the key.
+/// A store that counts calls by kind and by the first segment of the key.
 #[derive(Clone)]
 struct Counted {
     inner: Memory,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Claims and settles `rate` requests a second, spread over the nodes.
+/// Claims and settles `rate` requests per second, spread over the nodes.
 async fn make_claims(nodes: &[Node], rate: f64, time: Duration) -> (usize, Vec<Duration>) {
     let start = Instant::now();
     let total = (rate * time.as_secs_f64()) as usize;
@@ -157,12 +157,12 @@
     let time = Duration::from_secs_f64(next(20.0));
     let rate = next(0.0);
     let store = Counted { inner: Memory::default(), counts: Arc::default() };
-    // The service answers in a millisecond.
+    // The service delays each reply by one millisecond.
     store.inner.set(|faults| faults.delay = Duration::from_millis(1));
     let targets = (0..count * 630 / 380).map(|n| format!("t{n}").as_str().into());
     let targets: Vec<id::Target> = targets.collect();
     let nodes: Vec<_> = (0..count).map(|n| spawn_node(&store, n, &targets)).collect();
-    // Until nothing has moved for ten seconds.
+    // Waits until no target has moved for ten seconds.
     let begun = Instant::now();
     loop {
         tokio::time::sleep(Duration::from_secs(10)).await;
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -126,8 +126,8 @@
     ///
     /// The service counts the time to live from when it handles a renewal. This node
     /// counts from when it *sent* the renewal, which is earlier, and stops after three
-    /// quarters of the time, so that a difference in clock speed can't make up for it. A
-    /// process that was paused finds that the time has passed.
+    /// quarters of the time to allow for clocks that run at different speeds. A process
+    /// that was paused finds that the time has passed.
     pub fn is_valid(&self, now: Instant) -> bool {
         let is_valid = self.held.is_some_and(|held| now < held.renewed_at + held.ttl * 3 / 4);
         is_valid && self.registered_at.is_some() && !self.is_replaced
--- a/crates/state/src/page.rs
+++ b/crates/state/src/page.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No byte was sent to any target: a resend may claim the key again.
+    /// Certainly no byte was sent to any target: a resend may claim the key again.
     NotRun,
     /// The request was answered.
     Answered {
--- a/crates/state/tests/claim.rs
+++ b/crates/state/tests/claim.rs
@@ -1,8 +1,8 @@
-//! Scripted failures of the claim ledger, on its pure half.
+//! Scripted failures of the claim ledger, on its pure state machine.
 //!
-//! The prefix of a command is the node. `call` makes the node's next call:
-//! `lost=answer` takes effect but is not answered, `lost=call` never arrives,
-//! `lost=late` arrives only at `arrive`, `down` is refused by the service.
+//! The prefix of a command is the node. `call` makes the node's next call: with
+//! `lost=answer` it takes effect but gets no reply, with `lost=call` it never arrives,
+//! with `lost=late` it arrives only at `arrive`, with `lost=down` the service refuses it.
 //! `run` makes calls until there are none.
 
 use goldenscript::Context;
@@ -19,11 +19,11 @@
 
 #[derive(goldenscript::Command)]
 enum Command {
-    /// Moves the clock.
+    /// Advances the clock by a number of seconds.
     Advance(f64),
     /// Begins a claim: the node reads its clock and checks the key's age.
     Check(String),
-    /// Asks for the claim of a checked key.
+    /// Starts the claim of a checked key.
     Claim {
         key: String,
         #[arg(key, optional)]
@@ -34,7 +34,7 @@
     Call {
         #[arg(key)]
         lost: Option<String>,
-        /// Seconds that pass before the answer.
+        /// Seconds that pass before the reply.
         #[arg(key, optional)]
         slow: u64,
     },
@@ -69,7 +69,7 @@
 
 type Output = Result<String, Box<dyn std::error::Error>>;
 
-/// The key named `text`, made at the start of the script.
+/// Returns the key named `text`, with the time at the start of the script.
 fn make_key(text: &str) -> Uuid {
     let digest = text.bytes().fold(7u128, |sum, byte| sum * 31 + u128::from(byte));
     let rest = (digest * 16) & ((1 << 60) - 1);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Makes one call of the node; `None` where it has none to make.
+    /// Makes one call of the node; returns `None` if no call is due.
     fn call(&mut self, name: &str, lost: Option<&str>, slow: u64) -> Option<String> {
         let now = self.clock.now();
         let wall = self.clock.wall_ms();
@@ -125,7 +125,7 @@
         Some(format!("{text}: {result}\n"))
     }
 
-    /// What has ended at the node.
+    /// Returns the operations of the node that have completed.
     fn take_completions(&mut self, name: &str) -> String {
         let Some(node) = self.nodes.get_mut(name) else {
             return String::new();
@@ -190,7 +190,7 @@
                 }
             }
             Command::Arrive => {
-                let write = self.late_writes.pop().ok_or("nothing is late")?;
+                let write = self.late_writes.pop().ok_or("no late write")?;
                 writeln!(output, "late write: {:?}", self.service.write(now, write).is_ok())?;
             }
             Command::Lose => {
--- a/crates/state/tests/claim_walk.rs
+++ b/crates/state/tests/claim_walk.rs
@@ -1,5 +1,5 @@
-//! A seeded walk over two nodes, their calls to the service and one key, for
-//! what the scripts do not name: pauses, lost and late calls, lapsed leases.
+//! A seeded random walk over two nodes, their calls to the service and one key. It covers
+//! combinations that the scripts don't: pauses, lost and late calls, expired leases.
 
 use hickory_standin::store::Core;
 use hickory_state::claim::{Answer, Claim};
@@ -11,16 +11,16 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Seeds walked; each takes some 0.1 ms.
+/// Number of seeds; each takes about 0.1 ms.
 const SEEDS: u64 = 20_000;
 
 const STEPS: usize = 80;
 
 const MINUTE: u64 = 1_440;
 
-/// One attempt of the caller at a node.
+/// The state of the caller's attempt at a node.
 enum Attempt {
-    /// The node has read its clock and found the key fit.
+    /// The node has read its clock and accepted the key.
     Checked(Instant),
     Pending,
     Granted(Claim),
@@ -42,7 +42,7 @@
     steps: &'static [u64],
     service: Core,
     late_writes: Vec<Write>,
-    /// What was read last, for a stale read.
+    /// The result of the last read, for a stale read.
     last_read: Option<Entry>,
     nodes: Vec<Node>,
     runs: u32,
@@ -54,7 +54,7 @@
 }
 
 impl Walk {
-    /// A walk whose key has the given age, and whose clock moves by one of the
+    /// Creates a walk whose key has the given age, and whose clock advances by one of the
     /// steps, in milliseconds.
     fn new(seed: u64, age_ms: u64, steps: &'static [u64]) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -100,7 +100,7 @@
         self.take_completions(index);
     }
 
-    /// The caller's side of the node: each arm may be reached after any pause.
+    /// Advances the caller's attempt at a node. Any pause may precede each arm.
     fn step_attempt(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -127,7 +127,7 @@
                 if self.random.random_bool(0.7) {
                     node.group.settle(now, &claim, outcome);
                 }
-                // Whatever is asked of the claim afterwards must not run.
+                // A second use of the claim must not run the request.
                 self.runs += u32::from(claim.try_begin_send(now));
                 Attempt::Idle
             }
@@ -173,7 +173,7 @@
             self.nodes[index].attempt = match answer {
                 Answer::Granted(claim) => Attempt::Granted(claim),
                 Answer::NotDone(_) => {
-                    assert_eq!(self.runs, 0, "not run was said of a request that ran");
+                    assert_eq!(self.runs, 0, "a request that ran was answered as not run");
                     Attempt::Idle
                 }
                 _ => Attempt::Idle,
@@ -199,13 +199,13 @@
 #[test]
 fn at_most_once() {
     let ran = walk_all(0, &[10, 10, 100, 100, 300, 300, 5_000, 21_000, 300_000, 600_000]);
-    assert!(ran > SEEDS / 4, "the walk hardly runs anything: {ran}");
+    assert!(ran > SEEDS / 4, "too few requests ran: {ran}");
 }
 
-/// The key is about to grow too old while its page is about to go: whoever
-/// still accepts the one must still find the other.
+/// Guards against a second run near the end of a key's retention, when the page is about
+/// to be removed: a node that still accepts the key must still find the page.
 #[test]
 fn at_most_once_at_key_expiry() {
     let ran = walk_all(570_000, &[10, 300, 5_000, 5_000, 10_000, 20_000]);
-    assert!(ran > SEEDS / 4, "the walk hardly runs anything: {ran}");
+    assert!(ran > SEEDS / 4, "too few requests ran: {ran}");
 }
--- a/crates/state/tests/config.rs
+++ b/crates/state/tests/config.rs
@@ -1,10 +1,10 @@
-//! Scripted failures of the configuration, on its pure half, and a seeded
+//! Scripted failures of the configuration, on its pure state machine, and a seeded random
 //! walk over two operators at two nodes.
 //!
-//! The prefix of a command is the node. `call` makes the next call of its
-//! acceptance: `lost=answer` takes effect but is not answered, `lost=call`
-//! never arrives, `lost=late` arrives only at `arrive`, `lost=stale` reads
-//! what was there at `remember`, `lost=down` is refused by the service.
+//! The prefix of a command is the node. `call` makes the next call of its acceptance:
+//! with `lost=answer` it takes effect but gets no reply, with `lost=call` it never
+//! arrives, with `lost=late` it arrives only at `arrive`, with `lost=stale` it reads the
+//! entry saved by `remember`, with `lost=down` the service refuses it.
 
 use goldenscript::Context;
 use hickory_release::configuration::Configuration;
@@ -23,7 +23,7 @@
 
 #[derive(goldenscript::Command)]
 enum Command {
-    /// Begins to accept a note, against a version.
+    /// Starts to accept a note against a version.
     Accept {
         operation: String,
         against: u64,
@@ -33,18 +33,18 @@
         #[arg(key)]
         lost: Option<String>,
     },
-    /// A held write takes effect, if it still may.
+    /// A late write arrives; it takes effect if its condition still holds.
     Arrive,
-    /// Remembers the head key for stale reads.
+    /// Saves the head key for stale reads.
     Remember,
     /// The node reads the head key, as its watch would.
     Read {
         #[arg(key, optional)]
         stale: bool,
     },
-    /// The node takes the configuration of a peer.
+    /// The node gets the configuration of a peer.
     Peer(String),
-    /// The node starts anew and knows nothing.
+    /// The node restarts without any state.
     Restart,
     Advance(u64),
     Show,
@@ -93,7 +93,7 @@
         node.acceptance = Some(Acceptance::new(self.now, note, node.current.clone(), 1));
     }
 
-    /// Makes a call; returns its name and the end of the acceptance.
+    /// Makes a call; returns its name and the result of the acceptance.
     fn call(&mut self, name: &str, lost: &str) -> Option<(&'static str, Option<AcceptanceResult>)> {
         let node = self.nodes.get_mut(name)?;
         let acceptance = node.acceptance.as_mut()?;
@@ -149,7 +149,7 @@
                 }
             }
             Command::Arrive => {
-                let write = self.late_writes.pop().ok_or("nothing is late")?;
+                let write = self.late_writes.pop().ok_or("no late write")?;
                 let took_effect = self.service.write(self.now, write).is_ok();
                 writeln!(output, "took effect: {took_effect}")?;
             }
@@ -207,9 +207,9 @@
     run("service_down");
 }
 
-/// Two operators send notes through two nodes, whose calls are lost, late and
-/// stale at random. Each version has one content for good, no node's version
-/// falls, an accepted note is in force, and a refused one never is.
+/// Two operators send notes through two nodes, with lost, late and stale calls at random.
+/// Guards against a configuration that reverts: each version has a single content, no
+/// node's version decreases, an accepted note is in force, and a rejected one never is.
 #[test]
 fn never_reverts() {
     let mut accepted = 0;
@@ -253,13 +253,13 @@
                     }
                 }
             }
-            assert!(before <= version(&world, name), "seed {seed}: {name} went back");
+            assert!(before <= version(&world, name), "seed {seed}: {name} reverted");
             let head = world.service.get(world.now, KEY);
             let head = head.and_then(|e| serde_json::from_str::<Configuration>(&e.value).ok());
             let known = world.nodes.values().filter_map(|node| node.current.as_deref());
             for next in known.chain(head.as_ref()) {
                 let first = seen.entry(next.version.0).or_insert_with(|| next.operations.clone());
-                assert_eq!(*first, next.operations, "seed {seed}: two of one version");
+                assert_eq!(*first, next.operations, "seed {seed}: two contents of one version");
             }
         }
         let head = world.service.get(world.now, KEY);
@@ -270,7 +270,7 @@
             accepted += u32::from(took_effect);
         }
     }
-    assert!(accepted > 5_000, "the walk hardly accepts anything: {accepted}");
+    assert!(accepted > 5_000, "too few notes accepted: {accepted}");
 }
 
 fn version(world: &World, name: &str) -> u64 {
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -1,5 +1,5 @@
-//! The drivers over an in-memory service with faults. Waits are on
-//! conditions, with a bound that only a hang reaches.
+//! Tests of the drivers against an in-memory service with faults. They wait for
+//! conditions, with a timeout that only a hang reaches.
 
 use hickory_release::configuration::Configuration;
 use hickory_release::note::Note;
@@ -33,9 +33,9 @@
     Ledger::new(store.clone(), System, "a".into(), Options::default())
 }
 
-/// One order is sent to nine nodes at once, over a thousand times, while some
-/// answers of the service are lost. One attempt is granted; every other is
-/// told that the order may have run.
+/// One request is sent to nine nodes at once, over a thousand times, while some replies
+/// of the service are lost. One attempt is granted; all others learn that the request may
+/// have run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn same_key_at_all_nodes() {
     let service = Memory::default();
@@ -61,8 +61,8 @@
     assert_eq!((granted, repeated.count()), (1, 9 * 112 - 1));
 }
 
-/// The outcome that one node stores is what a resend through another gets,
-/// and a request that was not run may be claimed anew.
+/// A resend through another node gets the stored outcome, and a request that did not run
+/// can be claimed again.
 #[tokio::test]
 async fn stored_outcomes() {
     let service = Memory::default();
@@ -75,7 +75,7 @@
     a.settle(&claim, Outcome::NotRun).await.unwrap();
     assert!(!claim.can_send(System.now()));
     let Answer::Granted(claim) = b.claim(key, 7, deadline).await else {
-        panic!("not granted anew");
+        panic!("not granted again");
     };
     let answered = Outcome::Answered { status: 200, body: Some("taken".into()) };
     b.settle(&claim, answered.clone()).await.unwrap();
@@ -84,8 +84,8 @@
     assert!(matches!(a.claim(key, 8, deadline).await, Answer::Reused));
 }
 
-/// The service says nothing for the whole deadline: the refusal comes at the
-/// deadline, not later, and does not claim that nothing ran.
+/// The service doesn't reply before the deadline: the claim is refused at the deadline,
+/// not later, and the answer doesn't say that nothing ran.
 #[tokio::test]
 async fn silent_service() {
     let store = Memory::default();
@@ -97,9 +97,9 @@
     assert!(matches!(answer, Answer::Unknown(LedgerError::ReadFailed(_))), "{answer:?}");
 }
 
-/// A note accepted at one node is in force at another by its watch, at a third
-/// that has lost the service by its peer, and a second operator's note against
-/// the same version meets a conflict. The first answer is lost.
+/// A note accepted at one node, whose first reply is lost, comes into force at a second
+/// node by its watch and at a third, which has lost the service, by a peer. A second note
+/// against the same version conflicts.
 #[tokio::test]
 async fn accepted_note_reaches_all_nodes() {
     let service = Memory::default();
@@ -113,7 +113,7 @@
     let accepted = a.accept(&note("first")).await.unwrap();
     assert_eq!(accepted.version, id::Release(1));
     let version = |manager: &Manager<Memory, System>| manager.current().map(|c| c.version.0);
-    wait_for("the watch tells it", || version(&b) == Some(1)).await;
+    wait_for("the watch delivers the note", || version(&b) == Some(1)).await;
     let rejection = b.accept(&note("second")).await.unwrap_err();
     assert!(matches!(rejection, Rejection::Conflict { present } if present.version.0 == 1));
     assert_eq!(version(&c), None);
@@ -122,7 +122,7 @@
     assert_eq!(version(&c), Some(1));
 }
 
-/// Says that all nodes run, until it is told that they are dead.
+/// Reports all nodes as running until `dead` is set.
 #[derive(Clone, Default)]
 struct Fleet {
     dead: Arc<AtomicBool>,
@@ -158,8 +158,8 @@
     node.1.owned().iter().filter(|owned| owned.allowance == Allowance::Full).count()
 }
 
-/// Three nodes share five targets; one stops as planned and hands its own
-/// over in one write; then it is gone from the registrations.
+/// Three nodes share five targets. One stops as planned, hands its targets over in one
+/// write, and is then no longer registered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn planned_stop() {
     let service = Memory::default();
@@ -173,7 +173,8 @@
     assert!(most.1.owned().is_empty());
     most.0.deregister().await;
     wait_for("the others serve all", || total() == 5 && count_full(most) == 0).await;
-    // The node that left follows nothing any more, so only the others tell.
+    // The stopped node no longer follows the registrations, so only the others are
+    // checked.
     let others = || nodes.iter().filter(|node| !std::ptr::eq(*node, most));
     wait_for("the node is gone", || others().all(|(m, _)| m.nodes().len() == 2)).await;
     let entry = service.get("owners").await.unwrap().unwrap();
@@ -181,8 +182,8 @@
     wait_for("the others know the document", known).await;
 }
 
-/// A node dies. Its lease lapses, a new connection to it fails, and the other
-/// takes its targets over: at half, since it can't tell a dead node from one
+/// A node dies: its lease expires, a probe fails, and the other node takes its targets
+/// over. It gets half the allowance at first, since it can't tell a dead node from one
 /// that is cut off.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn takeover() {
--- a/crates/state/tests/follow.rs
+++ b/crates/state/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Scripted answers to a follower of keys.
+//! Scripted replies to a follower of keys.
 
 use goldenscript::Context;
 use hickory_state::follow::{Follower, Options, Reply};
@@ -10,14 +10,14 @@
 enum Command {
     /// Shows the next call.
     Next,
-    /// Answers a list: the revision, and keys as `key=revision`.
+    /// Replies to a list with the revision and keys as `key=revision`.
     Listed(u64, Vec<(String, u64)>),
-    /// Answers a watch: the revision, and changes as `key=revision`; a key
-    /// that begins with `gone_` was removed.
+    /// Replies to a watch with the revision and changes as `key=revision`; a key that
+    /// begins with `gone_` was removed.
     Watched(u64, #[arg(optional)] Vec<(String, u64)>),
-    /// Answers a watch whose changes are no longer held.
+    /// Replies to a watch whose changes the service no longer holds.
     Compacted(u64),
-    /// Answers with a failure.
+    /// Replies with a failure.
     Failed,
     Advance(u64),
 }
--- a/crates/state/tests/member.rs
+++ b/crates/state/tests/member.rs
@@ -1,8 +1,8 @@
-//! Scripted failures of a node's lease, on its pure half.
+//! Scripted failures of a node's lease, on its pure state machine.
 //!
-//! `call` makes the next call that is due; `lost=answer` takes effect but is
-//! not answered, `lost=call` never arrives; `slow` seconds pass before the
-//! answer. `run` serves for so many seconds.
+//! `call` makes the next call if one is due: with `lost=answer` it takes effect but gets
+//! no reply, with `lost=call` it never arrives; `slow` seconds pass before the reply.
+//! `run` makes calls for a number of seconds.
 
 use goldenscript::Context;
 use hickory_standin::store::Core;
@@ -27,15 +27,15 @@
         lost: Option<String>,
         #[arg(key, optional)]
         slow: f64,
-        /// The node begins to stop while the call is open.
+        /// The node begins to drain while the call is in flight.
         #[arg(key, optional)]
         drain: bool,
     },
     Run(u64),
-    /// Time passes; the process is paused.
+    /// The process is paused while time passes.
     Pause(f64),
     FleetSize(usize),
-    /// The process sees the registration under its name.
+    /// The process reads the registration under its name.
     Observe,
     Show,
 }
--- a/crates/state/tests/owner.rs
+++ b/crates/state/tests/owner.rs
@@ -1,4 +1,4 @@
-//! Scripted failures of ownership, on its pure half.
+//! Scripted failures of ownership, on its pure state machine.
 
 use goldenscript::Context;
 use hickory_state::owner::KEY;
@@ -11,43 +11,42 @@
 #[derive(goldenscript::Command)]
 enum Command {
     Targets(Vec<String>),
-    /// Starts nodes, or starts them anew.
+    /// Starts or restarts nodes.
     Start(Vec<String>),
     Run(f64),
     Kill(Vec<String>),
     Pause(Vec<String>),
     Resume(Vec<String>),
-    /// Cuts nodes off the service only.
+    /// Nodes lose the service only.
     CutService(Vec<String>),
-    /// Cuts nodes off the service and off the other nodes; they reach each
-    /// other.
+    /// Nodes lose the service and the other nodes, but reach each other.
     Partition(Vec<String>),
     /// The same, as a second group.
     PartitionSecond(Vec<String>),
-    /// Cuts nodes off the other nodes, and makes them miss the document,
-    /// though they renew their leases.
+    /// Nodes lose the other nodes and no longer read the document, but renew their
+    /// leases.
     HideDocument(Vec<String>),
-    /// New connections to the nodes fail, though they run.
+    /// New connections to the nodes fail, although they are running.
     RefuseConnections(Vec<String>),
     Heal(Vec<String>),
-    /// Remembers the document for stale reads.
+    /// Saves the document for stale reads.
     Remember,
-    /// The nodes read the remembered document.
+    /// The nodes read the saved document.
     ReadStale(Vec<String>),
-    /// What was granted in the last step.
+    /// Shows what was granted in the last step.
     LastGrants,
     /// The service goes down.
     Down,
     Up,
-    /// All leases lapse at once.
+    /// All leases expire at once.
     ExpireLeases,
     Drain(Vec<String>),
-    /// The node's next write goes wrong.
+    /// The node's next write fails in the given way.
     Lose {
         node: String,
         what: String,
     },
-    /// Runs until a write is held up.
+    /// Runs until a write is held back.
     RunUntilLate,
     DeliverLate,
     Show,
--- a/crates/state/tests/owner_walk.rs
+++ b/crates/state/tests/owner_walk.rs
@@ -1,7 +1,7 @@
-//! A seeded walk over three nodes: kills, pauses, cuts, parted nodes, lost and
-//! late writes, outages of the service, planned stops. The world checks at
-//! each step that no target is granted more than it bears; at the end, with
-//! all faults gone, every target must be served in full again.
+//! A seeded random walk over three nodes with kills, pauses, partitions, lost and late
+//! writes, outages of the service and planned stops. At each step the world checks that
+//! no target is granted more than its capacity. At the end, without any faults, all
+//! targets must be served in full again.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/state/tests/world/mod.rs
+++ b/crates/state/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A few nodes with their stewards and leases around the core of a key-value
-//! service, in steps of 100 ms. Each step checks the one promise: what the
-//! nodes grant of a target is never more than it bears.
+//! A simulation of a few nodes, with their assigners and leases, and the key-value
+//! service in steps of 100 ms. Each step checks the invariant of ownership: the nodes
+//! together never grant more than a target's capacity.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
@@ -26,7 +26,7 @@
 pub enum Loss {
     Answer,
     Call,
-    /// The write takes effect only at [`World::arrive`].
+    /// The write takes effect only at [`World::deliver_late_write`].
     Late,
 }
 
@@ -35,18 +35,18 @@
     registration: Registration,
     pub is_alive: bool,
     pub is_paused: bool,
-    /// Whether it reaches the service.
+    /// Whether the node reaches the service.
     pub has_service: bool,
     /// Nodes reach those of the same group.
     pub group: u32,
-    /// It does not get the document, though it renews its lease.
+    /// Whether the node fails to read the document, although it renews its lease.
     pub is_document_hidden: bool,
-    /// New connections to it fail, though it runs.
+    /// Whether new connections to the node fail, although it is running.
     pub refuses_connections: bool,
     pub loss: Option<Loss>,
     contact_since: Option<Instant>,
     nodes: Arc<Nodes>,
-    /// The service's revision when the node last read it.
+    /// The revision of the service when the node last read it.
     read_at: Option<Revision>,
 }
 
@@ -57,7 +57,7 @@
     pub nodes: BTreeMap<String, Node>,
     pub late_writes: Vec<Write>,
     pub targets: Vec<id::Target>,
-    /// Allowance granted lately, by target and node: when, and how much.
+    /// Recent grants by target and node: when, and which share of the capacity.
     grants: BTreeMap<(id::Target, String), Vec<(Instant, f64)>>,
     pub remembered: Option<Entry>,
     epoch: id::Epoch,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Starts a process of the node, in place of any that ran.
+    /// Starts a process of the node, in place of a running one.
     pub fn start(&mut self, name: &str) {
         self.incarnations += 1;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -126,8 +126,8 @@
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
             if self.nodes[name].is_alive && !self.nodes[name].is_paused {
-                // Grants come first: a process that was paused knows nothing
-                // yet of what happened meanwhile.
+                // Grants come first: a process that was paused does not know yet what
+                // happened meanwhile.
                 self.grant(name);
                 self.call_service(name);
                 if self.steps.is_multiple_of(5) {
@@ -139,7 +139,7 @@
         self.check();
     }
 
-    /// What the assigner is told of the registrations.
+    /// Passes the state of the membership to the assigner.
     fn refresh_membership(&mut self, name: &str) {
         let now = self.now;
         if let Some(node) = self.nodes.get_mut(name) {
@@ -217,8 +217,8 @@
         to.is_alive && !to.is_paused && from.group == to.group
     }
 
-    /// Each tells each that it reaches what it knows, and fetches the newer
-    /// document.
+    /// Each node sends the revision that it knows to all nodes that it reaches, and they
+    /// fetch the document if it is newer.
     fn exchange_with_peers(&mut self, name: &str) {
         let revision = self.nodes[name].assigner.revision();
         let peers: Vec<String> = self.nodes.keys().cloned().collect();
@@ -278,13 +278,13 @@
         }
     }
 
-    /// A late write takes effect, if it still may.
+    /// Delivers a late write; returns whether it took effect.
     pub fn deliver_late_write(&mut self) -> bool {
         let write = self.late_writes.pop();
         write.is_some_and(|write| self.core.write(self.now, write).is_ok())
     }
 
-    /// Stops a node as planned: it says so, and hands its targets over.
+    /// Stops a node as planned: it registers as draining and hands its targets over.
     pub fn drain(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
             node.registration.set_draining();
@@ -300,11 +300,11 @@
         }
     }
 
-    /// Permits live for a second after they were granted, so what counts of a
-    /// node is its greatest grant of the last second.
+    /// Checks the invariant. Permits live for one second, so each node counts with its
+    /// largest grant of the last second.
     fn check(&mut self) {
         let epoch = self.document().epoch;
-        assert!(self.epoch <= epoch, "the epoch fell from {} to {epoch}", self.epoch);
+        assert!(self.epoch <= epoch, "the epoch decreased from {} to {epoch}", self.epoch);
         self.epoch = epoch;
         let (now, mut sums) = (self.now, BTreeMap::<&id::Target, f64>::new());
         for ((target, _), grants) in &mut self.grants {
@@ -315,7 +315,7 @@
         let worst = sums.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
         let worst = worst.map(|(target, sum)| (target.clone(), sum));
         if let Some((target, sum)) = worst.filter(|(_, sum)| *sum > 1.0) {
-            panic!("{target} is granted {sum} times what it bears:\n{}", self.show());
+            panic!("{target} is granted {sum} times its capacity:\n{}", self.show());
         }
     }
 
@@ -324,7 +324,7 @@
         entry.and_then(|e| serde_json::from_str(&e.value).ok()).unwrap_or_default()
     }
 
-    /// Targets in full terms of a node that runs.
+    /// Returns the number of targets that running nodes own with the full allowance.
     pub fn count_full(&mut self) -> usize {
         let now = self.now;
         let running = self.nodes.values_mut().filter(|node| node.is_alive && !node.is_paused);
@@ -332,7 +332,7 @@
         owned.filter(|owned| owned.allowance == Allowance::Full).count()
     }
 
-    /// What was granted in the last step.
+    /// Returns what was granted in the last step.
     pub fn last_grants(&self) -> String {
         let now = self.now;
         let last = |grants: &Vec<(Instant, f64)>| grants.last().is_some_and(|(at, _)| *at == now);
@@ -340,7 +340,7 @@
         lines.map(|((target, name), _)| format!("{name} {target}")).collect::<Vec<_>>().join(", ")
     }
 
-    /// Each node's targets with their terms.
+    /// Returns each node's targets with their allowances.
     pub fn show(&mut self) -> String {
         let now = self.now;
         let mut lines = Vec::new();
