--- a/crates/state/src/allowance.rs
+++ b/crates/state/src/allowance.rs
@@ -27,7 +27,7 @@
     /// When the call was sent by which the service last confirmed the document.
     pub(crate) confirmed_at: Option<Instant>,
     /// When it last had contact with any other node.
-    pub(crate) peer_heard_at: Option<Instant>,
+    pub(crate) last_peer_contact_at: Option<Instant>,
     last_tick_at: Option<Instant>,
     resumed_at: Option<Instant>,
 }
@@ -55,7 +55,7 @@
     /// Whether the service or another node has been in contact since the last pause of
     /// this process.
     fn has_contact_since_pause(&self) -> bool {
-        let last_contact = self.confirmed_at.max(self.peer_heard_at);
+        let last_contact = self.confirmed_at.max(self.last_peer_contact_at);
         self.resumed_at.is_none_or(|resumed| last_contact.is_some_and(|at| resumed <= at))
     }
 }
@@ -71,9 +71,9 @@
     // Permits of the predecessor expire after `permit_ttl`. A predecessor that has not
     // handed the target over may have come back before the takeover was written, and
     // continues until its confirmation of the document expires.
-    let predecessor_time =
+    let predecessor_grace =
         if entry.before.is_empty() { Duration::ZERO } else { options.max_document_age };
-    let until = acquisition.at + predecessor_time + options.permit_ttl;
+    let until = acquisition.at + predecessor_grace + options.permit_ttl;
     if now < until {
         return Allowance::WaitUntil(until);
     }
@@ -106,7 +106,7 @@
     let has_others = assigner.nodes.keys().chain(assigner.missing.keys()).any(|node| node != local);
     let has_peer_contact = assigner
         .status
-        .peer_heard_at
+        .last_peer_contact_at
         .is_some_and(|at| now < at + assigner.options.isolation_timeout);
     has_others && !has_peer_contact
 }
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -223,8 +223,8 @@
             self.missing.insert(node.clone(), missing);
         }
         self.missing.retain(|node, missing| {
-            let recent = now < missing.since + self.options.lost_timeout;
-            recent && !self.nodes.contains_key(node) && !self.document.has_left(&missing.info)
+            let is_recent = now < missing.since + self.options.lost_timeout;
+            is_recent && !self.nodes.contains_key(node) && !self.document.has_left(&missing.info)
         });
         let holders: BTreeSet<_> = self.nodes.values().map(Holder::of).collect();
         self.registered_since.retain(|holder, _| holders.contains(holder));
@@ -264,7 +264,7 @@
 
     /// Records contact with a node and the revision of the document that it knows.
     pub fn record_peer_revision(&mut self, now: Instant, node: &id::Node, revision: Revision) {
-        self.status.peer_heard_at = Some(now);
+        self.status.last_peer_contact_at = Some(now);
         self.peer_revisions.insert(node.clone(), revision);
     }
 
@@ -302,10 +302,10 @@
         let mut found = Vec::new();
         for (target, acquisition) in &self.acquired {
             let before = self.document.owners.get(target).map(|entry| &entry.before);
-            let open =
+            let candidates =
                 before.into_iter().flatten().filter(|h| !acquisition.stopped.contains_key(*h));
             let stopped =
-                open.filter(|holder| allowance::has_stopped(self, now, holder, acquisition));
+                candidates.filter(|holder| allowance::has_stopped(self, now, holder, acquisition));
             found.extend(stopped.map(|holder| (target.clone(), holder.clone())));
         }
         for (target, holder) in found {
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -193,13 +193,13 @@
     async fn submit(
         &self,
         name: Name,
-        push: impl FnOnce(&mut GroupCommit) -> Ticket,
+        add: impl FnOnce(&mut GroupCommit) -> Ticket,
     ) -> Option<Completion> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut shard = lock(&self.inner.shards[usize::from(name.shard)]);
             let slot = shard.entry(name.minute).or_insert_with(|| self.open_slot(name));
-            let ticket = push(&mut slot.group);
+            let ticket = add(&mut slot.group);
             slot.waiters.insert(ticket, sender);
             slot.notify.notify_one();
         }
@@ -295,16 +295,16 @@
         }
         // A page that was lost early is remembered, so that no claim is granted again on
         // the empty page that would take its place.
-        let keep = if slot.group.is_page_lost() {
+        let remaining = if slot.group.is_page_lost() {
             name.ttl(self.clock.wall_ms(), &self.options)
         } else {
             PAGE_IDLE_TIMEOUT.saturating_sub(now.saturating_duration_since(*idle_since))
         };
-        if keep.is_zero() {
+        if remaining.is_zero() {
             shard.remove(&name.minute);
             return Step::Stop;
         }
-        Step::Wait(keep)
+        Step::Wait(remaining)
     }
 
     async fn call(&self, name: Name, call: Call) -> Reply {
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -96,7 +96,7 @@
     /// Processes the reply to a call; returns the result once there is one.
     pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Option<AcceptanceResult> {
         self.retry_at = None;
-        let end = match reply {
+        let result = match reply {
             Reply::Got(Ok(entry)) => self.on_entry(now, entry),
             Reply::Wrote(Ok(_)) => self.write.take().map(|(_, next)| Ok(next)),
             Reply::Wrote(Err(Error::Conflict(entry))) => {
@@ -117,7 +117,7 @@
                 None
             }
         };
-        end.or_else(|| (self.deadline <= now).then(|| Err(self.timeout_rejection())))
+        result.or_else(|| (self.deadline <= now).then(|| Err(self.timeout_rejection())))
     }
 
     fn timeout_rejection(&self) -> Rejection {
@@ -140,8 +140,8 @@
         if present.version > self.note.against {
             return Some(Err(Rejection::Conflict { present: Box::new(present) }));
         }
-        let known = self.known.as_ref().map_or(self.note.against, |known| known.version);
-        if present.version < self.note.against.max(known) {
+        let known_version = self.known.as_ref().map_or(self.note.against, |known| known.version);
+        if present.version < self.note.against.max(known_version) {
             return self.on_stale_read(now, present);
         }
         match accept_note(&present, &self.note) {
