--- a/crates/state/src/allowance.rs
+++ b/crates/state/src/allowance.rs
@@ -10,8 +10,8 @@
 use crate::table::{Entry, Holder};
 use std::time::{Duration, Instant};
 
-/// A longer time between two ticks means that the process was paused; a busy process
-/// doesn't reach it.
+/// A longer interval between two ticks means that the process was paused, since a busy
+/// process ticks more often.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
 /// When to decide again if the wait has no known end.
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -95,8 +95,8 @@
     pub(crate) at: Instant,
     /// The revision of the document that assigned it.
     pub(crate) revision: Revision,
-    /// Former owners that have stopped granting, with the time at which this became
-    /// known.
+    /// Former owners that have certainly stopped granting, with the time at which this
+    /// node learned of it.
     pub(crate) stopped: BTreeMap<Holder, Instant>,
 }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    /// From now on plans hand all targets of this node over.
+    /// Makes all later plans hand over the targets of this node.
     pub fn release(&mut self) {
         self.is_releasing = true;
     }
@@ -295,8 +295,8 @@
         true
     }
 
-    /// Records the time, and which former owners have stopped by now. This is kept,
-    /// whatever happens to them later.
+    /// Records the time, and which former owners have stopped by now. A former owner
+    /// stays recorded as stopped, whatever it does later.
     pub(crate) fn tick(&mut self, now: Instant) {
         self.status.tick(now);
         let mut found = Vec::new();
@@ -333,8 +333,9 @@
                 self.resolve_write();
                 self.on_read(now, sent, entry.as_ref())
             }
-            // The write may still take effect. Its transfers remain in force on this
-            // node, and the next plan writes under the same condition, which resolves it.
+            // The write may still take effect: this node keeps granting nothing for the
+            // targets that the write transfers. The next plan writes under the same
+            // condition, which resolves it.
             Err(Error::Unknown(_)) => {
                 self.has_unresolved_write = true;
                 false
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -114,6 +114,7 @@
     }
 }
 
+/// A page in use, with the callers that wait for its operations.
 #[derive(Debug)]
 struct Slot {
     group: GroupCommit,
@@ -121,6 +122,7 @@
     notify: Arc<Notify>,
 }
 
+/// The state that the ledger's tasks share.
 #[derive(Debug)]
 struct Inner<S, C> {
     store: S,
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -62,7 +62,8 @@
 }
 
 impl Registration {
-    /// Creates a node without a lease; `min_ttl` is the minimum time to live.
+    /// Creates the registration of a node without a lease; `min_ttl` is the minimum time
+    /// to live.
     pub fn new(info: Info, min_ttl: Duration, seed: u64) -> Self {
         let backoff = Backoff::new(min_ttl / 20, min_ttl / 5, seed);
         Self {
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -59,8 +59,8 @@
             .map(|info| &info.node)
     }
 
-    /// Returns when this node may take a target over that has no owner since `since`;
-    /// `None` if it isn't eligible.
+    /// Returns when this node may take over a target that has been unowned since `since`;
+    /// `None` if this node isn't eligible.
     fn takeover_time(&self, target: &id::Target, since: Instant) -> Option<Instant> {
         let ranked = rank_nodes(target, self.eligible_nodes());
         let rank = ranked.iter().position(|node| **node == self.info.node)?;
@@ -101,24 +101,26 @@
         next.assign(target, &self.info, before);
     }
 
-    /// Returns since when a target has no owner whose owner was replaced by a later
-    /// process with the same name.
+    /// Returns since when a target counts as unowned because its owner's process was
+    /// replaced by a later one with the same name.
     ///
-    /// That process itself need not wait. For the other nodes, the document and the
-    /// registrations may just have been read at different times.
+    /// The later process itself need not wait. Other nodes wait, because they may just
+    /// have read the document and the registrations at different times.
     fn replaced_since(&mut self, now: Instant, target: &id::Target, entry: &Entry) -> Instant {
         let since = *self.unowned_since.entry(target.clone()).or_insert(now);
         let is_own = entry.holder.node == self.info.node;
         since + if is_own { Duration::ZERO } else { self.options.max_document_age }
     }
 
-    /// Returns since when the owner of a target is certainly lost: its lease has expired,
-    /// and a probe over a new connection failed.
+    /// Returns since when a target counts as unowned because its owner is certainly lost:
+    /// the owner's lease has expired, and a probe over a new connection failed. Returns
+    /// `None` while this is not certain.
     ///
     /// Without the grace period and the probe, targets of healthy owners would be taken
-    /// over, and would grant nothing meanwhile, when the service was down and all leases
-    /// expired at once, or when an owner lost only the service. An owner that is running
-    /// either registers again within the grace period or answers the probe.
+    /// over, and nothing would be granted for them meanwhile, after an outage of the
+    /// service that let all leases expire, or when an owner lost only the service. An
+    /// owner that is running either registers again within the grace period or answers
+    /// the probe.
     fn lost_since(&mut self, now: Instant, entry: &Entry, plan: &mut Plan) -> Option<Instant> {
         let holder = &entry.holder;
         let info = self.find_info(&holder.node)?;
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Returns the last known registration of a node. A later process with the same name
-    /// will do: while it answers, it keeps the targets.
+    /// Returns the last known registration of a node. It may be that of a later process
+    /// with the same name: as long as that process answers, it keeps the targets.
     fn find_info(&self, node: &id::Node) -> Option<Info> {
         let missing = self.missing.get(node).map(|missing| &missing.info);
         missing.or_else(|| self.document.holders.get(node)).cloned()
@@ -220,7 +222,8 @@
         true
     }
 
-    /// Removes targets of this node that have been off the host list for long.
+    /// Removes targets of this node that have been off the host list for the forget
+    /// delay.
     fn plan_forget(&mut self, now: Instant, next: &mut Document) {
         let forget_delay = self.options.forget_delay;
         self.unlisted_since.retain(|target, _| self.document.owners.contains_key(target));
