--- a/crates/state/tests/claim.rs
+++ b/crates/state/tests/claim.rs
@@ -2,7 +2,7 @@
 //!
 //! The prefix of a command is the node. `call` makes the node's next call: with
 //! `lost=answer` it takes effect but gets no reply, with `lost=call` it never arrives,
-//! with `lost=late` it arrives only at `arrive`, with `lost=down` the service refuses it.
+//! with `lost=late` it arrives only at `deliver_late`, with `lost=down` the service refuses it.
 //! `run` makes calls until there are none.
 
 use goldenscript::Context;
@@ -39,7 +39,7 @@
         slow: u64,
     },
     Run,
-    Arrive,
+    DeliverLate,
     /// The service loses all pages.
     Lose,
     Send(String),
@@ -189,7 +189,7 @@
                     self.clock.advance(Duration::from_millis(100));
                 }
             }
-            Command::Arrive => {
+            Command::DeliverLate => {
                 let write = self.late_writes.pop().ok_or("no late write")?;
                 writeln!(output, "late write: {:?}", self.service.write(now, write).is_ok())?;
             }
--- a/crates/state/tests/config.rs
+++ b/crates/state/tests/config.rs
@@ -3,7 +3,7 @@
 //!
 //! The prefix of a command is the node. `call` makes the next call of its acceptance:
 //! with `lost=answer` it takes effect but gets no reply, with `lost=call` it never
-//! arrives, with `lost=late` it arrives only at `arrive`, with `lost=stale` it reads the
+//! arrives, with `lost=late` it arrives only at `deliver_late`, with `lost=stale` it reads the
 //! entry saved by `remember`, with `lost=down` the service refuses it.
 
 use goldenscript::Context;
@@ -34,7 +34,7 @@
         lost: Option<String>,
     },
     /// A late write arrives; it takes effect if its condition still holds.
-    Arrive,
+    DeliverLate,
     /// Saves the head key for stale reads.
     Remember,
     /// The node reads the head key, as its watch would.
@@ -148,7 +148,7 @@
                     Some(Err(rejection)) => writeln!(output, "{text}: {rejection}")?,
                 }
             }
-            Command::Arrive => {
+            Command::DeliverLate => {
                 let write = self.late_writes.pop().ok_or("no late write")?;
                 let took_effect = self.service.write(self.now, write).is_ok();
                 writeln!(output, "took effect: {took_effect}")?;
