--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -89,7 +89,7 @@
         draining: false,
     };
     core.member.get_or_init(|| {
-        Member::register(core.store.clone(), core.clock.clone(), info, REGISTRATION_TTL)
+        Member::spawn_registration(core.store.clone(), core.clock.clone(), info, REGISTRATION_TTL)
     });
     std::future::pending().await
 }
@@ -193,18 +193,21 @@
     core: Arc<Core<D, S, C>>,
     prefix: &'static str,
 ) {
-    let options =
-        follow::Options { prefix: prefix.into(), wait: WATCH_TIMEOUT, spread: WATCH_JITTER };
-    let follower = Follower::open(options, rand::random());
+    let options = follow::Options {
+        prefix: prefix.into(),
+        watch_timeout: WATCH_TIMEOUT,
+        jitter: WATCH_JITTER,
+    };
+    let follower = Follower::new(options, rand::random());
     let (store, clock) = (core.store.clone(), core.clock.clone());
     let mut outage = Outage::default();
     follow::run(store, clock, follower, move |follower, step, sent| {
         let now = core.now();
         // If the history that a watch needs is gone, the store answers the watch call and a
         // list call follows, so this counts as an answer.
-        let is_answered = step.confirmed || step.pause.is_zero();
+        let is_answered = step.is_confirmed || step.delay.is_zero();
         let may_have_lapsed = match is_answered {
-            true if step.confirmed => outage.note_answer(now.saturating_duration_since(sent)),
+            true if step.is_confirmed => outage.note_answer(now.saturating_duration_since(sent)),
             true => false,
             false => {
                 outage.note_failure();
@@ -214,10 +217,10 @@
         core.note_store_reachable(is_answered);
         if prefix == D::TARGET_PREFIX {
             let is_leader = decide_with_candidates(&core, is_leader);
-            follower.set_spread(if is_leader { WATCH_JITTER } else { FOLLOWER_WATCH_JITTER });
+            follower.set_jitter(if is_leader { WATCH_JITTER } else { FOLLOWER_WATCH_JITTER });
         }
-        if step.changed {
-            let entries = follower.view().values();
+        if step.is_changed {
+            let entries = follower.entries().values();
             let at = follower.revision();
             core.update_items(may_have_lapsed, |items| {
                 items.apply_snapshot(now, prefix, entries, at)
--- a/crates/state/examples/calls.rs
+++ b/crates/state/examples/calls.rs
@@ -1,14 +1,14 @@
-//! Counts the calls that nodes make to the key-value service, for the
-//! capacity page: `calls NODES SECONDS [CLAIMS_A_SECOND]`.
+//! Counts the calls that nodes make to the key-value service, for capacity planning:
+//! `calls NODES SECONDS [CLAIMS_PER_SECOND]`.
 //!
-//! All nodes run in this process over an in-memory service. After the start
-//! the calls of the given time are counted at rest, then with the claims, and
-//! then through one change of the configuration.
+//! All nodes run in this process with an in-memory service. After the start the calls are
+//! counted for the given time at rest, then with claims, and then during one change
+//! of the configuration.
 
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
 use hickory_state::claim::{self, Answer, Ledger, Outcome};
-use hickory_state::config::Keeper;
+use hickory_state::config::Manager;
 use hickory_state::member::{Info, Member};
 use hickory_state::owner::{Owners, Probe};
 use hickory_store::store::{Batch, Entry, Error, Lease, Revision, Store, Write};
@@ -22,7 +22,7 @@
 
 type Counts = BTreeMap<(&'static str, String), u64>;
 
-/// A store that counts calls by kind and by the first part of the key.
+/// A store that counts calls by kind and by the first segment of the key.
 #[derive(Clone)]
 struct Counted {
     inner: Memory,
@@ -82,7 +82,7 @@
 struct Alive;
 
 impl Probe for Alive {
-    async fn alive(&self, _: &Info) -> bool {
+    async fn is_alive(&self, _: &Info) -> bool {
         true
     }
 }
@@ -90,7 +90,7 @@
 struct Node {
     _member: Member<Counted, System>,
     _owners: Owners<Counted, System, Alive>,
-    keeper: Keeper<Counted, System>,
+    manager: Manager<Counted, System>,
     ledger: Ledger<Counted, System>,
 }
 
@@ -110,9 +110,9 @@
     let permit = Duration::from_secs(1);
     let owners = Owners::spawn(store.clone(), System, member.clone(), Alive, permit);
     owners.set_targets(targets);
-    let ledger = Ledger::open(store.clone(), System, node, claim::Options::default());
-    let keeper = Keeper::spawn(store.clone(), System);
-    Node { _member: member, _owners: owners, keeper, ledger }
+    let ledger = Ledger::new(store.clone(), System, node, claim::Options::default());
+    let manager = Manager::spawn(store.clone(), System);
+    Node { _member: member, _owners: owners, manager, ledger }
 }
 
 fn print_counts(name: &str, counts: &Counts, nodes: usize, time: Duration) {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Claims and settles `rate` requests a second, spread over the nodes.
+/// Claims and settles `rate` requests per second, spread over the nodes.
 async fn make_claims(nodes: &[Node], rate: f64, time: Duration) -> (usize, Vec<Duration>) {
     let start = Instant::now();
     let total = (rate * time.as_secs_f64()) as usize;
@@ -157,12 +157,12 @@
     let time = Duration::from_secs_f64(next(20.0));
     let rate = next(0.0);
     let store = Counted { inner: Memory::default(), counts: Arc::default() };
-    // The service answers in a millisecond.
+    // The service delays each reply by one millisecond.
     store.inner.set(|faults| faults.delay = Duration::from_millis(1));
     let targets = (0..count * 630 / 380).map(|n| format!("t{n}").as_str().into());
     let targets: Vec<id::Target> = targets.collect();
     let nodes: Vec<_> = (0..count).map(|n| spawn_node(&store, n, &targets)).collect();
-    // Until nothing has moved for ten seconds.
+    // Waits until no target has moved for ten seconds.
     let begun = Instant::now();
     loop {
         tokio::time::sleep(Duration::from_secs(10)).await;
@@ -196,9 +196,9 @@
     }
     let begun = Instant::now();
     let note = Note { operation: "one".into(), ..Note::default() };
-    let accepted = nodes[0].keeper.accept(&note).await.map(|next| next.version);
+    let accepted = nodes[0].manager.accept(&note).await.map(|next| next.version);
     for node in &nodes {
-        let mut changes = node.keeper.subscribe();
+        let mut changes = node.manager.subscribe();
         let _ = changes.wait_for(|current| current.is_some()).await;
     }
     println!("note {accepted:?} in force on {count} nodes after {:?}", begun.elapsed());
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -1,5 +1,5 @@
-//! The configuration's head key, without input or output: which configuration
-//! is in force, and how a release note is accepted.
+//! The head key of the configuration, without input or output: which configuration is in
+//! force, and how a release note is accepted.
 
 use crate::config::{KEY, Rejection};
 use crate::retry::Backoff;
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long a note is tried to be accepted.
-const ACCEPT_TIME: Duration = Duration::from_secs(5);
+/// How long the acceptance of a note is tried.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(5);
 
-const RETRY_WAIT: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
+/// Minimum and maximum retry delay after a failed call.
+const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
-/// Reads of a version before the one that the note names; after these the
-/// note is refused, since it may name a version that never was.
-const STALE_READS_MAX: u32 = 3;
+/// Reads of a version lower than the one that the note names. After these the note is
+/// rejected, since it may name a version that never existed.
+const MAX_STALE_READS: u32 = 3;
 
-/// Whether `next` may take the place of `current`: only a higher version.
+/// Whether `next` may replace `current`, which requires a higher version.
 ///
-/// A configuration comes from the service, from a lagging replica of it, and
-/// from peers, in any order. With this one rule none of them can revert it.
+/// Configurations arrive in any order from the service, from its lagging replicas and
+/// from peers. This rule ensures that none of them reverts the configuration in force.
 pub fn supersedes(next: &Configuration, current: Option<&Configuration>) -> bool {
     current.is_none_or(|current| current.version < next.version)
 }
@@ -32,99 +33,100 @@
 pub enum Call {
     /// Read the head key.
     Get,
-    /// Write it.
+    /// Write the head key.
     Write(Write),
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// To [`Call::Get`].
+    /// The reply to [`Call::Get`].
     Got(Result<Option<Entry>, Error>),
-    /// To [`Call::Write`].
+    /// The reply to [`Call::Write`].
     Wrote(Result<Revision, Error>),
 }
 
-/// The end of an acceptance.
-pub type Verdict = Result<Arc<Configuration>, Rejection>;
+/// The result of an acceptance: the configuration that contains the note, or the
+/// rejection.
+pub type AcceptanceResult = Result<Arc<Configuration>, Rejection>;
 
 /// The acceptance of one release note.
 #[derive(Debug)]
 pub struct Acceptance {
     note: Note,
-    /// The configuration in force here: the service's must not be older.
+    /// The configuration in force on this node; one from the service must not be older.
     known: Option<Arc<Configuration>>,
     deadline: Instant,
     /// The write to make, with the configuration that it stores.
     write: Option<(Write, Arc<Configuration>)>,
-    /// A write got no answer.
-    unanswered: bool,
+    /// Whether a write got no reply.
+    has_unanswered_write: bool,
     stale_reads: u32,
     retry_at: Option<Instant>,
-    retries: Backoff,
+    backoff: Backoff,
 }
 
 impl Acceptance {
-    /// Begins to accept a note. Its operation id must be unique: the only way
-    /// to tell, after a lost answer, whether this note took effect or a like
-    /// one of another operator.
-    pub fn open(now: Instant, note: Note, known: Option<Arc<Configuration>>, seed: u64) -> Self {
+    /// Starts to accept a note. Its operation id must be unique, because after a lost
+    /// reply it is the only way to tell whether this note took effect or an identical one
+    /// of another operator.
+    pub fn new(now: Instant, note: Note, known: Option<Arc<Configuration>>, seed: u64) -> Self {
         Self {
             note,
             known,
-            deadline: now + ACCEPT_TIME,
+            deadline: now + ACCEPT_TIMEOUT,
             write: None,
-            unanswered: false,
+            has_unanswered_write: false,
             stale_reads: 0,
             retry_at: None,
-            retries: Backoff::open(RETRY_WAIT.0, RETRY_WAIT.1, seed),
+            backoff: Backoff::new(RETRY_DELAYS.0, RETRY_DELAYS.1, seed),
         }
     }
 
-    /// How long to wait before the next call.
-    pub fn pause(&self, now: Instant) -> Duration {
+    /// Returns how long to wait before the next call.
+    pub fn delay(&self, now: Instant) -> Duration {
         self.retry_at.map_or(Duration::ZERO, |at| at.saturating_duration_since(now))
     }
 
-    /// The next call.
-    pub fn next(&self) -> Call {
+    /// Returns the next call.
+    pub fn next_call(&self) -> Call {
         self.write.as_ref().map_or(Call::Get, |(write, _)| Call::Write(write.clone()))
     }
 
-    /// Takes the answer to a call; returns the end, once there is one.
-    pub fn answered(&mut self, now: Instant, reply: Reply) -> Option<Verdict> {
+    /// Processes the reply to a call; returns the result once there is one.
+    pub fn on_reply(&mut self, now: Instant, reply: Reply) -> Option<AcceptanceResult> {
         self.retry_at = None;
-        let end = match reply {
-            Reply::Got(Ok(entry)) => self.read(now, entry),
+        let result = match reply {
+            Reply::Got(Ok(entry)) => self.on_entry(now, entry),
             Reply::Wrote(Ok(_)) => self.write.take().map(|(_, next)| Ok(next)),
             Reply::Wrote(Err(Error::Conflict(entry))) => {
                 self.write = None;
-                self.read(now, entry)
+                self.on_entry(now, entry)
             }
-            // The same write again under the same condition: if the one
-            // without an answer took effect, this one's conflict returns a
-            // configuration that holds the operation; if not, it can't any
-            // more once this one has.
+            // The same write is sent again under the same condition. If the first one
+            // took effect, the second one conflicts and gets a configuration that
+            // contains the operation. If the second one takes effect, the first one no
+            // longer can.
             Reply::Wrote(Err(Error::Unknown(_))) => {
-                self.unanswered = true;
-                self.retry_at = Some(now + self.retries.fail());
+                self.has_unanswered_write = true;
+                self.retry_at = Some(now + self.backoff.next_delay());
                 None
             }
             Reply::Got(Err(_)) | Reply::Wrote(Err(_)) => {
-                self.retry_at = Some(now + self.retries.fail());
+                self.retry_at = Some(now + self.backoff.next_delay());
                 None
             }
         };
-        end.or_else(|| (self.deadline <= now).then(|| Err(self.give_up())))
+        result.or_else(|| (self.deadline <= now).then(|| Err(self.timeout_rejection())))
     }
 
-    fn give_up(&self) -> Rejection {
+    fn timeout_rejection(&self) -> Rejection {
         let text = "the service did not answer in time".to_owned();
-        if self.unanswered { Rejection::Unknown(text) } else { Rejection::NotDone(text) }
+        if self.has_unanswered_write { Rejection::Unknown(text) } else { Rejection::NotDone(text) }
     }
 
-    /// Decides by the configuration in the service.
-    fn read(&mut self, now: Instant, entry: Option<Entry>) -> Option<Verdict> {
+    /// Decides by the configuration that the service holds.
+    fn on_entry(&mut self, now: Instant, entry: Option<Entry>) -> Option<AcceptanceResult> {
         let (present, expect) = match &entry {
             None => (Configuration::default(), Expect::Absent),
             Some(entry) => match serde_json::from_str(&entry.value) {
@@ -138,8 +140,8 @@
         if present.version > self.note.against {
             return Some(Err(Rejection::Conflict { present: Box::new(present) }));
         }
-        let known = self.known.as_ref().map_or(self.note.against, |known| known.version);
-        if present.version < self.note.against.max(known) {
+        let known_version = self.known.as_ref().map_or(self.note.against, |known| known.version);
+        if present.version < self.note.against.max(known_version) {
             return self.on_stale_read(now, present);
         }
         match accept_note(&present, &self.note) {
@@ -157,18 +159,19 @@
         }
     }
 
-    /// The read may come from a replica that lags, or the note names a version
-    /// that never was.
-    fn on_stale_read(&mut self, now: Instant, present: Configuration) -> Option<Verdict> {
+    /// Handles a version that is too low: either the read came from a lagging replica, or
+    /// the note names a version that never existed.
+    fn on_stale_read(&mut self, now: Instant, present: Configuration) -> Option<AcceptanceResult> {
         self.stale_reads += 1;
-        if self.stale_reads < STALE_READS_MAX {
-            self.retry_at = Some(now + self.retries.fail());
+        if self.stale_reads < MAX_STALE_READS {
+            self.retry_at = Some(now + self.backoff.next_delay());
             return None;
         }
         let known = self.known.clone().filter(|known| supersedes(known, Some(&present)));
         match known {
-            // Written over, an older head would take the versions that nodes
-            // already have in force, and no node would apply it.
+            // The service has lost versions. A write on the older head would reuse
+            // version numbers that nodes already have in force, and no node would apply
+            // it.
             Some(known) if known.version == self.note.against => {
                 let text = format!("the service has version {}", present.version);
                 Some(Err(Rejection::NotDone(text)))
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -1,9 +1,10 @@
-//! Membership: a lease and a registration for each node.
+//! Membership: each node keeps a lease and a registration, and follows those of the
+//! others.
 //!
-//! The decisions stand in [`crate::lease`] and [`crate::follow`].
+//! The decisions are made in [`crate::lease`] and [`crate::follow`].
 
 use crate::follow::{self, Follower};
-use crate::lease::{Call, Keeper, Reply};
+use crate::lease::{Call, Registration, Reply};
 use hickory_store::store::Store;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
@@ -14,63 +15,64 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify, watch};
 
-/// The prefix of the registrations.
+/// The key prefix of the registrations.
 pub const PREFIX: &str = "nodes/";
 
-/// Watches of the registrations: one call in ten seconds and node at rest.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
-const WATCH_SPREAD: Duration = Duration::from_millis(300);
+/// Watches of the registrations. Without changes each node makes one such call every ten
+/// seconds.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+const WATCH_JITTER: Duration = Duration::from_millis(300);
 
-/// What a node tells of itself.
+/// The registration of a node: its addresses and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Info {
-    /// Its name.
+    /// The name of the node.
     pub node: id::Node,
-    /// The availability zone it stands in.
+    /// The availability zone in which it runs.
     pub zone: id::Zone,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for other nodes.
     pub peers: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub admin: SocketAddr,
-    /// Differs after each start.
+    /// Identifies the process; different after each start.
     pub incarnation: id::Incarnation,
-    /// Whether it is stopping.
+    /// Whether the node is stopping.
     pub draining: bool,
 }
 
 /// The nodes by name.
 pub type Nodes = BTreeMap<id::Node, Info>;
 
-/// What is known of the registrations, for decisions that rest on them.
+/// The state of the membership on which ownership decisions are based.
 #[derive(Clone, Debug)]
 pub struct View {
     /// The registered nodes.
     pub nodes: Arc<Nodes>,
     /// Whether this node's own lease is certainly valid.
-    pub confirmed: bool,
-    /// When this node's registration under its present lease was sent.
+    pub is_lease_valid: bool,
+    /// When this node's registration under its current lease was sent.
     pub registered_at: Option<Instant>,
-    /// Since when the service has answered each call for the registrations;
-    /// `None` while it does not.
+    /// Since when the service has answered every call for the registrations; `None` while
+    /// it doesn't answer.
     pub contact_since: Option<Instant>,
     /// Whether this node is stopping.
     pub draining: bool,
 }
 
-fn make_seed() -> u64 {
+fn random_seed() -> u64 {
     uuid::Uuid::new_v4().as_u128() as u64
 }
 
 #[derive(Debug)]
 struct Shared {
-    keeper: Keeper,
+    registration: Registration,
     contact_since: Option<Instant>,
-    left: bool,
+    has_left: bool,
 }
 
-/// A running registration with its view of the other nodes.
+/// The running registration of this node, with the registrations of the others.
 #[derive(Clone, Debug)]
 pub struct Member<S, C> {
     store: S,
@@ -81,23 +83,23 @@
 }
 
 impl<S: Store, C: Clock> Member<S, C> {
-    /// Registers the node and keeps its lease until the handle says it leaves.
-    /// The lease lives for `ttl`, longer where the fleet is large.
+    /// Registers the node, keeps its lease until [`Member::deregister`] and follows the
+    /// other nodes. The lease lives for `ttl`, longer if the fleet is large.
     pub fn spawn(store: S, clock: C, info: Info, ttl: Duration) -> Self {
-        let member = Self::register(store, clock, info, ttl);
-        tokio::spawn(member.clone().keep_view(make_seed()));
+        let member = Self::spawn_registration(store, clock, info, ttl);
+        tokio::spawn(member.clone().follow_nodes(random_seed()));
         member
     }
 
-    /// Registers the node and keeps its lease, without following the others:
-    /// for nodes that learn of each other in another way.
-    pub fn register(store: S, clock: C, info: Info, ttl: Duration) -> Self {
-        let keeper = Keeper::open(info, ttl, make_seed());
-        let shared = Shared { keeper, contact_since: None, left: false };
+    /// Registers the node and keeps its lease without following the other nodes, for
+    /// nodes that learn of each other in another way.
+    pub fn spawn_registration(store: S, clock: C, info: Info, ttl: Duration) -> Self {
+        let registration = Registration::new(info, ttl, random_seed());
+        let shared = Shared { registration, contact_since: None, has_left: false };
         let (nodes, _) = watch::channel(Arc::default());
         let wake = Arc::default();
         let member = Self { store, clock, shared: Arc::new(Mutex::new(shared)), nodes, wake };
-        tokio::spawn(member.clone().keep_lease());
+        tokio::spawn(member.clone().run_lease());
         member
     }
 
@@ -105,57 +107,57 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this node tells of itself.
-    pub fn me(&self) -> Info {
-        self.lock().keeper.me().clone()
+    /// Returns this node's registration.
+    pub fn info(&self) -> Info {
+        self.lock().registration.info().clone()
     }
 
-    /// The least time to live of its lease.
-    pub fn ttl(&self) -> Duration {
-        self.lock().keeper.ttl()
+    /// Returns the minimum time to live of the lease.
+    pub fn min_ttl(&self) -> Duration {
+        self.lock().registration.min_ttl()
     }
 
-    /// The registered nodes, as last seen.
+    /// Returns the registered nodes as last read.
     pub fn nodes(&self) -> Arc<Nodes> {
         self.nodes.borrow().clone()
     }
 
-    /// Told of each change of [`Member::nodes`].
-    pub fn changed(&self) -> watch::Receiver<Arc<Nodes>> {
+    /// Returns a receiver of the changes of [`Member::nodes`].
+    pub fn subscribe(&self) -> watch::Receiver<Arc<Nodes>> {
         self.nodes.subscribe()
     }
 
     /// Whether this node's lease is certainly valid at `now`.
-    pub fn confirmed(&self, now: Instant) -> bool {
+    pub fn is_lease_valid(&self, now: Instant) -> bool {
         let shared = self.lock();
-        !shared.left && shared.keeper.confirmed(now)
+        !shared.has_left && shared.registration.is_valid(now)
     }
 
-    /// What is known of the registrations at `now`.
+    /// Returns the state of the membership at `now`.
     pub fn view(&self, now: Instant) -> View {
         let nodes = self.nodes();
         let shared = self.lock();
         View {
             nodes,
-            confirmed: !shared.left && shared.keeper.confirmed(now),
-            registered_at: shared.keeper.registered_at(),
+            is_lease_valid: !shared.has_left && shared.registration.is_valid(now),
+            registered_at: shared.registration.registered_at(),
             contact_since: shared.contact_since,
-            draining: shared.keeper.me().draining,
+            draining: shared.registration.info().draining,
         }
     }
 
-    /// Tells the others that this node is stopping.
+    /// Registers that this node is stopping.
     pub async fn set_draining(&self) {
-        self.lock().keeper.set_draining();
+        self.lock().registration.set_draining();
         self.wake.notify_one();
     }
 
-    /// Ends the registration.
-    pub async fn leave(&self) {
+    /// Ends the registration and revokes the lease.
+    pub async fn deregister(&self) {
         let lease = {
             let mut shared = self.lock();
-            shared.left = true;
-            shared.keeper.lease()
+            shared.has_left = true;
+            shared.registration.lease()
         };
         self.wake.notify_one();
         if let Some(lease) = lease {
@@ -163,23 +165,23 @@
         }
     }
 
-    async fn keep_lease(self) {
+    async fn run_lease(self) {
         loop {
             let now = self.clock.now();
             let (call, wake) = {
                 let mut shared = self.lock();
-                if shared.left {
+                if shared.has_left {
                     return;
                 }
-                (shared.keeper.next(now), shared.keeper.wake(now))
+                (shared.registration.next_call(now), shared.registration.next_wakeup(now))
             };
             let Some(wake) = wake else {
-                log::error!(node:% = self.me().node; "another process has this node's name");
+                log::error!(node:% = self.info().node; "another process has this node's name");
                 return;
             };
             if let Some(call) = call {
                 let reply = self.call(call).await;
-                self.lock().keeper.answered(self.clock.now(), now, reply);
+                self.lock().registration.on_reply(self.clock.now(), now, reply);
             } else {
                 let wait = wake.saturating_duration_since(now);
                 let _ = tokio::time::timeout(wait, self.wake.notified()).await;
@@ -195,35 +197,38 @@
         }
     }
 
-    async fn keep_view(self, seed: u64) {
-        let options =
-            follow::Options { prefix: PREFIX.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
-        let follower = Follower::open(options, seed ^ 2);
+    async fn follow_nodes(self, seed: u64) {
+        let options = follow::Options {
+            prefix: PREFIX.into(),
+            watch_timeout: WATCH_TIMEOUT,
+            jitter: WATCH_JITTER,
+        };
+        let follower = Follower::new(options, seed ^ 2);
         let member = self.clone();
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
-            if step.changed {
-                member.take_view(follower);
-                follower.set_fleet(follower.view().len());
+            if step.is_changed {
+                member.update_nodes(follower);
+                follower.set_fleet_size(follower.entries().len());
             }
             let mut shared = member.lock();
             let since = shared.contact_since.unwrap_or(sent);
-            shared.contact_since = step.confirmed.then_some(since);
-            !shared.left
+            shared.contact_since = step.is_confirmed.then_some(since);
+            !shared.has_left
         })
         .await;
     }
 
-    fn take_view(&self, follower: &Follower) {
+    fn update_nodes(&self, follower: &Follower) {
         let read = |entry: &hickory_store::store::Entry| {
             let info = serde_json::from_str::<Info>(&entry.value).ok()?;
             Some((info, entry.revision))
         };
-        let seen: Vec<_> = follower.view().values().filter_map(read).collect();
+        let seen: Vec<_> = follower.entries().values().filter_map(read).collect();
         let mut shared = self.lock();
-        shared.keeper.set_fleet(seen.len());
+        shared.registration.set_fleet_size(seen.len());
         for (info, revision) in &seen {
-            if info.node == shared.keeper.me().node {
-                shared.keeper.see(info.incarnation, *revision);
+            if info.node == shared.registration.info().node {
+                shared.registration.observe(info.incarnation, *revision);
             }
         }
         drop(shared);
--- a/crates/state/src/owner.rs
+++ b/crates/state/src/owner.rs
@@ -1,5 +1,6 @@
-//! Ownership of targets: one document, changed by compare-and-swap. The
-//! decisions stand in [`crate::assign`] and [`crate::terms`].
+//! Ownership of targets: one document, changed by compare-and-swap.
+//!
+//! The decisions are made in [`crate::assign`], [`crate::plan`] and [`crate::allowance`].
 
 use crate::assign::{Assigner, Options};
 use crate::follow::{self, Follower};
@@ -17,41 +18,41 @@
 /// The key of the ownership document.
 pub const KEY: &str = "owners";
 
-/// Watches of the document. Their ends confirm it, so `Options::fresh` allows
-/// for two of them.
-const WATCH_WAIT: Duration = Duration::from_millis(700);
-const WATCH_SPREAD: Duration = Duration::from_millis(100);
+/// Watches of the document. The end of each watch confirms it;
+/// `Options::max_document_age` allows for two of them.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(700);
+const WATCH_JITTER: Duration = Duration::from_millis(100);
 
-/// Between two looks at what there is to do.
-const TICK: Duration = Duration::from_millis(200);
+/// Interval between two plans when the document doesn't change.
+const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long a planned stop tries to hand its targets over.
-const RELEASE_TIME: Duration = Duration::from_secs(5);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Asks over a new connection whether a node still runs.
+/// Checks over a new connection whether a node is running.
 pub trait Probe: Clone + Send + Sync + 'static {
-    /// Whether the node answered. Judges the path with a new connection: an
-    /// old one may be silent for good while the node runs.
-    fn alive(&self, node: &Info) -> impl Future<Output = bool> + Send;
+    /// Whether the node answered. It has to use a new connection, because an old one may
+    /// be dead although the node is running.
+    fn is_alive(&self, node: &Info) -> impl Future<Output = bool> + Send;
 }
 
-/// Who owns a target.
+/// The owner of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The node.
     pub node: id::Node,
-    /// Rises with each change; the fencing number of orders.
+    /// The fencing epoch of orders to the target; rises with each change of ownership.
     pub epoch: id::Epoch,
 }
 
-/// What an owner may grant at present.
+/// How much of a target's capacity its owner may grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Terms {
-    /// Nothing before the time given.
-    Wait(Instant),
-    /// At most half of what the target bears.
+pub enum Allowance {
+    /// Nothing before the given time.
+    WaitUntil(Instant),
+    /// At most half of the capacity.
     Half,
-    /// All that it bears.
+    /// The whole capacity.
     Full,
 }
 
@@ -62,11 +63,11 @@
     pub target: id::Target,
     /// The epoch of the ownership.
     pub epoch: id::Epoch,
-    /// What may be granted.
-    pub terms: Terms,
+    /// How much of its capacity may be granted.
+    pub allowance: Allowance,
 }
 
-/// The running ownership.
+/// The running ownership of targets on this node.
 #[derive(Clone, Debug)]
 pub struct Owners<S, C, P> {
     store: S,
@@ -74,21 +75,22 @@
     member: Member<S, C>,
     probe: P,
     assigner: Arc<Mutex<Assigner>>,
-    /// One write at a time: the answer to a second could be taken for that of
-    /// the first.
-    writing: Arc<tokio::sync::Mutex<()>>,
-    changed: watch::Sender<u64>,
+    /// Allows one write at a time. With two in flight, the reply to one could be applied
+    /// as that of the other.
+    write_lock: Arc<tokio::sync::Mutex<()>>,
+    revision: watch::Sender<u64>,
 }
 
 impl<S: Store, C: Clock, P: Probe> Owners<S, C, P> {
-    /// Follows the document and takes targets that have no owner. `permit` is
-    /// the life of a permit, which a new owner waits out.
-    pub fn spawn(store: S, clock: C, member: Member<S, C>, probe: P, permit: Duration) -> Self {
-        let options = Options::of(permit, member.ttl());
-        let assigner = Arc::new(Mutex::new(Assigner::open(member.me(), options)));
-        let (changed, _) = watch::channel(0);
+    /// Follows the document and takes over targets without an owner. `permit_ttl` is the
+    /// lifetime of a permit; a new owner grants nothing until the permits of its
+    /// predecessor have expired.
+    pub fn spawn(store: S, clock: C, member: Member<S, C>, probe: P, permit_ttl: Duration) -> Self {
+        let options = Options::new(permit_ttl, member.min_ttl());
+        let assigner = Arc::new(Mutex::new(Assigner::new(member.info(), options)));
+        let (revision, _) = watch::channel(0);
         let owners =
-            Self { store, clock, member, probe, assigner, writing: Arc::default(), changed };
+            Self { store, clock, member, probe, assigner, write_lock: Arc::default(), revision };
         tokio::spawn(owners.clone().follow());
         tokio::spawn(owners.clone().run());
         owners
@@ -98,130 +100,136 @@
         self.assigner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The assigner, told of the registrations first.
-    fn look(&self, now: Instant) -> MutexGuard<'_, Assigner> {
+    /// Returns the assigner with the current membership.
+    fn refresh_assigner(&self, now: Instant) -> MutexGuard<'_, Assigner> {
         let view = self.member.view(now);
         let mut assigner = self.lock();
-        assigner.see(now, view);
+        assigner.update_membership(now, view);
         assigner
     }
 
-    /// Who owns a target, as last seen.
+    /// Returns the owner of a target as last read.
     pub fn owner(&self, target: &id::Target) -> Option<Owner> {
         self.lock().owner(target)
     }
 
-    /// The targets that this node owns, with what may be granted at present.
+    /// Returns the targets that this node owns, with their current allowances.
     pub fn owned(&self) -> Vec<Owned> {
         let now = self.clock.now();
-        self.look(now).owned(now)
+        self.refresh_assigner(now).owned(now)
     }
 
-    /// Told of each change of the document; carries its revision.
-    pub fn changed(&self) -> watch::Receiver<u64> {
-        self.changed.subscribe()
+    /// Returns a receiver of the revision of the document, notified of each change.
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.revision.subscribe()
     }
 
-    /// The revision of the document known.
+    /// Returns the revision of the document known.
     pub fn revision(&self) -> u64 {
         self.lock().revision().0
     }
 
-    /// Names the targets that need an owner.
+    /// Sets the targets that need an owner.
     pub fn set_targets(&self, targets: &[id::Target]) {
         let now = self.clock.now();
         self.lock().set_targets(now, targets);
     }
 
-    /// The document as text with its revision, for a peer.
+    /// Returns the revision and the text of the document, for a peer.
     pub fn document(&self) -> (u64, String) {
         let assigner = self.lock();
         let text = serde_json::to_string(assigner.document()).unwrap_or_default();
         (assigner.revision().0, text)
     }
 
-    /// Takes a document from a peer where its revision is higher.
-    pub fn offer(&self, revision: u64, text: &str) -> bool {
+    /// Applies a document from a peer if its revision is higher than the known one;
+    /// returns whether it did.
+    pub fn apply_if_newer(&self, revision: u64, text: &str) -> bool {
         let Ok(document) = serde_json::from_str(text) else {
             return false;
         };
         let now = self.clock.now();
-        let changed = self.lock().offer(now, Revision(revision), document);
-        self.tell(changed)
+        let changed = self.lock().apply_if_newer(now, Revision(revision), document);
+        self.notify_if_changed(changed)
     }
 
-    /// Notes that a node was heard, with the revision of the document that it
-    /// knows. Must be called for each exchange with a peer: an owner without
-    /// the service goes on only while it hears others, and a new owner learns
-    /// from it that its predecessor has stopped.
-    pub fn heard(&self, node: &id::Node, revision: u64) {
+    /// Records contact with a peer and the revision of the document that it knows.
+    ///
+    /// Must be called for each exchange with a peer: an owner without the service
+    /// continues only while it has contact with others, and a new owner uses the revision
+    /// to see that its predecessor has stopped.
+    pub fn record_peer_revision(&self, node: &id::Node, revision: u64) {
         let now = self.clock.now();
-        self.lock().heard(now, node, Revision(revision));
+        self.lock().record_peer_revision(now, node, Revision(revision));
     }
 
-    /// Hands all targets over, at a planned stop; returns whether none is
-    /// left. Without the service none can be: they are taken over once the
-    /// node's lease has lapsed.
+    /// Hands all targets over at a planned stop; returns whether none is left. It can't
+    /// do so while the service is down: the targets are then taken over once the node's
+    /// lease has expired.
     pub async fn release_all(&self) -> bool {
         self.lock().release();
-        let deadline = self.clock.now() + RELEASE_TIME;
+        let deadline = self.clock.now() + RELEASE_TIMEOUT;
         loop {
-            self.step().await;
+            self.run_plan().await;
             let now = self.clock.now();
-            if self.lock().holds_nothing() {
+            if self.lock().has_no_targets() {
                 return true;
             }
             if deadline <= now {
                 return false;
             }
-            tokio::time::sleep(TICK / 2).await;
+            tokio::time::sleep(PLAN_INTERVAL / 2).await;
         }
     }
 
-    fn tell(&self, changed: bool) -> bool {
+    fn notify_if_changed(&self, changed: bool) -> bool {
         if changed {
-            self.changed.send_replace(self.revision());
+            self.revision.send_replace(self.revision());
         }
         changed
     }
 
     async fn follow(self) {
-        let options =
-            follow::Options { prefix: KEY.into(), wait: WATCH_WAIT, spread: WATCH_SPREAD };
+        let options = follow::Options {
+            prefix: KEY.into(),
+            watch_timeout: WATCH_TIMEOUT,
+            jitter: WATCH_JITTER,
+        };
         let seed = uuid::Uuid::new_v4().as_u128() as u64;
         let owners = self.clone();
-        let follower = Follower::open(options, seed);
+        let follower = Follower::new(options, seed);
         follow::run(self.store, self.clock, follower, move |follower, step, sent| {
-            if step.confirmed {
+            if step.is_confirmed {
                 let now = owners.clock.now();
-                let changed = owners.lock().read(now, sent, follower.view().get(KEY));
-                owners.tell(changed);
+                let changed = owners.lock().on_read(now, sent, follower.entries().get(KEY));
+                owners.notify_if_changed(changed);
             }
-            follower.set_fleet(owners.member.nodes().len());
+            follower.set_fleet_size(owners.member.nodes().len());
             true
         })
         .await;
     }
 
     async fn run(self) {
-        let mut changed = self.changed.subscribe();
+        let mut changed = self.revision.subscribe();
         loop {
-            self.step().await;
-            let _ = tokio::time::timeout(TICK, changed.changed()).await;
+            self.run_plan().await;
+            let _ = tokio::time::timeout(PLAN_INTERVAL, changed.changed()).await;
         }
     }
 
-    async fn step(&self) {
-        let _writing = self.writing.lock().await;
+    async fn run_plan(&self) {
+        let _write_guard = self.write_lock.lock().await;
         let now = self.clock.now();
-        let Plan { probes, write } = self.look(now).plan(now);
+        let Plan { probes, write } = self.refresh_assigner(now).plan(now);
         for info in probes {
-            // Each in a task of its own: a silent node must hold up nothing.
+            // Each probe runs in a task of its own, so that an unresponsive node delays
+            // nothing else.
             let owners = self.clone();
             tokio::spawn(async move {
-                let alive = owners.probe.alive(&info).await;
+                let is_alive = owners.probe.is_alive(&info).await;
                 let now = owners.clock.now();
-                owners.lock().probed(now, &info, alive);
+                owners.lock().on_probe_result(now, &info, is_alive);
             });
         }
         let Some((write, document)) = write else {
@@ -231,7 +239,7 @@
         if let Err(error) = &result {
             log::debug!(error:%; "ownership not written");
         }
-        let changed = self.lock().wrote(self.clock.now(), now, result, document);
-        self.tell(changed);
+        let changed = self.lock().on_write_result(self.clock.now(), now, result, document);
+        self.notify_if_changed(changed);
     }
 }
--- a/crates/state/src/retry.rs
+++ b/crates/state/src/retry.rs
@@ -1,46 +1,47 @@
-//! The time between two tries of a failed call.
+//! Retry delays for failed calls.
 
 use std::time::Duration;
 
 /// Exponential backoff with jitter.
 ///
-/// All nodes meet the same outage. Without the jitter their calls would come in step
-/// and the service would fall over each time it returns; without the growth they would
-/// keep it down.
+/// All nodes see the same outage. Without jitter their retries would arrive in lockstep
+/// and overload the service each time it returns; without exponential growth they would
+/// keep it overloaded.
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    first: Duration,
-    most: Duration,
+    min_delay: Duration,
+    max_delay: Duration,
     failures: u32,
     state: u64,
 }
 
 impl Backoff {
-    /// Waits of `first` after one failure, doubled with each further one up to
-    /// `most`; each is then shortened at random by up to a half.
-    pub fn open(first: Duration, most: Duration, seed: u64) -> Self {
-        Self { first, most, failures: 0, state: seed }
+    /// Starts at `min_delay` after the first failure and doubles with each further one,
+    /// up to `max_delay`. Each delay is then shortened at random by up to a half.
+    pub fn new(min_delay: Duration, max_delay: Duration, seed: u64) -> Self {
+        Self { min_delay, max_delay, failures: 0, state: seed }
     }
 
-    /// The wait after one more failure.
-    pub fn fail(&mut self) -> Duration {
-        let full = self.first.saturating_mul(1 << self.failures.min(16)).min(self.most);
+    /// Records a failure and returns the delay before the next attempt.
+    pub fn next_delay(&mut self) -> Duration {
+        let full = self.min_delay.saturating_mul(1 << self.failures.min(16)).min(self.max_delay);
         self.failures = self.failures.saturating_add(1);
-        full.mul_f64(0.5 + self.unit() / 2.0)
+        full.mul_f64(0.5 + self.random_unit() / 2.0)
     }
 
-    /// Notes a success.
+    /// Records a success: the next failure starts at the minimum delay again.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// A random share of `most`, to spread what many nodes do at one event.
-    pub fn spread(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.unit())
+    /// Returns a random duration below `max`, to spread what many nodes do in response to
+    /// the same event.
+    pub fn jitter(&mut self, max: Duration) -> Duration {
+        max.mul_f64(self.random_unit())
     }
 
-    /// A number from 0 to 1, by the SplitMix64 generator.
-    fn unit(&mut self) -> f64 {
+    /// Returns a number from 0 to 1, drawn from the SplitMix64 generator.
+    fn random_unit(&mut self) -> f64 {
         self.state = self.state.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut z = self.state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -1,13 +1,13 @@
-//! The drivers over an in-memory service with faults. Waits are on
-//! conditions, with a bound that only a hang reaches.
+//! Tests of the drivers against an in-memory service with faults. They wait for
+//! conditions, with a timeout that only a hang reaches.
 
 use hickory_release::configuration::Configuration;
 use hickory_release::note::Note;
 use hickory_standin::store::Memory;
-use hickory_state::claim::{Answer, Doubt, Ledger, Options, Outcome};
-use hickory_state::config::{Keeper, Rejection};
+use hickory_state::claim::{Answer, Ledger, LedgerError, Options, Outcome};
+use hickory_state::config::{Manager, Rejection};
 use hickory_state::member::{Info, Member};
-use hickory_state::owner::{Owned, Owners, Probe, Terms};
+use hickory_state::owner::{Allowance, Owned, Owners, Probe};
 use hickory_store::store::Store;
 use hickory_unit::clock::{Clock, System};
 use hickory_unit::id::{self, Incarnation};
@@ -18,29 +18,29 @@
 use tokio::task::JoinSet;
 use uuid::Uuid;
 
-const HANG: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
-async fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
+async fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    assert!(tokio::time::timeout(HANG, wait).await.is_ok(), "not reached: {what}");
+    assert!(tokio::time::timeout(MAX_WAIT, wait).await.is_ok(), "not reached: {what}");
 }
 
 fn open_ledger(store: &Memory) -> Ledger<Memory, System> {
-    Ledger::open(store.clone(), System, "a".into(), Options::default())
+    Ledger::new(store.clone(), System, "a".into(), Options::default())
 }
 
-/// One order is sent to nine nodes at once, over a thousand times, while some
-/// answers of the service are lost. One attempt is granted; every other is
-/// told that the order may have run.
+/// One request is sent to nine nodes at once, over a thousand times, while some replies
+/// of the service are lost. One attempt is granted; all others learn that the request may
+/// have run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn same_key_everywhere() {
+async fn same_key_at_all_nodes() {
     let service = Memory::default();
     let key = Uuid::now_v7();
-    let deadline = System.now() + HANG;
+    let deadline = System.now() + MAX_WAIT;
     let mut claims = JoinSet::new();
     for node in 0..9 {
         let store = service.join();
@@ -61,21 +61,21 @@
     assert_eq!((granted, repeated.count()), (1, 9 * 112 - 1));
 }
 
-/// The outcome that one node stores is what a resend through another gets,
-/// and a request that was not run may be claimed anew.
+/// A resend through another node gets the stored outcome, and a request that did not run
+/// can be claimed again.
 #[tokio::test]
-async fn outcomes() {
+async fn stored_outcomes() {
     let service = Memory::default();
     let (a, b) = (open_ledger(&service.join()), open_ledger(&service.join()));
     let key = Uuid::now_v7();
-    let deadline = System.now() + HANG;
+    let deadline = System.now() + MAX_WAIT;
     let Answer::Granted(claim) = a.claim(key, 7, deadline).await else {
         panic!("not granted");
     };
     a.settle(&claim, Outcome::NotRun).await.unwrap();
-    assert!(!claim.may_send(System.now()));
+    assert!(!claim.can_send(System.now()));
     let Answer::Granted(claim) = b.claim(key, 7, deadline).await else {
-        panic!("not granted anew");
+        panic!("not granted again");
     };
     let answered = Outcome::Answered { status: 200, body: Some("taken".into()) };
     b.settle(&claim, answered.clone()).await.unwrap();
@@ -84,52 +84,52 @@
     assert!(matches!(a.claim(key, 8, deadline).await, Answer::Reused));
 }
 
-/// The service says nothing for the whole deadline: the refusal comes at the
-/// deadline, not later, and does not claim that nothing ran.
+/// The service doesn't reply before the deadline: the claim is refused at the deadline,
+/// not later, and the answer doesn't say that nothing ran.
 #[tokio::test]
 async fn silent_service() {
     let store = Memory::default();
-    store.set(|faults| faults.delay = HANG);
+    store.set(|faults| faults.delay = MAX_WAIT);
     let ledger = open_ledger(&store);
     let deadline = System.now() + Duration::from_millis(200);
     let claim = ledger.claim(Uuid::now_v7(), 7, deadline);
-    let answer = tokio::time::timeout(HANG / 2, claim).await.expect("answered at the deadline");
-    assert!(matches!(answer, Answer::Unknown(Doubt::Unread(_))), "{answer:?}");
+    let answer = tokio::time::timeout(MAX_WAIT / 2, claim).await.expect("answered at the deadline");
+    assert!(matches!(answer, Answer::Unknown(LedgerError::ReadFailed(_))), "{answer:?}");
 }
 
-/// A note accepted at one node is in force at another by its watch, at a third
-/// that has lost the service by its peer, and a second operator's note against
-/// the same version meets a conflict. The first answer is lost.
+/// A note accepted at one node, whose first reply is lost, comes into force at a second
+/// node by its watch and at a third, which has lost the service, by a peer. A second note
+/// against the same version conflicts.
 #[tokio::test]
-async fn notes() {
+async fn accepted_note_reaches_all_nodes() {
     let service = Memory::default();
     let (near, far, cut) = (service.join(), service.join(), service.join());
     cut.set(|faults| faults.down = true);
     near.set(|faults| faults.lose_answers = 1);
-    let a = Keeper::spawn(near, System);
-    let b = Keeper::spawn(far, System);
-    let c = Keeper::spawn(cut, System);
+    let a = Manager::spawn(near, System);
+    let b = Manager::spawn(far, System);
+    let c = Manager::spawn(cut, System);
     let note = |operation: &str| Note { operation: operation.into(), ..Note::default() };
     let accepted = a.accept(&note("first")).await.unwrap();
     assert_eq!(accepted.version, id::Release(1));
-    let version = |keeper: &Keeper<Memory, System>| keeper.current().map(|c| c.version.0);
-    wait_for("the watch tells it", || version(&b) == Some(1)).await;
+    let version = |manager: &Manager<Memory, System>| manager.current().map(|c| c.version.0);
+    wait_for("the watch delivers the note", || version(&b) == Some(1)).await;
     let rejection = b.accept(&note("second")).await.unwrap_err();
     assert!(matches!(rejection, Rejection::Conflict { present } if present.version.0 == 1));
     assert_eq!(version(&c), None);
-    assert!(c.offer((*accepted).clone()));
-    assert!(!c.offer(Configuration::default()));
+    assert!(c.apply_if_newer((*accepted).clone()));
+    assert!(!c.apply_if_newer(Configuration::default()));
     assert_eq!(version(&c), Some(1));
 }
 
-/// Says that all nodes run, until it is told that they are dead.
+/// Reports all nodes as running until `dead` is set.
 #[derive(Clone, Default)]
 struct Fleet {
     dead: Arc<AtomicBool>,
 }
 
 impl Probe for Fleet {
-    async fn alive(&self, _: &Info) -> bool {
+    async fn is_alive(&self, _: &Info) -> bool {
         !self.dead.load(Ordering::SeqCst)
     }
 }
@@ -155,13 +155,13 @@
 }
 
 fn count_full(node: &Node) -> usize {
-    node.1.owned().iter().filter(|owned| owned.terms == Terms::Full).count()
+    node.1.owned().iter().filter(|owned| owned.allowance == Allowance::Full).count()
 }
 
-/// Three nodes share five targets; one stops as planned and hands its own
-/// over in one write; then it is gone from the registrations.
+/// Three nodes share five targets. One stops as planned, hands its targets over in one
+/// write, and is then no longer registered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn owners() {
+async fn planned_stop() {
     let service = Memory::default();
     let fleet = Fleet::default();
     let nodes = ["a", "b", "c"].map(|name| spawn_node(service.join(), name, &fleet));
@@ -171,9 +171,10 @@
     most.0.set_draining().await;
     assert!(most.1.release_all().await);
     assert!(most.1.owned().is_empty());
-    most.0.leave().await;
+    most.0.deregister().await;
     wait_for("the others serve all", || total() == 5 && count_full(most) == 0).await;
-    // The node that left follows nothing any more, so only the others tell.
+    // The stopped node no longer follows the registrations, so only the others are
+    // checked.
     let others = || nodes.iter().filter(|node| !std::ptr::eq(*node, most));
     wait_for("the node is gone", || others().all(|(m, _)| m.nodes().len() == 2)).await;
     let entry = service.get("owners").await.unwrap().unwrap();
@@ -181,8 +182,8 @@
     wait_for("the others know the document", known).await;
 }
 
-/// A node dies. Its lease lapses, a new connection to it fails, and the other
-/// takes its targets over: at half, since it can't tell a dead node from one
+/// A node dies: its lease expires, a probe fails, and the other node takes its targets
+/// over. It gets half the allowance at first, since it can't tell a dead node from one
 /// that is cut off.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn takeover() {
@@ -194,8 +195,8 @@
     let lost = usize::from(count_full(&nodes[1]) > 0);
     stores[lost].set(|faults| faults.down = true);
     fleet.dead.store(true, Ordering::SeqCst);
-    let heir = &nodes[1 - lost];
-    let waits = |owned: &Owned| matches!(owned.terms, Terms::Wait(_));
-    let serves = || heir.1.owned().iter().filter(|owned| !waits(owned)).count() == 5;
-    wait_for("the heir serves all", serves).await;
+    let successor = &nodes[1 - lost];
+    let waits = |owned: &Owned| matches!(owned.allowance, Allowance::WaitUntil(_));
+    let serves = || successor.1.owned().iter().filter(|owned| !waits(owned)).count() == 5;
+    wait_for("the successor serves all", serves).await;
 }
--- a/crates/state/tests/follow.rs
+++ b/crates/state/tests/follow.rs
@@ -1,4 +1,4 @@
-//! Scripted answers to a follower of keys.
+//! Scripted replies to a follower of keys.
 
 use goldenscript::Context;
 use hickory_state::follow::{Follower, Options, Reply};
@@ -10,14 +10,14 @@
 enum Command {
     /// Shows the next call.
     Next,
-    /// Answers a list: the revision, and keys as `key=revision`.
+    /// Replies to a list with the revision and keys as `key=revision`.
     Listed(u64, Vec<(String, u64)>),
-    /// Answers a watch: the revision, and changes as `key=revision`; a key
-    /// that begins with `gone_` was removed.
+    /// Replies to a watch with the revision and changes as `key=revision`; a key that
+    /// begins with `gone_` was removed.
     Watched(u64, #[arg(optional)] Vec<(String, u64)>),
-    /// Answers a watch whose changes are no longer held.
+    /// Replies to a watch whose changes the service no longer holds.
     Compacted(u64),
-    /// Answers with a failure.
+    /// Replies with a failure.
     Failed,
     Advance(u64),
 }
@@ -38,7 +38,7 @@
         let mut output = String::new();
         let reply = match command {
             Command::Next => {
-                writeln!(output, "{:?}", self.follower.next(self.now))?;
+                writeln!(output, "{:?}", self.follower.next_call(self.now))?;
                 return Ok(output);
             }
             Command::Advance(seconds) => {
@@ -69,22 +69,23 @@
             }
             Command::Failed => Reply::Watched(Err(Error::Unknown("lost".into()))),
         };
-        let step = self.follower.answered(self.now, reply);
-        let view = self.follower.view().values();
-        let view: Vec<_> = view.map(|entry| format!("{}={}", entry.key, entry.revision)).collect();
-        let waits = step.pause > Duration::ZERO;
-        write!(output, "changed {} confirmed {} ", step.changed, step.confirmed)?;
-        writeln!(output, "waits {waits} [{}]", view.join(" "))?;
+        let step = self.follower.on_reply(self.now, reply);
+        let entries = self.follower.entries().values();
+        let entries: Vec<_> =
+            entries.map(|entry| format!("{}={}", entry.key, entry.revision)).collect();
+        let has_delay = step.delay > Duration::ZERO;
+        write!(output, "changed {} confirmed {} ", step.is_changed, step.is_confirmed)?;
+        writeln!(output, "waits {has_delay} [{}]", entries.join(" "))?;
         Ok(output)
     }
 }
 
 #[test]
 fn gaps() {
-    let wait = Duration::from_secs(10);
-    let spread = Duration::from_millis(300);
-    let options = Options { prefix: "nodes/".into(), wait, spread };
-    let follower = Follower::open(options, 1);
+    let watch_timeout = Duration::from_secs(10);
+    let jitter = Duration::from_millis(300);
+    let options = Options { prefix: "nodes/".into(), watch_timeout, jitter };
+    let follower = Follower::new(options, 1);
     let mut runner = Runner { now: Instant::now(), follower };
     goldenscript::run(&mut runner, "tests/scripts/follow/gaps").unwrap();
 }
--- a/crates/state/tests/world/mod.rs
+++ b/crates/state/tests/world/mod.rs
@@ -1,14 +1,14 @@
-//! A few nodes with their stewards and leases around the core of a key-value
-//! service, in steps of 100 ms. Each step checks the one promise: what the
-//! nodes grant of a target is never more than it bears.
+//! A simulation of a few nodes, with their assigners and leases, and the key-value
+//! service in steps of 100 ms. Each step checks the invariant of ownership: the nodes
+//! together never grant more than a target's capacity.
 
 #![allow(dead_code, reason = "each test uses a part")]
 
 use hickory_standin::store::Core;
 use hickory_state::assign::{Assigner, Options};
-use hickory_state::lease::{Call, Keeper, Reply};
+use hickory_state::lease::{Call, Registration, Reply};
 use hickory_state::member::{Info, Nodes, View};
-use hickory_state::owner::{KEY, Terms};
+use hickory_state::owner::{Allowance, KEY};
 use hickory_state::plan::Plan;
 use hickory_state::table::Document;
 use hickory_store::store::{Entry, Error, Expect, Revision, Write};
@@ -26,38 +26,38 @@
 pub enum Loss {
     Answer,
     Call,
-    /// The write takes effect only at [`World::arrive`].
+    /// The write takes effect only at [`World::deliver_late_write`].
     Late,
 }
 
 pub struct Node {
     pub assigner: Assigner,
-    keeper: Keeper,
-    pub alive: bool,
-    pub paused: bool,
-    /// Whether it reaches the service.
-    pub service: bool,
+    registration: Registration,
+    pub is_alive: bool,
+    pub is_paused: bool,
+    /// Whether the node reaches the service.
+    pub has_service: bool,
     /// Nodes reach those of the same group.
     pub group: u32,
-    /// It does not get the document, though it renews its lease.
-    pub blind: bool,
-    /// New connections to it fail, though it runs.
-    pub deaf: bool,
+    /// Whether the node fails to read the document, although it renews its lease.
+    pub is_document_hidden: bool,
+    /// Whether new connections to the node fail, although it is running.
+    pub refuses_connections: bool,
     pub loss: Option<Loss>,
     contact_since: Option<Instant>,
     nodes: Arc<Nodes>,
-    /// The service's revision when the node last read it.
+    /// The revision of the service when the node last read it.
     read_at: Option<Revision>,
 }
 
 pub struct World {
     pub now: Instant,
     pub core: Core,
-    pub up: bool,
+    pub is_service_up: bool,
     pub nodes: BTreeMap<String, Node>,
-    pub late: Vec<Write>,
+    pub late_writes: Vec<Write>,
     pub targets: Vec<id::Target>,
-    /// Terms granted lately, by target and node: when, and how much.
+    /// Recent grants by target and node: when, and which share of the capacity.
     grants: BTreeMap<(id::Target, String), Vec<(Instant, f64)>>,
     pub remembered: Option<Entry>,
     epoch: id::Epoch,
@@ -66,13 +66,13 @@
 }
 
 impl World {
-    pub fn open() -> Self {
+    pub fn new() -> Self {
         Self {
             now: Instant::now(),
             core: Core::default(),
-            up: true,
+            is_service_up: true,
             nodes: BTreeMap::new(),
-            late: Vec::new(),
+            late_writes: Vec::new(),
             targets: Vec::new(),
             grants: BTreeMap::new(),
             remembered: None,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Starts a process of the node, in place of any that ran.
+    /// Starts a process of the node, in place of a running one.
     pub fn start(&mut self, name: &str) {
         self.incarnations += 1;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
@@ -96,14 +96,14 @@
             draining: false,
         };
         let node = Node {
-            assigner: Assigner::open(info.clone(), Options::of(PERMIT, TTL)),
-            keeper: Keeper::open(info, TTL, self.incarnations),
-            alive: true,
-            paused: false,
-            service: true,
+            assigner: Assigner::new(info.clone(), Options::new(PERMIT, TTL)),
+            registration: Registration::new(info, TTL, self.incarnations),
+            is_alive: true,
+            is_paused: false,
+            has_service: true,
             group: 0,
-            blind: false,
-            deaf: false,
+            is_document_hidden: false,
+            refuses_connections: false,
             loss: None,
             contact_since: None,
             nodes: Arc::default(),
@@ -125,83 +125,83 @@
         self.core.expire(self.now);
         let names: Vec<String> = self.nodes.keys().cloned().collect();
         for name in &names {
-            if self.nodes[name].alive && !self.nodes[name].paused {
-                // Grants come first: a process that was paused knows nothing
-                // yet of what happened meanwhile.
+            if self.nodes[name].is_alive && !self.nodes[name].is_paused {
+                // Grants come first: a process that was paused does not know yet what
+                // happened meanwhile.
                 self.grant(name);
-                self.talk_to_service(name);
+                self.call_service(name);
                 if self.steps.is_multiple_of(5) {
-                    self.talk_to_peers(name);
+                    self.exchange_with_peers(name);
                 }
-                self.act(name);
+                self.run_plan(name);
             }
         }
         self.check();
     }
 
-    /// What the assigner is told of the registrations.
-    fn look(&mut self, name: &str) {
+    /// Passes the state of the membership to the assigner.
+    fn refresh_membership(&mut self, name: &str) {
         let now = self.now;
         if let Some(node) = self.nodes.get_mut(name) {
             let view = View {
                 nodes: node.nodes.clone(),
-                confirmed: node.keeper.confirmed(now),
-                registered_at: node.keeper.registered_at(),
+                is_lease_valid: node.registration.is_valid(now),
+                registered_at: node.registration.registered_at(),
                 contact_since: node.contact_since,
-                draining: node.keeper.me().draining,
+                draining: node.registration.info().draining,
             };
-            node.assigner.see(now, view);
+            node.assigner.update_membership(now, view);
         }
     }
 
     fn grant(&mut self, name: &str) {
-        self.look(name);
+        self.refresh_membership(name);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
         for owned in node.assigner.owned(now) {
-            let share = match owned.terms {
-                Terms::Wait(_) => continue,
-                Terms::Half => 0.5,
-                Terms::Full => 1.0,
+            let share = match owned.allowance {
+                Allowance::WaitUntil(_) => continue,
+                Allowance::Half => 0.5,
+                Allowance::Full => 1.0,
             };
             let grants = self.grants.entry((owned.target, name.to_owned())).or_default();
             grants.push((now, share));
         }
     }
 
-    fn talk_to_service(&mut self, name: &str) {
+    fn call_service(&mut self, name: &str) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
-        if !(self.up && node.service) {
+        if !(self.is_service_up && node.has_service) {
             node.contact_since = None;
             return;
         }
         node.contact_since.get_or_insert(now);
-        while let Some(call) = node.keeper.next(now) {
+        while let Some(call) = node.registration.next_call(now) {
             let reply = match call {
                 Call::Grant(ttl) => Reply::Granted(Ok(self.core.grant(now, ttl))),
                 Call::Register(write) => Reply::Registered(self.core.write(now, write)),
                 Call::Renew(lease) => Reply::Renewed(self.core.renew(now, lease)),
             };
-            node.keeper.answered(now, now, reply);
+            node.registration.on_reply(now, now, reply);
         }
-        if node.blind {
+        if node.is_document_hidden {
             return;
         }
         node.assigner.set_targets(now, &self.targets);
         if node.read_at.replace(self.core.revision()) == Some(self.core.revision()) {
-            node.assigner.confirm(now);
+            node.assigner.confirm_document(now);
             return;
         }
         let entries = self.core.list(now, "nodes/").0;
         let infos = entries.iter().filter_map(|entry| {
             let info: Info = serde_json::from_str(&entry.value).ok()?;
-            if info.node == node.keeper.me().node {
-                node.keeper.see(info.incarnation, entry.revision);
+            if info.node == node.registration.info().node {
+                node.registration.observe(info.incarnation, entry.revision);
             }
             Some((info.node.clone(), info))
         });
@@ -209,53 +209,53 @@
         if nodes != *node.nodes {
             node.nodes = Arc::new(nodes);
         }
-        node.assigner.read(now, now, self.core.get(now, KEY).as_ref());
+        node.assigner.on_read(now, now, self.core.get(now, KEY).as_ref());
     }
 
     fn reaches(&self, from: &str, to: &str) -> bool {
         let (from, to) = (&self.nodes[from], &self.nodes[to]);
-        to.alive && !to.paused && from.group == to.group
+        to.is_alive && !to.is_paused && from.group == to.group
     }
 
-    /// Each tells each that it reaches what it knows, and fetches the newer
-    /// document.
-    fn talk_to_peers(&mut self, name: &str) {
+    /// Each node sends the revision that it knows to all nodes that it reaches, and they
+    /// fetch the document if it is newer.
+    fn exchange_with_peers(&mut self, name: &str) {
         let revision = self.nodes[name].assigner.revision();
         let peers: Vec<String> = self.nodes.keys().cloned().collect();
         for peer in peers.iter().filter(|peer| *peer != name) {
             if self.reaches(name, peer)
                 && let Some(node) = self.nodes.get_mut(peer)
             {
-                node.assigner.heard(self.now, &name.into(), revision);
+                node.assigner.record_peer_revision(self.now, &name.into(), revision);
                 if node.assigner.revision() < revision {
                     let document = self.nodes[name].assigner.document().clone();
                     if let Some(node) = self.nodes.get_mut(peer) {
-                        node.assigner.offer(self.now, revision, document);
+                        node.assigner.apply_if_newer(self.now, revision, document);
                     }
                 }
             }
         }
     }
 
-    fn act(&mut self, name: &str) {
-        self.look(name);
+    fn run_plan(&mut self, name: &str) {
+        self.refresh_membership(name);
         let now = self.now;
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
         let Plan { probes, write } = node.assigner.plan(now);
         for info in probes {
-            let alive = self.nodes.contains_key(info.node.as_str())
+            let is_alive = self.nodes.contains_key(info.node.as_str())
                 && self.reaches(name, info.node.as_str())
-                && !self.nodes[info.node.as_str()].deaf;
+                && !self.nodes[info.node.as_str()].refuses_connections;
             if let Some(node) = self.nodes.get_mut(name) {
-                node.assigner.probed(now, &info, alive);
+                node.assigner.on_probe_result(now, &info, is_alive);
             }
         }
         if let Some((write, document)) = write {
             let result = self.write(name, write);
             if let Some(node) = self.nodes.get_mut(name) {
-                node.assigner.wrote(now, now, result, document);
+                node.assigner.on_write_result(now, now, result, document);
             }
         }
     }
@@ -265,57 +265,57 @@
         let Some(node) = self.nodes.get_mut(name) else {
             return unknown;
         };
-        let reached = self.up && node.service;
+        let is_reachable = self.is_service_up && node.has_service;
         match node.loss.take() {
-            _ if !reached => Err(Error::NotDone("down".into())),
+            _ if !is_reachable => Err(Error::NotDone("down".into())),
             None => self.core.write(self.now, write),
             Some(Loss::Answer) => self.core.write(self.now, write).and(unknown),
             Some(Loss::Call) => unknown,
             Some(Loss::Late) => {
-                self.late.push(write);
+                self.late_writes.push(write);
                 unknown
             }
         }
     }
 
-    /// A late write takes effect, if it still may.
-    pub fn arrive(&mut self) -> bool {
-        let write = self.late.pop();
+    /// Delivers a late write; returns whether it took effect.
+    pub fn deliver_late_write(&mut self) -> bool {
+        let write = self.late_writes.pop();
         write.is_some_and(|write| self.core.write(self.now, write).is_ok())
     }
 
-    /// Stops a node as planned: it says so, and hands its targets over.
+    /// Stops a node as planned: it registers as draining and hands its targets over.
     pub fn drain(&mut self, name: &str) {
         if let Some(node) = self.nodes.get_mut(name) {
-            node.keeper.set_draining();
+            node.registration.set_draining();
             node.assigner.release();
         }
     }
 
     /// The service loses all registrations and leases at once.
-    pub fn lapse_all(&mut self) {
+    pub fn expire_all_leases(&mut self) {
         for entry in self.core.list(self.now, "nodes/").0 {
             let write = Write { key: entry.key, value: None, expect: Expect::Any, lease: None };
             let _ = self.core.write(self.now, write);
         }
     }
 
-    /// Permits live for a second after they were granted, so what counts of a
-    /// node is its greatest grant of the last second.
+    /// Checks the invariant. Permits live for one second, so each node counts with its
+    /// largest grant of the last second.
     fn check(&mut self) {
         let epoch = self.document().epoch;
-        assert!(self.epoch <= epoch, "the epoch fell from {} to {epoch}", self.epoch);
+        assert!(self.epoch <= epoch, "the epoch decreased from {} to {epoch}", self.epoch);
         self.epoch = epoch;
         let (now, mut sums) = (self.now, BTreeMap::<&id::Target, f64>::new());
         for ((target, _), grants) in &mut self.grants {
             grants.retain(|(at, _)| now < *at + PERMIT);
-            let most = grants.iter().fold(0.0, |most: f64, (_, share)| most.max(*share));
-            *sums.entry(target).or_default() += most;
+            let max_share = grants.iter().fold(0.0, |max: f64, (_, share)| max.max(*share));
+            *sums.entry(target).or_default() += max_share;
         }
         let worst = sums.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
         let worst = worst.map(|(target, sum)| (target.clone(), sum));
         if let Some((target, sum)) = worst.filter(|(_, sum)| *sum > 1.0) {
-            panic!("{target} is granted {sum} times what it bears:\n{}", self.show());
+            panic!("{target} is granted {sum} times its capacity:\n{}", self.show());
         }
     }
 
@@ -324,38 +324,38 @@
         entry.and_then(|e| serde_json::from_str(&e.value).ok()).unwrap_or_default()
     }
 
-    /// Targets in full terms of a node that runs.
-    pub fn served(&mut self) -> usize {
+    /// Returns the number of targets that running nodes own with the full allowance.
+    pub fn count_full(&mut self) -> usize {
         let now = self.now;
-        let running = self.nodes.values_mut().filter(|node| node.alive && !node.paused);
+        let running = self.nodes.values_mut().filter(|node| node.is_alive && !node.is_paused);
         let owned = running.flat_map(|node| node.assigner.owned(now));
-        owned.filter(|owned| owned.terms == Terms::Full).count()
+        owned.filter(|owned| owned.allowance == Allowance::Full).count()
     }
 
-    /// What was granted in the last step.
-    pub fn granted(&self) -> String {
+    /// Returns what was granted in the last step.
+    pub fn last_grants(&self) -> String {
         let now = self.now;
         let last = |grants: &Vec<(Instant, f64)>| grants.last().is_some_and(|(at, _)| *at == now);
         let lines = self.grants.iter().filter(|(_, grants)| last(grants));
         lines.map(|((target, name), _)| format!("{name} {target}")).collect::<Vec<_>>().join(", ")
     }
 
-    /// Each node's targets with their terms.
+    /// Returns each node's targets with their allowances.
     pub fn show(&mut self) -> String {
         let now = self.now;
         let mut lines = Vec::new();
         for (name, node) in &mut self.nodes {
-            if !node.alive || node.paused {
-                lines.push(format!("{name} {}", if node.alive { "paused" } else { "dead" }));
+            if !node.is_alive || node.is_paused {
+                lines.push(format!("{name} {}", if node.is_alive { "paused" } else { "dead" }));
                 continue;
             }
             let owned = node.assigner.owned(now).into_iter().map(|owned| {
-                let terms = match owned.terms {
-                    Terms::Wait(_) => "wait",
-                    Terms::Half => "half",
-                    Terms::Full => "full",
+                let allowance = match owned.allowance {
+                    Allowance::WaitUntil(_) => "wait",
+                    Allowance::Half => "half",
+                    Allowance::Full => "full",
                 };
-                format!("{}@{} {terms}", owned.target, owned.epoch)
+                format!("{}@{} {allowance}", owned.target, owned.epoch)
             });
             lines.push(format!("{name} [{}]", owned.collect::<Vec<_>>().join(", ")));
         }
