--- a/apps/hickory-node/src/main.rs
+++ b/apps/hickory-node/src/main.rs
@@ -67,19 +67,19 @@
     let node = Node::spawn(settings).await?;
     first.write(&format!(
         r#"{{"node":"{name}","callers":"{}","admin":"{}","peers":"{}"}}"#,
-        node.callers(),
-        node.admin(),
-        node.peers()
+        node.caller_address(),
+        node.admin_address(),
+        node.peer_address()
     ));
-    log::info!("serving callers on {}", node.callers());
+    log::info!("serving callers on {}", node.caller_address());
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = node.closed() => return Ok(()),
+        () = node.wait_closed() => return Ok(()),
     }
     log::info!("planned stop begun");
     node.drain();
-    node.closed().await;
+    node.wait_closed().await;
     log::info!("planned stop done");
     Ok(())
 }
--- a/apps/hickory/src/demo.rs
+++ b/apps/hickory/src/demo.rs
@@ -53,10 +53,10 @@
     let nodes = runtime.block_on(start(&standins))?;
     println!("{NODES} nodes before {} engines, ready", standins.engines.len());
     for node in &nodes {
-        println!("  callers at {}, operators at {}", node.callers(), node.admin());
+        println!("  callers at {}, operators at {}", node.caller_address(), node.admin_address());
     }
     println!("sending for {} s\n", SENDING.as_secs());
-    let entries = nodes.iter().map(Node::callers).collect();
+    let entries = nodes.iter().map(Node::caller_address).collect();
     let report = run::run(workload(options.seed), entries, credentials()).map_err(local)?;
     println!("{report}");
     runtime.block_on(stop(&nodes));
@@ -141,7 +141,7 @@
     nodes[0].accept(&first_note()).await.map_err(local)?;
     let targets = standins.engines.len() + standins.replicas.len();
     let end = Instant::now() + START_TIMEOUT;
-    while nodes.iter().any(|node| node.accepting() < targets) {
+    while nodes.iter().any(|node| node.count_accepting_targets() < targets) {
         if Instant::now() > end {
             return Err(Failure::Local("the fleet was not ready in time".to_owned()));
         }
@@ -153,7 +153,7 @@
 async fn stop(nodes: &[Node]) {
     nodes.iter().for_each(Node::drain);
     for node in nodes {
-        node.closed().await;
+        node.wait_closed().await;
     }
 }
 
--- a/apps/hickory/tests/real.rs
+++ b/apps/hickory/tests/real.rs
@@ -39,7 +39,7 @@
     /// Runs a command that may ask the nodes of the given indices, in order.
     fn run(&self, nodes: &[usize], command: &[&str]) -> Output {
         let addresses: Vec<String> =
-            nodes.iter().map(|index| self.nodes[*index].admin().to_string()).collect();
+            nodes.iter().map(|index| self.nodes[*index].admin_address().to_string()).collect();
         let mut args = Vec::from(command);
         addresses.iter().for_each(|address| args.extend(["--node", address]));
         run(&args, &[("HICKORY_TOKEN", TOKEN)])
@@ -75,7 +75,7 @@
 }
 
 fn read_metric(node: &Node, series: &str) -> f64 {
-    let request = Request::builder().uri(format!("http://{}/metrics", node.admin()));
+    let request = Request::builder().uri(format!("http://{}/metrics", node.admin_address()));
     let response = oxhttp::Client::new().request(request.body(()).unwrap()).unwrap();
     let text = response.into_body().to_string().unwrap();
     let line = text.lines().find_map(|line| line.strip_prefix(series));
@@ -90,7 +90,7 @@
     // Before the first note only the settings' token is good.
     assert_eq!(
         run(
-            &["nodes", "--node", &real.nodes[0].admin().to_string()],
+            &["nodes", "--node", &real.nodes[0].admin_address().to_string()],
             &[("HICKORY_TOKEN", "other")]
         )
         .code,
@@ -137,7 +137,7 @@
     }
     let drain = real.run(&[0], &["drain"]);
     assert!(drain.stdout.contains("node entry-a is draining"), "{drain}");
-    real.runtime.block_on(real.nodes[0].closed());
+    real.runtime.block_on(real.nodes[0].wait_closed());
 }
 
 // The operator's note goes out while the platform is down, and is told so at
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,9 +7,9 @@
 //! ```no_run
 //! # async fn run(settings: hickory_settings::Node) -> std::io::Result<()> {
 //! let node = hickory_node::Node::spawn(settings).await?;
-//! println!("callers connect to {}", node.callers());
+//! println!("callers connect to {}", node.caller_address());
 //! node.drain();
-//! node.closed().await;
+//! node.wait_closed().await;
 //! # Ok(())
 //! # }
 //! ```
@@ -102,17 +102,17 @@
     }
 
     /// Where callers connect.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.core.settings.callers
     }
 
     /// Where operators connect.
-    pub fn admin(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
     /// Where other nodes connect.
-    pub fn peers(&self) -> SocketAddr {
+    pub fn peer_address(&self) -> SocketAddr {
         self.core.settings.peers
     }
 
@@ -127,19 +127,19 @@
     }
 
     /// Targets that take new work, as far as this node knows.
-    pub fn accepting(&self) -> usize {
+    pub fn count_accepting_targets(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
         states.filter(|state| state.accepting).count()
     }
 
-    /// Begins a planned stop; [`Node::closed`] tells when it is done.
+    /// Begins a planned stop; [`Node::wait_closed`] tells when it is done.
     pub fn drain(&self) {
         drain::begin(&self.core);
     }
 
     /// Waits until the node takes nothing more and its last request has ended.
-    pub async fn closed(&self) {
+    pub async fn wait_closed(&self) {
         let mut stage = self.core.stage.subscribe();
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
     }
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -72,7 +72,7 @@
     };
     let note = Note { operation: "first".into(), added, ..Note::default() };
     node.accept(&note).await.expect("the note is accepted");
-    while node.accepting() < 5 {
+    while node.count_accepting_targets() < 5 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -193,7 +193,7 @@
 async fn bad_requests_are_refused_by_the_table() {
     let (_standins, node) = start().await;
     configure(&node).await;
-    let callers = node.callers();
+    let callers = node.caller_address();
     for case in CASES {
         let request = write_request(case.method, case.path, case.headers, case.body);
         let (head, body) = send(callers, &request);
@@ -219,7 +219,10 @@
     let key = uuid::Uuid::now_v7().to_string();
     let place = |body: &str| {
         let headers = [AUTH, ("idempotency-key", key.as_str())];
-        send(node.callers(), &write_request("POST", "/v1/services/orders/place", &headers, body))
+        send(
+            node.caller_address(),
+            &write_request("POST", "/v1/services/orders/place", &headers, body),
+        )
     };
     let (head, body) = place(r#"{"paint":1}"#);
     assert!(head.starts_with("HTTP/1.1 200"), "{head}\n{body}");
@@ -234,14 +237,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_are_bounded_and_an_empty_node_is_not_ready() {
     let (_standins, node) = start().await;
-    let (_, body) = send(node.callers(), &write_request("POST", "/v1/completions", &[AUTH], ASK));
+    let (_, body) =
+        send(node.caller_address(), &write_request("POST", "/v1/completions", &[AUTH], ASK));
     assert!(body.contains("not-ready") && body.contains("retry_after_ms"), "{body}");
     configure(&node).await;
     let request = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: node\r\nconnection: close\r\n\
          authorization: Bearer {TOKEN}\r\ncontent-length: 99999999\r\n\r\n"
     );
-    let (head, body) = send(node.callers(), &request);
+    let (head, body) = send(node.caller_address(), &request);
     assert!(head.starts_with("HTTP/1.1 413"), "{head}\n{body}");
     assert!(body.contains("too-large"), "{body}");
 }
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -237,13 +237,14 @@
         }
         let http = Client::builder(TokioExecutor::new()).build_http();
         let scene = Self { node, peers, http, standins };
-        eventually("targets take work", || async { scene.node.accepting() >= 5 }).await;
+        eventually("targets take work", || async { scene.node.count_accepting_targets() >= 5 })
+            .await;
         scene
     }
 
     async fn ask(&self, path: &str, token: &str, body: Value) -> Answer {
         let began = Instant::now();
-        let request = Request::post(format!("http://{}{path}", self.node.callers()))
+        let request = Request::post(format!("http://{}{path}", self.node.caller_address()))
             .header("authorization", format!("Bearer {token}"))
             .body(Full::from(body.to_string()))
             .unwrap();
@@ -306,7 +307,7 @@
         draining: false,
     };
     let member = Member::spawn(store, System, info, Duration::from_secs(5));
-    let (peers, to) = (peers.clone(), node.peers());
+    let (peers, to) = (peers.clone(), node.peer_address());
     tokio::spawn(async move {
         // Held while the peer lives.
         let _member = member;
@@ -388,7 +389,7 @@
         assert!(answer.took < Duration::from_secs(2), "{what}: {answer:?}");
     }
 
-    let bare = Request::post(format!("http://{}/v1/completions", scene.node.callers()));
+    let bare = Request::post(format!("http://{}/v1/completions", scene.node.caller_address()));
     let bare = bare.body(Full::default()).unwrap();
     let began = Instant::now();
     assert_eq!(scene.http.request(bare).await.unwrap().status(), 401, "without a token");
