--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -14,7 +14,7 @@
 use tokio::runtime::Handle;
 
 /// A peer that was not heard for this long is shown as not reachable.
-const REACHABLE_MAX_AGE: Duration = Duration::from_secs(2);
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 
 /// The operators' view of a node; its calls block, and run on the threads of
 /// the administration server.
@@ -68,13 +68,13 @@
 
     fn nodes(&self) -> Vec<view::Node> {
         let now = self.core.now();
-        let seen = self.core.view.peers_seen();
+        let peer_views = self.core.view.peer_views();
         let nodes = self.core.member.nodes();
         let owners = self.owners().owners;
         nodes
             .values()
             .map(|info| {
-                let peer = seen.get(&info.node);
+                let peer = peer_views.get(&info.node);
                 view::Node {
                     node: info.node.clone(),
                     zone: info.zone.clone(),
@@ -82,7 +82,7 @@
                     version: peer.map_or(id::Release(0), |peer| peer.release),
                     draining: info.draining || peer.is_some_and(|peer| peer.draining),
                     reachable: peer.is_some_and(|peer| {
-                        now.saturating_duration_since(peer.at) < REACHABLE_MAX_AGE
+                        now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE
                     }),
                     owned: owners.iter().filter(|owner| owner.node == info.node).count(),
                 }
@@ -140,18 +140,20 @@
         metrics.configuration(self.core.configuration().map_or(id::Release(0), |c| c.version));
         metrics.owned(self.core.owners.owned().len());
         let now = self.core.now();
-        let heard = |at| now.saturating_duration_since(at) < REACHABLE_MAX_AGE;
-        let others = self.core.view.peers_seen();
-        let others = others.iter().filter(|(node, peer)| *node != self.core.me() && heard(peer.at));
+        let is_reachable = |at| now.saturating_duration_since(at) < MAX_PEER_SILENCE;
+        let others = self.core.view.peer_views();
+        let others = others
+            .iter()
+            .filter(|(node, peer)| *node != self.core.node_id() && is_reachable(peer.last_heard));
         metrics.peers(others.count());
-        metrics.suspects(self.core.record.suspects(now));
+        metrics.suspects(self.core.retry_control.count_suspects(now));
         metrics.render()
     }
 
     fn health(&self) -> view::Health {
         let configuration = self.core.configuration();
         view::Health {
-            node: self.core.me().clone(),
+            node: self.core.node_id().clone(),
             ready: configuration.is_some() && self.core.stage() == Stage::Serving,
             draining: self.core.stage() != Stage::Serving,
             platform: self.core.member.confirmed(self.core.now()),
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -3,10 +3,10 @@
 
 use crate::core::{Active, Core};
 use crate::parse::{Caller, hash_parts, refuse};
-use crate::permit::{self, Leave, ONE_SLOT, Tried, Want};
+use crate::permit::{self, AttemptHistory, AttemptSpec, Placement, SERVICE_CALL_COST};
 use crate::record;
 use crate::suspect;
-use crate::view::Need;
+use crate::view::Capability;
 use bytes::Bytes;
 use hickory_policy::cost::Class;
 use hickory_policy::refuse::{Ran, Reason, Refusal, Retry};
@@ -23,10 +23,10 @@
 
 /// The greatest answer that the ledger keeps for a resend; its documents hold
 /// many claims within the platform's bound of a megabyte.
-const KEPT_MAX: usize = 2048;
+const MAX_KEPT_BODY_BYTES: usize = 2048;
 
 /// When to ask again for a call whose first attempt may still be under way.
-const REPEATED_RETRY: Duration = Duration::from_secs(2);
+const REPEATED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A call to make.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     pub(crate) path: String,
     pub(crate) key: Option<Uuid>,
     /// Whether it must not be repeated.
-    pub(crate) once: bool,
+    pub(crate) at_most_once: bool,
     pub(crate) body: Bytes,
     pub(crate) deadline: Instant,
     pub(crate) deadline_ms: u64,
@@ -49,13 +49,13 @@
     let task = tokio::spawn(async move {
         let _active = Active::begin(&core);
         let _in_flight = core.metrics.begin(Work::Service);
-        match (call.once, call.key) {
-            (true, Some(key)) => run_once(&core, &call, key).await,
+        match (call.at_most_once, call.key) {
+            (true, Some(key)) => run_at_most_once(&core, &call, key).await,
             (true, None) => {
                 let detail = "header idempotency-key: this call needs one";
                 Err(refuse(Reason::BadKey, detail))
             }
-            (false, _) => attempts(&core, &call, None).await.map_err(|failure| failure.refusal),
+            (false, _) => run_attempts(&core, &call, None).await.map_err(|failure| failure.refusal),
         }
     });
     task.await.unwrap_or_else(|_| {
@@ -70,14 +70,14 @@
 }
 
 /// Claims the call before its first byte, and sends it at most once.
-async fn run_once(core: &Arc<Core>, call: &Call, key: Uuid) -> Result<Reply, Refusal> {
+async fn run_at_most_once(core: &Arc<Core>, call: &Call, key: Uuid) -> Result<Reply, Refusal> {
     let answer = core.ledger.claim(key, fingerprint(call), call.deadline).await;
     core.metrics.claimed(label_claim(&answer));
     let claim = match answer {
         claim::Answer::Granted(claim) => claim,
-        other => return read_unclaimed(other),
+        other => return answer_unclaimed(other),
     };
-    let result = attempts(core, call, Some(&claim)).await;
+    let result = run_attempts(core, call, Some(&claim)).await;
     let outcome = match &result {
         Ok(reply) => Some(Outcome::Answered { status: reply.status, body: keep_body(&reply.body) }),
         Err(failure) if failure.refusal.ran == Ran::No => Some(Outcome::NotRun),
@@ -96,8 +96,8 @@
     let core = core.clone();
     tokio::spawn(async move {
         let _active = Active::begin(&core);
-        if let Err(doubt) = core.ledger.settle(&claim, outcome).await {
-            log::warn!("claim not settled: {doubt}");
+        if let Err(error) = core.ledger.settle(&claim, outcome).await {
+            log::warn!("claim not settled: {error}");
         }
     });
 }
@@ -111,11 +111,11 @@
     }
 }
 
-fn read_unclaimed(answer: claim::Answer) -> Result<Reply, Refusal> {
+fn answer_unclaimed(answer: claim::Answer) -> Result<Reply, Refusal> {
     let unknown = |reason, detail: &str| {
         Err(Refusal {
             ran: Ran::Unknown,
-            retry_after: Some(REPEATED_RETRY),
+            retry_after: Some(REPEATED_RETRY_AFTER),
             ..refuse(reason, detail)
         })
     };
@@ -130,15 +130,16 @@
             Err(refuse(Reason::KeyReused, "the key was used with another content"))
         }
         claim::Answer::TooOld => unknown(Reason::KeyTooOld, "the key is not kept any more"),
-        claim::Answer::NotDone(detail) => {
-            Err(Refusal { retry_after: Some(REPEATED_RETRY), ..refuse(Reason::LedgerDown, detail) })
-        }
-        claim::Answer::Unknown(doubt) => unknown(Reason::LedgerDown, &doubt.to_string()),
+        claim::Answer::NotDone(detail) => Err(Refusal {
+            retry_after: Some(REPEATED_RETRY_AFTER),
+            ..refuse(Reason::LedgerDown, detail)
+        }),
+        claim::Answer::Unknown(error) => unknown(Reason::LedgerDown, &error.to_string()),
     }
 }
 
 fn keep_body(body: &Bytes) -> Option<String> {
-    (body.len() <= KEPT_MAX).then(|| String::from_utf8(body.to_vec()).ok())?
+    (body.len() <= MAX_KEPT_BODY_BYTES).then(|| String::from_utf8(body.to_vec()).ok())?
 }
 
 fn fingerprint(call: &Call) -> u64 {
@@ -146,34 +147,39 @@
     hash_parts(&[account, call.service.as_str().as_bytes(), call.path.as_bytes(), &call.body])
 }
 
-async fn attempts(core: &Arc<Core>, call: &Call, claim: Option<&Claim>) -> Result<Reply, Failure> {
+async fn run_attempts(
+    core: &Arc<Core>,
+    call: &Call,
+    claim: Option<&Claim>,
+) -> Result<Reply, Failure> {
     let request = id::Request(Uuid::now_v7());
-    let mut tried = Tried::default();
+    let mut history = AttemptHistory::default();
     let mut ran = Ran::No;
-    core.record.earn(&call.caller.account);
+    core.retry_control.earn(&call.caller.account);
     for attempt in 0.. {
-        let stream = permit::name_stream(core, request, attempt, call.deadline_ms);
-        let want = Want {
-            need: Need::Service(&call.service),
+        let stream = permit::make_stream_id(core, request, attempt, call.deadline_ms);
+        let spec = AttemptSpec {
+            capability: Capability::Service(&call.service),
             stream: &stream,
             partner: &call.caller.partner,
             account: &call.caller.account,
             class: Class::Interactive,
-            cost: ONE_SLOT,
+            cost: SERVICE_CALL_COST,
             deadline: call.deadline,
             fingerprint: fingerprint(call),
             prefix: 0,
-            alone: false,
+            is_exclusive: false,
         };
-        let obtained = permit::obtain(core, &want, &tried).await;
-        let leave = obtained.map_err(|refusal| Failure { refusal: Refusal { ran, ..refusal } })?;
-        let retry = match send(core, call, claim, &leave).await {
+        let obtained = permit::obtain_placement(core, &spec, &history).await;
+        let placement =
+            obtained.map_err(|refusal| Failure { refusal: Refusal { ran, ..refusal } })?;
+        let retry = match send(core, call, claim, &placement).await {
             Ok(reply) => return Ok(reply),
             Err(Error::NotSent(_)) => Retry::NotSent,
             Err(Error::Refused(_)) => Retry::Refused,
             Err(error) => {
                 ran = Ran::Unknown;
-                if call.once {
+                if call.at_most_once {
                     let refusal = refuse(Reason::TargetFailed, error.to_string());
                     let refusal = Refusal { ran, ..refusal };
                     record::log_refusal(request, &call.caller.account, &refusal);
@@ -182,11 +188,11 @@
                 Retry::TargetFailed
             }
         };
-        record::log_retry(core, &call.caller.account, &leave, retry);
-        tried.note(leave.target, retry);
+        record::log_retry(core, &call.caller.account, &placement, retry);
+        history.record(placement.target, retry);
         let spent = suspect::spend_retry(core, &call.caller.account, retry);
         spent.map_err(|refusal| Failure { refusal: Refusal { ran, ..refusal } })?;
-        if !tried.wait().await {
+        if !history.wait_before_retry().await {
             break;
         }
     }
@@ -198,14 +204,21 @@
     core: &Core,
     call: &Call,
     claim: Option<&Claim>,
-    leave: &Leave,
+    placement: &Placement,
 ) -> Result<Reply, Error> {
     let now = core.now();
-    let permit = &leave.permit;
+    let permit = &placement.permit;
     // A claimant that was paused past its window must not send: a resend may
     // have been told by then that this call has not run.
     if claim.is_some_and(|claim| !claim.may_send(core.clock.now())) {
-        permit::give_back(core, &leave.target, permit, &leave.stream, Ending::NotSent, None);
+        permit::report_outcome(
+            core,
+            &placement.target,
+            permit,
+            &placement.stream,
+            Ending::NotSent,
+            None,
+        );
         return Err(Error::NotSent("the claim's window to send has passed".into()));
     }
     let timeout = call.deadline.saturating_duration_since(now);
@@ -215,12 +228,12 @@
         body: call.body.clone(),
         timeout,
     };
-    let result = core.targets.call(leave.address, request).await;
+    let result = core.targets.call(placement.address, request).await;
     let ending = match &result {
         Ok(_) => Ending::Finished,
         Err(Error::NotSent(_) | Error::Refused(_)) => Ending::NotSent,
         Err(_) => Ending::Lost,
     };
-    permit::give_back(core, &leave.target, permit, &leave.stream, ending, None);
+    permit::report_outcome(core, &placement.target, permit, &placement.stream, ending, None);
     result
 }
--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -6,13 +6,13 @@
 
 use crate::core::{Active, Core};
 use crate::parse::{Completion, refuse};
-use crate::parts::{self, Reserve};
-use crate::permit::{self, Leave, Tried, Want};
+use crate::parts::{self, PartReservation};
+use crate::permit::{self, AttemptHistory, AttemptSpec, Placement};
 use crate::record;
 use crate::relay::{self, End, Relay};
 use crate::seal::Position;
 use crate::suspect;
-use crate::view::Need;
+use crate::view::Capability;
 use compact_str::CompactString;
 use hickory_policy::poison::DEATHS;
 use hickory_policy::refuse::{Ran, Reason, Refusal, Retry};
@@ -27,7 +27,7 @@
 
 /// Pieces that wait for a slow caller before the engine's stream is left to
 /// wait as well.
-const PIECES_AHEAD: usize = 256;
+const MAX_BUFFERED_PIECES: usize = 256;
 
 /// What a completion brings.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
 
 /// Starts a completion.
 pub(crate) fn spawn(core: &Arc<Core>, completion: Completion) -> mpsc::Receiver<Piece> {
-    let (out, pieces) = mpsc::channel(PIECES_AHEAD);
+    let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
     tokio::spawn(async move {
         let _active = Active::begin(&core);
@@ -54,7 +54,7 @@
             out,
             began,
             delivered: 0,
-            sent: false,
+            was_sent: false,
             deaths: 0,
         };
         run.run().await;
@@ -71,7 +71,7 @@
     began: Instant,
     delivered: u64,
     /// Whether bytes went to any target.
-    sent: bool,
+    was_sent: bool,
     /// Targets that died while they ran it.
     deaths: u32,
 }
@@ -79,13 +79,13 @@
 /// How an attempt ended.
 enum Attempt {
     /// The answer is whole.
-    Whole(u64),
+    Complete(u64),
     /// Another target may do it.
-    Again(Retry),
+    Retry(Retry),
     /// The target died while it ran.
-    Died,
+    TargetDied,
     /// The caller is gone; nothing is left to do.
-    Gone,
+    CallerGone,
     /// It is given up on.
     Refused(Refusal),
 }
@@ -94,43 +94,43 @@
     /// Why there is to be a further attempt, if so.
     fn retry(&self) -> Option<Retry> {
         match self {
-            Self::Again(reason) => Some(*reason),
-            Self::Died => Some(Retry::TargetFailed),
-            Self::Whole(_) | Self::Gone | Self::Refused(_) => None,
+            Self::Retry(reason) => Some(*reason),
+            Self::TargetDied => Some(Retry::TargetFailed),
+            Self::Complete(_) | Self::CallerGone | Self::Refused(_) => None,
         }
     }
 }
 
 impl Run<'_> {
     async fn run(mut self) {
-        let mut tried = Tried::default();
+        let mut history = AttemptHistory::default();
         let (core, fingerprint) = (self.core, self.completion.fingerprint);
         let account = &self.completion.caller.account;
-        core.record.earn(account);
+        core.retry_control.earn(account);
         for attempt in 0.. {
-            match self.attempt(attempt, &mut tried).await {
-                Attempt::Whole(count) => {
-                    core.record.note_success(core.now(), fingerprint);
+            match self.attempt(attempt, &mut history).await {
+                Attempt::Complete(count) => {
+                    core.retry_control.note_success(core.now(), fingerprint);
                     let prompt = self.completion.cost.prefill;
                     self.core.metrics.tokens(Direction::Prompt, prompt);
                     self.core.metrics.tokens(Direction::Answer, size::Tokens(count));
                     let _ = self.out.send(Piece::End(count)).await;
                     return;
                 }
-                Attempt::Again(reason) => {
+                Attempt::Retry(reason) => {
                     if let Err(refusal) = suspect::spend_retry(core, account, reason) {
                         return self.refuse(refusal).await;
                     }
                 }
-                Attempt::Gone => return suspect::drop_trial(core, fingerprint),
+                Attempt::CallerGone => return suspect::drop_trial(core, fingerprint),
                 Attempt::Refused(refusal) => {
                     suspect::drop_trial(core, fingerprint);
                     return self.refuse(refusal).await;
                 }
-                Attempt::Died => {
+                Attempt::TargetDied => {
                     self.deaths += 1;
                     if self.deaths >= DEATHS {
-                        let refusal = suspect::condemn(core, fingerprint).await;
+                        let refusal = suspect::quarantine(core, fingerprint).await;
                         return self.refuse(refusal).await;
                     }
                     if let Err(refusal) = suspect::spend_retry(core, account, Retry::TargetFailed) {
@@ -138,7 +138,7 @@
                     }
                 }
             }
-            if !tried.wait().await {
+            if !history.wait_before_retry().await {
                 break;
             }
         }
@@ -147,90 +147,93 @@
     }
 
     async fn refuse(self, mut refusal: Refusal) {
-        if self.sent {
+        if self.was_sent {
             refusal.ran = Ran::Unknown;
         }
         record::log_refusal(self.completion.request, &self.completion.caller.account, &refusal);
         let _ = self.out.send(Piece::Refused(refusal)).await;
     }
 
-    async fn attempt(&mut self, attempt: u32, tried: &mut Tried) -> Attempt {
-        let c = self.completion;
-        let number = attempt * parts::PARTS_MAX;
-        let stream = permit::name_stream(self.core, c.request, number, c.deadline_ms);
-        let want = Want {
-            need: Need::Weights(&c.weights),
+    async fn attempt(&mut self, attempt: u32, history: &mut AttemptHistory) -> Attempt {
+        let completion = self.completion;
+        let number = attempt * parts::STREAMS_PER_ATTEMPT;
+        let stream =
+            permit::make_stream_id(self.core, completion.request, number, completion.deadline_ms);
+        let spec = AttemptSpec {
+            capability: Capability::Weights(&completion.weights),
             stream: &stream,
-            partner: &c.caller.partner,
-            account: &c.caller.account,
-            class: c.class,
-            cost: c.cost,
-            deadline: c.deadline,
-            fingerprint: c.fingerprint,
-            prefix: c.prefix,
-            alone: false,
+            partner: &completion.caller.partner,
+            account: &completion.caller.account,
+            class: completion.class,
+            cost: completion.cost,
+            deadline: completion.deadline,
+            fingerprint: completion.fingerprint,
+            prefix: completion.prefix,
+            is_exclusive: false,
         };
         let judged = tokio::select! {
-            judged = suspect::judge(self.core, c) => judged,
-            () = self.out.closed() => return Attempt::Gone,
+            judged = suspect::judge(self.core, completion) => judged,
+            () = self.out.closed() => return Attempt::CallerGone,
         };
         // What a target died under is not set beside others again, whether or
         // not the target's owner has told of the death yet.
-        let want = match judged {
-            Ok(alone) => Want { alone: alone || self.deaths > 0, ..want },
+        let spec = match judged {
+            Ok(is_exclusive) => {
+                AttemptSpec { is_exclusive: is_exclusive || self.deaths > 0, ..spec }
+            }
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        if parts::find_candidates(self.core, c).is_some() {
-            let attempt = self.attempt_parts(attempt).await;
+        if parts::find_candidates(self.core, completion).is_some() {
+            let attempt = self.attempt_split(attempt).await;
             if let Some(retry) = attempt.retry() {
-                tried.count(retry);
+                history.count(retry);
             }
             return attempt;
         }
         let obtained = tokio::select! {
-            obtained = permit::obtain(self.core, &want, tried) => obtained,
-            () = self.out.closed() => return Attempt::Gone,
+            obtained = permit::obtain_placement(self.core, &spec, history) => obtained,
+            () = self.out.closed() => return Attempt::CallerGone,
         };
-        let leave = match obtained {
-            Ok(leave) => leave,
+        let placement = match obtained {
+            Ok(placement) => placement,
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        let end = self.send(&leave, None).await;
-        let attempt = self.settle(&leave, end);
+        let end = self.send(&placement, None).await;
+        let attempt = self.settle(&placement, end);
         if let Some(retry) = attempt.retry() {
-            tried.note(leave.target, retry);
+            history.record(placement.target, retry);
         }
         attempt
     }
 
     /// An attempt over several engines.
-    async fn attempt_parts(&mut self, attempt: u32) -> Attempt {
+    async fn attempt_split(&mut self, attempt: u32) -> Attempt {
         let (core, completion, out) = (self.core, self.completion, &self.out);
-        let reserve = Reserve { core, completion, attempt, out };
-        let mut held = match reserve.run().await {
+        let reservation = PartReservation { core, completion, attempt, out };
+        let mut held = match reservation.run().await {
             Ok(held) => held,
-            Err(_) if self.out.is_closed() => return Attempt::Gone,
+            Err(_) if self.out.is_closed() => return Attempt::CallerGone,
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        self.sent = true;
+        self.was_sent = true;
         let prefilled = parts::prefill(core, completion, &mut held, &self.out).await;
-        let Some(leave) = parts::last_leave(&held).cloned() else { return Attempt::Gone };
+        let Some(last) = parts::last_placement(&held).cloned() else { return Attempt::CallerGone };
         let attempt = match prefilled {
             Ok(import) => {
-                let end = self.send(&leave, import).await;
-                self.settle(&leave, end)
+                let end = self.send(&last, import).await;
+                self.settle(&last, end)
             }
             // The last part was never opened; its own end is told as such.
             Err(end) => {
-                permit::give_back(
+                permit::report_outcome(
                     core,
-                    &leave.target,
-                    &leave.permit,
-                    &leave.stream,
+                    &last.target,
+                    &last.permit,
+                    &last.stream,
                     Ending::NotSent,
                     None,
                 );
-                read_end(end)
+                classify_end(end)
             }
         };
         parts::release(core, held);
@@ -238,81 +241,92 @@
     }
 
     /// Sends the attempt and relays its tokens.
-    async fn send(&mut self, leave: &Leave, import: Option<Handle>) -> (End, Option<Duration>) {
-        let c = self.completion;
+    async fn send(
+        &mut self,
+        placement: &Placement,
+        import: Option<Handle>,
+    ) -> (End, Option<Duration>) {
+        let completion = self.completion;
         let generate = Generate {
-            stream: leave.stream.clone(),
-            weights: c.weights.clone(),
-            prompt: c.prompt.clone(),
-            max_tokens: c.cost.decode,
-            priority: Priority(leave.permit.priority),
+            stream: placement.stream.clone(),
+            weights: completion.weights.clone(),
+            prompt: completion.prompt.clone(),
+            max_tokens: completion.cost.decode,
+            priority: Priority(placement.permit.priority),
             import,
             prefill_only: None,
             from: self.delivered,
         };
         let mut relay = Relay {
             core: self.core,
-            address: leave.address,
-            target: &leave.target,
-            stream: &leave.stream,
-            deadline: c.deadline,
-            first: relay::first_token_limit(self.core, leave.expected),
+            address: placement.address,
+            target: &placement.target,
+            stream: &placement.stream,
+            deadline: completion.deadline,
+            first_token_timeout: relay::first_token_timeout(
+                self.core,
+                placement.expected_first_token,
+            ),
             out: &self.out,
             delivered: self.delivered,
-            first_token: None,
+            first_token_at: None,
         };
         let began = self.core.now();
-        let end = match relay.open(self.core.targets.generate(leave.address, &generate)).await {
+        let end = match relay.open(self.core.targets.generate(placement.address, &generate)).await {
             Ok(tokens) => relay.run(tokens).await,
             Err(end) => end,
         };
         // What the caller waits for: with the queue and with failed attempts,
         // and not the first token of an attempt that goes on with a stream.
-        if let Some(at) = relay.first_token
+        if let Some(at) = relay.first_token_at
             && self.delivered == 0
         {
-            self.core.metrics.first_token(c.cost.prefill, at - self.began);
+            self.core.metrics.first_token(completion.cost.prefill, at - self.began);
         }
         self.delivered = relay.delivered;
-        (end, relay.first_token.map(|at| at - began))
+        (end, relay.first_token_at.map(|at| at - began))
     }
 
     /// Tells the owner how the attempt ended and decides what comes next.
-    fn settle(&mut self, leave: &Leave, (end, first_token): (End, Option<Duration>)) -> Attempt {
+    fn settle(
+        &mut self,
+        placement: &Placement,
+        (end, first_token): (End, Option<Duration>),
+    ) -> Attempt {
         if !matches!(end, End::Failed(Error::NotSent(_) | Error::Refused(_))) {
-            self.sent = true;
+            self.was_sent = true;
         }
         let ending = match &end {
-            End::Whole(_) => Ending::Finished,
+            End::Complete(_) => Ending::Finished,
             // The permit is the other node's to give back.
-            End::Taken => return Attempt::Gone,
-            End::Gone => Ending::Left,
-            End::Died => Ending::TargetDied,
+            End::TakenOver => return Attempt::CallerGone,
+            End::CallerGone => Ending::Left,
+            End::TargetDied => Ending::TargetDied,
             End::Failed(Error::NotSent(_) | Error::Refused(_)) => Ending::NotSent,
             End::Deadline | End::Stalled | End::Failed(_) => Ending::Lost,
         };
-        let attempt = read_end(end);
+        let attempt = classify_end(end);
         if let Some(reason) = attempt.retry() {
-            record::log_retry(self.core, &self.completion.caller.account, leave, reason);
+            record::log_retry(self.core, &self.completion.caller.account, placement, reason);
         }
-        let (target, permit) = (&leave.target, &leave.permit);
-        permit::give_back(self.core, target, permit, &leave.stream, ending, first_token);
+        let (target, permit) = (&placement.target, &placement.permit);
+        permit::report_outcome(self.core, target, permit, &placement.stream, ending, first_token);
         attempt
     }
 }
 
 /// What comes after an attempt that ended so.
-fn read_end(end: End) -> Attempt {
+fn classify_end(end: End) -> Attempt {
     match end {
-        End::Whole(count) => Attempt::Whole(count),
-        End::Taken | End::Gone => Attempt::Gone,
+        End::Complete(count) => Attempt::Complete(count),
+        End::TakenOver | End::CallerGone => Attempt::CallerGone,
         End::Deadline => {
             Attempt::Refused(refuse(Reason::Deadline, "the deadline passed while it ran"))
         }
-        End::Stalled => Attempt::Again(Retry::Stalled),
-        End::Died => Attempt::Died,
-        End::Failed(Error::NotSent(_)) => Attempt::Again(Retry::NotSent),
-        End::Failed(Error::Refused(_)) => Attempt::Again(Retry::Refused),
-        End::Failed(_) => Attempt::Again(Retry::TargetFailed),
+        End::Stalled => Attempt::Retry(Retry::Stalled),
+        End::TargetDied => Attempt::TargetDied,
+        End::Failed(Error::NotSent(_)) => Attempt::Retry(Retry::NotSent),
+        End::Failed(Error::Refused(_)) => Attempt::Retry(Retry::Refused),
+        End::Failed(_) => Attempt::Retry(Retry::TargetFailed),
     }
 }
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,7 +1,7 @@
 //! What the parts of a node share.
 
-use crate::peers::Fetches;
-use crate::suspect::Record;
+use crate::peers::FetchLocks;
+use crate::suspect::RetryControl;
 use crate::table::Table;
 use crate::view::View;
 use hickory_release::configuration::Configuration;
@@ -51,7 +51,7 @@
 }
 
 /// The platform, with a count of each call.
-pub(crate) type Port = Metered<Platform, System>;
+pub(crate) type MeteredPlatform = Metered<Platform, System>;
 
 /// What the parts of a node share.
 #[derive(Debug)]
@@ -60,24 +60,24 @@
     pub(crate) key: Key,
     pub(crate) incarnation: id::Incarnation,
     pub(crate) clock: System,
-    pub(crate) platform: Port,
+    pub(crate) platform: MeteredPlatform,
     pub(crate) targets: Targets,
     pub(crate) links: Arc<OnceLock<Links>>,
-    pub(crate) fetches: Fetches,
-    pub(crate) member: Member<Port, System>,
-    pub(crate) keeper: Keeper<Port, System>,
-    pub(crate) owners: Owners<Port, System, LinkProbe>,
-    pub(crate) ledger: Ledger<Port, System>,
+    pub(crate) fetch_locks: FetchLocks,
+    pub(crate) member: Member<MeteredPlatform, System>,
+    pub(crate) keeper: Keeper<MeteredPlatform, System>,
+    pub(crate) owners: Owners<MeteredPlatform, System, LinkProbe>,
+    pub(crate) ledger: Ledger<MeteredPlatform, System>,
     pub(crate) view: View,
     pub(crate) table: Table,
-    pub(crate) record: Record,
+    pub(crate) retry_control: RetryControl,
     pub(crate) metrics: Metrics,
     pub(crate) stage: watch::Sender<Stage>,
     pub(crate) active: AtomicUsize,
 }
 
 impl Core {
-    pub(crate) fn me(&self) -> &id::Node {
+    pub(crate) fn node_id(&self) -> &id::Node {
         &self.settings.node
     }
 
@@ -99,18 +99,18 @@
         self.view.newest_release(self.now()) > known
     }
 
-    pub(crate) fn time(&self, millis: u64) -> Duration {
+    pub(crate) fn duration_ms(&self, millis: u64) -> Duration {
         Duration::from_millis(millis)
     }
 
     /// Life of a permit, from the moment it is asked for.
-    pub(crate) fn permit_life(&self) -> Duration {
-        self.time(self.settings.times.permit_ms)
+    pub(crate) fn permit_lifetime(&self) -> Duration {
+        self.duration_ms(self.settings.times.permit_ms)
     }
 
     /// How long a call to a peer may take.
     pub(crate) fn peer_timeout(&self) -> Duration {
-        self.permit_life()
+        self.permit_lifetime()
     }
 }
 
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -10,26 +10,26 @@
 use std::time::Duration;
 
 /// Between two looks at whether requests are still active.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Begins a planned stop; only the first call has an effect.
 pub(crate) fn begin(core: &Core) {
     core.stage.send_if_modified(|stage| {
-        let serving = *stage == Stage::Serving;
-        if serving {
+        let is_serving = *stage == Stage::Serving;
+        if is_serving {
             *stage = Stage::Draining;
         }
-        serving
+        is_serving
     });
 }
 
 /// Waits until a planned stop is begun, and carries it out.
-pub(crate) async fn follow(core: Arc<Core>) {
+pub(crate) async fn run(core: Arc<Core>) {
     let mut stage = core.stage.subscribe();
     if stage.wait_for(|stage| *stage == Stage::Draining).await.is_err() {
         return;
     }
-    let keep = core.time(core.settings.times.entry_keep_ms + core.settings.times.gossip_ms);
+    let keep = core.duration_ms(core.settings.times.entry_keep_ms + core.settings.times.gossip_ms);
     let kept_until = core.now() + keep;
     // With the platform down neither of these gets through: peers learn of the
     // stop by gossip, and owners go on here until the last stream has ended.
@@ -37,7 +37,7 @@
     core.owners.release_all().await;
     tokio::time::sleep_until(kept_until.into()).await;
     while core.active.load(Ordering::Acquire) > 0 {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(ACTIVE_POLL_INTERVAL).await;
     }
     core.stage.send_replace(Stage::Closed);
     core.member.leave().await;
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -4,7 +4,7 @@
 use crate::core::{Core, Stage};
 use crate::orders;
 use crate::suspect::is_port_closed;
-use crate::sweep::Found;
+use crate::sweep::SweepContext;
 use hickory_policy::limit::{Capacity, Observed};
 use hickory_policy::ramp::Sample;
 use hickory_state::owner::Terms;
@@ -20,19 +20,19 @@
 use std::time::Duration;
 
 /// Between two looks at which targets are owned.
-const OWNED_INTERVAL: Duration = Duration::from_millis(100);
+const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Between two looks at queues where anything waits: what fits changes with
 /// each step of an engine, which takes about as long.
-const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Failed reads of a load report after which a target gets no new work: one
 /// may be a hiccup, and three take less than the bound on new work to a
 /// target that is gone.
-const MISSED_MAX: u32 = 3;
+const MAX_MISSED_REPORTS: u32 = 3;
 
 /// Follows the ownership: one task for each owned target.
-pub(crate) async fn follow_owned(core: Arc<Core>) {
+pub(crate) async fn run_owned_targets(core: Arc<Core>) {
     let mut running: HashMap<id::Target, (id::Epoch, tokio::task::AbortHandle)> = HashMap::new();
     let mut changed = core.owners.changed();
     loop {
@@ -56,58 +56,60 @@
             }
             core.table.open(&owned.target, owned.epoch);
             core.metrics.owner_changed(Ownership::Gained);
-            let task = tokio::spawn(drive(core.clone(), owned.target.clone(), owned.epoch));
+            let task =
+                tokio::spawn(run_owned_target(core.clone(), owned.target.clone(), owned.epoch));
             running.insert(owned.target, (owned.epoch, task.abort_handle()));
         }
-        let _ = tokio::time::timeout(OWNED_INTERVAL, changed.changed()).await;
+        let _ = tokio::time::timeout(OWNERSHIP_POLL_INTERVAL, changed.changed()).await;
     }
 }
 
 /// Drives one owned target until it is not owned any more.
-async fn drive(core: Arc<Core>, target: id::Target, epoch: id::Epoch) {
-    let interval = core.time(core.settings.times.report_ms);
+async fn run_owned_target(core: Arc<Core>, target: id::Target, epoch: id::Epoch) {
+    let interval = core.duration_ms(core.settings.times.report_ms);
     let mut missed = 0;
     loop {
         if let Some(host) = core.view.hosts().get(&target) {
             let read = match &host.kind {
-                Kind::Engine => drive_engine(&core, host, epoch).await,
-                Kind::Service(_) => drive_service(&core, host).await,
+                Kind::Engine => poll_engine(&core, host, epoch).await,
+                Kind::Service(_) => poll_service(&core, host).await,
             };
             missed = if read { 0 } else { missed + 1 };
-            if missed == MISSED_MAX {
+            if missed == MAX_MISSED_REPORTS {
                 core.metrics.target_silent();
             }
-            update_accepting(&core, host, missed < MISSED_MAX);
+            update_accepting(&core, host, missed < MAX_MISSED_REPORTS);
         }
-        let (life, resume) = (core.permit_life(), core.time(core.settings.times.resume_ms));
+        let (permit_lifetime, resume) =
+            (core.permit_lifetime(), core.duration_ms(core.settings.times.resume_ms));
         let now = core.now();
         core.table.with(&target, |owned| {
-            owned.sweep(now, life, resume);
-            owned.poll(now, life);
+            owned.sweep(now, permit_lifetime, resume);
+            owned.poll(now, permit_lifetime);
         });
         tokio::time::sleep(interval).await;
     }
 }
 
 /// Whether the target takes new work, as far as its owner knows.
-fn update_accepting(core: &Core, host: &Host, answers: bool) {
+fn update_accepting(core: &Core, host: &Host, is_answering: bool) {
     let configuration = core.configuration();
     let in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
     let owned = core.owners.owned();
     let terms = owned.iter().find(|owned| owned.target == host.target).map(|owned| owned.terms);
-    let waited = !matches!(terms, None | Some(Terms::Wait(_)));
+    let is_wait_over = !matches!(terms, None | Some(Terms::Wait(_)));
     let confirmed = matches!(terms, Some(Terms::Full));
     let now = core.now();
     core.table.with(&host.target, |owned| {
         let known = owned.capacity.streams > 0;
-        owned.set_terms(now, answers && in_service && waited && known, confirmed);
+        owned.set_terms(now, is_answering && in_service && is_wait_over && known, confirmed);
         if let Some(configuration) = &configuration {
-            owned.follow(configuration);
+            owned.apply_configuration(configuration);
         }
     });
 }
 
-async fn drive_engine(core: &Core, host: &Host, epoch: id::Epoch) -> bool {
+async fn poll_engine(core: &Core, host: &Host, epoch: id::Epoch) -> bool {
     let report = match Engines::report(&core.targets, host.address).await {
         Ok(report) => report,
         Err(error) => {
@@ -122,34 +124,34 @@
     if known.is_some_and(|known| known != report.incarnation) {
         note_death(core, &host.target);
     }
-    take_report(core, &host.target, &report);
+    apply_report(core, &host.target, &report);
     cancel_orphans(core, host).await;
     if let Some(configuration) = core.configuration() {
-        orders::give_orders(core, host, epoch, &report.loaded, &configuration).await;
+        orders::send_orders(core, host, epoch, &report.loaded, &configuration).await;
     }
     true
 }
 
 /// Puts what ran on a dead target under suspicion.
 fn note_death(core: &Core, target: &id::Target) {
-    let ran = core.table.with(target, |owned| owned.take_death()).unwrap_or_default();
-    core.record.note_death(core.now(), ran);
+    let ran = core.table.with(target, |owned| owned.record_death()).unwrap_or_default();
+    core.retry_control.note_death(core.now(), ran);
 }
 
-fn take_report(core: &Core, target: &id::Target, report: &Report) {
+fn apply_report(core: &Core, target: &id::Target, report: &Report) {
     let now = core.now();
     let nodes = core.member.nodes();
     let confirmed = core.member.confirmed(now);
     // The list of nodes says nothing while the platform can't be reached.
     let is_live = |node: &id::Node| !confirmed || nodes.contains_key(node);
-    let resume = core.time(core.settings.times.resume_ms);
-    let found = Found { now, wall_ms: core.clock.wall_ms(), resume, is_live };
+    let resume = core.duration_ms(core.settings.times.resume_ms);
+    let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume, is_live };
     core.table.with(target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
             core.metrics.target_restarted();
-            owned.restarted(now);
+            owned.reset_after_restart(now);
         }
-        owned.take_report(report, &found);
+        owned.apply_report(report, &context);
     });
 }
 
@@ -158,9 +160,9 @@
 async fn cancel_orphans(core: &Core, host: &Host) {
     let taken = core.table.with(&host.target, |owned| (owned.take_cancels(), owned.take_drops()));
     let (cancels, drops) = taken.unwrap_or_default();
-    let mut answers = true;
+    let mut is_answering = true;
     for stream in cancels {
-        let cancelled = match answers {
+        let cancelled = match is_answering {
             true => core.targets.cancel(host.address, &stream).await,
             false => Err(Error::Unknown("the target did not answer the last cancel".into())),
         };
@@ -170,10 +172,10 @@
         let now = core.now();
         core.table.with(&host.target, |owned| match cancelled {
             Ok(Cancelled::NeverBegun | Cancelled::Stopped | Cancelled::Ended)
-            | Err(Error::NotFound) => owned.cancelled(now, &stream),
+            | Err(Error::NotFound) => owned.confirm_cancelled(now, &stream),
             Err(_) => {
-                answers = false;
-                owned.cancel_again(stream);
+                is_answering = false;
+                owned.retry_cancel(stream);
             }
         });
     }
@@ -188,22 +190,22 @@
 /// Grants what comes to fit as time passes, while anything waits.
 pub(crate) async fn poll_queues(core: Arc<Core>) {
     loop {
-        let waiting = core.table.poll(core.now(), core.permit_life());
+        let waiting = core.table.poll(core.now(), core.permit_lifetime());
         if waiting == 0 {
-            core.table.queued.notified().await;
+            core.table.ask_queued.notified().await;
         }
-        tokio::time::sleep(POLL_INTERVAL).await;
+        tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
     }
 }
 
-async fn drive_service(core: &Core, host: &Host) -> bool {
+async fn poll_service(core: &Core, host: &Host) -> bool {
     let report: Result<service::Report, Error> =
         Services::report(&core.targets, host.address).await;
     let Ok(report) = report else { return false };
     let now = core.now();
     core.table.with(&host.target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
-            owned.restarted(now);
+            owned.reset_after_restart(now);
             core.metrics.target_restarted();
         }
         owned.incarnation = Some(report.incarnation);
@@ -219,7 +221,7 @@
         owned.observe_load(now, &Observed { sample, ..Observed::default() });
         // Nothing is held on a service: a cancel has nothing to do.
         for stream in owned.take_cancels() {
-            owned.cancelled(now, &stream);
+            owned.confirm_cancelled(now, &stream);
         }
     });
     true
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -12,10 +12,10 @@
 
 /// A peer that was not heard for this long is not named: several exchanges
 /// were missed, and a caller sent there might find nobody.
-const PEER_MAX_AGE: Duration = Duration::from_secs(2);
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 
 /// Alternates that an answer names.
-const ALTERNATES: usize = 3;
+const MAX_ALTERNATES: usize = 3;
 
 /// The answer to which address to use.
 #[derive(Clone, Debug, Serialize)]
@@ -30,16 +30,16 @@
 /// slightly old counts, from running to one node.
 pub(crate) fn answer_entry(core: &Core) -> Option<Entry> {
     let now = core.now();
-    let seen = core.view.peers_seen();
+    let peer_views = core.view.peer_views();
     let mut rng = rand::rng();
     let nodes = core.member.nodes();
     let mut known: Vec<(SocketAddr, u32)> = nodes
         .values()
-        .filter(|info| info.node != *core.me() && !info.draining)
+        .filter(|info| info.node != *core.node_id() && !info.draining)
         .filter_map(|info| {
-            let peer = seen.get(&info.node)?;
-            let heard = now.saturating_duration_since(peer.at) < PEER_MAX_AGE;
-            (heard && !peer.draining).then_some((info.callers, peer.connections))
+            let peer = peer_views.get(&info.node)?;
+            let is_reachable = now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE;
+            (is_reachable && !peer.draining).then_some((info.callers, peer.connections))
         })
         .collect();
     if core.stage() == Stage::Serving {
@@ -49,6 +49,6 @@
     let chosen = known.choose_multiple(&mut rng, 2).min_by_key(|(_, load)| *load)?.0;
     known.retain(|(address, _)| *address != chosen);
     known.shuffle(&mut rng);
-    let alternates = known.into_iter().take(ALTERNATES).map(|(address, _)| address).collect();
+    let alternates = known.into_iter().take(MAX_ALTERNATES).map(|(address, _)| address).collect();
     Some(Entry { address: chosen, alternates, keep_ms: core.settings.times.entry_keep_ms })
 }
--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -16,14 +16,14 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Foreign {
     /// When it was first seen without anybody who stands for it.
-    pub(crate) alone: Option<Instant>,
+    pub(crate) orphaned_since: Option<Instant>,
 }
 
 /// A permit that is out.
 #[derive(Clone, Debug)]
 pub(crate) struct Granted {
     pub(crate) stream: id::Stream,
-    pub(crate) until: Instant,
+    pub(crate) request_deadline: Instant,
     pub(crate) priority: u8,
     /// Hash of account and content.
     pub(crate) fingerprint: u64,
@@ -32,11 +32,11 @@
     /// What runs it, on an engine.
     pub(crate) weights: Option<Weights>,
     /// When the caller's connection went, where it did.
-    pub(crate) left: Option<Instant>,
+    pub(crate) caller_left_at: Option<Instant>,
     /// When it was granted, while its asker has not been told.
-    pub(crate) untold: Option<Instant>,
+    pub(crate) undelivered_since: Option<Instant>,
     /// Whether the target's death is counted against it already.
-    pub(crate) counted: bool,
+    pub(crate) is_death_counted: bool,
     /// The node that serves it.
     pub(crate) node: id::Node,
 }
@@ -45,35 +45,36 @@
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) stream: id::Stream,
-    pub(crate) asked: Instant,
-    pub(crate) until: Instant,
+    pub(crate) asked_at: Instant,
+    pub(crate) request_deadline: Instant,
     pub(crate) priority: u8,
     pub(crate) fingerprint: u64,
     pub(crate) kv: size::Tokens,
     pub(crate) weights: Option<Weights>,
-    pub(crate) waker: Option<oneshot::Sender<Result<Permit, Refusal>>>,
+    pub(crate) responder: Option<oneshot::Sender<Result<Permit, Refusal>>>,
 }
 
 impl Granted {
-    pub(crate) fn to(stream: id::Stream, until: Instant, priority: u8) -> Self {
+    pub(crate) fn open(stream: id::Stream, request_deadline: Instant, priority: u8) -> Self {
         let node = stream.sender.clone();
         let (fingerprint, kv, weights) = (0, size::Tokens(0), None);
         Self {
             stream,
-            until,
+            request_deadline,
             priority,
             fingerprint,
             kv,
             weights,
-            left: None,
-            untold: None,
-            counted: false,
+            caller_left_at: None,
+            undelivered_since: None,
+            is_death_counted: false,
             node,
         }
     }
 
     pub(crate) fn is_overdue(&self, now: Instant, resume: Duration) -> bool {
-        let left_long = self.left.is_some_and(|at| now.saturating_duration_since(at) > resume);
-        left_long || now > self.until + SWEEP_GRACE
+        let is_long_unserved =
+            self.caller_left_at.is_some_and(|at| now.saturating_duration_since(at) > resume);
+        is_long_unserved || now > self.request_deadline + SWEEP_GRACE
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -61,7 +61,7 @@
 use tokio::sync::watch;
 
 /// How long a short call to a target may take.
-const TARGET_TIMEOUT: Duration = Duration::from_secs(1);
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
 #[derive(Clone, Debug)]
@@ -91,11 +91,11 @@
         let admin = hickory_admin::Server::spawn(core.settings.admin, Arc::new(service))?;
         let links = Links::spawn(peers, core.key.clone(), peers::Service(Arc::downgrade(&core)))?;
         let _ = core.links.set(links.clone());
-        tokio::spawn(peers::follow_hosts(core.clone()));
+        tokio::spawn(peers::poll_hosts(core.clone()));
         tokio::spawn(peers::gossip(core.clone(), links));
-        tokio::spawn(drive::follow_owned(core.clone()));
+        tokio::spawn(drive::run_owned_targets(core.clone()));
         tokio::spawn(drive::poll_queues(core.clone()));
-        tokio::spawn(drain::follow(core.clone()));
+        tokio::spawn(drain::run(core.clone()));
         let listener = tokio::net::TcpListener::from_std(callers)?;
         tokio::spawn(serve::serve(core.clone(), listener));
         Ok(Self { core, admin: Arc::new(admin) })
@@ -176,22 +176,22 @@
     let member = Member::spawn(platform.clone(), clock, info, lease);
     let probe = LinkProbe(links.clone());
     let owners = Owners::spawn(platform.clone(), clock, member.clone(), probe, permit);
-    let me = settings.node.clone();
+    let node_id = settings.node.clone();
     Ok(Core {
         key,
         incarnation,
         clock,
-        targets: Targets::open(TARGET_TIMEOUT),
+        targets: Targets::open(SHORT_CALL_TIMEOUT),
         links,
-        fetches: peers::Fetches::default(),
+        fetch_locks: peers::FetchLocks::default(),
         keeper: Keeper::spawn(platform.clone(), clock),
-        ledger: Ledger::open(platform.clone(), clock, me, claim::Options::default()),
+        ledger: Ledger::open(platform.clone(), clock, node_id, claim::Options::default()),
         member,
         owners,
         platform,
         view: view::View::open(settings.zone.clone()),
         table: table::Table::default(),
-        record: suspect::Record::default(),
+        retry_control: suspect::RetryControl::default(),
         metrics,
         stage: watch::channel(Stage::Serving).0,
         active: AtomicUsize::new(0),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -19,32 +19,32 @@
 use std::time::{Duration, Instant};
 
 /// Keys of the load slots.
-const SLOTS: &str = "loads/";
+const LOAD_SLOT_PREFIX: &str = "loads/";
 
 /// Time to live of a load slot's lease: an owner that dies while its engine
 /// loads holds others up for this long at most.
-const SLOT_TTL: Duration = Duration::from_secs(15);
+const LOAD_SLOT_TTL: Duration = Duration::from_secs(15);
 
 /// Between two renewals of a held slot.
-const SLOT_RENEWAL: Duration = Duration::from_secs(5);
+const LOAD_SLOT_RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Before the next try after no slot was free, or an engine refused a load
 /// for want of room: much less than a load takes, much more than a report.
-const LOAD_PAUSE: Duration = Duration::from_secs(2);
+const LOAD_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// How long a load may be missing from load reports, which lag.
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
 /// Loads at once where the weight store does not say what it bears.
-const LOADS_DEFAULT: u32 = 1;
+const DEFAULT_CONCURRENT_LOADS: u32 = 1;
 
 /// A slot of the weight store, held while an engine loads.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     lease: Lease,
     weights: Weights,
-    taken: Instant,
-    renewed: Instant,
+    acquired_at: Instant,
+    renewed_at: Instant,
 }
 
 impl Slot {
@@ -53,7 +53,7 @@
     fn is_needed(&self, now: Instant, loaded: &[Loaded]) -> bool {
         match loaded.iter().find(|loaded| loaded.weights == self.weights) {
             Some(loaded) => !loaded.ready,
-            None => now.saturating_duration_since(self.taken) < REPORT_LAG,
+            None => now.saturating_duration_since(self.acquired_at) < REPORT_LAG,
         }
     }
 }
@@ -70,7 +70,7 @@
 /// Every version stays until a note withdraws it: a new one is loaded beside
 /// the old one, requests that name no version go to it as soon as it is
 /// ready, and the old one goes with its note and its last stream.
-pub(crate) fn list_offers(configuration: &Configuration) -> BTreeSet<Weights> {
+pub(crate) fn list_offered_weights(configuration: &Configuration) -> BTreeSet<Weights> {
     let models = configuration.models.iter();
     models
         .flat_map(|(name, model)| {
@@ -89,12 +89,12 @@
 
 /// What to unload: not offered any more, and nothing runs on it.
 pub(crate) fn plan_unloads(
-    offers: &BTreeSet<Weights>,
+    offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
     is_busy: impl Fn(&Weights) -> bool,
 ) -> Vec<Weights> {
     let surplus = loaded.iter().map(|loaded| &loaded.weights);
-    surplus.filter(|weights| !offers.contains(weights) && !is_busy(weights)).cloned().collect()
+    surplus.filter(|weights| !offered.contains(weights) && !is_busy(weights)).cloned().collect()
 }
 
 /// What to load next: of what is missing, that with the fewest replicas that
@@ -102,12 +102,12 @@
 /// Among equals the target's hash decides, so that engines which can't hold
 /// all weights differ in what they hold.
 pub(crate) fn plan_load(
-    offers: &BTreeSet<Weights>,
+    offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
     target: &id::Target,
     replicas: impl Fn(&Weights) -> usize,
 ) -> Option<Weights> {
-    let missing = offers.iter().filter(|w| !loaded.iter().any(|loaded| loaded.weights == **w));
+    let missing = offered.iter().filter(|w| !loaded.iter().any(|loaded| loaded.weights == **w));
     let order = |weights: &&Weights| (replicas(weights), hash_weights(target, weights));
     missing.min_by_key(order).cloned()
 }
@@ -119,17 +119,17 @@
 }
 
 /// Orders the difference between what an engine holds and what it is to hold.
-pub(crate) async fn give_orders(
+pub(crate) async fn send_orders(
     core: &Core,
     host: &Host,
     epoch: id::Epoch,
     loaded: &[Loaded],
     configuration: &Configuration,
 ) {
-    let offers = list_offers(configuration);
+    let offered = list_offered_weights(configuration);
     let busy = core.table.with(&host.target, |owned| owned.busy_weights()).unwrap_or_default();
-    for weights in plan_unloads(&offers, loaded, |weights| busy.contains(weights)) {
-        order(core, host, epoch, Order::Unload(weights)).await;
+    for weights in plan_unloads(&offered, loaded, |weights| busy.contains(weights)) {
+        send_order(core, host, epoch, Order::Unload(weights)).await;
     }
     let mut loads = core.table.with(&host.target, |owned| owned.loads.clone()).unwrap_or_default();
     let now = core.now();
@@ -138,7 +138,7 @@
     } else if loaded.iter().all(|loaded| loaded.ready) {
         release_slot(core, &mut loads).await;
         let replicas = |weights: &Weights| core.view.count_ready(weights);
-        let next = plan_load(&offers, loaded, &host.target, replicas);
+        let next = plan_load(&offered, loaded, &host.target, replicas);
         let paused = loads.paused_until.is_some_and(|until| core.now() < until);
         if let Some(weights) = next.filter(|_| !paused) {
             load(core, host, epoch, weights, &mut loads).await;
@@ -148,15 +148,15 @@
 }
 
 async fn load(core: &Core, host: &Host, epoch: id::Epoch, weights: Weights, loads: &mut Loads) {
-    loads.slot = take_slot(core, host, &weights).await;
-    let loading = loads.slot.is_some() && order(core, host, epoch, Order::Load(weights)).await;
+    loads.slot = acquire_slot(core, host, &weights).await;
+    let loading = loads.slot.is_some() && send_order(core, host, epoch, Order::Load(weights)).await;
     if !loading {
         release_slot(core, loads).await;
-        loads.paused_until = Some(core.now() + LOAD_PAUSE);
+        loads.paused_until = Some(core.now() + LOAD_RETRY_DELAY);
     }
 }
 
-async fn order(core: &Core, host: &Host, epoch: id::Epoch, order: Order) -> bool {
+async fn send_order(core: &Core, host: &Host, epoch: id::Epoch, order: Order) -> bool {
     let result = core.targets.order(host.address, epoch, &order).await;
     core.metrics.ordered(match &result {
         Ok(()) => label::Order::Confirmed,
@@ -169,17 +169,17 @@
 /// Takes a slot of the weight store, if one is free: without the bound, a zone
 /// that returns would have all its engines load at once, and each would wait
 /// for the slowest.
-async fn take_slot(core: &Core, host: &Host, weights: &Weights) -> Option<Slot> {
+async fn acquire_slot(core: &Core, host: &Host, weights: &Weights) -> Option<Slot> {
     let limit = weight::Weights::limit(&core.platform).await;
-    let count = limit.map_or(LOADS_DEFAULT, |limit| limit.loads);
-    let (taken, _) = core.platform.list(SLOTS).await.ok()?;
-    let key = |index: u32| format!("{SLOTS}{index}");
-    let free = (0..count).map(key).find(|key| !taken.iter().any(|entry| entry.key == *key))?;
-    let lease = core.platform.grant(SLOT_TTL).await.ok()?;
+    let count = limit.map_or(DEFAULT_CONCURRENT_LOADS, |limit| limit.loads);
+    let (used, _) = core.platform.list(LOAD_SLOT_PREFIX).await.ok()?;
+    let key = |index: u32| format!("{LOAD_SLOT_PREFIX}{index}");
+    let free = (0..count).map(key).find(|key| !used.iter().any(|entry| entry.key == *key))?;
+    let lease = core.platform.grant(LOAD_SLOT_TTL).await.ok()?;
     let value = Some(format!("{} {} {}", host.target, weights.model, weights.version));
     let write = Write { key: free, value, expect: Expect::Absent, lease: Some(lease) };
     let now = core.now();
-    let slot = Slot { lease, weights: weights.clone(), taken: now, renewed: now };
+    let slot = Slot { lease, weights: weights.clone(), acquired_at: now, renewed_at: now };
     match core.platform.write(write).await {
         Ok(_) => Some(slot),
         Err(_) => {
@@ -193,9 +193,9 @@
 async fn renew_slot(core: &Core, loads: &mut Loads) {
     let now = core.now();
     if let Some(slot) = &mut loads.slot
-        && now.saturating_duration_since(slot.renewed) > SLOT_RENEWAL
+        && now.saturating_duration_since(slot.renewed_at) > LOAD_SLOT_RENEWAL_INTERVAL
     {
-        slot.renewed = now;
+        slot.renewed_at = now;
         let _ = core.platform.renew(slot.lease).await;
     }
 }
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -19,15 +19,15 @@
 
 /// The reason an asker gets whose ask stays in the queue: it asks again, so
 /// that the life of the permit it will get begins with a fresh question.
-pub(crate) const QUEUED: &str = "queued";
+pub(crate) const QUEUED_REASON: &str = "queued";
 
 /// The reason a node gets that asks to keep a stream which another node has
 /// taken over.
-pub(crate) const TAKEN: &str = "taken";
+pub(crate) const TAKEN_REASON: &str = "taken";
 
 /// When to come back to a target that takes no work now; other targets may be
 /// asked at once.
-const RETRY_ELSEWHERE: Duration = Duration::from_millis(500);
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(500);
 
 /// One owned target.
 #[derive(Debug)]
@@ -47,25 +47,25 @@
     pub(crate) waiting: HashMap<Ticket, Waiting>,
     pub(crate) ended: HashMap<id::Stream, Instant>,
     pub(crate) foreign: HashMap<id::Stream, Foreign>,
-    pub(crate) adopted: Ticket,
+    pub(crate) last_adopted: Ticket,
     pub(crate) cancels: Vec<id::Stream>,
     pub(crate) drops: Vec<Handle>,
     /// Whether the target's death has been counted, until it reports again.
-    pub(crate) dead: bool,
+    pub(crate) is_dead: bool,
     /// The loads of weights onto it.
     pub(crate) loads: Loads,
     /// What its nodes say it died under, until a report confirms or denies it.
-    pub(crate) fallen: Vec<u64>,
+    pub(crate) reported_deaths: Vec<u64>,
     /// The configuration whose shares the limiter follows.
     pub(crate) release: id::Release,
     /// What peers were told last, and its version.
-    pub(crate) told: Option<(u64, State)>,
+    pub(crate) published: Option<(u64, State)>,
 }
 
 /// Permits for adopted streams are numbered from here, out of the way of the
 /// limiter's own: these streams are not its to count, they stand in the load
 /// report.
-const ADOPTED_FIRST: Ticket = 1 << 63;
+const FIRST_ADOPTED_TICKET: Ticket = 1 << 63;
 
 pub(crate) fn refuse(reason: impl std::fmt::Display, retry_after: Duration) -> Refusal {
     Refusal { reason: reason.to_string(), retry_after, not_owner: false }
@@ -80,7 +80,7 @@
 }
 
 /// The first answer to an ask.
-pub(crate) enum Begun {
+pub(crate) enum AskResult {
     Answered(Result<Permit, Refusal>),
     Queued(oneshot::Receiver<Result<Permit, Refusal>>),
 }
@@ -103,14 +103,14 @@
             waiting: HashMap::new(),
             ended: HashMap::new(),
             foreign: HashMap::new(),
-            adopted: ADOPTED_FIRST,
+            last_adopted: FIRST_ADOPTED_TICKET,
             cancels: Vec::new(),
             drops: Vec::new(),
-            dead: false,
+            is_dead: false,
             loads: Loads::default(),
-            fallen: Vec::new(),
+            reported_deaths: Vec::new(),
             release: id::Release(0),
-            told: None,
+            published: None,
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// Makes the limiter follow the shares and weights of a configuration.
-    pub(crate) fn follow(&mut self, configuration: &Configuration) {
+    pub(crate) fn apply_configuration(&mut self, configuration: &Configuration) {
         if self.release == configuration.version {
             return;
         }
@@ -142,70 +142,70 @@
         self.accepting = accepting;
         self.limiter.set_confirmed(now, confirmed);
         for (ticket, reason) in self.limiter.set_accepting(now, accepting) {
-            self.answer(now, ticket, Err(refuse(reason, RETRY_ELSEWHERE)));
+            self.answer(now, ticket, Err(refuse(reason, RETRY_ELSEWHERE_AFTER)));
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Instant, life: Duration, ask: &Ask) -> Begun {
+    pub(crate) fn ask(&mut self, now: Instant, permit_lifetime: Duration, ask: &Ask) -> AskResult {
         // The same ask again: its last answer was lost, or it stays queued.
         if let Some(ticket) = self.tickets.get(&ask.stream).copied() {
-            return self.ask_again(now, life, ticket);
+            return self.ask_again(now, permit_lifetime, ticket);
         }
         if !self.accepting {
-            return Begun::Answered(Err(refuse(Reason::NoTarget, RETRY_ELSEWHERE)));
+            return AskResult::Answered(Err(refuse(Reason::NoTarget, RETRY_ELSEWHERE_AFTER)));
         }
-        let until = now + ask.time_left;
-        let wanted = limit::Ask {
+        let request_deadline = now + ask.time_left;
+        let request = limit::Ask {
             partner: ask.partner.clone(),
             account: ask.account.clone(),
             class: if ask.batch { Class::Batch } else { Class::Interactive },
             cost: Cost { prefill: ask.cost.prefill, decode: ask.cost.decode },
-            deadline: until,
+            deadline: request_deadline,
             alone: ask.alone,
             urgent: ask.urgent,
         };
-        let priority = priority_of(wanted.lane());
-        match self.limiter.ask(now, wanted) {
+        let priority = priority_of(request.lane());
+        match self.limiter.ask(now, request) {
             Answer::Granted(ticket) => {
-                let granted = Granted::to(ask.stream.clone(), until, priority);
+                let granted = Granted::open(ask.stream.clone(), request_deadline, priority);
                 let (fingerprint, kv) = (ask.fingerprint, ask.cost.kv);
                 let weights = ask.weights.clone();
                 self.insert_permit(ticket, Granted { fingerprint, kv, weights, ..granted });
-                Begun::Answered(Ok(self.make_permit(ticket, priority, life)))
+                AskResult::Answered(Ok(self.make_permit(ticket, priority, permit_lifetime)))
             }
             Answer::Queued(ticket) => {
-                let (waker, wait) = oneshot::channel();
-                let (stream, waker) = (ask.stream.clone(), Some(waker));
+                let (responder, wait) = oneshot::channel();
+                let (stream, responder) = (ask.stream.clone(), Some(responder));
                 self.tickets.insert(stream.clone(), ticket);
                 let waiting = Waiting {
                     stream,
-                    asked: now,
-                    until,
+                    asked_at: now,
+                    request_deadline,
                     priority,
                     fingerprint: ask.fingerprint,
                     kv: ask.cost.kv,
                     weights: ask.weights.clone(),
-                    waker,
+                    responder,
                 };
                 self.waiting.insert(ticket, waiting);
-                Begun::Queued(wait)
+                AskResult::Queued(wait)
             }
-            Answer::Refused(reason, after) => Begun::Answered(Err(refuse(reason, after))),
+            Answer::Refused(reason, after) => AskResult::Answered(Err(refuse(reason, after))),
         }
     }
 
-    fn ask_again(&mut self, now: Instant, life: Duration, ticket: Ticket) -> Begun {
+    fn ask_again(&mut self, now: Instant, permit_lifetime: Duration, ticket: Ticket) -> AskResult {
         if let Some(waiting) = self.waiting.get_mut(&ticket) {
-            let (waker, wait) = oneshot::channel();
-            waiting.asked = now;
-            waiting.waker = Some(waker);
-            return Begun::Queued(wait);
+            let (responder, wait) = oneshot::channel();
+            waiting.asked_at = now;
+            waiting.responder = Some(responder);
+            return AskResult::Queued(wait);
         }
         let priority = self.permits.get_mut(&ticket).map_or(0, |granted| {
-            granted.untold = None;
+            granted.undelivered_since = None;
             granted.priority
         });
-        Begun::Answered(Ok(self.make_permit(ticket, priority, life)))
+        AskResult::Answered(Ok(self.make_permit(ticket, priority, permit_lifetime)))
     }
 
     fn make_permit(&self, id: Ticket, priority: u8, life: Duration) -> Permit {
@@ -218,8 +218,8 @@
     }
 
     pub(crate) fn withdraw(&mut self, stream: &id::Stream) {
-        let waits = self.tickets.get(stream).filter(|ticket| self.waiting.contains_key(ticket));
-        if let Some(ticket) = waits.copied() {
+        let queued = self.tickets.get(stream).filter(|ticket| self.waiting.contains_key(ticket));
+        if let Some(ticket) = queued.copied() {
             self.tickets.remove(stream);
             self.waiting.remove(&ticket);
             self.limiter.finish(ticket);
@@ -227,12 +227,12 @@
     }
 
     /// Grants what fits now.
-    pub(crate) fn poll(&mut self, now: Instant, life: Duration) {
+    pub(crate) fn poll(&mut self, now: Instant, permit_lifetime: Duration) {
         for (ticket, answer) in self.limiter.poll(now) {
             let priority = self.waiting.get(&ticket).map_or(0, |waiting| waiting.priority);
             let answer = match answer {
-                Ok(()) => Ok(self.make_permit(ticket, priority, life)),
-                Err(reason) => Err(refuse(reason, RETRY_ELSEWHERE)),
+                Ok(()) => Ok(self.make_permit(ticket, priority, permit_lifetime)),
+                Err(reason) => Err(refuse(reason, RETRY_ELSEWHERE_AFTER)),
             };
             self.answer(now, ticket, answer);
         }
@@ -243,12 +243,13 @@
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
         self.tickets.remove(&waiting.stream);
         let granted = answer.is_ok();
-        let told = waiting.waker.is_some_and(|waker| waker.send(answer).is_ok());
+        let is_delivered =
+            waiting.responder.is_some_and(|responder| responder.send(answer).is_ok());
         if granted {
-            let granted = Granted::to(waiting.stream, waiting.until, waiting.priority);
-            let untold = (!told).then_some(now);
+            let granted = Granted::open(waiting.stream, waiting.request_deadline, waiting.priority);
+            let undelivered_since = (!is_delivered).then_some(now);
             let (fingerprint, kv, weights) = (waiting.fingerprint, waiting.kv, waiting.weights);
-            let granted = Granted { untold, fingerprint, kv, weights, ..granted };
+            let granted = Granted { undelivered_since, fingerprint, kv, weights, ..granted };
             self.insert_permit(ticket, granted);
         }
     }
@@ -268,7 +269,7 @@
     }
 
     /// Whether another node than the asking one serves the stream.
-    pub(crate) fn is_taken(&self, adopt: &Adopt) -> bool {
+    pub(crate) fn is_served_elsewhere(&self, adopt: &Adopt) -> bool {
         let ticket = self.tickets.get(&adopt.stream);
         let granted = ticket.and_then(|ticket| self.permits.get(ticket));
         granted.is_some_and(|granted| granted.node != adopt.node)
@@ -277,39 +278,39 @@
     pub(crate) fn adopt(
         &mut self,
         adopt: &Adopt,
-        until: Instant,
-        life: Duration,
+        request_deadline: Instant,
+        permit_lifetime: Duration,
     ) -> Option<Permit> {
         let ticket = self.tickets.get(&adopt.stream).copied();
         let known = ticket.and_then(|ticket| Some((ticket, self.permits.get_mut(&ticket)?)));
         let id = match known {
             Some((ticket, granted)) => {
-                granted.left = None;
+                granted.caller_left_at = None;
                 granted.node = adopt.node.clone();
                 ticket
             }
             None => {
                 self.foreign.remove(&adopt.stream)?;
-                self.adopted += 1;
-                let mut granted = Granted::to(adopt.stream.clone(), until, 0);
+                self.last_adopted += 1;
+                let mut granted = Granted::open(adopt.stream.clone(), request_deadline, 0);
                 granted.node = adopt.node.clone();
-                self.insert_permit(self.adopted, granted);
-                self.adopted
+                self.insert_permit(self.last_adopted, granted);
+                self.last_adopted
             }
         };
-        Some(self.make_permit(id, 0, life))
+        Some(self.make_permit(id, 0, permit_lifetime))
     }
 
     /// Takes in how a permitted attempt ended.
-    pub(crate) fn end(&mut self, now: Instant, outcome: &Outcome) {
+    pub(crate) fn apply_outcome(&mut self, now: Instant, outcome: &Outcome) {
         if outcome.epoch != self.epoch {
-            self.end_foreign(now, outcome);
+            self.apply_foreign_outcome(now, outcome);
             return;
         }
         match outcome.ending {
             Ending::Left => {
                 if let Some(granted) = self.permits.get_mut(&outcome.permit) {
-                    granted.left = Some(now);
+                    granted.caller_left_at = Some(now);
                 }
             }
             Ending::Lost => {
@@ -320,30 +321,34 @@
                 }
             }
             Ending::Finished => {
-                self.give_back(now, outcome.permit, limit::Outcome::Whole(outcome.first_token));
+                self.release_permit(
+                    now,
+                    outcome.permit,
+                    limit::Outcome::Whole(outcome.first_token),
+                );
             }
             Ending::Cancelled | Ending::NotSent => {
-                self.give_back(now, outcome.permit, limit::Outcome::Dropped);
+                self.release_permit(now, outcome.permit, limit::Outcome::Dropped);
             }
             Ending::TargetDied => {
                 // The owner may have seen the death before its node told of it:
                 // counted twice, it would quarantine a request after one death.
                 let granted = self.permits.get(&outcome.permit);
-                let granted = granted.filter(|granted| !granted.counted);
-                self.fallen.extend(granted.map(|granted| granted.fingerprint));
-                self.give_back(now, outcome.permit, limit::Outcome::Failed);
+                let granted = granted.filter(|granted| !granted.is_death_counted);
+                self.reported_deaths.extend(granted.map(|granted| granted.fingerprint));
+                self.release_permit(now, outcome.permit, limit::Outcome::Failed);
             }
         }
     }
 
     /// A permit of a former owner ended: its stream stands in the report and
     /// is counted and swept from there.
-    fn end_foreign(&mut self, now: Instant, outcome: &Outcome) {
+    fn apply_foreign_outcome(&mut self, now: Instant, outcome: &Outcome) {
         let Some(stream) = &outcome.stream else { return };
         match outcome.ending {
             Ending::Lost => self.cancels.push(stream.clone()),
             Ending::Left => {
-                self.foreign.insert(stream.clone(), Foreign { alone: Some(now) });
+                self.foreign.insert(stream.clone(), Foreign { orphaned_since: Some(now) });
             }
             Ending::Finished | Ending::Cancelled | Ending::NotSent | Ending::TargetDied => {
                 self.foreign.remove(stream);
@@ -352,7 +357,7 @@
         }
     }
 
-    pub(crate) fn give_back(&mut self, now: Instant, ticket: Ticket, outcome: limit::Outcome) {
+    pub(crate) fn release_permit(&mut self, now: Instant, ticket: Ticket, outcome: limit::Outcome) {
         self.limiter.settle(now, ticket, outcome);
         if let Some(granted) = self.permits.remove(&ticket) {
             self.tickets.remove(&granted.stream);
@@ -361,12 +366,12 @@
     }
 
     /// What peers are to know, with the version of its last change.
-    pub(crate) fn tell(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, State)> {
+    pub(crate) fn publish(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, State)> {
         let state = self.state();
-        if self.told.as_ref().is_none_or(|(_, told)| *told != state) {
-            self.told = Some((next(), state));
+        if self.published.as_ref().is_none_or(|(_, published)| *published != state) {
+            self.published = Some((next(), state));
         }
-        self.told.clone()
+        self.published.clone()
     }
 
     /// What peers would be told now.
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -14,27 +14,27 @@
 
 /// The greatest body taken: a million tokens of prompt, with room for JSON's
 /// escapes.
-pub(crate) const BODY_MAX: size::Bytes = size::Bytes(16 << 20);
+pub(crate) const MAX_BODY_SIZE: size::Bytes = size::Bytes(16 << 20);
 
 /// The time a request has when its caller names none.
-const TIME_LEFT_DEFAULT: Duration = Duration::from_secs(60);
+const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(60);
 
 /// The longest time a request may ask for; also what bounds a planned stop.
-pub(crate) const TIME_LEFT_MAX: Duration = Duration::from_secs(3600);
+pub(crate) const MAX_TIME_LEFT: Duration = Duration::from_secs(3600);
 
 /// The most tokens that may be asked for.
-const TOKENS_MAX: u64 = 100_000;
+const MAX_REQUESTED_TOKENS: u64 = 100_000;
 
 /// Leading bytes of a prompt that decide its prefix affinity: a prefix of this
 /// length is worth sending to where it is cached, a shorter one is cheap to
 /// prefill anew.
-pub(crate) const PREFIX_LEN: usize = 1024;
+pub(crate) const AFFINITY_PREFIX_BYTES: usize = 1024;
 
 /// The header with the time that is left, in milliseconds.
-pub(crate) const TIME_LEFT: &str = "x-time-left-ms";
+pub(crate) const TIME_LEFT_HEADER: &str = "x-time-left-ms";
 
 /// The header with the idempotency key.
-pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
+pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// A caller who proved who it is.
 #[derive(Clone, Debug)]
@@ -113,21 +113,22 @@
 
 /// Reads the time that the caller leaves for the answer.
 pub(crate) fn parse_time_left(headers: &HeaderMap) -> Result<Duration, Refusal> {
-    let Some(value) = headers.get(TIME_LEFT) else { return Ok(TIME_LEFT_DEFAULT) };
-    let bad = |what: &str| refuse(Reason::BadDeadline, format!("header {TIME_LEFT}: {what}"));
+    let Some(value) = headers.get(TIME_LEFT_HEADER) else { return Ok(DEFAULT_TIME_LEFT) };
+    let bad =
+        |what: &str| refuse(Reason::BadDeadline, format!("header {TIME_LEFT_HEADER}: {what}"));
     let text = value.to_str().map_err(|_| bad("not text"))?;
     let millis: u64 = text.trim().parse().map_err(|_| bad("not a number of milliseconds"))?;
     let time = Duration::from_millis(millis);
-    if time.is_zero() || time > TIME_LEFT_MAX {
-        return Err(bad(&format!("must be from 1 to {}", TIME_LEFT_MAX.as_millis())));
+    if time.is_zero() || time > MAX_TIME_LEFT {
+        return Err(bad(&format!("must be from 1 to {}", MAX_TIME_LEFT.as_millis())));
     }
     Ok(time)
 }
 
 /// Reads an idempotency key: a UUIDv7, whose own time tells how old it is.
 pub(crate) fn parse_key(headers: &HeaderMap) -> Result<Option<uuid::Uuid>, Refusal> {
-    let Some(value) = headers.get(IDEMPOTENCY_KEY) else { return Ok(None) };
-    let bad = || refuse(Reason::BadKey, format!("header {IDEMPOTENCY_KEY}: not a UUIDv7"));
+    let Some(value) = headers.get(IDEMPOTENCY_KEY_HEADER) else { return Ok(None) };
+    let bad = || refuse(Reason::BadKey, format!("header {IDEMPOTENCY_KEY_HEADER}: not a UUIDv7"));
     let text = value.to_str().map_err(|_| bad())?;
     let key = uuid::Uuid::try_parse(text.trim()).map_err(|_| bad())?;
     match key.get_version() {
@@ -156,14 +157,14 @@
     if body.prompt.is_empty() {
         return Err(refuse(Reason::Malformed, "body: prompt: empty"));
     }
-    if body.max_tokens == 0 || body.max_tokens > TOKENS_MAX {
-        let detail = format!("body: max_tokens: must be from 1 to {TOKENS_MAX}");
+    if body.max_tokens == 0 || body.max_tokens > MAX_REQUESTED_TOKENS {
+        let detail = format!("body: max_tokens: must be from 1 to {MAX_REQUESTED_TOKENS}");
         return Err(refuse(Reason::Malformed, detail));
     }
     let Head { caller, deadline, deadline_ms } = head;
     let weights = parse_weights(&body, &caller, configuration, is_served)?;
     let prefill = size::Tokens::from_bytes(size::Bytes(body.prompt.len() as u64));
-    let prefix = &body.prompt.as_bytes()[..body.prompt.len().min(PREFIX_LEN)];
+    let prefix = &body.prompt.as_bytes()[..body.prompt.len().min(AFFINITY_PREFIX_BYTES)];
     Ok(Completion {
         request: id::Request(uuid::Uuid::now_v7()),
         fingerprint: hash_parts(&[caller.account.as_str().as_bytes(), body.prompt.as_bytes()]),
@@ -201,7 +202,7 @@
         return Err(refuse(Reason::Forbidden, detail));
     }
     let version = body.version.as_ref().unwrap_or_else(|| {
-        choose_version(model, |version| is_served(&name_weights(body, version)))
+        choose_version(model, |version| is_served(&make_weights(body, version)))
     });
     if !model.versions.contains_key(version) {
         return Err(missing("version", version.as_str()));
@@ -211,10 +212,10 @@
     {
         return Err(missing("adapter", adapter.as_str()));
     }
-    Ok(name_weights(body, version))
+    Ok(make_weights(body, version))
 }
 
-fn name_weights(body: &Body, version: &id::Version) -> Weights {
+fn make_weights(body: &Body, version: &id::Version) -> Weights {
     Weights { model: body.model.clone(), version: version.clone(), adapter: body.adapter.clone() }
 }
 
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -9,9 +9,9 @@
 use crate::complete::Piece;
 use crate::core::Core;
 use crate::parse::{Completion, refuse};
-use crate::permit::{self, Leave, Want};
+use crate::permit::{self, AttemptSpec, Placement};
 use crate::relay::{self, End};
-use crate::view::Need;
+use crate::view::Capability;
 use futures::StreamExt;
 use hickory_policy::cost::Cost;
 use hickory_policy::place::Candidate;
@@ -29,44 +29,44 @@
 
 /// Streams that one attempt may open: attempts of the same request are
 /// numbered this far apart.
-pub(crate) const PARTS_MAX: u32 = 64;
+pub(crate) const STREAMS_PER_ATTEMPT: u32 = 64;
 
 /// How often a KV cache is dropped where the engine does not answer; after
 /// that its owner's sweep does it by the deadline in the handle's stream.
-const DROP_TRIES: u32 = 3;
+const MAX_DROP_SENDS: u32 = 3;
 
 /// When to come back where the engines' memory did not come free in time.
-const MEMORY_RETRY: Duration = Duration::from_secs(5);
+const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// A part with the leave to send it.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct PlacedPart {
     part: Part,
-    leave: Leave,
+    placement: Placement,
 }
 
 /// The engines that could take a part, where none can take the whole.
 pub(crate) fn find_candidates(core: &Core, completion: &Completion) -> Option<Vec<Candidate>> {
     let configuration = core.configuration()?;
-    let need = Need::Weights(&completion.weights);
-    let candidates = core.view.candidates(core.now(), need, 0, &configuration, &[]);
+    let capability = Capability::Weights(&completion.weights);
+    let candidates = core.view.candidates(core.now(), capability, 0, &configuration, &[]);
     let greatest = candidates.iter().map(|candidate| candidate.kv_capacity).max()?;
     (completion.cost.kv() > greatest).then_some(candidates)
 }
 
 /// A reservation of all parts of one attempt.
-pub(crate) struct Reserve<'a> {
+pub(crate) struct PartReservation<'a> {
     pub(crate) core: &'a Arc<Core>,
     pub(crate) completion: &'a Completion,
     pub(crate) attempt: u32,
     pub(crate) out: &'a mpsc::Sender<Piece>,
 }
 
-impl Reserve<'_> {
+impl PartReservation<'_> {
     /// Reserves engines for all parts, or refuses: at once where the fleet
     /// can't hold the prompt or the time is too short for its prefill, and
     /// else as soon as waiting on would leave too little time.
-    pub(crate) async fn run(&self) -> Result<Vec<Held>, Refusal> {
+    pub(crate) async fn run(&self) -> Result<Vec<PlacedPart>, Refusal> {
         for round in 1.. {
             let candidates = find_candidates(self.core, self.completion)
                 .ok_or_else(|| refuse(Reason::NoTarget, "no engine takes work at present"))?;
@@ -74,8 +74,8 @@
             let pause = back_off(round, rand::random());
             match plan_parts(self.completion.cost, left, &candidates) {
                 Ok(parts) => {
-                    if let Some(held) = self.reserve(parts, &candidates).await {
-                        return Ok(held);
+                    if let Some(placed) = self.reserve(parts, &candidates).await {
+                        return Ok(placed);
                     }
                 }
                 Err(Impossible::NoMemory) if pause < left => {}
@@ -89,27 +89,27 @@
         Err(refuse(Reason::Deadline, "the caller is gone"))
     }
 
-    async fn reserve(&self, parts: Vec<Part>, candidates: &[Candidate]) -> Option<Vec<Held>> {
+    async fn reserve(&self, parts: Vec<Part>, candidates: &[Candidate]) -> Option<Vec<PlacedPart>> {
         let mut reservation = Reservation::open(parts);
-        let mut leaves: HashMap<u32, Leave> = HashMap::new();
+        let mut placements: HashMap<u32, Placement> = HashMap::new();
         loop {
             match reservation.next_step() {
                 Step::Ask(part) => {
-                    let leave = self.ask(&part, candidates).await;
-                    let granted = leave.as_ref().map(|leave| leave.permit.id);
-                    leaves.extend(leave.map(|leave| (part.index, leave)));
+                    let placement = self.ask(&part, candidates).await;
+                    let granted = placement.as_ref().map(|placement| placement.permit.id);
+                    placements.extend(placement.map(|placement| (part.index, placement)));
                     reservation.answer(granted);
                     if granted.is_none() {
-                        for leave in leaves.values() {
-                            give_back(self.core, leave, Ending::NotSent);
+                        for placement in placements.values() {
+                            report_outcome(self.core, placement, Ending::NotSent);
                         }
                         return None;
                     }
                 }
-                Step::Held(held) => {
-                    let parts = held.into_iter().filter_map(|(part, _)| {
-                        let leave = leaves.remove(&part.index)?;
-                        Some(Held { part, leave })
+                Step::Held(placed) => {
+                    let parts = placed.into_iter().filter_map(|(part, _)| {
+                        let placement = placements.remove(&part.index)?;
+                        Some(PlacedPart { part, placement })
                     });
                     return Some(parts.collect());
                 }
@@ -118,37 +118,49 @@
     }
 
     /// Asks for one part, answered at once.
-    async fn ask(&self, part: &Part, candidates: &[Candidate]) -> Option<Leave> {
-        let c = self.completion;
-        let number = self.attempt * PARTS_MAX + part.index;
-        let stream = permit::name_stream(self.core, c.request, number, c.deadline_ms);
-        let want = want_part(c, &stream, part.cost);
-        let permit = permit::ask_at_once(self.core, &want, &part.target).await?;
+    async fn ask(&self, part: &Part, candidates: &[Candidate]) -> Option<Placement> {
+        let completion = self.completion;
+        let number = self.attempt * STREAMS_PER_ATTEMPT + part.index;
+        let stream =
+            permit::make_stream_id(self.core, completion.request, number, completion.deadline_ms);
+        let spec = make_part_spec(completion, &stream, part.cost);
+        let permit = permit::ask_immediately(self.core, &spec, &part.target).await?;
         let address = self.core.view.hosts().get(&part.target)?.address;
         let rate =
             candidates.iter().find(|candidate| candidate.target == part.target)?.prefill_rate;
-        let expected = Duration::from_secs_f64(part.cost.prefill.0 as f64 / rate.max(1) as f64);
-        Some(Leave { target: part.target.clone(), address, permit, stream, expected })
+        let expected_first_token =
+            Duration::from_secs_f64(part.cost.prefill.0 as f64 / rate.max(1) as f64);
+        Some(Placement {
+            target: part.target.clone(),
+            address,
+            permit,
+            stream,
+            expected_first_token,
+        })
     }
 }
 
-fn want_part<'a>(c: &'a Completion, stream: &'a id::Stream, cost: Cost) -> Want<'a> {
-    Want {
-        need: Need::Weights(&c.weights),
+fn make_part_spec<'a>(
+    completion: &'a Completion,
+    stream: &'a id::Stream,
+    cost: Cost,
+) -> AttemptSpec<'a> {
+    AttemptSpec {
+        capability: Capability::Weights(&completion.weights),
         stream,
-        partner: &c.caller.partner,
-        account: &c.caller.account,
-        class: c.class,
+        partner: &completion.caller.partner,
+        account: &completion.caller.account,
+        class: completion.class,
         cost,
-        deadline: c.deadline,
-        fingerprint: c.fingerprint,
+        deadline: completion.deadline,
+        fingerprint: completion.fingerprint,
         prefix: 0,
-        alone: false,
+        is_exclusive: false,
     }
 }
 
 fn refuse_impossible(impossible: Impossible) -> Refusal {
-    let late = |time| Refusal {
+    let refuse_memory = |time| Refusal {
         retry_after: Some(time),
         ..refuse(Reason::Overloaded, "the engines' memory does not come free in time")
     };
@@ -161,17 +173,24 @@
             let detail = format!("the prefill alone takes {by} ms longer than the time left");
             refuse(Reason::BadDeadline, detail)
         }
-        Impossible::NoMemory => late(MEMORY_RETRY),
+        Impossible::NoMemory => refuse_memory(MEMORY_RETRY_AFTER),
     }
 }
 
-fn give_back(core: &Core, leave: &Leave, ending: Ending) {
-    permit::give_back(core, &leave.target, &leave.permit, &leave.stream, ending, None);
+fn report_outcome(core: &Core, placement: &Placement, ending: Ending) {
+    permit::report_outcome(
+        core,
+        &placement.target,
+        &placement.permit,
+        &placement.stream,
+        ending,
+        None,
+    );
 }
 
 /// The handle under which a part's KV cache is kept.
-fn name_handle(held: &Held) -> Handle {
-    Handle { stream: held.leave.stream.clone(), part: held.part.index }
+fn make_handle(placed: &PlacedPart) -> Handle {
+    Handle { stream: placed.placement.stream.clone(), part: placed.part.index }
 }
 
 /// What a part's engine gets to prefill: the prompt up to the part's end.
@@ -188,22 +207,22 @@
 /// last one is to be opened.
 pub(crate) async fn prefill(
     core: &Arc<Core>,
-    c: &Completion,
-    parts: &mut [Held],
+    completion: &Completion,
+    parts: &mut [PlacedPart],
     out: &mpsc::Sender<Piece>,
 ) -> Result<Option<Handle>, End> {
     let mut import: Option<Handle> = None;
     for index in 0..parts.len() {
-        renew(core, c, &mut parts[index]).await?;
+        renew_permit(core, completion, &mut parts[index]).await?;
         if let Some(handle) = &import {
-            let (from, at) = (parts[index - 1].leave.address, parts[index].leave.address);
+            let (from, at) = (parts[index - 1].placement.address, parts[index].placement.address);
             core.targets.import(at, from, handle).await.map_err(End::Failed)?;
         }
         if index + 1 == parts.len() {
             break;
         }
-        let keep = name_handle(&parts[index]);
-        prefill_part(core, c, &parts[index], import.take(), out).await?;
+        let keep = make_handle(&parts[index]);
+        prefill_part(core, completion, &parts[index], import.take(), out).await?;
         import = Some(keep);
     }
     Ok(import)
@@ -211,33 +230,37 @@
 
 /// A permit is dead long before the parts ahead of it are prefilled: the owner
 /// is asked again, and knows the permit by its stream.
-async fn renew(core: &Arc<Core>, c: &Completion, held: &mut Held) -> Result<(), End> {
-    let stream = held.leave.stream.clone();
-    let want = want_part(c, &stream, held.part.cost);
-    let permit = permit::ask_at_once(core, &want, &held.leave.target).await;
-    held.leave.permit = permit.ok_or(End::Stalled)?;
+async fn renew_permit(
+    core: &Arc<Core>,
+    completion: &Completion,
+    placed: &mut PlacedPart,
+) -> Result<(), End> {
+    let stream = placed.placement.stream.clone();
+    let spec = make_part_spec(completion, &stream, placed.part.cost);
+    let permit = permit::ask_immediately(core, &spec, &placed.placement.target).await;
+    placed.placement.permit = permit.ok_or(End::Stalled)?;
     Ok(())
 }
 
 async fn prefill_part(
     core: &Arc<Core>,
-    c: &Completion,
-    held: &Held,
+    completion: &Completion,
+    placed: &PlacedPart,
     import: Option<Handle>,
     out: &mpsc::Sender<Piece>,
 ) -> Result<(), End> {
     let generate = Generate {
-        stream: held.leave.stream.clone(),
-        weights: c.weights.clone(),
-        prompt: cut_prompt(&c.prompt, &held.part).to_owned(),
+        stream: placed.placement.stream.clone(),
+        weights: completion.weights.clone(),
+        prompt: cut_prompt(&completion.prompt, &placed.part).to_owned(),
         max_tokens: size::Tokens(0),
-        priority: Priority(held.leave.permit.priority),
+        priority: Priority(placed.placement.permit.priority),
         import,
-        prefill_only: Some(name_handle(held)),
+        prefill_only: Some(make_handle(placed)),
         from: 0,
     };
     let work = async {
-        let mut tokens = core.targets.generate(held.leave.address, &generate).await?;
+        let mut tokens = core.targets.generate(placed.placement.address, &generate).await?;
         loop {
             match tokens.next().await {
                 Some(Ok(Event::End { .. })) => return Ok(()),
@@ -248,40 +271,40 @@
             }
         }
     };
-    let limit = relay::first_token_limit(core, held.leave.expected);
+    let timeout = relay::first_token_timeout(core, placed.placement.expected_first_token);
     tokio::select! {
-        done = tokio::time::timeout(limit, work) => match done {
+        done = tokio::time::timeout(timeout, work) => match done {
             Ok(done) => done.map_err(End::Failed),
             Err(_) => Err(End::Stalled),
         },
-        () = tokio::time::sleep_until(c.deadline.into()) => Err(End::Deadline),
-        () = out.closed() => Err(End::Gone),
+        () = tokio::time::sleep_until(completion.deadline.into()) => Err(End::Deadline),
+        () = out.closed() => Err(End::CallerGone),
     }
 }
 
 /// The leave of the part that generates.
-pub(crate) fn last_leave(parts: &[Held]) -> Option<&Leave> {
-    parts.last().map(|held| &held.leave)
+pub(crate) fn last_placement(parts: &[PlacedPart]) -> Option<&Placement> {
+    parts.last().map(|placed| &placed.placement)
 }
 
 /// Drops all that was kept and gives all permits back but the last part's,
 /// which its own end gives back. Runs beside the caller's answer.
-pub(crate) fn release(core: &Arc<Core>, parts: Vec<Held>) {
+pub(crate) fn release(core: &Arc<Core>, parts: Vec<PlacedPart>) {
     let core = core.clone();
     tokio::spawn(async move {
-        for (index, held) in parts.iter().enumerate() {
+        for (index, placed) in parts.iter().enumerate() {
             let Some(next) = parts.get(index + 1) else { return };
-            let handle = name_handle(held);
-            for address in [next.leave.address, held.leave.address] {
+            let handle = make_handle(placed);
+            for address in [next.placement.address, placed.placement.address] {
                 drop_handle(&core, address, &handle).await;
             }
-            give_back(&core, &held.leave, Ending::Lost);
+            report_outcome(&core, &placed.placement, Ending::Lost);
         }
     });
 }
 
 async fn drop_handle(core: &Core, address: std::net::SocketAddr, handle: &Handle) {
-    for _ in 0..DROP_TRIES {
+    for _ in 0..MAX_DROP_SENDS {
         match core.targets.drop_handle(address, handle).await {
             Ok(()) | Err(Error::NotFound | Error::NotSent(_)) => return,
             Err(_) => {}
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// Held while a document is fetched: one fetch at a time for each.
 #[derive(Debug, Default)]
-pub(crate) struct Fetches {
+pub(crate) struct FetchLocks {
     release: Mutex<()>,
     owners: Mutex<()>,
 }
@@ -34,9 +34,9 @@
     fn exchange(&self, gossip: Gossip) -> Gossip {
         match self.0.upgrade() {
             Some(core) => {
-                take_gossip(&core, &gossip);
+                apply_gossip(&core, &gossip);
                 let answer = make_gossip(&core, &gossip.node);
-                tokio::spawn(fetch_from_asker(core, gossip));
+                tokio::spawn(fetch_from_requester(core, gossip));
                 answer
             }
             None => gossip,
@@ -50,7 +50,7 @@
 
     fn outcome(&self, outcome: Outcome) {
         if let Some(core) = self.0.upgrade() {
-            table::end(&core, &outcome);
+            table::apply_outcome(&core, &outcome);
         }
     }
 
@@ -79,19 +79,19 @@
         version,
         seen,
         targets,
-        node: core.me().clone(),
+        node: core.node_id().clone(),
         incarnation: core.incarnation,
         release: core.configuration().map_or(id::Release(0), |c| c.version),
         owners: core.owners.revision(),
         draining: core.stage() != Stage::Serving,
-        suspects: core.record.tell(core.now(), since == 0),
+        suspects: core.retry_control.suspects_for_peer(core.now(), since == 0),
         connections: core.active.load(Ordering::Acquire) as u32,
     }
 }
 
-fn take_gossip(core: &Core, gossip: &Gossip) {
+fn apply_gossip(core: &Core, gossip: &Gossip) {
     core.view.merge(core.clock.now(), gossip);
-    core.record.merge(core.now(), &gossip.suspects);
+    core.retry_control.merge(core.now(), &gossip.suspects);
     core.owners.heard(&gossip.node, gossip.owners);
 }
 
@@ -99,18 +99,18 @@
 /// configuration or an ownership table may not reach this node otherwise
 /// while the platform is down.
 pub(crate) async fn gossip(core: Arc<Core>, links: Links) {
-    let interval = core.time(core.settings.times.gossip_ms);
+    let interval = core.duration_ms(core.settings.times.gossip_ms);
     loop {
         // Its own word goes the way of all others'.
-        let own = make_gossip(&core, core.me());
-        take_gossip(&core, &Gossip { seen: own.version, ..own });
+        let own = make_gossip(&core, core.node_id());
+        apply_gossip(&core, &Gossip { seen: own.version, ..own });
         core.view.note_nodes(core.now(), &core.member.nodes());
         for info in core.member.nodes().values() {
             // An exchange goes both ways, so one of the two begins it. A node
             // that can't renew its lease is off the others' lists, and they
             // begin none with it: it would miss every note, and stop to grant
             // on its targets as if it heard nobody. So it begins them all.
-            if info.node > *core.me() || !core.member.confirmed(core.now()) {
+            if info.node > *core.node_id() || !core.member.confirmed(core.now()) {
                 tokio::spawn(exchange(core.clone(), links.clone(), info.clone()));
             }
         }
@@ -122,13 +122,13 @@
     let timeout = core.peer_timeout();
     let own = make_gossip(&core, &info.node);
     if let Ok(gossip) = links.exchange(info.peers, own, timeout).await {
-        take_gossip(&core, &gossip);
+        apply_gossip(&core, &gossip);
         fetch_newer(&core, &links, &info, &gossip).await;
     }
 }
 
 /// The side that was asked looks as well: the asker may know better.
-async fn fetch_from_asker(core: Arc<Core>, gossip: Gossip) {
+async fn fetch_from_requester(core: Arc<Core>, gossip: Gossip) {
     let info = core.member.nodes().get(&gossip.node).cloned();
     if let (Some(info), Some(links)) = (info, core.links.get()) {
         fetch_newer(&core, links, &info, &gossip).await;
@@ -146,7 +146,7 @@
 }
 
 async fn fetch_release(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
-    let Ok(_fetch) = core.fetches.release.try_lock() else { return };
+    let Ok(_fetch) = core.fetch_locks.release.try_lock() else { return };
     let known = core.configuration().map_or(id::Release(0), |c| c.version);
     if gossip.release > known
         && let Ok(Some(document)) = links.release(info.peers, core.peer_timeout()).await
@@ -157,7 +157,7 @@
 }
 
 async fn fetch_owners(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
-    let Ok(_fetch) = core.fetches.owners.try_lock() else { return };
+    let Ok(_fetch) = core.fetch_locks.owners.try_lock() else { return };
     if gossip.owners > core.owners.revision()
         && let Ok(Some(document)) = links.owners(info.peers, core.peer_timeout()).await
     {
@@ -167,17 +167,17 @@
 
 /// Exchanges with all peers at once, and waits until each has answered or is
 /// past the time that a peer may take.
-pub(crate) async fn tell_all(core: &Arc<Core>) {
+pub(crate) async fn gossip_with_all_peers(core: &Arc<Core>) {
     let Some(links) = core.links.get() else { return };
     let nodes = core.member.nodes();
-    let peers = nodes.values().filter(|info| info.node != *core.me());
+    let peers = nodes.values().filter(|info| info.node != *core.node_id());
     let exchanges = peers.map(|info| exchange(core.clone(), links.clone(), info.clone()));
     futures::future::join_all(exchanges).await;
 }
 
 /// Reads the host list again and again.
-pub(crate) async fn follow_hosts(core: Arc<Core>) {
-    let interval = core.time(core.settings.times.hosts_ms);
+pub(crate) async fn poll_hosts(core: Arc<Core>) {
+    let interval = core.duration_ms(core.settings.times.hosts_ms);
     loop {
         if let Ok(hosts) = hickory_store::host::List::hosts(&core.platform).await {
             let targets: Vec<id::Target> = hosts.iter().map(|host| host.target.clone()).collect();
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -1,10 +1,10 @@
 //! Getting leave to send: choose a target, ask its owner, check once more.
 
 use crate::core::Core;
-use crate::owned::{QUEUED, TAKEN};
-use crate::parse::{PREFIX_LEN, refuse};
+use crate::owned::{QUEUED_REASON, TAKEN_REASON};
+use crate::parse::{AFFINITY_PREFIX_BYTES, refuse};
 use crate::table;
-use crate::view::{Need, View};
+use crate::view::{Capability, View};
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{ASKS_AT_ONCE, Prefix, Query, asks_at_once, choose_target, counts};
 use hickory_policy::refuse::{Reason, Refusal, Retry};
@@ -20,19 +20,19 @@
 /// Targets that are asked for one attempt. Each answer of "queue too long"
 /// tells that placement was wrong by what it did not yet know; after three,
 /// the fleet is full rather than the choice unlucky.
-const ASKS_MAX: usize = 4;
+const MAX_COUNTED_ASKS: usize = 4;
 
 /// When to come back where no target takes work at all.
-const NO_TARGET_RETRY: Duration = Duration::from_secs(1);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// How often an outcome is told to an owner that does not answer; after that
 /// its own sweep finds the end by the deadline within the stream's id.
-const OUTCOME_TRIES: u32 = 3;
+const MAX_OUTCOME_SENDS: u32 = 3;
 
 /// What an attempt needs.
 #[derive(Clone, Debug)]
-pub(crate) struct Want<'a> {
-    pub(crate) need: Need<'a>,
+pub(crate) struct AttemptSpec<'a> {
+    pub(crate) capability: Capability<'a>,
     pub(crate) stream: &'a id::Stream,
     pub(crate) partner: &'a id::Partner,
     pub(crate) account: &'a id::Account,
@@ -42,18 +42,18 @@
     pub(crate) fingerprint: u64,
     pub(crate) prefix: u64,
     /// Runs beside no other request.
-    pub(crate) alone: bool,
+    pub(crate) is_exclusive: bool,
 }
 
 /// Leave to send one attempt to one target.
 #[derive(Clone, Debug)]
-pub(crate) struct Leave {
+pub(crate) struct Placement {
     pub(crate) target: id::Target,
     pub(crate) address: SocketAddr,
     pub(crate) permit: Permit,
     pub(crate) stream: id::Stream,
     /// Time until the first token by what is known of the target.
-    pub(crate) expected: Duration,
+    pub(crate) expected_first_token: Duration,
 }
 
 pub(crate) fn to_wire(weights: &engine::Weights) -> message::Weights {
@@ -74,28 +74,28 @@
 
 /// Attempts of a request that may have run. After three targets have failed it the
 /// request is more likely to blame than they are.
-const RUNS_MAX: u32 = 3;
+const MAX_STARTED_ATTEMPTS: u32 = 3;
 
 /// Attempts that certainly never began, which cost no target anything.
-const UNBEGUN_MAX: u32 = 8;
+const MAX_UNSTARTED_ATTEMPTS: u32 = 8;
 
 /// By which each wait after an attempt that never began is longer than the last.
-const UNBEGUN_WAIT: Duration = Duration::from_millis(10);
+const UNSTARTED_BACKOFF_STEP: Duration = Duration::from_millis(10);
 
 /// A request's earlier attempts.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Tried {
+pub(crate) struct AttemptHistory {
     /// Targets that failed, or that nothing reached.
     failed: Vec<id::Target>,
     /// Targets that answered that they never began.
     refused: Vec<id::Target>,
     runs: u32,
-    unbegun: u32,
+    unstarted: u32,
 }
 
-impl Tried {
+impl AttemptHistory {
     /// Notes an attempt that ended so.
-    pub(crate) fn note(&mut self, target: id::Target, retry: Retry) {
+    pub(crate) fn record(&mut self, target: id::Target, retry: Retry) {
         match retry {
             Retry::Refused => self.refused.push(target),
             _ => self.failed.push(target),
@@ -106,19 +106,20 @@
     /// Counts an attempt that is not one target's.
     pub(crate) fn count(&mut self, retry: Retry) {
         match retry {
-            Retry::Refused | Retry::NotSent => self.unbegun += 1,
+            Retry::Refused | Retry::NotSent => self.unstarted += 1,
             _ => self.runs += 1,
         }
     }
 
     /// Waits until the next attempt; whether there may be one. What kept one from
     /// beginning lasts for some moments, and would keep the next ones at once.
-    pub(crate) async fn wait(&self) -> bool {
-        let may_go_on = self.runs < RUNS_MAX && self.unbegun < UNBEGUN_MAX;
-        if may_go_on && self.unbegun > 0 {
-            tokio::time::sleep(UNBEGUN_WAIT * (self.unbegun - 1)).await;
+    pub(crate) async fn wait_before_retry(&self) -> bool {
+        let has_attempts_left =
+            self.runs < MAX_STARTED_ATTEMPTS && self.unstarted < MAX_UNSTARTED_ATTEMPTS;
+        if has_attempts_left && self.unstarted > 0 {
+            tokio::time::sleep(UNSTARTED_BACKOFF_STEP * (self.unstarted - 1)).await;
         }
-        may_go_on
+        has_attempts_left
     }
 }
 
@@ -126,112 +127,118 @@
 ///
 /// Targets that never began an earlier attempt come last: they live, and what
 /// broke may have been the connection alone.
-pub(crate) async fn obtain(core: &Core, want: &Want<'_>, tried: &Tried) -> Result<Leave, Refusal> {
-    let all = [tried.failed.as_slice(), &tried.refused].concat();
-    match obtain_beside(core, want, all).await {
-        Err(refusal) if refusal.reason == Reason::NoTarget && !tried.refused.is_empty() => {
-            obtain_beside(core, want, tried.failed.clone()).await
+pub(crate) async fn obtain_placement(
+    core: &Core,
+    spec: &AttemptSpec<'_>,
+    history: &AttemptHistory,
+) -> Result<Placement, Refusal> {
+    let all = [history.failed.as_slice(), &history.refused].concat();
+    match obtain_excluding(core, spec, all).await {
+        Err(refusal) if refusal.reason == Reason::NoTarget && !history.refused.is_empty() => {
+            obtain_excluding(core, spec, history.failed.clone()).await
         }
         obtained => obtained,
     }
 }
 
 /// As [`obtain`], from a target that isn't among those `tried`.
-async fn obtain_beside(
+async fn obtain_excluding(
     core: &Core,
-    want: &Want<'_>,
-    mut tried: Vec<id::Target>,
-) -> Result<Leave, Refusal> {
+    spec: &AttemptSpec<'_>,
+    mut rejected: Vec<id::Target>,
+) -> Result<Placement, Refusal> {
     let mut refusal: Option<Refusal> = None;
-    let mut full = Vec::new();
+    let mut full_targets = Vec::new();
     let mut asked = 0;
-    while asked < ASKS_MAX {
+    while asked < MAX_COUNTED_ASKS {
         // Who was asked for an answer at once may queue the ask now.
         if asked >= ASKS_AT_ONCE {
-            full.clear();
+            full_targets.clear();
         }
-        let left_out: Vec<id::Target> = tried.iter().chain(&full).cloned().collect();
+        let excluded: Vec<id::Target> = rejected.iter().chain(&full_targets).cloned().collect();
         let now = core.now();
-        if now >= want.deadline {
+        if now >= spec.deadline {
             return Err(refuse(Reason::Deadline, "the deadline passed before it could be sent"));
         }
         let configuration =
             core.configuration().ok_or_else(|| refuse(Reason::NotReady, "no configuration yet"))?;
         let mut candidates =
-            core.view.candidates(now, want.need, want.prefix, &configuration, &left_out);
-        View::refresh_own(&mut candidates, &core.table.states());
-        let Some(best) = choose_target(&query_of(want), &candidates) else { break };
+            core.view.candidates(now, spec.capability, spec.prefix, &configuration, &excluded);
+        View::apply_own_states(&mut candidates, &core.table.states());
+        let Some(best) = choose_target(&make_query(spec), &candidates) else { break };
         let target = best.target.clone();
-        let at_once = !want.alone && asks_at_once(want.cost, asked, candidates.len());
-        let expected = hickory_policy::place::estimate_first_token(want.cost, best);
+        let is_immediate = !spec.is_exclusive && asks_at_once(spec.cost, asked, candidates.len());
+        let expected_first_token = hickory_policy::place::estimate_first_token(spec.cost, best);
         // Counted from the ask on: what waits at an owner is not told yet, and
         // a whole burst would join the queue of one and the same target.
-        core.view.note_sent(now, &target, want.cost);
-        match ask_owner(core, want, &target, at_once).await {
+        core.view.note_sent(now, &target, spec.cost);
+        match ask_owner(core, spec, &target, is_immediate).await {
             Ok(permit) => {
                 let hosts = core.view.hosts();
                 // The owner may be cut off from the platform and not know that
                 // the zone is out: this node looks for itself before it sends.
-                let fresh = core.configuration().unwrap_or(configuration);
-                let host = hosts.get(&target).filter(|_| core.view.may_send(&target, &fresh));
+                let current = core.configuration().unwrap_or(configuration);
+                let host = hosts.get(&target).filter(|_| core.view.may_send(&target, &current));
                 let Some(host) = host else {
                     let ending = Ending::NotSent;
-                    give_back(core, &target, &permit, want.stream, ending, None);
-                    tried.push(target);
+                    report_outcome(core, &target, &permit, spec.stream, ending, None);
+                    rejected.push(target);
                     continue;
                 };
-                let (address, stream) = (host.address, want.stream.clone());
-                return Ok(Leave { target, address, permit, stream, expected });
+                let (address, stream) = (host.address, spec.stream.clone());
+                return Ok(Placement { target, address, permit, stream, expected_first_token });
             }
             Err(Some(refused)) => {
                 core.metrics.retried(Retry::QueueLong);
                 let is_full = counts(refused.reason);
                 asked += usize::from(is_full);
-                if at_once && is_full {
-                    full.push(target);
+                if is_immediate && is_full {
+                    full_targets.push(target);
                 } else {
-                    tried.push(target);
+                    rejected.push(target);
                 }
-                let sooner = refusal.as_ref().is_none_or(|r| refused.retry_after < r.retry_after);
+                let is_sooner =
+                    refusal.as_ref().is_none_or(|r| refused.retry_after < r.retry_after);
                 // An owner that is asked for an answer at once does not say
                 // when to come back.
-                if sooner && !at_once {
+                if is_sooner && !is_immediate {
                     refusal = Some(refused);
                 }
             }
             Err(None) => {
                 asked += 1;
-                tried.push(target);
+                rejected.push(target);
             }
         }
     }
     Err(refusal.unwrap_or_else(|| Refusal {
-        retry_after: Some(NO_TARGET_RETRY),
+        retry_after: Some(NO_TARGET_RETRY_AFTER),
         ..refuse(Reason::NoTarget, "no target that may run it takes work at present")
     }))
 }
 
-fn query_of(want: &Want<'_>) -> Query {
-    let tokens = size::Tokens::from_bytes(size::Bytes(PREFIX_LEN as u64));
-    let has_prefix = matches!(want.need, Need::Weights(_)) && want.cost.prefill >= tokens;
-    let prefix = has_prefix.then_some(Prefix { hash: want.prefix, tokens });
-    Query { cost: want.cost, class: want.class, prefix, random: rand::random() }
+fn make_query(spec: &AttemptSpec<'_>) -> Query {
+    let tokens = size::Tokens::from_bytes(size::Bytes(AFFINITY_PREFIX_BYTES as u64));
+    let has_prefix =
+        matches!(spec.capability, Capability::Weights(_)) && spec.cost.prefill >= tokens;
+    let prefix = has_prefix.then_some(Prefix { hash: spec.prefix, tokens });
+    Query { cost: spec.cost, class: spec.class, prefix, random: rand::random() }
 }
 
 /// Asks the owner of `target` until it grants or refuses; `None` where the
 /// owner can't be asked.
 async fn ask_owner(
     core: &Core,
-    want: &Want<'_>,
+    spec: &AttemptSpec<'_>,
     target: &id::Target,
-    at_once: bool,
+    is_immediate: bool,
 ) -> Result<Permit, Option<Refusal>> {
     loop {
         let asked = core.now();
-        let Some(time_left) = want.deadline.checked_duration_since(asked) else {
+        let Some(time_left) = spec.deadline.checked_duration_since(asked) else {
             return Err(Some(refuse(Reason::Deadline, "the deadline passed in the queue")));
         };
-        let ask = Ask { urgent: at_once, ..make_ask(want, target, time_left) };
+        let ask = Ask { urgent: is_immediate, ..make_ask(spec, target, time_left) };
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
@@ -246,9 +253,9 @@
             }
             Ok(permit) => {
                 core.metrics.retried(Retry::StalePermit);
-                give_back(core, target, &permit, want.stream, Ending::NotSent, None);
+                report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
             }
-            Err(refused) if refused.reason == QUEUED => {}
+            Err(refused) if refused.reason == QUEUED_REASON => {}
             Err(refused) if refused.not_owner => {
                 core.metrics.retried(Retry::NotOwner);
                 return Err(None);
@@ -265,43 +272,43 @@
 
 /// Asks the owner of `target` for an answer at once, yes or no. The same ask
 /// again renews the life of its permit.
-pub(crate) async fn ask_at_once(
+pub(crate) async fn ask_immediately(
     core: &Core,
-    want: &Want<'_>,
+    spec: &AttemptSpec<'_>,
     target: &id::Target,
 ) -> Option<Permit> {
     let asked = core.now();
-    let time_left = want.deadline.checked_duration_since(asked)?;
-    let ask = Ask { urgent: true, ..make_ask(want, target, time_left) };
+    let time_left = spec.deadline.checked_duration_since(asked)?;
+    let ask = Ask { urgent: true, ..make_ask(spec, target, time_left) };
     let permit = send_ask(core, &ask).await.ok()?.ok()?;
     let configuration = core.configuration()?;
-    let usable = core.now() < asked + permit.life && core.view.may_send(target, &configuration);
-    if !usable {
-        give_back(core, target, &permit, want.stream, Ending::NotSent, None);
+    let is_usable = core.now() < asked + permit.life && core.view.may_send(target, &configuration);
+    if !is_usable {
+        report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
     }
-    usable.then_some(permit)
+    is_usable.then_some(permit)
 }
 
-fn make_ask(want: &Want<'_>, target: &id::Target, time_left: Duration) -> Ask {
+fn make_ask(spec: &AttemptSpec<'_>, target: &id::Target, time_left: Duration) -> Ask {
     Ask {
-        stream: want.stream.clone(),
+        stream: spec.stream.clone(),
         target: target.clone(),
-        partner: want.partner.clone(),
-        account: want.account.clone(),
-        batch: want.class == Class::Batch,
+        partner: spec.partner.clone(),
+        account: spec.account.clone(),
+        batch: spec.class == Class::Batch,
         cost: message::Cost {
-            prefill: want.cost.prefill,
-            decode: want.cost.decode,
-            kv: want.cost.kv(),
+            prefill: spec.cost.prefill,
+            decode: spec.cost.decode,
+            kv: spec.cost.kv(),
         },
-        weights: match want.need {
-            Need::Weights(weights) => Some(to_wire(weights)),
-            Need::Service(_) => None,
+        weights: match spec.capability {
+            Capability::Weights(weights) => Some(to_wire(weights)),
+            Capability::Service(_) => None,
         },
         time_left,
-        alone: want.alone,
-        fingerprint: want.fingerprint,
-        prefix: want.prefix,
+        alone: spec.is_exclusive,
+        fingerprint: spec.fingerprint,
+        prefix: spec.prefix,
         urgent: false,
     }
 }
@@ -309,27 +316,27 @@
 /// Where the owner of a target listens.
 enum Owner {
     /// It is this node.
-    Here,
+    Local,
     /// It is a peer.
-    There(SocketAddr),
+    Remote(SocketAddr),
 }
 
 fn find_owner(core: &Core, target: &id::Target) -> Option<Owner> {
     let owner = core.owners.owner(target)?;
-    if owner.node == *core.me() {
-        return Some(Owner::Here);
+    if owner.node == *core.node_id() {
+        return Some(Owner::Local);
     }
-    core.view.find_node(&owner.node).map(|info| Owner::There(info.peers))
+    core.view.find_node(&owner.node).map(|info| Owner::Remote(info.peers))
 }
 
-fn no_owner() -> link::Error {
+fn no_owner_error() -> link::Error {
     link::Error::Connect("no owner known".into())
 }
 
 async fn send_ask(core: &Core, ask: &Ask) -> Result<Result<Permit, message::Refusal>, link::Error> {
-    match find_owner(core, &ask.target).ok_or_else(no_owner)? {
-        Owner::Here => Ok(table::permit(core, ask).await),
-        Owner::There(address) => {
+    match find_owner(core, &ask.target).ok_or_else(no_owner_error)? {
+        Owner::Local => Ok(table::permit(core, ask).await),
+        Owner::Remote(address) => {
             let links = core.links.get().ok_or(link::Error::Closed)?;
             links.permit(address, ask.clone(), core.peer_timeout()).await
         }
@@ -340,21 +347,21 @@
 pub(crate) async fn adopt(core: &Core, adopt: message::Adopt) -> Result<Permit, Refusal> {
     // The owner may have gone with the caller's node: its successor, once it
     // is there, finds the stream on the target.
-    let no_owner = || Refusal {
-        retry_after: Some(core.permit_life()),
+    let refuse_no_owner = || Refusal {
+        retry_after: Some(core.permit_lifetime()),
         ..refuse(Reason::NoOwner, "the target has no owner at present")
     };
-    let answer = match find_owner(core, &adopt.target).ok_or_else(no_owner)? {
-        Owner::Here => table::adopt(core, &adopt),
-        Owner::There(address) => {
-            let links = core.links.get().ok_or_else(no_owner)?;
+    let answer = match find_owner(core, &adopt.target).ok_or_else(refuse_no_owner)? {
+        Owner::Local => table::adopt(core, &adopt),
+        Owner::Remote(address) => {
+            let links = core.links.get().ok_or_else(refuse_no_owner)?;
             let answer = links.adopt(address, adopt, core.peer_timeout()).await;
-            answer.map_err(|_| no_owner())?
+            answer.map_err(|_| refuse_no_owner())?
         }
     };
     answer.map_err(|refused| match refused.reason.as_str() {
-        _ if refused.not_owner => no_owner(),
-        TAKEN => refuse(Reason::AlreadyClaimed, "another node serves the stream"),
+        _ if refused.not_owner => refuse_no_owner(),
+        TAKEN_REASON => refuse(Reason::AlreadyClaimed, "another node serves the stream"),
         _ => refuse(Reason::StreamLost, "no target holds the stream any more"),
     })
 }
@@ -365,13 +372,13 @@
 /// its caller may have gone on through another node, and taking the stream
 /// back would cut that one. While the target has no owner the answer waits,
 /// for `limit` at most: then the cut is far likelier than a second reader.
-pub(crate) async fn may_keep(core: &Core, want: message::Adopt, limit: Duration) -> bool {
+pub(crate) async fn can_keep_stream(core: &Core, request: message::Adopt, limit: Duration) -> bool {
     let end = core.now() + limit;
     loop {
-        match adopt(core, want.clone()).await {
+        match adopt(core, request.clone()).await {
             Err(refusal) if refusal.reason == Reason::AlreadyClaimed => return false,
             Err(refusal) if refusal.reason == Reason::NoOwner && core.now() < end => {
-                tokio::time::sleep(core.permit_life() / 4).await;
+                tokio::time::sleep(core.permit_lifetime() / 4).await;
             }
             Ok(_) | Err(_) => return true,
         }
@@ -379,7 +386,7 @@
 }
 
 /// Tells the owner how an attempt ended, without waiting for it.
-pub(crate) fn give_back(
+pub(crate) fn report_outcome(
     core: &Core,
     target: &id::Target,
     permit: &Permit,
@@ -396,12 +403,12 @@
         stream: Some(stream.clone()),
     };
     match find_owner(core, target) {
-        Some(Owner::Here) => table::end(core, &outcome),
-        Some(Owner::There(address)) => {
+        Some(Owner::Local) => table::apply_outcome(core, &outcome),
+        Some(Owner::Remote(address)) => {
             let Some(links) = core.links.get().cloned() else { return };
             let timeout = core.peer_timeout();
             tokio::spawn(async move {
-                for _ in 0..OUTCOME_TRIES {
+                for _ in 0..MAX_OUTCOME_SENDS {
                     if links.outcome(address, outcome.clone(), timeout).await.is_ok() {
                         return;
                     }
@@ -413,17 +420,18 @@
 }
 
 /// The id of an attempt's stream.
-pub(crate) fn name_stream(
+pub(crate) fn make_stream_id(
     core: &Arc<Core>,
     request: id::Request,
     attempt: u32,
     deadline_ms: u64,
 ) -> id::Stream {
-    id::Stream { request, attempt, sender: core.me().clone(), deadline_ms }
+    id::Stream { request, attempt, sender: core.node_id().clone(), deadline_ms }
 }
 
 /// A cost of one slot, for calls of plain services.
-pub(crate) const ONE_SLOT: Cost = Cost { prefill: size::Tokens(0), decode: size::Tokens(0) };
+pub(crate) const SERVICE_CALL_COST: Cost =
+    Cost { prefill: size::Tokens(0), decode: size::Tokens(0) };
 
 /// Milliseconds of wall-clock time.
 pub(crate) fn wall_ms(core: &Core) -> u64 {
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -2,23 +2,23 @@
 //! and zone, as far as they are known.
 
 use crate::core::Core;
-use crate::permit::Leave;
+use crate::permit::Placement;
 use hickory_policy::refuse::{Ran, Refusal, Retry};
 use hickory_telemetry::logs::Subject;
 use hickory_unit::id;
 use log::Level;
 
 /// An attempt failed, and another one follows.
-pub(crate) fn log_retry(core: &Core, account: &id::Account, leave: &Leave, reason: Retry) {
+pub(crate) fn log_retry(core: &Core, account: &id::Account, placement: &Placement, reason: Retry) {
     if Level::Warn > log::max_level() {
         return;
     }
-    let host = core.view.hosts().get(&leave.target).map(|host| host.zone.clone());
+    let host = core.view.hosts().get(&placement.target).map(|host| host.zone.clone());
     let subject = Subject {
-        request: Some(leave.stream.request),
-        attempt: Some(leave.stream.attempt),
+        request: Some(placement.stream.request),
+        attempt: Some(placement.stream.attempt),
         account: Some(account.clone()),
-        target: Some(leave.target.clone()),
+        target: Some(placement.target.clone()),
         zone: host,
     };
     subject.log(Level::Warn, module_path!(), format_args!("attempt failed: {reason}"));
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -59,14 +59,14 @@
     status: u16,
     detail: &'a str,
     reason: String,
-    ran: Ranged,
+    ran: RanStatus,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
 }
 
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Ranged {
+enum RanStatus {
     No,
     Unknown,
 }
@@ -80,8 +80,8 @@
         detail: &refusal.detail,
         reason,
         ran: match refusal.ran {
-            Ran::No => Ranged::No,
-            Ran::Unknown => Ranged::Unknown,
+            Ran::No => RanStatus::No,
+            Ran::Unknown => RanStatus::Unknown,
         },
         retry_after_ms: refusal.retry_after.map(|time| time.as_millis() as u64),
     };
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 /// Pieces that wait for a slow caller.
-const PIECES_AHEAD: usize = 256;
+const MAX_BUFFERED_PIECES: usize = 256;
 
 /// Takes the stream up after `position`. Only the deadline in the stream's id
 /// bounds it.
@@ -24,7 +24,7 @@
 /// node, the engine is asked all the same and its next owner is told beside
 /// that; it leaves the stream alone for longer than it takes to be told.
 pub(crate) fn spawn(core: &Arc<Core>, position: Position) -> mpsc::Receiver<Piece> {
-    let (out, pieces) = mpsc::channel(PIECES_AHEAD);
+    let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
     tokio::spawn(async move {
         let _active = Active::begin(&core);
@@ -50,10 +50,10 @@
         target: &position.target,
         stream: &position.stream,
         deadline: core.now() + Duration::from_millis(left),
-        first: relay::first_token_limit(core, Duration::ZERO),
+        first_token_timeout: relay::first_token_timeout(core, Duration::ZERO),
         out,
         delivered: position.seq,
-        first_token: None,
+        first_token_at: None,
     };
     let relaying = async {
         let resume = core.targets.resume(address, &position.stream, position.seq);
@@ -67,7 +67,7 @@
     let mut adopting = std::pin::pin!(adopting);
     // The owner first, where there is one: a paused reader that goes on is
     // then told that the stream is taken.
-    let adopted = tokio::time::timeout(core.permit_life() / 4, adopting.as_mut()).await;
+    let adopted = tokio::time::timeout(core.permit_lifetime() / 4, adopting.as_mut()).await;
     let (end, permit) = match adopted {
         Ok(permit) => (relaying.await, permit),
         Err(_) => tokio::select! {
@@ -76,18 +76,18 @@
         },
     };
     let (ending, result) = match end {
-        End::Whole(count) => {
+        End::Complete(count) => {
             let _ = out.send(Piece::End(count)).await;
             (Ending::Finished, Ok(()))
         }
-        End::Taken => return Ok(()),
-        End::Gone => (Ending::Left, Ok(())),
+        End::TakenOver => return Ok(()),
+        End::CallerGone => (Ending::Left, Ok(())),
         End::Deadline => (Ending::Lost, Err(refuse(Reason::Deadline, "the deadline passed"))),
-        End::Died => (Ending::TargetDied, Err(lost())),
+        End::TargetDied => (Ending::TargetDied, Err(lost())),
         End::Stalled | End::Failed(_) => (Ending::Lost, Err(lost())),
     };
     if let Some(permit) = permit {
-        permit::give_back(core, &position.target, &permit, &position.stream, ending, None);
+        permit::report_outcome(core, &position.target, &permit, &position.stream, ending, None);
     }
     result
 }
@@ -95,13 +95,13 @@
 /// Tells the owner, as soon as there is one, that this node serves the rest.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
-    let adopt = Adopt { target, stream, node: core.me().clone(), keep: false };
+    let adopt = Adopt { target, stream, node: core.node_id().clone(), keep: false };
     loop {
         match permit::adopt(core, adopt.clone()).await {
             Ok(permit) => return Some(permit),
             // The stream has ended, and the target keeps only its answer.
             Err(refusal) if refusal.reason == Reason::StreamLost => return None,
-            Err(_) => tokio::time::sleep(core.permit_life() / 4).await,
+            Err(_) => tokio::time::sleep(core.permit_lifetime() / 4).await,
         }
     }
 }
--- a/crates/node/src/seal.rs
+++ b/crates/node/src/seal.rs
@@ -8,7 +8,7 @@
 use hickory_wire::proof::Key;
 
 /// Hexadecimal digits of the seal that are kept: 128 bits.
-const SEAL_LEN: usize = 32;
+const SEAL_HEX_DIGITS: usize = 32;
 
 /// Where a caller stands in a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,14 +22,14 @@
 pub(crate) fn seal_position(key: &Key, account: &id::Account, position: &Position) -> String {
     let text = format!("{}:{}:{}", position.seq, position.target, position.stream);
     let seal = key.seal(&format!("{account}\n{text}")).to_hex();
-    format!("{}:{text}", &seal[..SEAL_LEN])
+    format!("{}:{text}", &seal[..SEAL_HEX_DIGITS])
 }
 
 /// Reads an event id; `None` where it is malformed or not this account's.
 pub(crate) fn open_position(key: &Key, account: &id::Account, sealed: &str) -> Option<Position> {
     let (seal, text) = sealed.split_once(':')?;
     let wanted = key.seal(&format!("{account}\n{text}")).to_hex();
-    let same = subtle::ConstantTimeEq::ct_eq(seal.as_bytes(), wanted[..SEAL_LEN].as_bytes());
+    let same = subtle::ConstantTimeEq::ct_eq(seal.as_bytes(), wanted[..SEAL_HEX_DIGITS].as_bytes());
     if !bool::from(same) {
         return None;
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -8,8 +8,8 @@
 use crate::core::{Core, Stage};
 use crate::entry::answer_entry;
 use crate::parse::{
-    BODY_MAX, Caller, Head, find_caller, parse_completion, parse_key, parse_time_left, parse_token,
-    refuse,
+    Caller, Head, MAX_BODY_SIZE, find_caller, parse_completion, parse_key, parse_time_left,
+    parse_token, refuse,
 };
 use crate::reply::{self, Body, Encoder};
 use crate::resume;
@@ -40,17 +40,17 @@
 
 /// How long sent bytes may stay without an acknowledgement before the kernel
 /// closes the connection: what lies between the ends may have forgotten it.
-const USER_TIMEOUT: Duration = Duration::from_secs(5);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a request waits for a newer configuration that a peer has: large
 /// ones take about a second. Less where its caller has less time.
-const BEHIND_WAIT: Duration = Duration::from_millis(800);
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
 
 /// When to come back to a node that is behind, or to another one.
-const BEHIND_RETRY: Duration = Duration::from_millis(500);
+const BEHIND_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Events written ahead of a slow caller.
-const EVENTS_AHEAD: usize = 64;
+const MAX_BUFFERED_EVENTS: usize = 64;
 
 /// Accepts callers until the node is closed.
 pub(crate) async fn serve(core: Arc<Core>, listener: TcpListener) {
@@ -75,7 +75,7 @@
 
 async fn serve_connection(core: Arc<Core>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let mut stage = core.stage.subscribe();
     let service = hyper::service::service_fn(move |request| answer(core.clone(), request));
     let connection = hyper::server::conn::http1::Builder::new()
@@ -155,12 +155,12 @@
 /// A node that is behind waits a little for the newer configuration: by the
 /// old one it would refuse for good what operators have just allowed, and
 /// callers don't come back after that.
-async fn wait_entitled<T>(
+async fn resolve_entitlement<T>(
     core: &Core,
     time_left: Duration,
     find: impl Fn(&Configuration) -> Result<T, Refusal>,
 ) -> Result<T, Refusal> {
-    let end = core.now() + BEHIND_WAIT.min(time_left / 4);
+    let end = core.now() + MAX_CONFIGURATION_WAIT.min(time_left / 4);
     let mut changes = core.keeper.subscribe();
     loop {
         // Before the look at the configuration, so that one which comes in
@@ -168,18 +168,18 @@
         let is_behind = core.is_behind();
         let configuration = changes.borrow_and_update().clone().ok_or_else(refuse_not_ready)?;
         let refusal = match find(&configuration) {
-            Err(refusal) if is_behind && is_by_configuration(refusal.reason) => refusal,
+            Err(refusal) if is_behind && depends_on_configuration(refusal.reason) => refusal,
             found => return found,
         };
         let wait = end.saturating_duration_since(core.now());
         if !matches!(tokio::time::timeout(wait, changes.changed()).await, Ok(Ok(()))) {
             let behind = refuse(Reason::Behind, refusal.detail);
-            return Err(Refusal { retry_after: Some(BEHIND_RETRY), ..behind });
+            return Err(Refusal { retry_after: Some(BEHIND_RETRY_AFTER), ..behind });
         }
     }
 }
 
-fn is_by_configuration(reason: Reason) -> bool {
+fn depends_on_configuration(reason: Reason) -> bool {
     matches!(reason, Reason::Unauthenticated | Reason::Forbidden | Reason::NotFound)
 }
 
@@ -190,11 +190,11 @@
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, Refusal> {
-    let too_large = || refuse(Reason::TooLarge, format!("body: more than {BODY_MAX} bytes"));
-    if body_hint(&body) > BODY_MAX.0 {
+    let too_large = || refuse(Reason::TooLarge, format!("body: more than {MAX_BODY_SIZE} bytes"));
+    if body_size_hint(&body) > MAX_BODY_SIZE.0 {
         return Err(too_large());
     }
-    let read = Limited::new(body, BODY_MAX.0 as usize).collect();
+    let read = Limited::new(body, MAX_BODY_SIZE.0 as usize).collect();
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(too_large()),
@@ -203,7 +203,7 @@
     }
 }
 
-fn body_hint(body: &Incoming) -> u64 {
+fn body_size_hint(body: &Incoming) -> u64 {
     hyper::body::Body::size_hint(body).lower()
 }
 
@@ -231,14 +231,14 @@
     let (parts, body) = request.into_parts();
     let token = read_token(core, &parts.headers)?;
     let time_left = parse_time_left(&parts.headers).unwrap_or_default();
-    let head = wait_entitled(core, time_left, |configuration| {
+    let head = resolve_entitlement(core, time_left, |configuration| {
         open_request(core, arrived, token, &parts.headers, configuration)
     });
     let head = head.await?;
     let body = read_body(body).await?;
     let is_served = |weights: &Weights| core.view.count_ready(weights) > 0;
     let time_left = head.deadline.saturating_duration_since(core.now());
-    let completion = wait_entitled(core, time_left, |configuration| {
+    let completion = resolve_entitlement(core, time_left, |configuration| {
         parse_completion(head.clone(), &body, configuration, is_served)
     });
     let completion = completion.await?;
@@ -265,7 +265,7 @@
     let token = read_token(core, request.headers())?;
     let time_left = parse_time_left(request.headers()).unwrap_or_default();
     let find = |configuration: &Configuration| find_caller(token, configuration);
-    let caller = wait_entitled(core, time_left, find).await?;
+    let caller = resolve_entitlement(core, time_left, find).await?;
     let position = parse_position(core, request, &caller.account, name)?;
     let encoder = Encoder {
         request: position.stream.request,
@@ -305,7 +305,7 @@
         Some(piece) => piece,
         None => return Err(refuse(Reason::TargetFailed, "ended without an answer")),
     };
-    let (events, body) = mpsc::channel(EVENTS_AHEAD);
+    let (events, body) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let request = encoder.request;
     tokio::spawn(write_events(core.clone(), encoder, first, pieces, events));
     let mut response = reply::answer_events(body);
@@ -384,15 +384,15 @@
     let (parts, body) = request.into_parts();
     let token = read_token(core, &parts.headers)?;
     let time_left = parse_time_left(&parts.headers).unwrap_or_default();
-    let opened = wait_entitled(core, time_left, |configuration| {
+    let opened = resolve_entitlement(core, time_left, |configuration| {
         let head = open_request(core, arrived, token, &parts.headers, configuration)?;
         let key = parse_key(&parts.headers)?;
         let entry = find_service(&head.caller, &service, configuration)?;
         Ok((head, key, entry.once.contains(&path)))
     });
-    let (head, key, once) = opened.await?;
+    let (head, key, at_most_once) = opened.await?;
     let call = Call {
-        once,
+        at_most_once,
         body: read_body(body).await?,
         caller: head.caller,
         service,
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -18,21 +18,21 @@
 const SHARDS: usize = 8;
 
 /// Between two looks at whether a suspect's trial has ended.
-const TRIAL_INTERVAL: Duration = Duration::from_millis(20);
+const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a host may take to say that nothing listens at a port.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How long a change of suspicion is told to peers that know this node
 /// already: many exchanges, so that lost ones don't matter.
-const TOLD_FOR: Duration = Duration::from_secs(30);
+const SUSPICION_GOSSIP_DURATION: Duration = Duration::from_secs(30);
 
 /// Suspects told in one exchange at most; the latest go first.
-const TOLD_MAX: usize = 128;
+const MAX_GOSSIPED_SUSPECTS: usize = 128;
 
 /// The node's suspects and retry budgets.
 #[derive(Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct RetryControl {
     suspects: Mutex<Suspects>,
     budgets: [Mutex<Budget>; SHARDS],
 }
@@ -41,7 +41,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Record {
+impl RetryControl {
     fn budget(&self, account: &id::Account) -> MutexGuard<'_, Budget> {
         let index = hash_parts(&[account.as_str().as_bytes()]) as usize % SHARDS;
         lock(&self.budgets[index])
@@ -70,7 +70,7 @@
 
     /// Contents under suspicion or in quarantine; those that were cleared are
     /// only kept to be told.
-    pub(crate) fn suspects(&self, now: Instant) -> usize {
+    pub(crate) fn count_suspects(&self, now: Instant) -> usize {
         lock(&self.suspects).tell(now).iter().filter(|suspect| suspect.deaths > 0).count()
     }
 
@@ -80,8 +80,8 @@
     }
 
     /// Takes in what a peer knows.
-    pub(crate) fn merge(&self, now: Instant, told: &[message::Suspect]) {
-        let suspects = told.iter().map(|suspect| Suspect {
+    pub(crate) fn merge(&self, now: Instant, suspects: &[message::Suspect]) {
+        let suspects = suspects.iter().map(|suspect| Suspect {
             fingerprint: suspect.fingerprint,
             deaths: suspect.deaths,
             age: suspect.age,
@@ -91,12 +91,12 @@
 
     /// What a peer is told; one that knows nothing of this node yet gets what
     /// is old as well.
-    pub(crate) fn tell(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
-        let mut told = lock(&self.suspects).tell(now);
-        told.retain(|suspect| is_new || suspect.age < TOLD_FOR);
-        told.sort_unstable_by_key(|suspect| suspect.age);
-        told.truncate(TOLD_MAX);
-        let suspects = told.into_iter().map(|suspect| message::Suspect {
+    pub(crate) fn suspects_for_peer(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
+        let mut suspects = lock(&self.suspects).tell(now);
+        suspects.retain(|suspect| is_new || suspect.age < SUSPICION_GOSSIP_DURATION);
+        suspects.sort_unstable_by_key(|suspect| suspect.age);
+        suspects.truncate(MAX_GOSSIPED_SUSPECTS);
+        let suspects = suspects.into_iter().map(|suspect| message::Suspect {
             fingerprint: suspect.fingerprint,
             deaths: suspect.deaths,
             age: suspect.age,
@@ -115,7 +115,7 @@
             return Err(refuse(Reason::Deadline, "the deadline passed before it could be sent"));
         }
         {
-            let mut suspects = lock(&core.record.suspects);
+            let mut suspects = lock(&core.retry_control.suspects);
             match suspects.judge(now, fingerprint) {
                 Verdict::Clear => return Ok(false),
                 Verdict::Alone => {
@@ -126,7 +126,7 @@
                 Verdict::Wait => {}
             }
         }
-        tokio::time::sleep(TRIAL_INTERVAL).await;
+        tokio::time::sleep(TRIAL_POLL_INTERVAL).await;
     }
 }
 
@@ -144,18 +144,18 @@
 /// Quarantines a request under which two targets died, and tells all peers
 /// before the caller is answered: a resend through another node must not cost
 /// a third target.
-pub(crate) async fn condemn(core: &Arc<Core>, fingerprint: u64) -> Refusal {
+pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
     let condemned = Suspect { fingerprint, deaths: DEATHS, age: Duration::ZERO };
-    lock(&core.record.suspects).merge(now, [condemned]);
+    lock(&core.retry_control.suspects).merge(now, [condemned]);
     core.metrics.quarantined();
-    peers::tell_all(core).await;
+    peers::gossip_with_all_peers(core).await;
     refuse_quarantined()
 }
 
 /// Ends the trial of a suspect that said nothing about it.
 pub(crate) fn drop_trial(core: &Core, fingerprint: u64) {
-    lock(&core.record.suspects).drop_trial(fingerprint);
+    lock(&core.retry_control.suspects).drop_trial(fingerprint);
 }
 
 /// Notes why an attempt is made again. It counts against the account's budget
@@ -168,6 +168,6 @@
     core.metrics.retried(reason);
     match reason {
         Retry::NotSent | Retry::Refused => Ok(()),
-        _ => core.record.spend(account),
+        _ => core.retry_control.spend(account),
     }
 }
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -17,7 +17,7 @@
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
 /// With what a load report is read.
-pub(crate) struct Found<F> {
+pub(crate) struct SweepContext<F> {
     pub(crate) now: Instant,
     pub(crate) wall_ms: u64,
     /// How long a stream whose caller is gone is kept for a resume.
@@ -26,7 +26,7 @@
     pub(crate) is_live: F,
 }
 
-impl<F: Fn(&id::Node) -> bool> Found<F> {
+impl<F: Fn(&id::Node) -> bool> SweepContext<F> {
     fn is_long_ago(&self, at: Instant) -> bool {
         self.now.saturating_duration_since(at) > self.resume
     }
@@ -39,15 +39,18 @@
 impl Target {
     /// Takes out of queue and books what nobody stands for any more, and
     /// names the streams to cancel on the target.
-    pub(crate) fn sweep(&mut self, now: Instant, life: Duration, resume: Duration) {
-        let old = |at: Instant| now.saturating_duration_since(at) > life;
-        let silent = self.waiting.values().filter(|waiting| old(waiting.asked));
-        let silent: Vec<id::Stream> = silent.map(|waiting| waiting.stream.clone()).collect();
-        silent.iter().for_each(|stream| self.withdraw(stream));
-        let untold = self.permits.iter().filter(|(_, granted)| granted.untold.is_some_and(old));
-        let untold: Vec<Ticket> = untold.map(|(ticket, _)| *ticket).collect();
-        for ticket in untold {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+    pub(crate) fn sweep(&mut self, now: Instant, permit_lifetime: Duration, resume: Duration) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > permit_lifetime;
+        let abandoned = self.waiting.values().filter(|waiting| is_old(waiting.asked_at));
+        let abandoned: Vec<id::Stream> = abandoned.map(|waiting| waiting.stream.clone()).collect();
+        abandoned.iter().for_each(|stream| self.withdraw(stream));
+        let undelivered = self
+            .permits
+            .iter()
+            .filter(|(_, granted)| granted.undelivered_since.is_some_and(is_old));
+        let undelivered: Vec<Ticket> = undelivered.map(|(ticket, _)| *ticket).collect();
+        for ticket in undelivered {
+            self.release_permit(now, ticket, limit::Outcome::Dropped);
         }
         let overdue = self.permits.values().filter(|granted| granted.is_overdue(now, resume));
         self.cancels.extend(overdue.map(|granted| granted.stream.clone()));
@@ -56,13 +59,13 @@
 
     /// Takes in a load report: what the target bears, what it holds, and what
     /// of that nobody stands for.
-    pub(crate) fn take_report<F>(&mut self, report: &Report, found: &Found<F>)
+    pub(crate) fn apply_report<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         self.incarnation = Some(report.incarnation);
-        self.dead = false;
-        self.fallen.clear();
+        self.is_dead = false;
+        self.reported_deaths.clear();
         self.kv_used = report.kv_used;
         self.kv_capacity = report.kv_capacity;
         let ready = report.loaded.iter().filter(|loaded| loaded.ready);
@@ -72,11 +75,11 @@
             kv: report.kv_capacity,
             prefill_rate: report.prefill_rate,
         });
-        self.mark_gone(found);
-        self.sweep_held(report, found);
-        self.sweep_handles(report, found);
+        self.mark_unserved(context);
+        self.sweep_held(report, context);
+        self.sweep_handles(report, context);
         let observed = self.observe(report);
-        self.observe_load(found.now, &observed);
+        self.observe_load(context.now, &observed);
     }
 
     /// Takes a load report's warmth and foreign work into the limit.
@@ -88,9 +91,9 @@
 
     fn observe(&self, report: &Report) -> Observed {
         // What has ended stands in the report until its lag has passed.
-        let own = |held: &&Held| !self.is_foreign(&held.stream);
+        let is_own = |held: &&Held| !self.is_foreign(&held.stream);
         let foreign = report.streams.iter().filter(|held| self.is_foreign(&held.stream));
-        let streams: size::Tokens = report.streams.iter().filter(own).map(|held| held.kv).sum();
+        let streams: size::Tokens = report.streams.iter().filter(is_own).map(|held| held.kv).sum();
         // A part of a long prompt stays on the engine as a kept KV cache when
         // its stream has ended; its permit stands for it.
         let kept = report.handles.iter().filter_map(|handle| {
@@ -99,7 +102,7 @@
             self.permits.get(ticket).map(|granted| granted.kv)
         });
         let owned_kv = streams + kept.sum::<size::Tokens>();
-        let left = report.streams.iter().filter_map(|held| {
+        let prefill_left = report.streams.iter().filter_map(|held| {
             let ticket = self.tickets.get(&held.stream)?;
             Some((*ticket, held.prefill_left))
         });
@@ -112,7 +115,7 @@
             },
             foreign: foreign.count() as u32,
             foreign_kv: report.kv_used.saturating_sub(owned_kv),
-            prefill_left: left.collect(),
+            prefill_left: prefill_left.collect(),
         }
     }
 
@@ -124,35 +127,37 @@
     /// Finds among the streams that the target holds those that nobody stands
     /// for: their deadline is past, or their node is gone and none has taken
     /// them up for the time of a resume.
-    fn sweep_held<F>(&mut self, report: &Report, found: &Found<F>)
+    fn sweep_held<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         let known = std::mem::take(&mut self.foreign);
         let held = report.streams.iter().map(|held| &held.stream);
         for stream in held.filter(|stream| self.is_foreign(stream)).collect::<Vec<_>>() {
-            let before = known.get(stream).and_then(|foreign| foreign.alone);
-            let alone = before.or_else(|| (!(found.is_live)(&stream.sender)).then_some(found.now));
-            self.foreign.insert(stream.clone(), Foreign { alone });
+            let before = known.get(stream).and_then(|foreign| foreign.orphaned_since);
+            let orphaned_since =
+                before.or_else(|| (!(context.is_live)(&stream.sender)).then_some(context.now));
+            self.foreign.insert(stream.clone(), Foreign { orphaned_since });
         }
         let orphans = self.foreign.iter().filter(|(stream, foreign)| {
-            let alone = foreign.alone.is_some_and(|at| found.is_long_ago(at));
-            found.is_overdue(stream) || alone
+            let is_orphaned = foreign.orphaned_since.is_some_and(|at| context.is_long_ago(at));
+            context.is_overdue(stream) || is_orphaned
         });
         self.cancels.extend(orphans.map(|(stream, _)| stream.clone()));
     }
 
     /// Finds kept KV caches whose work is over: the sender of a placement over
     /// several engines drops them itself, unless it died half-way.
-    fn sweep_handles<F>(&mut self, report: &Report, found: &Found<F>)
+    fn sweep_handles<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         let orphans = report.handles.iter().filter(|handle| {
             let stream = &handle.stream;
-            let alone = self.foreign.get(stream).and_then(|foreign| foreign.alone);
-            let gone = !(found.is_live)(&stream.sender) && alone.is_none();
-            found.is_overdue(stream) || (gone && !self.tickets.contains_key(stream))
+            let orphaned_since =
+                self.foreign.get(stream).and_then(|foreign| foreign.orphaned_since);
+            let is_sender_gone = !(context.is_live)(&stream.sender) && orphaned_since.is_none();
+            context.is_overdue(stream) || (is_sender_gone && !self.tickets.contains_key(stream))
         });
         self.drops = orphans.cloned().collect();
     }
@@ -164,13 +169,13 @@
 
     /// Marks what gone nodes served, as if their callers had left: another
     /// node may take it up.
-    fn mark_gone<F>(&mut self, found: &Found<F>)
+    fn mark_unserved<F>(&mut self, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         for granted in self.permits.values_mut() {
-            if granted.left.is_none() && !(found.is_live)(&granted.node) {
-                granted.left = Some(found.now);
+            if granted.caller_left_at.is_none() && !(context.is_live)(&granted.node) {
+                granted.caller_left_at = Some(context.now);
             }
         }
     }
@@ -184,9 +189,9 @@
     }
 
     /// The target confirmed that a stream is gone.
-    pub(crate) fn cancelled(&mut self, now: Instant, stream: &id::Stream) {
+    pub(crate) fn confirm_cancelled(&mut self, now: Instant, stream: &id::Stream) {
         if let Some(ticket) = self.tickets.get(stream).copied() {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+            self.release_permit(now, ticket, limit::Outcome::Dropped);
         }
         if self.foreign.remove(stream).is_some() {
             self.ended.insert(stream.clone(), now);
@@ -194,30 +199,30 @@
     }
 
     /// The target did not answer a cancel: tried again.
-    pub(crate) fn cancel_again(&mut self, stream: id::Stream) {
+    pub(crate) fn retry_cancel(&mut self, stream: id::Stream) {
         self.cancels.push(stream);
     }
 
     /// The target died, by a closed port or a new incarnation: what ran on it,
     /// once for each death.
-    pub(crate) fn take_death(&mut self) -> Vec<u64> {
-        let told = std::mem::take(&mut self.fallen);
-        if std::mem::replace(&mut self.dead, true) {
-            return told;
+    pub(crate) fn record_death(&mut self) -> Vec<u64> {
+        let reported = std::mem::take(&mut self.reported_deaths);
+        if std::mem::replace(&mut self.is_dead, true) {
+            return reported;
         }
         let ran = self.permits.values_mut().map(|granted| {
-            granted.counted = true;
+            granted.is_death_counted = true;
             granted.fingerprint
         });
-        ran.filter(|fingerprint| *fingerprint != 0).chain(told).collect()
+        ran.filter(|fingerprint| *fingerprint != 0).chain(reported).collect()
     }
 
     /// The target runs as a new process: what was granted to the old one is
     /// gone with it.
-    pub(crate) fn restarted(&mut self, now: Instant) {
+    pub(crate) fn reset_after_restart(&mut self, now: Instant) {
         let tickets: Vec<Ticket> = self.permits.keys().copied().collect();
         for ticket in tickets {
-            self.give_back(now, ticket, limit::Outcome::Dropped);
+            self.release_permit(now, ticket, limit::Outcome::Dropped);
         }
         self.cancels.clear();
         self.foreign.clear();
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -4,7 +4,7 @@
 //! await.
 
 use crate::core::Core;
-use crate::owned::{Begun, QUEUED, TAKEN, Target, refuse, refuse_not_owner};
+use crate::owned::{AskResult, QUEUED_REASON, TAKEN_REASON, Target, refuse, refuse_not_owner};
 use crate::parse::hash_parts;
 use hickory_policy::refuse::Reason;
 use hickory_telemetry::label;
@@ -27,7 +27,7 @@
     version: AtomicU64,
     shards: [Mutex<HashMap<id::Target, Target>>; SHARDS],
     /// Told when an ask begins to wait.
-    pub(crate) queued: Notify,
+    pub(crate) ask_queued: Notify,
 }
 
 impl Table {
@@ -60,11 +60,11 @@
     }
 
     /// Grants what fits now on all targets; the number of asks that wait on.
-    pub(crate) fn poll(&self, now: Instant, life: Duration) -> usize {
+    pub(crate) fn poll(&self, now: Instant, permit_lifetime: Duration) -> usize {
         let mut waiting = 0;
         for shard in &self.shards {
             for owned in lock(shard).values_mut() {
-                owned.poll(now, life);
+                owned.poll(now, permit_lifetime);
                 waiting += owned.waiting();
             }
         }
@@ -88,8 +88,8 @@
         let mut changed = Vec::new();
         for shard in &self.shards {
             for owned in lock(shard).values_mut() {
-                let told = owned.tell(|| self.version.fetch_add(1, Ordering::AcqRel) + 1);
-                changed.extend(told.filter(|(version, _)| *version > since));
+                let published = owned.publish(|| self.version.fetch_add(1, Ordering::AcqRel) + 1);
+                changed.extend(published.filter(|(version, _)| *version > since));
             }
         }
         // A version past what is told here may belong to a change that a
@@ -109,13 +109,13 @@
 }
 
 /// Takes an ask out of the queue when its asker stops waiting.
-struct Withdraw<'a> {
+struct WithdrawOnDrop<'a> {
     core: &'a Core,
     target: &'a id::Target,
     stream: Option<&'a id::Stream>,
 }
 
-impl Drop for Withdraw<'_> {
+impl Drop for WithdrawOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(stream) = self.stream {
             self.core.table.with(self.target, |owned| owned.withdraw(stream));
@@ -129,51 +129,53 @@
     let answer = decide_permit(core, ask).await;
     core.metrics.permit(match &answer {
         Ok(_) => label::Permit::Granted,
-        Err(refusal) if refusal.reason == QUEUED => label::Permit::Queued,
+        Err(refusal) if refusal.reason == QUEUED_REASON => label::Permit::Queued,
         Err(_) => label::Permit::Refused,
     });
     answer
 }
 
 async fn decide_permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
-    let life = core.permit_life();
+    let permit_lifetime = core.permit_lifetime();
     let now = core.now();
-    let begun = core.table.with(&ask.target, |owned| owned.ask(now, life, ask));
-    let wait = match begun.ok_or_else(refuse_not_owner)? {
-        Begun::Answered(answer) => return answer,
-        Begun::Queued(wait) => wait,
+    let result = core.table.with(&ask.target, |owned| owned.ask(now, permit_lifetime, ask));
+    let wait = match result.ok_or_else(refuse_not_owner)? {
+        AskResult::Answered(answer) => return answer,
+        AskResult::Queued(wait) => wait,
     };
-    core.table.queued.notify_one();
-    let mut guard = Withdraw { core, target: &ask.target, stream: Some(&ask.stream) };
-    let answer = tokio::time::timeout(life / 2, wait).await;
+    core.table.ask_queued.notify_one();
+    let mut guard = WithdrawOnDrop { core, target: &ask.target, stream: Some(&ask.stream) };
+    let answer = tokio::time::timeout(permit_lifetime / 2, wait).await;
     guard.stream = None;
     match answer {
         Ok(Ok(answer)) => answer,
         Ok(Err(_)) => Err(refuse_not_owner()),
-        Err(_) => Err(refuse(QUEUED, Duration::ZERO)),
+        Err(_) => Err(refuse(QUEUED_REASON, Duration::ZERO)),
     }
 }
 
 /// Takes a stream over for the asking node.
 pub(crate) fn adopt(core: &Core, adopt: &Adopt) -> Result<Permit, Refusal> {
-    let life = core.permit_life();
+    let permit_lifetime = core.permit_lifetime();
     let left = adopt.stream.deadline_ms.saturating_sub(core.clock.wall_ms());
     let until = core.now() + Duration::from_millis(left);
-    let taken = core.table.with(&adopt.target, |owned| match owned.incarnation {
-        Some(_) if adopt.keep && owned.is_taken(adopt) => Err(refuse(TAKEN, Duration::ZERO)),
-        Some(_) => Ok(owned.adopt(adopt, until, life)),
+    let adopted = core.table.with(&adopt.target, |owned| match owned.incarnation {
+        Some(_) if adopt.keep && owned.is_served_elsewhere(adopt) => {
+            Err(refuse(TAKEN_REASON, Duration::ZERO))
+        }
+        Some(_) => Ok(owned.adopt(adopt, until, permit_lifetime)),
         // A new owner does not know yet what the target holds.
         None => Err(refuse_not_owner()),
     });
-    let taken = taken.ok_or_else(refuse_not_owner)??;
-    taken.ok_or_else(|| refuse(Reason::StreamLost, Duration::ZERO))
+    let adopted = adopted.ok_or_else(refuse_not_owner)??;
+    adopted.ok_or_else(|| refuse(Reason::StreamLost, Duration::ZERO))
 }
 
 /// Takes in how a permitted attempt ended.
-pub(crate) fn end(core: &Core, outcome: &Outcome) {
-    let (now, life) = (core.now(), core.permit_life());
+pub(crate) fn apply_outcome(core: &Core, outcome: &Outcome) {
+    let (now, permit_lifetime) = (core.now(), core.permit_lifetime());
     core.table.with(&outcome.target, |owned| {
-        owned.end(now, outcome);
-        owned.poll(now, life);
+        owned.apply_outcome(now, outcome);
+        owned.poll(now, permit_lifetime);
     });
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -19,22 +19,22 @@
 
 /// A peer that was not heard for this long is taken to be gone: many exchanges
 /// were missed, and a takeover of what it owns is under way.
-const PEER_MAX_AGE: Duration = Duration::from_secs(5);
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(5);
 
 /// How long the address of a node that is registered no more is kept after it
 /// was last heard.
-const KNOWN_MAX_AGE: Duration = Duration::from_secs(60);
+const MAX_KNOWN_NODE_AGE: Duration = Duration::from_secs(60);
 
 /// How long this node counts what it sent to a target on top of what the
 /// owner told: by then the owner has told again, or nothing has changed.
-const SENT_MAX_AGE: Duration = Duration::from_secs(1);
+const MAX_SENT_AGE: Duration = Duration::from_secs(1);
 
 /// The listed hosts by target.
 pub(crate) type Hosts = BTreeMap<id::Target, Host>;
 
 /// What an owner told of a target, and what this node sent there since.
 #[derive(Clone, Debug)]
-struct Seen {
+struct TargetView {
     state: State,
     owner: id::Node,
     /// The target's hash, for placement.
@@ -46,16 +46,16 @@
 
 /// What a node knows of its peers.
 #[derive(Clone, Debug)]
-pub(crate) struct PeerSeen {
-    pub(crate) at: Instant,
+pub(crate) struct PeerView {
+    pub(crate) last_heard: Instant,
     pub(crate) release: id::Release,
     pub(crate) connections: u32,
     pub(crate) draining: bool,
     incarnation: id::Incarnation,
     /// The version of its targets that this node has.
-    pub(crate) version: u64,
+    pub(crate) received_version: u64,
     /// The version of this node's targets that it has.
-    pub(crate) seen: u64,
+    pub(crate) acknowledged_version: u64,
 }
 
 /// What a node knows of targets and peers.
@@ -64,14 +64,14 @@
     /// The zone of this node.
     zone: id::Zone,
     hosts: RwLock<Arc<Hosts>>,
-    states: [Mutex<HashMap<id::Target, Seen>>; SHARDS],
-    peers: Mutex<HashMap<id::Node, PeerSeen>>,
+    states: [Mutex<HashMap<id::Target, TargetView>>; SHARDS],
+    peers: Mutex<HashMap<id::Node, PeerView>>,
     known: Mutex<HashMap<id::Node, Info>>,
 }
 
 /// What a request needs of a target.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Need<'a> {
+pub(crate) enum Capability<'a> {
     /// An engine with these weights.
     Weights(&'a Weights),
     /// A replica of this plain service.
@@ -106,11 +106,13 @@
     /// without its address they could not ask it for permits.
     pub(crate) fn note_nodes(&self, now: Instant, nodes: &BTreeMap<id::Node, Info>) {
         let peers = self.peers();
-        let is_heard = |node: &id::Node| {
-            peers.get(node).is_some_and(|p| now.saturating_duration_since(p.at) < KNOWN_MAX_AGE)
+        let is_reachable = |node: &id::Node| {
+            peers
+                .get(node)
+                .is_some_and(|p| now.saturating_duration_since(p.last_heard) < MAX_KNOWN_NODE_AGE)
         };
         let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.retain(|node, _| is_heard(node));
+        known.retain(|node, _| is_reachable(node));
         known.extend(nodes.iter().map(|(node, info)| (node.clone(), info.clone())));
     }
 
@@ -123,20 +125,20 @@
     pub(crate) fn merge(&self, now: Instant, gossip: &Gossip) {
         let mut peers = self.peers();
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
-        let seen = PeerSeen {
-            at: now,
+        let view = PeerView {
+            last_heard: now,
             release: gossip.release,
             connections: gossip.connections,
             draining: gossip.draining,
             incarnation: gossip.incarnation,
             // An answer that was overtaken by a later one takes nothing back.
-            version: known.map_or(0, |known| known.version).max(gossip.version),
-            seen: gossip.seen,
+            received_version: known.map_or(0, |known| known.received_version).max(gossip.version),
+            acknowledged_version: gossip.seen,
         };
         // What was overtaken by a later word would put a target back to what
         // it was, and is not told again.
-        let is_overtaken = known.is_some_and(|known| gossip.version < known.version);
-        peers.insert(gossip.node.clone(), seen);
+        let is_overtaken = known.is_some_and(|known| gossip.version < known.received_version);
+        peers.insert(gossip.node.clone(), view);
         drop(peers);
         for state in gossip.targets.iter().filter(|_| !is_overtaken) {
             self.merge_state(&gossip.node, state.clone());
@@ -145,7 +147,9 @@
 
     /// The versions that this node and a peer have of each other's targets.
     pub(crate) fn versions(&self, peer: &id::Node) -> (u64, u64) {
-        self.peers().get(peer).map_or((0, 0), |known| (known.version, known.seen))
+        self.peers()
+            .get(peer)
+            .map_or((0, 0), |known| (known.received_version, known.acknowledged_version))
     }
 
     /// Takes in one target's state; one under an older epoch comes from an
@@ -159,7 +163,7 @@
         let (target, owner) = (state.target.clone(), owner.clone());
         let key = known.map_or_else(|| hash_target(&target), |known| known.key);
         let (sent, sent_count, sent_at) = (size::Tokens(0), 0, None);
-        shard.insert(target, Seen { state, owner, key, sent, sent_count, sent_at });
+        shard.insert(target, TargetView { state, owner, key, sent, sent_count, sent_at });
     }
 
     /// Notes that this node sent work to a target, so that until its owner
@@ -176,11 +180,11 @@
     /// The newest release that a living peer has in force.
     pub(crate) fn newest_release(&self, now: Instant) -> Option<id::Release> {
         let peers = self.peers();
-        let living = peers.values().filter(|peer| is_living(now, peer));
-        living.map(|peer| peer.release).max()
+        let alive = peers.values().filter(|peer| is_alive(now, peer));
+        alive.map(|peer| peer.release).max()
     }
 
-    pub(crate) fn peers_seen(&self) -> HashMap<id::Node, PeerSeen> {
+    pub(crate) fn peer_views(&self) -> HashMap<id::Node, PeerView> {
         self.peers().clone()
     }
 
@@ -194,7 +198,7 @@
         let count = shards.map(|shard| {
             let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
             let states = shard.values().map(|seen| &seen.state);
-            states.filter(|state| state.ready.iter().any(|ready| is_same(ready, weights))).count()
+            states.filter(|state| state.ready.iter().any(|ready| is_equal(ready, weights))).count()
         });
         count.sum()
     }
@@ -212,23 +216,24 @@
     pub(crate) fn candidates(
         &self,
         now: Instant,
-        need: Need<'_>,
+        capability: Capability<'_>,
         prefix: u64,
         configuration: &Configuration,
         excluded: &[id::Target],
     ) -> Vec<Candidate> {
         let hosts = self.hosts();
         let peers = self.peers();
-        let is_heard = |node: &id::Node| peers.get(node).is_some_and(|peer| is_living(now, peer));
+        let is_reachable =
+            |node: &id::Node| peers.get(node).is_some_and(|peer| is_alive(now, peer));
         hosts
             .values()
             .filter(|host| is_in_service(host, configuration) && !excluded.contains(&host.target))
-            .filter_map(|host| self.candidate(now, host, need, prefix, is_heard))
+            .filter_map(|host| self.candidate(now, host, capability, prefix, is_reachable))
             .collect()
     }
 
     /// Puts what this node's own books say in place of what it last told.
-    pub(crate) fn refresh_own(candidates: &mut [Candidate], own: &[State]) {
+    pub(crate) fn apply_own_states(candidates: &mut [Candidate], own: &[State]) {
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
             let Some(candidate) = found else { continue };
@@ -246,22 +251,22 @@
         &self,
         now: Instant,
         host: &Host,
-        need: Need<'_>,
+        capability: Capability<'_>,
         prefix: u64,
-        is_heard: impl Fn(&id::Node) -> bool,
+        is_reachable: impl Fn(&id::Node) -> bool,
     ) -> Option<Candidate> {
         let mut shard = self.shard(&host.target);
         let seen = shard.get_mut(&host.target)?;
         seen.forget_sent(now);
         let state = &seen.state;
-        let fits = match (need, &host.kind) {
-            (Need::Weights(weights), Kind::Engine) => {
-                state.ready.iter().any(|ready| is_same(ready, weights))
+        let is_capable = match (capability, &host.kind) {
+            (Capability::Weights(weights), Kind::Engine) => {
+                state.ready.iter().any(|ready| is_equal(ready, weights))
             }
-            (Need::Service(service), Kind::Service(name)) => service == name,
+            (Capability::Service(service), Kind::Service(name)) => service == name,
             _ => false,
         };
-        (fits && state.accepting && is_heard(&seen.owner)).then(|| Candidate {
+        (is_capable && state.accepting && is_reachable(&seen.owner)).then(|| Candidate {
             target: host.target.clone(),
             key: seen.key,
             near: host.zone == self.zone,
@@ -278,33 +283,33 @@
         })
     }
 
-    fn shard(&self, target: &id::Target) -> MutexGuard<'_, HashMap<id::Target, Seen>> {
+    fn shard(&self, target: &id::Target) -> MutexGuard<'_, HashMap<id::Target, TargetView>> {
         let index = hash_parts(&[target.as_str().as_bytes()]) as usize % SHARDS;
         self.states[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn peers(&self) -> MutexGuard<'_, HashMap<id::Node, PeerSeen>> {
+    fn peers(&self) -> MutexGuard<'_, HashMap<id::Node, PeerView>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Seen {
+impl TargetView {
     fn forget_sent(&mut self, now: Instant) {
-        if self.sent_at.is_some_and(|at| now.saturating_duration_since(at) > SENT_MAX_AGE) {
+        if self.sent_at.is_some_and(|at| now.saturating_duration_since(at) > MAX_SENT_AGE) {
             (self.sent, self.sent_count, self.sent_at) = (size::Tokens(0), 0, None);
         }
     }
 }
 
-fn is_living(now: Instant, peer: &PeerSeen) -> bool {
-    now.saturating_duration_since(peer.at) < PEER_MAX_AGE
+fn is_alive(now: Instant, peer: &PeerView) -> bool {
+    now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE
 }
 
 fn is_in_service(host: &Host, configuration: &Configuration) -> bool {
     host.standing == Standing::Live && !configuration.zone_out(&host.zone)
 }
 
-fn is_same(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
+fn is_equal(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
     ready.model == wanted.model
         && ready.version == wanted.version
         && ready.adapter == wanted.adapter
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -14,23 +14,23 @@
 use std::time::Duration;
 
 const TOKEN: &str = "shop-token";
-const OLD_KEY: &str = "01700000-0000-7000-8000-000000000000";
+const EXPIRED_KEY: &str = "01700000-0000-7000-8000-000000000000";
 const RANDOM_KEY: &str = "7c9e6679-7425-40de-944b-e07fc1f90ae7";
 
-async fn start() -> (Fleet, Node) {
+async fn start_node() -> (Fleet, Node) {
     let weights = Weights { model: "oak".into(), version: "1".into(), adapter: None };
     let mut options = fleet::Options::default();
     options.engine.loaded = vec![weights];
     options.engine.model.speed = 50.0;
     let standins = Fleet::spawn(options).expect("the stand-ins start");
     let platform = standins.platform();
-    let any = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
+    let any_address = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
     let settings = Settings {
         node: "node".into(),
         zone: "a".into(),
-        callers: any,
-        admin: any,
-        peers: any,
+        callers: any_address,
+        admin: any_address,
+        peers: any_address,
         platform: Platform {
             store: platform.store,
             hosts: platform.hosts,
@@ -78,8 +78,8 @@
 }
 
 /// Sends bytes on a connection of its own and reads to its end.
-fn send(at: SocketAddr, request: &str) -> (String, String) {
-    let mut stream = TcpStream::connect(at).expect("the node listens");
+fn send(address: SocketAddr, request: &str) -> (String, String) {
+    let mut stream = TcpStream::connect(address).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout can be set");
     stream.write_all(request.as_bytes()).expect("the request is sent");
     let mut answer = Vec::new();
@@ -105,70 +105,90 @@
     path: &'static str,
     headers: &'static [(&'static str, &'static str)],
     body: &'static str,
-    told: (u16, &'static str, &'static str),
+    expected: (u16, &'static str, &'static str),
 }
 
 const AUTH: (&str, &str) = ("authorization", "Bearer shop-token");
-const ASK: &str = r#"{"model":"oak","prompt":"p","max_tokens":2}"#;
+const COMPLETION_BODY: &str = r#"{"model":"oak","prompt":"p","max_tokens":2}"#;
 
-const fn ask(name: &'static str, body: &'static str, told: (u16, &'static str)) -> Case {
+const fn completion(name: &'static str, body: &'static str, expected: (u16, &'static str)) -> Case {
     let (method, path, headers) = ("POST", "/v1/completions", &[AUTH]);
-    Case { name, method, path, headers, body, told: (told.0, told.1, "no") }
+    Case { name, method, path, headers, body, expected: (expected.0, expected.1, "no") }
 }
 
-const fn with(
+const fn with_headers(
     name: &'static str,
     headers: &'static [(&'static str, &'static str)],
-    told: (u16, &'static str),
+    expected: (u16, &'static str),
 ) -> Case {
-    Case { headers, ..ask(name, ASK, told) }
+    Case { headers, ..completion(name, COMPLETION_BODY, expected) }
 }
 
-const fn at(
+const fn at_path(
     name: &'static str,
     method: &'static str,
     path: &'static str,
     headers: &'static [(&'static str, &'static str)],
-    told: (u16, &'static str),
+    expected: (u16, &'static str),
 ) -> Case {
-    Case { name, method, path, headers, body: "{}", told: (told.0, told.1, "no") }
+    Case { name, method, path, headers, body: "{}", expected: (expected.0, expected.1, "no") }
 }
 
 const CASES: &[Case] = &[
-    ask("no JSON", "{", (400, "malformed")),
-    ask("empty body", "", (400, "malformed")),
-    ask("no prompt", r#"{"model":"oak"}"#, (400, "malformed")),
-    ask("empty prompt", r#"{"model":"oak","prompt":""}"#, (400, "malformed")),
-    ask("prompt of a wrong type", r#"{"model":"oak","prompt":7}"#, (400, "malformed")),
-    ask("no tokens", r#"{"model":"oak","prompt":"p","max_tokens":0}"#, (400, "malformed")),
-    ask("tokens below zero", r#"{"model":"oak","prompt":"p","max_tokens":-1}"#, (400, "malformed")),
-    ask("absurd tokens", r#"{"model":"oak","prompt":"p","max_tokens":9e9}"#, (400, "malformed")),
-    ask("unknown class", r#"{"model":"oak","prompt":"p","class":"vip"}"#, (400, "malformed")),
-    ask("unknown model", r#"{"model":"elm","prompt":"p"}"#, (404, "not-found")),
-    ask("unknown version", r#"{"model":"oak","version":"9","prompt":"p"}"#, (404, "not-found")),
-    ask("unknown adapter", r#"{"model":"oak","adapter":"x","prompt":"p"}"#, (404, "not-found")),
-    ask("model not allowed", r#"{"model":"ash","prompt":"p"}"#, (403, "forbidden")),
-    with("no token", &[], (401, "unauthenticated")),
-    with("unknown token", &[("authorization", "Bearer x")], (401, "unauthenticated")),
-    with("another scheme", &[("authorization", "Basic eDp5")], (401, "unauthenticated")),
-    with("no time left", &[AUTH, ("x-time-left-ms", "0")], (400, "bad-deadline")),
-    with("time below zero", &[AUTH, ("x-time-left-ms", "-5")], (400, "bad-deadline")),
-    with("absurd time", &[AUTH, ("x-time-left-ms", "99999999999")], (400, "bad-deadline")),
-    with("time in words", &[AUTH, ("x-time-left-ms", "soon")], (400, "bad-deadline")),
-    at("unknown path", "GET", "/v2/entry", &[AUTH], (404, "not-found")),
-    at("wrong method", "GET", "/v1/completions", &[AUTH], (405, "bad-method")),
-    at("resume without an event", "GET", "/v1/requests/x", &[AUTH], (400, "bad-header")),
-    at(
+    completion("no JSON", "{", (400, "malformed")),
+    completion("empty body", "", (400, "malformed")),
+    completion("no prompt", r#"{"model":"oak"}"#, (400, "malformed")),
+    completion("empty prompt", r#"{"model":"oak","prompt":""}"#, (400, "malformed")),
+    completion("prompt of a wrong type", r#"{"model":"oak","prompt":7}"#, (400, "malformed")),
+    completion("no tokens", r#"{"model":"oak","prompt":"p","max_tokens":0}"#, (400, "malformed")),
+    completion(
+        "tokens below zero",
+        r#"{"model":"oak","prompt":"p","max_tokens":-1}"#,
+        (400, "malformed"),
+    ),
+    completion(
+        "absurd tokens",
+        r#"{"model":"oak","prompt":"p","max_tokens":9e9}"#,
+        (400, "malformed"),
+    ),
+    completion(
+        "unknown class",
+        r#"{"model":"oak","prompt":"p","class":"vip"}"#,
+        (400, "malformed"),
+    ),
+    completion("unknown model", r#"{"model":"elm","prompt":"p"}"#, (404, "not-found")),
+    completion(
+        "unknown version",
+        r#"{"model":"oak","version":"9","prompt":"p"}"#,
+        (404, "not-found"),
+    ),
+    completion(
+        "unknown adapter",
+        r#"{"model":"oak","adapter":"x","prompt":"p"}"#,
+        (404, "not-found"),
+    ),
+    completion("model not allowed", r#"{"model":"ash","prompt":"p"}"#, (403, "forbidden")),
+    with_headers("no token", &[], (401, "unauthenticated")),
+    with_headers("unknown token", &[("authorization", "Bearer x")], (401, "unauthenticated")),
+    with_headers("another scheme", &[("authorization", "Basic eDp5")], (401, "unauthenticated")),
+    with_headers("no time left", &[AUTH, ("x-time-left-ms", "0")], (400, "bad-deadline")),
+    with_headers("time below zero", &[AUTH, ("x-time-left-ms", "-5")], (400, "bad-deadline")),
+    with_headers("absurd time", &[AUTH, ("x-time-left-ms", "99999999999")], (400, "bad-deadline")),
+    with_headers("time in words", &[AUTH, ("x-time-left-ms", "soon")], (400, "bad-deadline")),
+    at_path("unknown path", "GET", "/v2/entry", &[AUTH], (404, "not-found")),
+    at_path("wrong method", "GET", "/v1/completions", &[AUTH], (405, "bad-method")),
+    at_path("resume without an event", "GET", "/v1/requests/x", &[AUTH], (400, "bad-header")),
+    at_path(
         "resume with a made-up event",
         "GET",
         "/v1/requests/x",
         &[AUTH, ("last-event-id", "00:1:engine-0:y")],
         (400, "bad-header"),
     ),
-    at("unknown service", "POST", "/v1/services/taxis/x", &[AUTH], (404, "not-found")),
-    at("service not allowed", "POST", "/v1/services/refunds/x", &[AUTH], (403, "forbidden")),
-    at("order without a key", "POST", "/v1/services/orders/place", &[AUTH], (400, "bad-key")),
-    at(
+    at_path("unknown service", "POST", "/v1/services/taxis/x", &[AUTH], (404, "not-found")),
+    at_path("service not allowed", "POST", "/v1/services/refunds/x", &[AUTH], (403, "forbidden")),
+    at_path("order without a key", "POST", "/v1/services/orders/place", &[AUTH], (400, "bad-key")),
+    at_path(
         "order with a random key",
         "POST",
         "/v1/services/orders/place",
@@ -176,12 +196,12 @@
         (400, "bad-key"),
     ),
     Case {
-        told: (400, "key-too-old", "unknown"),
-        ..at(
+        expected: (400, "key-too-old", "unknown"),
+        ..at_path(
             "order with an old key",
             "POST",
             "/v1/services/orders/place",
-            &[AUTH, ("idempotency-key", OLD_KEY)],
+            &[AUTH, ("idempotency-key", EXPIRED_KEY)],
             (400, "key-too-old"),
         )
     },
@@ -190,8 +210,8 @@
 /// Every bad request gets its own clear refusal at once, on a connection that
 /// is not held, and the node serves a good one afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_are_refused_by_the_table() {
-    let (_standins, node) = start().await;
+async fn each_invalid_request_gets_its_listed_refusal() {
+    let (_standins, node) = start_node().await;
     configure(&node).await;
     let callers = node.caller_address();
     for case in CASES {
@@ -199,22 +219,23 @@
         let (head, body) = send(callers, &request);
         let problem: Value = serde_json::from_str(&body).unwrap_or(Value::Null);
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-        let (wanted, reason, ran) = case.told;
-        assert_eq!(status, Some(wanted), "{}: {head}\n{body}", case.name);
+        let (expected_status, reason, ran) = case.expected;
+        assert_eq!(status, Some(expected_status), "{}: {head}\n{body}", case.name);
         assert_eq!(problem["reason"], reason, "{}: {body}", case.name);
         assert_eq!(problem["ran"], ran, "{}: {body}", case.name);
         assert_ne!(problem["detail"], "", "{}", case.name);
         assert!(head.contains("application/problem+json"), "{}: {head}", case.name);
     }
-    let (head, body) = send(callers, &write_request("POST", "/v1/completions", &[AUTH], ASK));
+    let (head, body) =
+        send(callers, &write_request("POST", "/v1/completions", &[AUTH], COMPLETION_BODY));
     assert!(head.starts_with("HTTP/1.1 200"), "{head}\n{body}");
 }
 
 /// The same key with another content is refused as not run: the first content
 /// ran under that key, this one never does.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_good_for_one_content() {
-    let (standins, node) = start().await;
+async fn an_idempotency_key_is_valid_for_one_body_only() {
+    let (standins, node) = start_node().await;
     configure(&node).await;
     let key = uuid::Uuid::now_v7().to_string();
     let place = |body: &str| {
@@ -236,9 +257,11 @@
 /// sent; a node without configuration refuses everything as not ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_are_bounded_and_an_empty_node_is_not_ready() {
-    let (_standins, node) = start().await;
-    let (_, body) =
-        send(node.caller_address(), &write_request("POST", "/v1/completions", &[AUTH], ASK));
+    let (_standins, node) = start_node().await;
+    let (_, body) = send(
+        node.caller_address(),
+        &write_request("POST", "/v1/completions", &[AUTH], COMPLETION_BODY),
+    );
     assert!(body.contains("not-ready") && body.contains("retry_after_ms"), "{body}");
     configure(&node).await;
     let request = format!(
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -30,7 +30,7 @@
 use std::time::{Duration, Instant};
 
 /// The bound of every wait; it only ends a test that has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_TEST_WAIT: Duration = Duration::from_secs(20);
 
 const FLEET_KEY: &str = "2a";
 const TOKEN: &str = "shop-token";
@@ -38,10 +38,10 @@
 const GOSSIP_MS: u64 = 50;
 
 /// Less than a request waits for a newer configuration.
-const AT_ONCE: Duration = Duration::from_millis(700);
+const MAX_IMMEDIATE_TIME: Duration = Duration::from_millis(700);
 
 /// A revision of the ownership table that no write of the test reaches.
-const FAR_REVISION: u64 = 1_000_000;
+const UNREACHABLE_REVISION: u64 = 1_000_000;
 
 /// What the made-up peers tell and give, and what they were asked for.
 #[derive(Debug, Default)]
@@ -53,28 +53,28 @@
     /// The configuration that they give.
     document: Mutex<Option<Document>>,
     /// How long a document takes.
-    slow: Mutex<Duration>,
+    delay: Mutex<Duration>,
     /// Whether they have ended.
-    gone: AtomicBool,
-    releases: Asked,
-    tables: Asked,
+    is_stopped: AtomicBool,
+    releases: RequestCounter,
+    tables: RequestCounter,
 }
 
 /// How often something was asked for.
 #[derive(Debug, Default)]
-struct Asked {
+struct RequestCounter {
     count: AtomicUsize,
-    now: AtomicUsize,
-    most: AtomicUsize,
+    in_flight: AtomicUsize,
+    max_concurrent: AtomicUsize,
 }
 
-impl Asked {
-    fn give<T>(&self, slow: Duration, value: T) -> T {
+impl RequestCounter {
+    fn respond<T>(&self, delay: Duration, value: T) -> T {
         self.count.fetch_add(1, Ordering::SeqCst);
-        let now = self.now.fetch_add(1, Ordering::SeqCst) + 1;
-        self.most.fetch_max(now, Ordering::SeqCst);
-        std::thread::sleep(slow);
-        self.now.fetch_sub(1, Ordering::SeqCst);
+        let in_flight = self.in_flight.fetch_add(1, Ordering::SeqCst) + 1;
+        self.max_concurrent.fetch_max(in_flight, Ordering::SeqCst);
+        std::thread::sleep(delay);
+        self.in_flight.fetch_sub(1, Ordering::SeqCst);
         value
     }
 
@@ -83,17 +83,17 @@
     }
 
     /// The most that were asked for at the same time.
-    fn most(&self) -> usize {
-        self.most.load(Ordering::SeqCst)
+    fn max_concurrent(&self) -> usize {
+        self.max_concurrent.load(Ordering::SeqCst)
     }
 }
 
 impl Peers {
-    fn slow(&self) -> Duration {
-        *self.slow.lock().unwrap()
+    fn delay(&self) -> Duration {
+        *self.delay.lock().unwrap()
     }
 
-    fn tell(&self, node: &id::Node) -> Gossip {
+    fn make_gossip(&self, node: &id::Node) -> Gossip {
         Gossip {
             node: node.clone(),
             incarnation: id::Incarnation(1),
@@ -121,7 +121,7 @@
 
 impl Handler for Peer {
     fn exchange(&self, _: Gossip) -> Gossip {
-        self.peers.tell(&self.node)
+        self.peers.make_gossip(&self.node)
     }
 
     async fn permit(&self, _: Ask) -> Result<Permit, Refusal> {
@@ -136,32 +136,32 @@
 
     fn release(&self) -> Option<Document> {
         let document = self.peers.document.lock().unwrap().clone();
-        self.peers.releases.give(self.peers.slow(), document)
+        self.peers.releases.respond(self.peers.delay(), document)
     }
 
     fn owners(&self) -> Option<Document> {
-        self.peers.tables.give(self.peers.slow(), None)
+        self.peers.tables.respond(self.peers.delay(), None)
     }
 }
 
 /// A node with made-up peers, and the configuration that it has.
-struct Scene {
+struct Fixture {
     node: Node,
     peers: Arc<Peers>,
     http: Client<HttpConnector, Full<Bytes>>,
     standins: Fleet,
 }
 
-fn any() -> SocketAddr {
+fn any_address() -> SocketAddr {
     SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0)
 }
 
-fn model() -> Model {
+fn make_model() -> Model {
     let versions = [("1".into(), Weight { bytes: size::Bytes(1_000) })].into();
     Model { current: "1".into(), versions, adapters: Default::default() }
 }
 
-fn account(token: &str, models: &[&str]) -> Account {
+fn make_account(token: &str, models: &[&str]) -> Account {
     Account {
         partner: "mawe".into(),
         token_digest: digest_token(token),
@@ -171,11 +171,11 @@
     }
 }
 
-fn first_note() -> Note {
+fn make_first_note() -> Note {
     let added = Entries {
         partners: [("mawe".into(), Partner { share: 1.0 })].into(),
-        accounts: [("shop".into(), account(TOKEN, &["oak"]))].into(),
-        models: [("oak".into(), model()), ("ash".into(), model())].into(),
+        accounts: [("shop".into(), make_account(TOKEN, &["oak"]))].into(),
+        models: [("oak".into(), make_model()), ("ash".into(), make_model())].into(),
         services: [("orders".into(), Service::default())].into(),
         operators: [digest_token("operator")].into(),
         ..Entries::default()
@@ -184,28 +184,28 @@
 }
 
 /// What the operators allowed meanwhile.
-fn write_newer(version: u64) -> Document {
+fn make_newer_document(version: u64) -> Document {
     let mut newer = Configuration { version: id::Release(version), ..Configuration::default() };
     newer.partners.insert("mawe".into(), Partner { share: 1.0 });
     for name in ["oak", "ash", "elm"] {
-        newer.models.insert(name.into(), model());
+        newer.models.insert(name.into(), make_model());
     }
     let models = ["oak", "ash", "elm"];
-    newer.accounts.insert("shop".into(), account(TOKEN, &models));
-    newer.accounts.insert("stall".into(), account(NEW_TOKEN, &models));
+    newer.accounts.insert("shop".into(), make_account(TOKEN, &models));
+    newer.accounts.insert("stall".into(), make_account(NEW_TOKEN, &models));
     newer.services.insert("orders".into(), Service::default());
     Document { version, text: serde_json::to_string(&newer).unwrap() }
 }
 
 async fn eventually<F: Future<Output = bool>>(what: &str, mut check: impl FnMut() -> F) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + MAX_TEST_WAIT;
     while !check().await {
         assert!(Instant::now() < end, "never came: {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-impl Scene {
+impl Fixture {
     async fn start(count: usize) -> Self {
         let mut options = fleet::Options::default();
         options.engine.loaded =
@@ -216,9 +216,9 @@
         let settings = Settings {
             node: "node".into(),
             zone: "a".into(),
-            callers: any(),
-            admin: any(),
-            peers: any(),
+            callers: any_address(),
+            admin: any_address(),
+            peers: any_address(),
             platform: Platform {
                 store: platform.store,
                 hosts: platform.hosts,
@@ -230,20 +230,20 @@
             logs: Default::default(),
         };
         let node = Node::spawn(settings).await.expect("the node starts");
-        node.accept(&first_note()).await.expect("the note is accepted");
+        node.accept(&make_first_note()).await.expect("the note is accepted");
         let peers = Arc::new(Peers::default());
         for i in 0..count {
             spawn_peer(&standins, &node, &peers, format!("peer-{i:02}").as_str().into());
         }
         let http = Client::builder(TokioExecutor::new()).build_http();
-        let scene = Self { node, peers, http, standins };
-        eventually("targets take work", || async { scene.node.count_accepting_targets() >= 5 })
+        let fixture = Self { node, peers, http, standins };
+        eventually("targets take work", || async { fixture.node.count_accepting_targets() >= 5 })
             .await;
-        scene
+        fixture
     }
 
-    async fn ask(&self, path: &str, token: &str, body: Value) -> Answer {
-        let began = Instant::now();
+    async fn post(&self, path: &str, token: &str, body: Value) -> Answer {
+        let started = Instant::now();
         let request = Request::post(format!("http://{}{path}", self.node.caller_address()))
             .header("authorization", format!("Bearer {token}"))
             .body(Full::from(body.to_string()))
@@ -254,16 +254,16 @@
         let body = response.into_body().collect().await.expect("the answer is whole").to_bytes();
         let body: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         let reason = body["reason"].as_str().unwrap_or_default().to_owned();
-        Answer { status, reason, retry_after, took: began.elapsed() }
+        Answer { status, reason, retry_after, elapsed: started.elapsed() }
     }
 
     async fn complete(&self, token: &str, model: &str) -> Answer {
         let body = json!({ "model": model, "prompt": "p", "max_tokens": 2 });
-        self.ask("/v1/completions", token, body).await
+        self.post("/v1/completions", token, body).await
     }
 
     /// Asks for each thing that only the newer configuration allows.
-    async fn ask_all(&self) -> [(&'static str, Answer); 6] {
+    async fn request_everything_newer(&self) -> [(&'static str, Answer); 6] {
         let prompt = |rest: Value| {
             let mut body = json!({ "model": "oak", "prompt": "p", "max_tokens": 2 });
             body.as_object_mut().unwrap().extend(rest.as_object().unwrap().clone());
@@ -275,9 +275,9 @@
             self.complete(NEW_TOKEN, "oak"),
             self.complete(TOKEN, "elm"),
             self.complete(TOKEN, "ash"),
-            self.ask("/v1/completions", TOKEN, version),
-            self.ask("/v1/completions", TOKEN, adapter),
-            self.ask("/v1/services/taxis/x", TOKEN, json!({})),
+            self.post("/v1/completions", TOKEN, version),
+            self.post("/v1/completions", TOKEN, adapter),
+            self.post("/v1/services/taxis/x", TOKEN, json!({})),
         );
         [
             ("token", token),
@@ -291,7 +291,7 @@
 }
 
 fn spawn_peer(standins: &Fleet, node: &Node, peers: &Arc<Peers>, name: id::Node) {
-    let listener = TcpListener::bind(any()).expect("a port is free");
+    let listener = TcpListener::bind(any_address()).expect("a port is free");
     let address = listener.local_addr().unwrap();
     let key = FLEET_KEY.repeat(32).parse().expect("the key is well-formed");
     let peer = Peer { node: name.clone(), peers: peers.clone() };
@@ -311,8 +311,8 @@
     tokio::spawn(async move {
         // Held while the peer lives.
         let _member = member;
-        while !peers.gone.load(Ordering::SeqCst) {
-            let _ = links.exchange(to, peers.tell(&name), Duration::from_secs(1)).await;
+        while !peers.is_stopped.load(Ordering::SeqCst) {
+            let _ = links.exchange(to, peers.make_gossip(&name), Duration::from_secs(1)).await;
             tokio::time::sleep(Duration::from_millis(GOSSIP_MS)).await;
         }
         links.close();
@@ -324,11 +324,11 @@
     status: StatusCode,
     reason: String,
     retry_after: bool,
-    took: Duration,
+    elapsed: Duration,
 }
 
 impl Answer {
-    fn told(&self) -> (u16, &str, bool) {
+    fn summary(&self) -> (u16, &str, bool) {
         (self.status.as_u16(), &self.reason, self.retry_after)
     }
 }
@@ -339,20 +339,20 @@
 /// calls timed out and took the permits on the same links with them. It must
 /// ask one peer at a time for each document, and nobody any more when it has it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_document_is_asked_of_one_peer_at_a_time() {
-    let scene = Scene::start(8).await;
-    let Peers { releases, tables, .. } = &*scene.peers;
-    *scene.peers.slow.lock().unwrap() = Duration::from_millis(300);
-    *scene.peers.document.lock().unwrap() = Some(write_newer(5));
-    scene.peers.release.store(5, Ordering::SeqCst);
-    scene.peers.owners.store(FAR_REVISION, Ordering::SeqCst);
+async fn a_document_is_fetched_from_one_peer_at_a_time() {
+    let fixture = Fixture::start(8).await;
+    let Peers { releases, tables, .. } = &*fixture.peers;
+    *fixture.peers.delay.lock().unwrap() = Duration::from_millis(300);
+    *fixture.peers.document.lock().unwrap() = Some(make_newer_document(5));
+    fixture.peers.release.store(5, Ordering::SeqCst);
+    fixture.peers.owners.store(UNREACHABLE_REVISION, Ordering::SeqCst);
     eventually("the newer configuration", || async {
-        scene.complete(NEW_TOKEN, "oak").await.status == 200
+        fixture.complete(NEW_TOKEN, "oak").await.status == 200
     })
     .await;
     eventually("some asks for the table", || async { tables.count() >= 5 }).await;
     assert_eq!(
-        (releases.count(), releases.most(), tables.most()),
+        (releases.count(), releases.max_concurrent(), tables.max_concurrent()),
         (1, 1, 1),
         "asks for the configuration, and most at the same time for it and for the table"
     );
@@ -364,9 +364,9 @@
 /// that. It must say that it can't serve now and when to come back; what is
 /// wrong by any configuration it goes on refusing at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_is_behind_refuses_nothing_for_good() {
-    let scene = Scene::start(2).await;
-    let wanted = [
+async fn a_node_with_an_old_configuration_refuses_nothing_permanently() {
+    let fixture = Fixture::start(2).await;
+    let expected = [
         ("token", (401, "unauthenticated", false)),
         ("model", (404, "not-found", false)),
         ("model of others", (403, "forbidden", false)),
@@ -374,40 +374,45 @@
         ("adapter", (404, "not-found", false)),
         ("service", (404, "not-found", false)),
     ];
-    let answers = scene.ask_all().await;
-    assert_eq!(answers.each_ref().map(|(what, answer)| (*what, answer.told())), wanted);
+    let answers = fixture.request_everything_newer().await;
+    assert_eq!(answers.each_ref().map(|(what, answer)| (*what, answer.summary())), expected);
     for (what, answer) in &answers {
-        assert!(answer.took < AT_ONCE, "{what}: {answer:?}");
+        assert!(answer.elapsed < MAX_IMMEDIATE_TIME, "{what}: {answer:?}");
     }
 
-    scene.peers.release.store(5, Ordering::SeqCst);
-    eventually("the node has heard", || async { scene.peers.releases.count() > 0 }).await;
-    let answers = scene.ask_all().await;
-    let behind = wanted.map(|(what, _)| (what, (503, "behind", true)));
-    assert_eq!(answers.each_ref().map(|(what, answer)| (*what, answer.told())), behind);
+    fixture.peers.release.store(5, Ordering::SeqCst);
+    eventually("the node has heard", || async { fixture.peers.releases.count() > 0 }).await;
+    let answers = fixture.request_everything_newer().await;
+    let behind = expected.map(|(what, _)| (what, (503, "behind", true)));
+    assert_eq!(answers.each_ref().map(|(what, answer)| (*what, answer.summary())), behind);
     for (what, answer) in &answers {
-        assert!(answer.took < Duration::from_secs(2), "{what}: {answer:?}");
+        assert!(answer.elapsed < Duration::from_secs(2), "{what}: {answer:?}");
     }
 
-    let bare = Request::post(format!("http://{}/v1/completions", scene.node.caller_address()));
-    let bare = bare.body(Full::default()).unwrap();
-    let began = Instant::now();
-    assert_eq!(scene.http.request(bare).await.unwrap().status(), 401, "without a token");
-    assert!(began.elapsed() < AT_ONCE, "{:?}", began.elapsed());
-    let path = scene.ask("/v2/nowhere", TOKEN, json!({})).await;
-    assert_eq!(path.told(), (404, "not-found", false));
-    let body = scene.ask("/v1/completions", TOKEN, json!({ "model": "oak" })).await;
-    assert_eq!(body.told(), (400, "malformed", false));
-    let known = scene.complete(TOKEN, "oak").await;
+    let request_without_token =
+        Request::post(format!("http://{}/v1/completions", fixture.node.caller_address()));
+    let request_without_token = request_without_token.body(Full::default()).unwrap();
+    let started = Instant::now();
+    assert_eq!(
+        fixture.http.request(request_without_token).await.unwrap().status(),
+        401,
+        "without a token"
+    );
+    assert!(started.elapsed() < MAX_IMMEDIATE_TIME, "{:?}", started.elapsed());
+    let path = fixture.post("/v2/nowhere", TOKEN, json!({})).await;
+    assert_eq!(path.summary(), (404, "not-found", false));
+    let body = fixture.post("/v1/completions", TOKEN, json!({ "model": "oak" })).await;
+    assert_eq!(body.summary(), (400, "malformed", false));
+    let known = fixture.complete(TOKEN, "oak").await;
     assert_eq!(known.status, 200, "what it knows is served");
     for answer in [path, body, known] {
-        assert!(answer.took < AT_ONCE, "{answer:?}");
+        assert!(answer.elapsed < MAX_IMMEDIATE_TIME, "{answer:?}");
     }
 
     // Peers that are gone have taken what they knew with them.
-    scene.peers.gone.store(true, Ordering::SeqCst);
+    fixture.peers.is_stopped.store(true, Ordering::SeqCst);
     eventually("the node is not behind any more", || async {
-        scene.complete(TOKEN, "elm").await.told() == (404, "not-found", false)
+        fixture.complete(TOKEN, "elm").await.summary() == (404, "not-found", false)
     })
     .await;
 }
@@ -415,19 +420,19 @@
 /// The newer configuration comes while a request waits that only it allows: the
 /// request is looked up again, and served as if it had come later.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_waits_for_a_newer_configuration_is_served_by_it() {
-    let scene = Scene::start(2).await;
-    scene.peers.release.store(5, Ordering::SeqCst);
-    eventually("the node has heard", || async { scene.peers.releases.count() > 0 }).await;
+async fn a_waiting_request_is_served_by_the_newer_configuration() {
+    let fixture = Fixture::start(2).await;
+    fixture.peers.release.store(5, Ordering::SeqCst);
+    eventually("the node has heard", || async { fixture.peers.releases.count() > 0 }).await;
     let give = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
-        *scene.peers.document.lock().unwrap() = Some(write_newer(5));
+        *fixture.peers.document.lock().unwrap() = Some(make_newer_document(5));
     };
     let (token, model, ()) =
-        tokio::join!(scene.complete(NEW_TOKEN, "oak"), scene.complete(TOKEN, "ash"), give);
+        tokio::join!(fixture.complete(NEW_TOKEN, "oak"), fixture.complete(TOKEN, "ash"), give);
     assert_eq!(token.status, 200, "{token:?}");
     // No engine has these weights yet, and that is what it is told.
     assert_ne!(model.status, 403, "{model:?}");
     assert_ne!(model.reason, "behind", "{model:?}");
-    drop(scene.standins);
+    drop(fixture.standins);
 }
