--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -1,5 +1,5 @@
-//! Calls of plain services: idempotent ones may be tried again, the others
-//! are claimed in the ledger and sent at most once.
+//! Calls to plain services. Idempotent calls are retried; the others are claimed in the ledger
+//! under their idempotency key and sent at most once.
 
 use crate::core::{Active, Core};
 use crate::parse::{Caller, hash_parts, refuse};
@@ -21,29 +21,31 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// The greatest answer that the ledger keeps for a resend; its documents hold
-/// many claims within the platform's bound of a megabyte.
+/// Maximum size of an answer that the ledger keeps for resends. A ledger document holds many
+/// claims and the platform limits it to a megabyte.
 const MAX_KEPT_BODY_BYTES: usize = 2048;
 
-/// When to ask again for a call whose first attempt may still be under way.
+/// Retry delay for a caller whose first attempt may still be running.
 const REPEATED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A call to make.
+/// A call to a plain service.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) caller: Caller,
     pub(crate) service: id::Service,
     pub(crate) path: String,
     pub(crate) key: Option<Uuid>,
-    /// Whether it must not be repeated.
+    /// Whether the call is not idempotent, so that it must be sent at most once.
     pub(crate) at_most_once: bool,
     pub(crate) body: Bytes,
     pub(crate) deadline: Instant,
     pub(crate) deadline_ms: u64,
 }
 
-/// Makes a call and brings its answer. It runs in a task of its own: a caller
-/// who hangs up must not leave a claim that is neither sent nor settled.
+/// Makes a call and returns its answer.
+///
+/// The call runs in a task of its own: a caller that disconnects must not leave a claim that is
+/// neither sent nor settled.
 pub(crate) async fn run(core: &Arc<Core>, call: Call) -> Result<Reply, Refusal> {
     let core = core.clone();
     let task = tokio::spawn(async move {
@@ -64,12 +66,12 @@
     })
 }
 
-/// A call that brought no answer.
+/// A call that ended without an answer.
 struct Failure {
     refusal: Refusal,
 }
 
-/// Claims the call before its first byte, and sends it at most once.
+/// Claims the call in the ledger before any byte is sent, and sends it at most once.
 async fn run_at_most_once(core: &Arc<Core>, call: &Call, key: Uuid) -> Result<Reply, Refusal> {
     let answer = core.ledger.claim(key, fingerprint(call), call.deadline).await;
     core.metrics.claimed(label_claim(&answer));
@@ -81,7 +83,8 @@
     let outcome = match &result {
         Ok(reply) => Some(Outcome::Answered { status: reply.status, body: keep_body(&reply.body) }),
         Err(failure) if failure.refusal.ran == Ran::No => Some(Outcome::NotRun),
-        // It may still run: the claim stays, and a resend is told so.
+        // The call may still run. The claim stays, and a resend is answered that it may have
+        // run.
         Err(_) => None,
     };
     if let Some(outcome) = outcome {
@@ -90,8 +93,8 @@
     result.map_err(|failure| failure.refusal)
 }
 
-/// Stores how a claimed call ended, for resends; the caller's answer does not
-/// wait for it.
+/// Stores how a claimed call ended, for resends. Runs in the background, so that the caller's
+/// answer isn't delayed.
 fn settle(core: &Arc<Core>, claim: Claim, outcome: Outcome) {
     let core = core.clone();
     tokio::spawn(async move {
@@ -208,8 +211,8 @@
 ) -> Result<Reply, Error> {
     let now = core.now();
     let permit = &placement.permit;
-    // A claimant that was paused past its window must not send: a resend may
-    // have been told by then that this call has not run.
+    // A node that was paused past the claim's send window must not send: a resend may already
+    // have been answered that the call has not run.
     if claim.is_some_and(|claim| !claim.may_send(core.clock.now())) {
         permit::report_outcome(
             core,
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! The state that all modules of a node share.
 
 use crate::peers::FetchLocks;
 use crate::suspect::RetryControl;
@@ -23,21 +23,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How long a new connection to a peer may take to prove that it is alive.
+/// Timeout for a new connection to a peer to prove that the peer is alive.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a node stands in its life.
+/// Lifecycle stage of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// Serves, and is named to callers.
+    /// Accepts requests and is named to callers by the entry point.
     Serving,
-    /// Serves who still comes, but is not named any more.
+    /// Still accepts requests, but is no longer named to callers.
     Draining,
-    /// Takes nothing more.
+    /// Accepts no more requests.
     Closed,
 }
 
-/// Probes peers over the links, once these are there.
+/// Probes peers over the links; reports every peer as dead until the links are set.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkProbe(pub(crate) Arc<OnceLock<Links>>);
 
@@ -50,10 +50,10 @@
     }
 }
 
-/// The platform, with a count of each call.
+/// The platform client, with metrics for each call.
 pub(crate) type MeteredPlatform = Metered<Platform, System>;
 
-/// What the parts of a node share.
+/// The state that all modules of a node share.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) settings: Settings,
@@ -93,7 +93,7 @@
         self.keeper.current()
     }
 
-    /// Whether a living peer has a newer configuration than this node.
+    /// Returns whether a live peer has a newer configuration than this node.
     pub(crate) fn is_behind(&self) -> bool {
         let known = self.configuration().map(|configuration| configuration.version);
         self.view.newest_release(self.now()) > known
@@ -103,18 +103,18 @@
         Duration::from_millis(millis)
     }
 
-    /// Life of a permit, from the moment it is asked for.
+    /// Returns the lifetime of a permit, counted from the time of the ask.
     pub(crate) fn permit_lifetime(&self) -> Duration {
         self.duration_ms(self.settings.times.permit_ms)
     }
 
-    /// How long a call to a peer may take.
+    /// Returns the timeout of a call to a peer.
     pub(crate) fn peer_timeout(&self) -> Duration {
         self.permit_lifetime()
     }
 }
 
-/// Counts a request as active while it lives.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Active(Arc<Core>);
 
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -1,15 +1,15 @@
 //! The planned stop of a node.
 //!
-//! In order: peers stop naming this node to callers; its targets go to other
-//! owners; it serves on while a caller may still keep an answer that names it
-//! and until the last request has ended; then it closes and leaves.
+//! First peers stop naming this node to callers and its targets move to other owners. The node
+//! keeps serving while a caller may still have a cached entry answer that names it, and until
+//! the last request has ended. Then it closes and deregisters.
 
 use crate::core::{Core, Stage};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Between two looks at whether requests are still active.
+/// Poll interval for active requests.
 const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Begins a planned stop; only the first call has an effect.
@@ -23,7 +23,7 @@
     });
 }
 
-/// Waits until a planned stop is begun, and carries it out.
+/// Waits until a planned stop begins, and performs it.
 pub(crate) async fn run(core: Arc<Core>) {
     let mut stage = core.stage.subscribe();
     if stage.wait_for(|stage| *stage == Stage::Draining).await.is_err() {
@@ -31,8 +31,8 @@
     }
     let keep = core.duration_ms(core.settings.times.entry_keep_ms + core.settings.times.gossip_ms);
     let kept_until = core.now() + keep;
-    // With the platform down neither of these gets through: peers learn of the
-    // stop by gossip, and owners go on here until the last stream has ended.
+    // While the platform is unavailable, both of these fail: peers learn of the stop by gossip,
+    // and this node remains owner until the last stream has ended.
     core.member.set_draining().await;
     core.owners.release_all().await;
     tokio::time::sleep_until(kept_until.into()).await;
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,8 +1,8 @@
-//! Which address a caller should use.
+//! Selects the node that a caller should use.
 //!
-//! There is no balancer: callers ask any node, keep the answer for a while
-//! and connect there. A node that is stopping is not named, and keeps serving
-//! for as long as an answer that names it may be kept.
+//! There is no load balancer: a caller asks any node, caches the answer for a while and
+//! connects to the node that it names. A draining node isn't named, and keeps serving for as
+//! long as answers that name it may be cached.
 
 use crate::core::{Core, Stage};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A peer that was not heard for this long is not named: several exchanges
-/// were missed, and a caller sent there might find nobody.
+/// A peer that has been silent for this long isn't named: several gossip exchanges were missed,
+/// and the node may be down.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 
-/// Alternates that an answer names.
+/// Maximum number of alternate addresses in an answer.
 const MAX_ALTERNATES: usize = 3;
 
-/// The answer to which address to use.
+/// The body of the entry answer.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Entry {
     address: SocketAddr,
@@ -25,9 +25,10 @@
     keep_ms: u64,
 }
 
-/// Names a node: the one of two random choices that serves fewer callers.
-/// Two choices suffice to keep a burst of callers, who all see the same
-/// slightly old counts, from running to one node.
+/// Chooses the less loaded of two random nodes.
+///
+/// Choosing between two random nodes keeps a burst of callers, which all see the same slightly
+/// outdated counts, from going to a single node.
 pub(crate) fn answer_entry(core: &Core) -> Option<Entry> {
     let now = core.now();
     let peer_views = core.view.peer_views();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
 //! The hickoryrun node as a library.
 //!
-//! A node takes callers, asks the owners of targets for leave to send, relays
-//! answers, and owns some of the targets itself. The modules stand in the
-//! order in which a request goes through them.
+//! A node accepts requests from callers, asks the owners of targets for permits, relays
+//! answers, and owns some of the targets itself. Each target has one owner, which limits the
+//! work on it; the node that accepted a request sends it to the target directly.
 //!
 //! ```no_run
 //! # async fn run(settings: hickory_settings::Node) -> std::io::Result<()> {
@@ -60,24 +60,24 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a short call to a target may take.
+/// Timeout of short calls to a target, such as reports, cancels and orders.
 const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
 #[derive(Clone, Debug)]
 pub struct Node {
     core: Arc<Core>,
-    /// Serves operators until the last clone of the node is dropped.
+    /// Serves the administration interface until the last clone of the node is dropped.
     admin: Arc<hickory_admin::server::Handle<admin::Service>>,
 }
 
 impl Node {
-    /// Binds the addresses of the settings (port 0 takes a free one) and
-    /// starts the node on the current Tokio runtime.
+    /// Binds the addresses of the settings (port 0 selects a free port) and starts the node on
+    /// the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// An address that can't be bound, or a fleet key that is malformed.
+    /// An address that can't be bound, or a malformed fleet key.
     pub async fn spawn(mut settings: Settings) -> io::Result<Self> {
         let key = settings.fleet_key.parse().map_err(invalid)?;
         let callers = TcpListener::bind(settings.callers)?;
@@ -101,44 +101,43 @@
         Ok(Self { core, admin: Arc::new(admin) })
     }
 
-    /// Where callers connect.
+    /// Returns the address on which callers connect.
     pub fn caller_address(&self) -> SocketAddr {
         self.core.settings.callers
     }
 
-    /// Where operators connect.
+    /// Returns the address of the administration interface.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Where other nodes connect.
+    /// Returns the address on which other nodes connect.
     pub fn peer_address(&self) -> SocketAddr {
         self.core.settings.peers
     }
 
-    /// Accepts a release note: writes the configuration that it makes of the
-    /// present one, whole or not at all.
+    /// Applies a release note to the current configuration and stores the result atomically.
     ///
     /// # Errors
     ///
-    /// Why the note is not accepted, or that it is not known whether it is.
+    /// Returns why the note was rejected, or that its outcome is unknown.
     pub async fn accept(&self, note: &Note) -> Result<id::Release, Rejection> {
         self.core.keeper.accept(note).await.map(|configuration| configuration.version)
     }
 
-    /// Targets that take new work, as far as this node knows.
+    /// Returns the number of targets that accept new work, as far as this node knows.
     pub fn count_accepting_targets(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
         states.filter(|state| state.accepting).count()
     }
 
-    /// Begins a planned stop; [`Node::wait_closed`] tells when it is done.
+    /// Begins a planned stop; [`Node::wait_closed`] waits for its end.
     pub fn drain(&self) {
         drain::begin(&self.core);
     }
 
-    /// Waits until the node takes nothing more and its last request has ended.
+    /// Waits until the node is closed: it accepts no more requests and the last one has ended.
     pub async fn wait_closed(&self) {
         let mut stage = self.core.stage.subscribe();
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -1,5 +1,5 @@
-//! Log lines about requests: each names its request, attempt, account, target
-//! and zone, as far as they are known.
+//! Log lines about requests. Each contains the request, attempt, account, target and zone that
+//! are known.
 
 use crate::core::Core;
 use crate::permit::Placement;
@@ -8,7 +8,7 @@
 use hickory_unit::id;
 use log::Level;
 
-/// An attempt failed, and another one follows.
+/// Logs that an attempt failed and another one follows.
 pub(crate) fn log_retry(core: &Core, account: &id::Account, placement: &Placement, reason: Retry) {
     if Level::Warn > log::max_level() {
         return;
@@ -24,8 +24,10 @@
     subject.log(Level::Warn, module_path!(), format_args!("attempt failed: {reason}"));
 }
 
-/// An admitted request is given up on. One that has not run tells of load and
-/// is counted; one that may have run tells of a fault and is worth a line.
+/// Logs that an admitted request is refused.
+///
+/// A request that has not run indicates load and is counted in the metrics, so it is logged at
+/// debug level. One that may have run indicates a fault and is logged as a warning.
 pub(crate) fn log_refusal(request: id::Request, account: &id::Account, refusal: &Refusal) {
     let level = match refusal.ran {
         Ran::No => Level::Debug,
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,4 +1,4 @@
-//! What callers get: problem documents, completions and event streams.
+//! Encodes answers to callers: problem documents, completions and event streams.
 
 use crate::seal::{Position, seal_position};
 use bytes::Bytes;
@@ -14,12 +14,12 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The body of a response: whole, or a stream of events.
+/// The body of a response: complete, or a stream of events.
 #[derive(Debug)]
 pub(crate) enum Body {
-    /// All at once.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Each piece is written to the connection as it comes.
+    /// Events, each written to the connection as it arrives.
     Events(mpsc::Receiver<Bytes>),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The problem document of RFC 9457, with what callers need to decide.
+/// A problem document (RFC 9457), extended by what callers need to decide on a retry.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     r#type: String,
@@ -88,7 +88,7 @@
     serde_json::to_vec(&problem).unwrap_or_default()
 }
 
-/// The response that says a refusal.
+/// Returns the response for a refusal.
 pub(crate) fn answer_refusal(refusal: &Refusal) -> Response<Body> {
     let status =
         StatusCode::from_u16(refusal.reason.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
@@ -104,7 +104,7 @@
     response
 }
 
-/// A response with a JSON document.
+/// Returns a response with a JSON document.
 pub(crate) fn answer_json<T: Serialize>(document: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(document).unwrap_or_default();
     let mut response = Response::new(Body::Whole(Some(bytes.into())));
@@ -114,7 +114,7 @@
     response
 }
 
-/// The response that carries a stream of events.
+/// Returns the response that carries a stream of events.
 pub(crate) fn answer_events(events: mpsc::Receiver<Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::Events(events));
     let headers = response.headers_mut();
@@ -123,7 +123,7 @@
     response
 }
 
-/// A completion document, whole or one piece of it.
+/// A completion document: a whole answer, or one piece of a streamed one.
 #[derive(Debug, Serialize)]
 struct Document<'a> {
     id: id::Request,
@@ -158,7 +158,7 @@
 }
 
 impl Encoder {
-    /// The event of one token.
+    /// Returns the event of one token.
     pub(crate) fn encode_token(&self, position: &Position, text: &str) -> Bytes {
         let id = seal_position(&self.key, &self.account, position);
         let mut event = format!("id: {id}\ndata: ").into_bytes();
@@ -166,7 +166,7 @@
         event.into()
     }
 
-    /// The events that end an answer of `count` tokens.
+    /// Returns the events that end an answer of `count` tokens.
     pub(crate) fn encode_end(&self, count: u64) -> Bytes {
         let mut event = b"data: ".to_vec();
         self.append_document(&mut event, "", Some("length"), Some(count));
@@ -174,7 +174,7 @@
         event.into()
     }
 
-    /// The event that ends an answer which can't be made whole.
+    /// Returns the event that ends an incomplete answer with a failure.
     pub(crate) fn encode_failure(&self, refusal: &Refusal) -> Bytes {
         let mut event = b"event: error\ndata: ".to_vec();
         event.extend_from_slice(&encode_problem(refusal));
@@ -182,7 +182,7 @@
         event.into()
     }
 
-    /// The whole answer as one document.
+    /// Returns the whole answer as one document.
     pub(crate) fn answer_whole(&self, text: &str, count: u64) -> Response<Body> {
         answer_json(&self.document(text, Some("length"), Some(count)))
     }
--- a/crates/node/src/seal.rs
+++ b/crates/node/src/seal.rs
@@ -1,16 +1,16 @@
-//! Event ids of streams, which are also what a caller resumes with.
+//! Event ids of streams, with which a caller can resume a stream.
 //!
-//! An event id names the stream, its target and the token, under a seal: the
-//! node that a caller resumes through needs no state of the node that died,
-//! and a caller can't make up an id that leads to another account's stream.
+//! An event id contains the stream, its target and the token's position, and is authenticated
+//! with the fleet key. Any node can therefore resume a stream without state of the node that
+//! failed, and a caller can't forge an id of another account's stream.
 
 use hickory_unit::id;
 use hickory_wire::proof::Key;
 
-/// Hexadecimal digits of the seal that are kept: 128 bits.
+/// Number of hexadecimal digits kept of the authentication code: 128 bits.
 const SEAL_HEX_DIGITS: usize = 32;
 
-/// Where a caller stands in a stream.
+/// A caller's position in a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Position {
     pub(crate) stream: id::Stream,
@@ -18,14 +18,14 @@
     pub(crate) seq: u64,
 }
 
-/// The event id of a position, for an account.
+/// Encodes a position as an event id that is valid for this account only.
 pub(crate) fn seal_position(key: &Key, account: &id::Account, position: &Position) -> String {
     let text = format!("{}:{}:{}", position.seq, position.target, position.stream);
     let seal = key.seal(&format!("{account}\n{text}")).to_hex();
     format!("{}:{text}", &seal[..SEAL_HEX_DIGITS])
 }
 
-/// Reads an event id; `None` where it is malformed or not this account's.
+/// Decodes an event id; returns `None` if it is malformed or belongs to another account.
 pub(crate) fn open_position(key: &Key, account: &id::Account, sealed: &str) -> Option<Position> {
     let (seal, text) = sealed.split_once(':')?;
     let wanted = key.seal(&format!("{account}\n{text}")).to_hex();
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,7 +1,7 @@
-//! The callers' interface over HTTP.
+//! The HTTP interface for callers.
 //!
-//! hyper serves it and not oxhttp, which holds a stream's tokens back until
-//! its buffer is full or the answer ends (measured, see docs/DESIGN.md).
+//! It uses hyper because oxhttp buffers a stream's tokens until its buffer is full or the
+//! answer ends (see docs/DESIGN.md).
 
 use crate::call::{self, Call};
 use crate::complete::{self, Piece};
@@ -31,28 +31,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// How long a caller may take to send its headers: a connection that sends
-/// none would otherwise be held for good.
+/// Timeout for reading a request's headers: an idle connection would otherwise be held
+/// indefinitely.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may take over its body.
+/// Timeout for reading a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long sent bytes may stay without an acknowledgement before the kernel
-/// closes the connection: what lies between the ends may have forgotten it.
+/// Time for which sent data may remain unacknowledged before the kernel closes the connection.
+/// It detects connections that a middlebox has dropped from its tables.
 const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a request waits for a newer configuration that a peer has: large
-/// ones take about a second. Less where its caller has less time.
+/// Maximum wait for a newer configuration that a peer has, limited to a quarter of the
+/// request's time left. Fetching a large configuration takes about a second.
 const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
 
-/// When to come back to a node that is behind, or to another one.
+/// Retry delay for a caller that was refused because this node's configuration is out of date.
 const BEHIND_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Events written ahead of a slow caller.
+/// Maximum number of events buffered for a slow caller.
 const MAX_BUFFERED_EVENTS: usize = 64;
 
-/// Accepts callers until the node is closed.
+/// Accepts connections from callers until the node is closed.
 pub(crate) async fn serve(core: Arc<Core>, listener: TcpListener) {
     let mut stage = core.stage.subscribe();
     loop {
@@ -61,7 +61,7 @@
                 Ok((stream, _)) => {
                     tokio::spawn(serve_connection(core.clone(), stream));
                 }
-                // Out of file descriptors, most likely: let some be closed.
+                // Most likely out of file descriptors: wait for some to be closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             },
             () = wait_closed(&mut stage) => return,
@@ -87,7 +87,7 @@
         _ = connection.as_mut() => return,
         () = wait_closed(&mut stage) => {}
     }
-    // The answer under way is finished, and no further request is read.
+    // Finish the current answer and read no further request.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
@@ -101,7 +101,7 @@
         }
     };
     if core.stage() != Stage::Serving {
-        // Makes a caller with a kept connection ask again where to go.
+        // A caller with a keep-alive connection then asks again which node to use.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
@@ -150,11 +150,10 @@
     }
 }
 
-/// Finds what a request may have by the configuration in force.
+/// Looks up what a request may use in the current configuration.
 ///
-/// A node that is behind waits a little for the newer configuration: by the
-/// old one it would refuse for good what operators have just allowed, and
-/// callers don't come back after that.
+/// If a peer has a newer configuration, waits briefly for it: a refusal by the old one would be
+/// final for something that operators have just allowed, since callers don't retry it.
 async fn resolve_entitlement<T>(
     core: &Core,
     time_left: Duration,
@@ -163,8 +162,8 @@
     let end = core.now() + MAX_CONFIGURATION_WAIT.min(time_left / 4);
     let mut changes = core.keeper.subscribe();
     loop {
-        // Before the look at the configuration, so that one which comes in
-        // between is not taken for the one that the node was behind with.
+        // Read before the configuration: one that arrives in between must not be mistaken for
+        // the outdated one.
         let is_behind = core.is_behind();
         let configuration = changes.borrow_and_update().clone().ok_or_else(refuse_not_ready)?;
         let refusal = match find(&configuration) {
@@ -183,7 +182,7 @@
     matches!(reason, Reason::Unauthenticated | Reason::Forbidden | Reason::NotFound)
 }
 
-/// Reads the bearer token; a node without a configuration refuses all alike.
+/// Reads the bearer token. Without a configuration, every request is refused as not ready.
 fn read_token<'a>(core: &Core, headers: &'a HeaderMap) -> Result<&'a str, Refusal> {
     core.configuration().ok_or_else(refuse_not_ready)?;
     parse_token(headers)
@@ -207,8 +206,8 @@
     hyper::body::Body::size_hint(body).lower()
 }
 
-/// Reads who asks and how much time is left, counted from the arrival: the
-/// time that the body takes is the caller's.
+/// Reads the caller and the deadline. The deadline counts from the arrival of the headers, so
+/// that the time for reading the body counts against the caller's time.
 fn open_request(
     core: &Core,
     arrived: Instant,
@@ -293,8 +292,8 @@
     Ok(position)
 }
 
-/// Answers with a stream of events. Its status waits for the first piece, so
-/// that a refusal keeps its own.
+/// Answers with an event stream. The status is sent with the first piece, so that a refusal
+/// before it has its own status.
 async fn answer_streamed(
     core: &Arc<Core>,
     encoder: Encoder,
