--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -1,8 +1,8 @@
-//! Running a completion: attempts, each with leave from a target's owner,
-//! until the answer is whole or given up on.
+//! Runs a completion: one or more attempts, each with a permit from a target's owner, until the
+//! answer is complete or refused.
 //!
-//! A completion runs in a task of its own and hands [`Piece`]s to whoever
-//! writes to the caller; when that side is dropped, the caller is gone.
+//! A completion runs in a task of its own and sends [`Piece`]s to the task that writes to the
+//! caller. If that task drops its receiver, the caller has disconnected.
 
 use crate::core::{Active, Core};
 use crate::parse::{Completion, refuse};
@@ -25,22 +25,22 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a slow caller before the engine's stream is left to
-/// wait as well.
+/// Maximum number of pieces buffered for a slow caller; when the buffer is full, the relay
+/// stops reading the engine's stream.
 const MAX_BUFFERED_PIECES: usize = 256;
 
-/// What a completion brings.
+/// One piece of a completion's answer.
 #[derive(Clone, Debug)]
 pub(crate) enum Piece {
     /// A token, with the caller's position after it.
     Token(Position, CompactString),
-    /// The whole answer has been given; it has this many tokens.
+    /// The end of a complete answer, with its number of tokens.
     End(u64),
-    /// It is given up on.
+    /// The completion failed with this refusal.
     Refused(Refusal),
 }
 
-/// Starts a completion.
+/// Starts a completion in a task of its own.
 pub(crate) fn spawn(core: &Arc<Core>, completion: Completion) -> mpsc::Receiver<Piece> {
     let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
@@ -62,7 +62,7 @@
     pieces
 }
 
-/// One completion under way.
+/// A running completion.
 struct Run<'a> {
     core: &'a Arc<Core>,
     completion: &'a Completion,
@@ -70,28 +70,28 @@
     /// When the request was admitted.
     began: Instant,
     delivered: u64,
-    /// Whether bytes went to any target.
+    /// Whether bytes were sent to any target.
     was_sent: bool,
-    /// Targets that died while they ran it.
+    /// Number of targets that died while they ran it.
     deaths: u32,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 enum Attempt {
-    /// The answer is whole.
+    /// The answer is complete, with this many tokens.
     Complete(u64),
-    /// Another target may do it.
+    /// Another target may run it.
     Retry(Retry),
     /// The target died while it ran.
     TargetDied,
-    /// The caller is gone; nothing is left to do.
+    /// The caller has disconnected; no work is left.
     CallerGone,
-    /// It is given up on.
+    /// The completion is refused.
     Refused(Refusal),
 }
 
 impl Attempt {
-    /// Why there is to be a further attempt, if so.
+    /// Returns the reason for a further attempt, if there is to be one.
     fn retry(&self) -> Option<Retry> {
         match self {
             Self::Retry(reason) => Some(*reason),
@@ -175,8 +175,8 @@
             judged = suspect::judge(self.core, completion) => judged,
             () = self.out.closed() => return Attempt::CallerGone,
         };
-        // What a target died under is not set beside others again, whether or
-        // not the target's owner has told of the death yet.
+        // After a target died under this request, further attempts run exclusively, even if the
+        // target's owner hasn't reported the death yet.
         let spec = match judged {
             Ok(is_exclusive) => {
                 AttemptSpec { is_exclusive: is_exclusive || self.deaths > 0, ..spec }
@@ -206,7 +206,7 @@
         attempt
     }
 
-    /// An attempt over several engines.
+    /// Runs an attempt with the prompt split over several engines.
     async fn attempt_split(&mut self, attempt: u32) -> Attempt {
         let (core, completion, out) = (self.core, self.completion, &self.out);
         let reservation = PartReservation { core, completion, attempt, out };
@@ -223,7 +223,7 @@
                 let end = self.send(&last, import).await;
                 self.settle(&last, end)
             }
-            // The last part was never opened; its own end is told as such.
+            // The last part was never started, so its permit is released as not sent.
             Err(end) => {
                 permit::report_outcome(
                     core,
@@ -276,8 +276,8 @@
             Ok(tokens) => relay.run(tokens).await,
             Err(end) => end,
         };
-        // What the caller waits for: with the queue and with failed attempts,
-        // and not the first token of an attempt that goes on with a stream.
+        // The caller's time to the first token includes the queue and failed attempts. An
+        // attempt that continues a stream isn't counted.
         if let Some(at) = relay.first_token_at
             && self.delivered == 0
         {
@@ -287,7 +287,7 @@
         (end, relay.first_token_at.map(|at| at - began))
     }
 
-    /// Tells the owner how the attempt ended and decides what comes next.
+    /// Reports the outcome to the owner and decides how to continue.
     fn settle(
         &mut self,
         placement: &Placement,
@@ -298,7 +298,7 @@
         }
         let ending = match &end {
             End::Complete(_) => Ending::Finished,
-            // The permit is the other node's to give back.
+            // The permit belongs to the other node, which reports its outcome.
             End::TakenOver => return Attempt::CallerGone,
             End::CallerGone => Ending::Left,
             End::TargetDied => Ending::TargetDied,
@@ -315,7 +315,7 @@
     }
 }
 
-/// What comes after an attempt that ended so.
+/// Returns the result of an attempt whose relay ended with `end`.
 fn classify_end(end: End) -> Attempt {
     match end {
         End::Complete(count) => Attempt::Complete(count),
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -1,5 +1,5 @@
-//! The owner's loops over its targets: read load reports, grant what fits,
-//! cancel what nobody stands for, give orders.
+//! The owner's background loops: poll load reports, grant permits that fit, cancel orphaned
+//! work and send orders.
 
 use crate::core::{Core, Stage};
 use crate::orders;
@@ -19,19 +19,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two looks at which targets are owned.
+/// Poll interval for the set of owned targets.
 const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two looks at queues where anything waits: what fits changes with
-/// each step of an engine, which takes about as long.
+/// Poll interval while asks are queued: the free capacity changes with each engine step, which
+/// takes about as long.
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Failed reads of a load report after which a target gets no new work: one
-/// may be a hiccup, and three take less than the bound on new work to a
-/// target that is gone.
+/// Number of consecutive failed reads of a load report after which a target gets no new work. A
+/// single failure may be transient; three take less time than the limit for new work to a dead
+/// target.
 const MAX_MISSED_REPORTS: u32 = 3;
 
-/// Follows the ownership: one task for each owned target.
+/// Runs one task for each owned target.
 pub(crate) async fn run_owned_targets(core: Arc<Core>) {
     let mut running: HashMap<id::Target, (id::Epoch, tokio::task::AbortHandle)> = HashMap::new();
     let mut changed = core.owners.changed();
@@ -64,7 +64,7 @@
     }
 }
 
-/// Drives one owned target until it is not owned any more.
+/// Polls one owned target until its task is aborted because it is no longer owned.
 async fn run_owned_target(core: Arc<Core>, target: id::Target, epoch: id::Epoch) {
     let interval = core.duration_ms(core.settings.times.report_ms);
     let mut missed = 0;
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whether the target takes new work, as far as its owner knows.
+/// Updates whether the target accepts new work.
 fn update_accepting(core: &Core, host: &Host, is_answering: bool) {
     let configuration = core.configuration();
     let in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
@@ -113,7 +113,7 @@
     let report = match Engines::report(&core.targets, host.address).await {
         Ok(report) => report,
         Err(error) => {
-            // A closed port is a death; silence may be anything.
+            // A closed port means that the process died; a timeout may have other causes.
             if matches!(error, Error::NotSent(_)) && is_port_closed(host.address).await {
                 note_death(core, &host.target);
             }
@@ -132,7 +132,7 @@
     true
 }
 
-/// Puts what ran on a dead target under suspicion.
+/// Records the requests that ran on a dead target as suspects.
 fn note_death(core: &Core, target: &id::Target) {
     let ran = core.table.with(target, |owned| owned.record_death()).unwrap_or_default();
     core.retry_control.note_death(core.now(), ran);
@@ -142,7 +142,7 @@
     let now = core.now();
     let nodes = core.member.nodes();
     let confirmed = core.member.confirmed(now);
-    // The list of nodes says nothing while the platform can't be reached.
+    // While the platform is unreachable, the list of nodes can't show that a node is gone.
     let is_live = |node: &id::Node| !confirmed || nodes.contains_key(node);
     let resume = core.duration_ms(core.settings.times.resume_ms);
     let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume, is_live };
@@ -155,8 +155,8 @@
     });
 }
 
-/// Ends on the engine what nobody stands for. What the engine does not
-/// confirm is tried again after the next report.
+/// Cancels orphaned streams and drops orphaned KV caches on the engine. What the engine doesn't
+/// confirm is retried after the next report.
 async fn cancel_orphans(core: &Core, host: &Host) {
     let taken = core.table.with(&host.target, |owned| (owned.take_cancels(), owned.take_drops()));
     let (cancels, drops) = taken.unwrap_or_default();
@@ -179,7 +179,7 @@
             }
         });
     }
-    // Those that stay held are found again in the next report.
+    // KV caches that were not dropped are found again in the next report.
     for handle in drops {
         if core.targets.drop_handle(host.address, &handle).await.is_ok() {
             core.metrics.swept(Orphan::Cache);
@@ -187,7 +187,7 @@
     }
 }
 
-/// Grants what comes to fit as time passes, while anything waits.
+/// Grants permits as capacity becomes free, while asks are queued.
 pub(crate) async fn poll_queues(core: Arc<Core>) {
     loop {
         let waiting = core.table.poll(core.now(), core.permit_lifetime());
@@ -209,7 +209,7 @@
             core.metrics.target_restarted();
         }
         owned.incarnation = Some(report.incarnation);
-        // A call weighs one slot and no KV cache.
+        // A call takes one slot and no KV cache.
         owned.kv_capacity = size::Tokens(u64::from(u32::MAX));
         owned.set_capacity(Capacity {
             streams: report.calls_max,
@@ -219,7 +219,7 @@
         let (incarnation, warmth) = (report.incarnation, report.warmth);
         let sample = Sample { incarnation, warmth, cache_hits: 0, cache_misses: 0 };
         owned.observe_load(now, &Observed { sample, ..Observed::default() });
-        // Nothing is held on a service: a cancel has nothing to do.
+        // A service holds no state of a call, so there is nothing to cancel.
         for stream in owned.take_cancels() {
             owned.confirm_cancelled(now, &stream);
         }
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -1,8 +1,8 @@
-//! The owner's side of one target: who may send, what runs and what waits.
-//! [`crate::sweep`] finds what is left on the target that nobody stands for.
+//! The owner's state of one target: permits, running streams and the queue. [`crate::sweep`]
+//! finds orphaned work on the target.
 //!
-//! No input or output: the time and the target's reports are passed in, so
-//! that it runs in tests without sockets.
+//! It does no input or output: the time and the target's reports are passed in, so that tests
+//! need no sockets.
 
 use crate::granted::{Foreign, Granted, Waiting};
 use crate::orders::Loads;
@@ -17,19 +17,17 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// The reason an asker gets whose ask stays in the queue: it asks again, so
-/// that the life of the permit it will get begins with a fresh question.
+/// Refusal reason for an ask that remains in the queue. The asker repeats the ask, so that the
+/// lifetime of a permit always starts at a recent ask.
 pub(crate) const QUEUED_REASON: &str = "queued";
 
-/// The reason a node gets that asks to keep a stream which another node has
-/// taken over.
+/// Refusal reason for a node that wants to keep a stream which another node has taken over.
 pub(crate) const TAKEN_REASON: &str = "taken";
 
-/// When to come back to a target that takes no work now; other targets may be
-/// asked at once.
+/// Retry delay for a target that accepts no work now; other targets can be asked at once.
 const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(500);
 
-/// One owned target.
+/// An owned target.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) target: id::Target,
@@ -42,7 +40,7 @@
     pub(crate) incarnation: Option<id::Incarnation>,
     pub(crate) limiter: Limiter,
     pub(crate) permits: HashMap<Ticket, Granted>,
-    /// Tickets of permits and of waiting asks, by their streams.
+    /// Tickets of permits and of queued asks, by stream.
     pub(crate) tickets: HashMap<id::Stream, Ticket>,
     pub(crate) waiting: HashMap<Ticket, Waiting>,
     pub(crate) ended: HashMap<id::Stream, Instant>,
@@ -50,21 +48,21 @@
     pub(crate) last_adopted: Ticket,
     pub(crate) cancels: Vec<id::Stream>,
     pub(crate) drops: Vec<Handle>,
-    /// Whether the target's death has been counted, until it reports again.
+    /// Whether the target's death has been counted; reset by its next report.
     pub(crate) is_dead: bool,
-    /// The loads of weights onto it.
+    /// Loads of weights onto the engine.
     pub(crate) loads: Loads,
-    /// What its nodes say it died under, until a report confirms or denies it.
+    /// Fingerprints of requests that nodes reported to have run when the target died. They are
+    /// discarded if a load report shows that it is alive.
     pub(crate) reported_deaths: Vec<u64>,
-    /// The configuration whose shares the limiter follows.
+    /// The configuration from which the limiter's shares and weights were set.
     pub(crate) release: id::Release,
-    /// What peers were told last, and its version.
+    /// The state that was last published to peers, with its version.
     pub(crate) published: Option<(u64, State)>,
 }
 
-/// Permits for adopted streams are numbered from here, out of the way of the
-/// limiter's own: these streams are not its to count, they stand in the load
-/// report.
+/// First ticket of adopted streams. The range is disjoint from the limiter's own tickets:
+/// adopted streams are accounted for by the load report, not by the limiter.
 const FIRST_ADOPTED_TICKET: Ticket = 1 << 63;
 
 pub(crate) fn refuse(reason: impl std::fmt::Display, retry_after: Duration) -> Refusal {
@@ -114,7 +112,8 @@
         }
     }
 
-    /// Sets what the target bears; the first report opens the limiter.
+    /// Sets the target's capacity. The limiter is recreated only while no permit is held and no
+    /// ask is queued.
     pub(crate) fn set_capacity(&mut self, capacity: Capacity) {
         if self.capacity != capacity && self.permits.is_empty() && self.waiting.is_empty() {
             self.capacity = capacity;
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Makes the limiter follow the shares and weights of a configuration.
+    /// Sets the limiter's shares and weights from a configuration.
     pub(crate) fn apply_configuration(&mut self, configuration: &Configuration) {
         if self.release == configuration.version {
             return;
@@ -135,9 +134,9 @@
         self.limiter.set_weights(accounts.map(|(name, account)| (name.clone(), account.weight)));
     }
 
-    /// Says whether the target takes new work, and whether this owner is sure
-    /// to be the only one. Who waits for a target that takes none is told at
-    /// once, to go elsewhere while there is time.
+    /// Sets whether the target accepts new work, and whether this owner is confirmed as the
+    /// only one. If it accepts none, queued asks are refused at once, so that the askers can
+    /// try other targets in time.
     pub(crate) fn set_terms(&mut self, now: Instant, accepting: bool, confirmed: bool) {
         self.accepting = accepting;
         self.limiter.set_confirmed(now, confirmed);
@@ -147,7 +146,7 @@
     }
 
     pub(crate) fn ask(&mut self, now: Instant, permit_lifetime: Duration, ask: &Ask) -> AskResult {
-        // The same ask again: its last answer was lost, or it stays queued.
+        // A repeated ask: its last answer was lost, or it is still queued.
         if let Some(ticket) = self.tickets.get(&ask.stream).copied() {
             return self.ask_again(now, permit_lifetime, ticket);
         }
@@ -226,7 +225,7 @@
         }
     }
 
-    /// Grants what fits now.
+    /// Grants the queued asks that fit now.
     pub(crate) fn poll(&mut self, now: Instant, permit_lifetime: Duration) {
         for (ticket, answer) in self.limiter.poll(now) {
             let priority = self.waiting.get(&ticket).map_or(0, |waiting| waiting.priority);
@@ -238,7 +237,7 @@
         }
     }
 
-    /// Answers who waits under a ticket.
+    /// Answers the ask that is queued under a ticket.
     fn answer(&mut self, now: Instant, ticket: Ticket, answer: Result<Permit, Refusal>) {
         let Some(waiting) = self.waiting.remove(&ticket) else { return };
         self.tickets.remove(&waiting.stream);
@@ -254,8 +253,8 @@
         }
     }
 
-    /// Weights that something runs on or waits for; while streams of a former
-    /// owner are held, all that the engine has.
+    /// Returns the weights that running or queued requests use; while streams of a previous
+    /// owner are held, all weights that are ready on the engine.
     pub(crate) fn busy_weights(&self) -> HashSet<engine::Weights> {
         let granted = self.permits.values().filter_map(|granted| granted.weights.as_ref());
         let waiting = self.waiting.values().filter_map(|waiting| waiting.weights.as_ref());
@@ -263,12 +262,12 @@
         granted.chain(waiting).chain(foreign).map(crate::permit::from_wire).collect()
     }
 
-    /// Asks that wait.
+    /// Returns the number of queued asks.
     pub(crate) fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether another node than the asking one serves the stream.
+    /// Returns whether a node other than the asking one serves the stream.
     pub(crate) fn is_served_elsewhere(&self, adopt: &Adopt) -> bool {
         let ticket = self.tickets.get(&adopt.stream);
         let granted = ticket.and_then(|ticket| self.permits.get(ticket));
@@ -301,7 +300,7 @@
         Some(self.make_permit(id, 0, permit_lifetime))
     }
 
-    /// Takes in how a permitted attempt ended.
+    /// Applies the outcome of a permitted attempt.
     pub(crate) fn apply_outcome(&mut self, now: Instant, outcome: &Outcome) {
         if outcome.epoch != self.epoch {
             self.apply_foreign_outcome(now, outcome);
@@ -314,8 +313,8 @@
                 }
             }
             Ending::Lost => {
-                // The memory is the target's until it confirms the cancel; the
-                // permit goes then.
+                // The target's memory is in use until it confirms the cancel; only then is the
+                // permit released.
                 if let Some(granted) = self.permits.get(&outcome.permit) {
                     self.cancels.push(granted.stream.clone());
                 }
@@ -331,8 +330,8 @@
                 self.release_permit(now, outcome.permit, limit::Outcome::Dropped);
             }
             Ending::TargetDied => {
-                // The owner may have seen the death before its node told of it:
-                // counted twice, it would quarantine a request after one death.
+                // The owner may have detected the death before the node reported it. Counting
+                // it twice would quarantine a request after a single death.
                 let granted = self.permits.get(&outcome.permit);
                 let granted = granted.filter(|granted| !granted.is_death_counted);
                 self.reported_deaths.extend(granted.map(|granted| granted.fingerprint));
@@ -341,8 +340,8 @@
         }
     }
 
-    /// A permit of a former owner ended: its stream stands in the report and
-    /// is counted and swept from there.
+    /// Applies the outcome of a previous owner's permit: its stream is counted and swept by the
+    /// load report, not by the limiter.
     fn apply_foreign_outcome(&mut self, now: Instant, outcome: &Outcome) {
         let Some(stream) = &outcome.stream else { return };
         match outcome.ending {
@@ -365,7 +364,8 @@
         }
     }
 
-    /// What peers are to know, with the version of its last change.
+    /// Returns the state for peers with the version of its last change; `next` allocates a new
+    /// version if the state has changed.
     pub(crate) fn publish(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, State)> {
         let state = self.state();
         if self.published.as_ref().is_none_or(|(_, published)| *published != state) {
@@ -374,7 +374,7 @@
         self.published.clone()
     }
 
-    /// What peers would be told now.
+    /// Returns the current state for peers.
     pub(crate) fn state(&self) -> State {
         let used = self.kv_used.max(self.limiter.kv_used());
         State {
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -1,10 +1,9 @@
-//! Completions whose prompt is greater than one engine's memory: several
-//! engines, reserved all or none, each with a part of the KV cache.
+//! Completions whose prompt exceeds one engine's memory: the prompt is split over several
+//! engines, which are reserved all or none.
 //!
-//! Engine after engine prefills its part and keeps the KV cache under a
-//! handle, which the next one imports; the last one generates. What is kept is
-//! dropped at the end however it ends; the owners' sweep drops what a node
-//! that died half-way has left.
+//! Each engine prefills its part and keeps the KV cache under a handle, which the next engine
+//! imports; the last one generates. The KV caches are dropped however the completion ends. If
+//! this node dies before that, the owners' sweep drops them.
 
 use crate::complete::Piece;
 use crate::core::Core;
@@ -27,25 +26,26 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Streams that one attempt may open: attempts of the same request are
-/// numbered this far apart.
+/// Number of streams reserved for each attempt: stream numbers of consecutive attempts are this
+/// far apart.
 pub(crate) const STREAMS_PER_ATTEMPT: u32 = 64;
 
-/// How often a KV cache is dropped where the engine does not answer; after
-/// that its owner's sweep does it by the deadline in the handle's stream.
+/// Maximum number of times a drop is sent to an engine that doesn't answer. After that, the
+/// owner's sweep drops the KV cache by the deadline in the handle's stream id.
 const MAX_DROP_SENDS: u32 = 3;
 
-/// When to come back where the engines' memory did not come free in time.
+/// Retry delay for callers if the engines' memory was not freed in time.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// A part with the leave to send it.
+/// A part with its placement.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacedPart {
     part: Part,
     placement: Placement,
 }
 
-/// The engines that could take a part, where none can take the whole.
+/// Returns the engines for a prompt that is too large for any single one; `None` if one engine
+/// can hold it.
 pub(crate) fn find_candidates(core: &Core, completion: &Completion) -> Option<Vec<Candidate>> {
     let configuration = core.configuration()?;
     let capability = Capability::Weights(&completion.weights);
@@ -54,7 +54,7 @@
     (completion.cost.kv() > greatest).then_some(candidates)
 }
 
-/// A reservation of all parts of one attempt.
+/// Reserves engines for all parts of one attempt.
 pub(crate) struct PartReservation<'a> {
     pub(crate) core: &'a Arc<Core>,
     pub(crate) completion: &'a Completion,
@@ -63,9 +63,9 @@
 }
 
 impl PartReservation<'_> {
-    /// Reserves engines for all parts, or refuses: at once where the fleet
-    /// can't hold the prompt or the time is too short for its prefill, and
-    /// else as soon as waiting on would leave too little time.
+    /// Reserves engines for all parts. Refuses at once if the fleet can't hold the prompt or
+    /// the time left is too short for its prefill; otherwise retries with backoff while enough
+    /// time is left.
     pub(crate) async fn run(&self) -> Result<Vec<PlacedPart>, Refusal> {
         for round in 1.. {
             let candidates = find_candidates(self.core, self.completion)
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Asks for one part, answered at once.
+    /// Asks for a permit for one part, without queueing.
     async fn ask(&self, part: &Part, candidates: &[Candidate]) -> Option<Placement> {
         let completion = self.completion;
         let number = self.attempt * STREAMS_PER_ATTEMPT + part.index;
@@ -188,12 +188,12 @@
     );
 }
 
-/// The handle under which a part's KV cache is kept.
+/// Returns the handle under which a part's KV cache is kept.
 fn make_handle(placed: &PlacedPart) -> Handle {
     Handle { stream: placed.placement.stream.clone(), part: placed.part.index }
 }
 
-/// What a part's engine gets to prefill: the prompt up to the part's end.
+/// Returns the prompt up to the end of a part, which is the input for that part's prefill.
 fn cut_prompt<'a>(prompt: &'a str, part: &Part) -> &'a str {
     let end = (part.from + part.cost.prefill).0.saturating_mul(BYTES_PER_TOKEN);
     let mut end = usize::try_from(end).unwrap_or(usize::MAX).min(prompt.len());
@@ -203,8 +203,7 @@
     &prompt[..end]
 }
 
-/// Prefills all parts but the last, one after the other, and returns how the
-/// last one is to be opened.
+/// Prefills all parts but the last, in order. Returns the handle that the last part imports.
 pub(crate) async fn prefill(
     core: &Arc<Core>,
     completion: &Completion,
@@ -228,8 +227,8 @@
     Ok(import)
 }
 
-/// A permit is dead long before the parts ahead of it are prefilled: the owner
-/// is asked again, and knows the permit by its stream.
+/// Renews a permit by repeating the ask, which the owner recognizes by its stream: the permit
+/// expires long before the preceding parts are prefilled.
 async fn renew_permit(
     core: &Arc<Core>,
     completion: &Completion,
@@ -282,13 +281,13 @@
     }
 }
 
-/// The leave of the part that generates.
+/// Returns the placement of the part that generates.
 pub(crate) fn last_placement(parts: &[PlacedPart]) -> Option<&Placement> {
     parts.last().map(|placed| &placed.placement)
 }
 
-/// Drops all that was kept and gives all permits back but the last part's,
-/// which its own end gives back. Runs beside the caller's answer.
+/// Drops all KV caches and releases all permits but the last part's, which is released when its
+/// stream ends. Runs in the background, so that the caller's answer isn't delayed.
 pub(crate) fn release(core: &Arc<Core>, parts: Vec<PlacedPart>) {
     let core = core.clone();
     tokio::spawn(async move {
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -1,5 +1,5 @@
-//! Requests that may crash the targets that run them, and the budgets that
-//! keep retries from multiplying.
+//! Limits on retries: tracks requests that may crash the targets that run them, and keeps a
+//! retry budget for each account.
 
 use crate::core::Core;
 use crate::parse::{Completion, hash_parts, refuse};
@@ -14,23 +14,23 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Shards of the retry budgets.
+/// Number of shards of the retry budgets.
 const SHARDS: usize = 8;
 
-/// Between two looks at whether a suspect's trial has ended.
+/// Poll interval while another trial of the same content is running.
 const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a host may take to say that nothing listens at a port.
+/// Timeout for a host to report that a port is closed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a change of suspicion is told to peers that know this node
-/// already: many exchanges, so that lost ones don't matter.
+/// Time for which a changed suspicion is sent to peers that have already received this node's
+/// state. It spans many gossip exchanges, so that lost ones don't matter.
 const SUSPICION_GOSSIP_DURATION: Duration = Duration::from_secs(30);
 
-/// Suspects told in one exchange at most; the latest go first.
+/// Maximum number of suspects in one exchange; the most recent ones are sent.
 const MAX_GOSSIPED_SUSPECTS: usize = 128;
 
-/// The node's suspects and retry budgets.
+/// Suspects and retry budgets of the node.
 #[derive(Debug, Default)]
 pub(crate) struct RetryControl {
     suspects: Mutex<Suspects>,
@@ -47,12 +47,12 @@
         lock(&self.budgets[index])
     }
 
-    /// Notes a request, which earns its account part of a retry.
+    /// Credits the account's retry budget for a new request.
     pub(crate) fn earn(&self, account: &id::Account) {
         self.budget(account).earn(account);
     }
 
-    /// Takes one retry out of the account's budget.
+    /// Charges one retry to the account's budget.
     pub(crate) fn spend(&self, account: &id::Account) -> Result<(), Refusal> {
         match self.budget(account).spend(account) {
             true => Ok(()),
@@ -63,23 +63,23 @@
         }
     }
 
-    /// A target died, and these ran on it.
+    /// Records that a target died while these requests ran on it.
     pub(crate) fn note_death(&self, now: Instant, ran: Vec<u64>) {
         lock(&self.suspects).note_death(now, ran);
     }
 
-    /// Contents under suspicion or in quarantine; those that were cleared are
-    /// only kept to be told.
+    /// Counts the contents that are suspected or quarantined. Cleared ones are kept only for
+    /// gossip and don't count.
     pub(crate) fn count_suspects(&self, now: Instant) -> usize {
         lock(&self.suspects).tell(now).iter().filter(|suspect| suspect.deaths > 0).count()
     }
 
-    /// A request ran to its end.
+    /// Records that a request ran to its end.
     pub(crate) fn note_success(&self, now: Instant, fingerprint: u64) {
         lock(&self.suspects).note_success(now, fingerprint);
     }
 
-    /// Takes in what a peer knows.
+    /// Merges the suspects known to a peer.
     pub(crate) fn merge(&self, now: Instant, suspects: &[message::Suspect]) {
         let suspects = suspects.iter().map(|suspect| Suspect {
             fingerprint: suspect.fingerprint,
@@ -89,8 +89,8 @@
         lock(&self.suspects).merge(now, suspects);
     }
 
-    /// What a peer is told; one that knows nothing of this node yet gets what
-    /// is old as well.
+    /// Returns the suspects to send to a peer. A peer that has no state of this node yet also
+    /// receives the old ones.
     pub(crate) fn suspects_for_peer(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
         let mut suspects = lock(&self.suspects).tell(now);
         suspects.retain(|suspect| is_new || suspect.age < SUSPICION_GOSSIP_DURATION);
@@ -105,8 +105,8 @@
     }
 }
 
-/// Whether a completion runs beside others or alone, or is refused. Waits
-/// while another trial of the same content is under way.
+/// Decides whether a completion may run; returns whether it must run exclusively. Waits while
+/// another trial of the same content is running.
 pub(crate) async fn judge(core: &Core, completion: &Completion) -> Result<bool, Refusal> {
     let fingerprint = completion.fingerprint;
     loop {
@@ -134,16 +134,15 @@
     refuse(Reason::Quarantined, "targets died while they ran this content")
 }
 
-/// Whether the host answers that nothing listens there: the process is gone.
-/// A host that says nothing may be cut off or frozen, with all it runs.
+/// Returns whether the host refuses connections to this port, so that the process is gone. A
+/// host that doesn't answer may be partitioned or frozen, with its streams intact.
 pub(crate) async fn is_port_closed(at: SocketAddr) -> bool {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(at));
     matches!(connect.await, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Quarantines a request under which two targets died, and tells all peers
-/// before the caller is answered: a resend through another node must not cost
-/// a third target.
+/// Quarantines a request under which two targets died. All peers are informed before the caller
+/// is answered: a resend through another node must not kill a third target.
 pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
     let condemned = Suspect { fingerprint, deaths: DEATHS, age: Duration::ZERO };
@@ -153,13 +152,13 @@
     refuse_quarantined()
 }
 
-/// Ends the trial of a suspect that said nothing about it.
+/// Ends the trial of a suspect whose outcome is inconclusive.
 pub(crate) fn drop_trial(core: &Core, fingerprint: u64) {
     lock(&core.retry_control.suspects).drop_trial(fingerprint);
 }
 
-/// Notes why an attempt is made again. It counts against the account's budget
-/// unless the last one never began: that cost no target anything.
+/// Records the reason of a retry, and charges it to the account's budget unless the last
+/// attempt never started: that cost no target any work.
 pub(crate) fn spend_retry(
     core: &Core,
     account: &id::Account,
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -1,9 +1,7 @@
-//! What a target holds, as its load reports show it, and what of that nobody
-//! stands for any more.
+//! Applies load reports of an owned target, and finds orphaned work on it.
 //!
-//! A node may die, freeze or lose a message at any moment; what it left on a
-//! target is found here by the sender and the deadline in each stream's id,
-//! and released without the node.
+//! A node may die, freeze or lose a message at any time. What it left on a target is identified
+//! by the sender and the deadline in each stream's id, and released without the node's help.
 
 use crate::granted::{Foreign, SWEEP_GRACE};
 use crate::owned::Target;
@@ -13,16 +11,16 @@
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
 
-/// How long an ended stream may still stand in load reports, which lag.
+/// Time for which an ended stream may still appear in load reports, which lag.
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
-/// With what a load report is read.
+/// The time, settings and membership by which a load report is evaluated.
 pub(crate) struct SweepContext<F> {
     pub(crate) now: Instant,
     pub(crate) wall_ms: u64,
-    /// How long a stream whose caller is gone is kept for a resume.
+    /// Time for which a stream whose caller has disconnected is kept for a resume.
     pub(crate) resume: Duration,
-    /// Whether a node is known to be there; true while nothing is known.
+    /// Whether a node is registered; true for every node while the registry is unreachable.
     pub(crate) is_live: F,
 }
 
@@ -37,8 +35,8 @@
 }
 
 impl Target {
-    /// Takes out of queue and books what nobody stands for any more, and
-    /// names the streams to cancel on the target.
+    /// Removes abandoned asks from the queue, releases permits whose answer never reached the
+    /// asker, and queues overdue streams to be cancelled on the target.
     pub(crate) fn sweep(&mut self, now: Instant, permit_lifetime: Duration, resume: Duration) {
         let is_old = |at: Instant| now.saturating_duration_since(at) > permit_lifetime;
         let abandoned = self.waiting.values().filter(|waiting| is_old(waiting.asked_at));
@@ -57,8 +55,8 @@
         self.ended.retain(|_, at| now.saturating_duration_since(*at) < REPORT_LAG);
     }
 
-    /// Takes in a load report: what the target bears, what it holds, and what
-    /// of that nobody stands for.
+    /// Applies a load report: capacity, loaded weights and held streams; then looks for
+    /// orphaned streams and KV caches.
     pub(crate) fn apply_report<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
@@ -82,7 +80,7 @@
         self.observe_load(context.now, &observed);
     }
 
-    /// Takes a load report's warmth and foreign work into the limit.
+    /// Passes a load report's warmth and foreign work to the limiter.
     pub(crate) fn observe_load(&mut self, now: Instant, observed: &Observed) {
         if let Some(cold) = self.limiter.observe(now, observed) {
             log::info!(target = self.target.as_str(), cold:% = cold; "target ramps anew");
@@ -90,12 +88,12 @@
     }
 
     fn observe(&self, report: &Report) -> Observed {
-        // What has ended stands in the report until its lag has passed.
+        // An ended stream remains in reports until `REPORT_LAG` has passed.
         let is_own = |held: &&Held| !self.is_foreign(&held.stream);
         let foreign = report.streams.iter().filter(|held| self.is_foreign(&held.stream));
         let streams: size::Tokens = report.streams.iter().filter(is_own).map(|held| held.kv).sum();
-        // A part of a long prompt stays on the engine as a kept KV cache when
-        // its stream has ended; its permit stands for it.
+        // When the stream of one part of a split prompt ends, its KV cache stays on the engine
+        // under a handle, and the part's permit still accounts for that memory.
         let kept = report.handles.iter().filter_map(|handle| {
             let held = report.streams.iter().any(|held| held.stream == handle.stream);
             let ticket = self.tickets.get(&handle.stream).filter(|_| !held)?;
@@ -119,14 +117,13 @@
         }
     }
 
-    /// Whether a stream that the target holds was granted by a former owner.
+    /// Returns whether a stream that the target holds was granted by a previous owner.
     fn is_foreign(&self, stream: &id::Stream) -> bool {
         !self.tickets.contains_key(stream) && !self.ended.contains_key(stream)
     }
 
-    /// Finds among the streams that the target holds those that nobody stands
-    /// for: their deadline is past, or their node is gone and none has taken
-    /// them up for the time of a resume.
+    /// Finds orphaned streams: their deadline has passed, or their sender is gone and no node
+    /// has resumed them within the resume time.
     fn sweep_held<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
@@ -146,8 +143,8 @@
         self.cancels.extend(orphans.map(|(stream, _)| stream.clone()));
     }
 
-    /// Finds kept KV caches whose work is over: the sender of a placement over
-    /// several engines drops them itself, unless it died half-way.
+    /// Finds orphaned KV caches. The sender of a split prompt drops its KV caches itself,
+    /// unless it dies before.
     fn sweep_handles<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
@@ -162,13 +159,13 @@
         self.drops = orphans.cloned().collect();
     }
 
-    /// The kept KV caches to drop now.
+    /// Returns the KV caches to drop now.
     pub(crate) fn take_drops(&mut self) -> Vec<Handle> {
         std::mem::take(&mut self.drops)
     }
 
-    /// Marks what gone nodes served, as if their callers had left: another
-    /// node may take it up.
+    /// Marks permits of nodes that are gone as if their callers had disconnected, so that
+    /// another node can resume the streams.
     fn mark_unserved<F>(&mut self, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
@@ -180,7 +177,7 @@
         }
     }
 
-    /// The streams to cancel now, each once.
+    /// Returns the streams to cancel now, without duplicates.
     pub(crate) fn take_cancels(&mut self) -> Vec<id::Stream> {
         let mut cancels = std::mem::take(&mut self.cancels);
         cancels.sort();
@@ -188,7 +185,7 @@
         cancels
     }
 
-    /// The target confirmed that a stream is gone.
+    /// Releases a stream whose cancel the target confirmed.
     pub(crate) fn confirm_cancelled(&mut self, now: Instant, stream: &id::Stream) {
         if let Some(ticket) = self.tickets.get(stream).copied() {
             self.release_permit(now, ticket, limit::Outcome::Dropped);
@@ -198,13 +195,14 @@
         }
     }
 
-    /// The target did not answer a cancel: tried again.
+    /// Queues a cancel again that the target did not confirm.
     pub(crate) fn retry_cancel(&mut self, stream: id::Stream) {
         self.cancels.push(stream);
     }
 
-    /// The target died, by a closed port or a new incarnation: what ran on it,
-    /// once for each death.
+    /// Records that the target died, detected by a closed port or a new incarnation. Returns
+    /// the fingerprints of the requests that ran on it; requests that ran are returned once for
+    /// each death.
     pub(crate) fn record_death(&mut self) -> Vec<u64> {
         let reported = std::mem::take(&mut self.reported_deaths);
         if std::mem::replace(&mut self.is_dead, true) {
@@ -217,8 +215,7 @@
         ran.filter(|fingerprint| *fingerprint != 0).chain(reported).collect()
     }
 
-    /// The target runs as a new process: what was granted to the old one is
-    /// gone with it.
+    /// Discards the permits granted to the target's previous process.
     pub(crate) fn reset_after_restart(&mut self, now: Instant) {
         let tickets: Vec<Ticket> = self.permits.keys().copied().collect();
         for ticket in tickets {
