--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! What the node does for operators.
+//! The node's side of the administration interface.
 
 use crate::core::{Core, Stage};
 use hickory_admin::control::{Accepted, Control, Failure};
@@ -13,11 +13,11 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
-/// A peer that was not heard for this long is shown as not reachable.
+/// A peer that has been silent for this long is shown as unreachable.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 
-/// The operators' view of a node; its calls block, and run on the threads of
-/// the administration server.
+/// Handles administration requests. Its calls block, and run on the threads of the
+/// administration server.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
     pub(crate) core: Arc<Core>,
@@ -25,7 +25,7 @@
 }
 
 impl Service {
-    /// The version that an operation made, as far as this node knows.
+    /// Returns the version that an operation created, if this node knows it.
     fn find_known(&self, operation: &str) -> Option<id::Release> {
         self.core.configuration()?.find_operation(operation)
     }
@@ -35,7 +35,7 @@
     fn is_operator(&self, token: &str) -> bool {
         match self.core.configuration().filter(|c| !c.operators.is_empty()) {
             Some(configuration) => configuration.is_operator(token),
-            // Before the first note, only the token of the settings is good.
+            // Before the first release note, only the operator token in the settings is valid.
             None => self.core.settings.first_operator.as_ref().is_some_and(|digest| {
                 let given = digest_token(token);
                 bool::from(subtle::ConstantTimeEq::ct_eq(digest.as_bytes(), given.as_bytes()))
--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -1,25 +1,22 @@
-//! What an owner keeps of each permit that is out, each ask that waits and each
-//! stream that it did not grant.
+//! An owner's records of permits, of queued asks, and of streams that it did not grant.
 
 use hickory_unit::{id, size};
 use hickory_wire::message::{Permit, Refusal, Weights};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// How long after its deadline a stream may still be found on a target before
-/// it is swept: the sender ends it at the deadline, and its message may be
-/// under way.
+/// Time after its deadline for which a stream may remain on a target before it is swept: the
+/// sender ends it at the deadline, and that message may still be in transit.
 pub(crate) const SWEEP_GRACE: Duration = Duration::from_secs(2);
 
-/// A stream that the target holds and this owner did not grant: a former
-/// owner did.
+/// A stream on the target that was granted by a previous owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Foreign {
-    /// When it was first seen without anybody who stands for it.
+    /// When it was first seen without a node that serves it.
     pub(crate) orphaned_since: Option<Instant>,
 }
 
-/// A permit that is out.
+/// A granted permit.
 #[derive(Clone, Debug)]
 pub(crate) struct Granted {
     pub(crate) stream: id::Stream,
@@ -27,21 +24,21 @@
     pub(crate) priority: u8,
     /// Hash of account and content.
     pub(crate) fingerprint: u64,
-    /// KV cache at its greatest.
+    /// Maximum size of its KV cache.
     pub(crate) kv: size::Tokens,
-    /// What runs it, on an engine.
+    /// The weights that it runs on; `None` for a plain service.
     pub(crate) weights: Option<Weights>,
-    /// When the caller's connection went, where it did.
+    /// When the caller disconnected, if it has.
     pub(crate) caller_left_at: Option<Instant>,
-    /// When it was granted, while its asker has not been told.
+    /// When it was granted, if its asker hasn't received the permit yet.
     pub(crate) undelivered_since: Option<Instant>,
-    /// Whether the target's death is counted against it already.
+    /// Whether a death of the target has already been counted against the request.
     pub(crate) is_death_counted: bool,
     /// The node that serves it.
     pub(crate) node: id::Node,
 }
 
-/// An ask in the queue.
+/// A queued ask.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) stream: id::Stream,
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to engines: which weights they are to hold.
+//! Orders to engines: which weights they load and unload.
 //!
-//! The configuration says which weights exist; an owner compares that with
-//! what its engine holds and orders the difference. Orders are idempotent and
-//! follow from the present state, so a late order of a former owner is undone
-//! by the next comparison, also on engines that ignore fencing numbers.
+//! The configuration lists the offered weights; an owner compares it with what its engine has
+//! loaded and orders the difference. Orders are idempotent and derived from the current state,
+//! so a late order of a previous owner is undone by the next comparison, even on engines that
+//! don't check fencing epochs.
 
 use crate::core::Core;
 use crate::parse::hash_parts;
@@ -18,24 +18,24 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Keys of the load slots.
+/// Key prefix of the load slots.
 const LOAD_SLOT_PREFIX: &str = "loads/";
 
-/// Time to live of a load slot's lease: an owner that dies while its engine
-/// loads holds others up for this long at most.
+/// Time to live of a load slot's lease: an owner that dies while its engine loads blocks the
+/// slot for at most this long.
 const LOAD_SLOT_TTL: Duration = Duration::from_secs(15);
 
-/// Between two renewals of a held slot.
+/// Interval at which a held slot's lease is renewed.
 const LOAD_SLOT_RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Before the next try after no slot was free, or an engine refused a load
-/// for want of room: much less than a load takes, much more than a report.
+/// Retry delay after no slot was free or an engine had no room for the load: much shorter than
+/// a load, and much longer than a report interval.
 const LOAD_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a load may be missing from load reports, which lag.
+/// Time for which a load may be missing from load reports, which lag.
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
-/// Loads at once where the weight store does not say what it bears.
+/// Maximum number of concurrent loads if the weight store publishes no limit.
 const DEFAULT_CONCURRENT_LOADS: u32 = 1;
 
 /// A slot of the weight store, held while an engine loads.
@@ -48,8 +48,8 @@
 }
 
 impl Slot {
-    /// Whether the load may still run: the report lags, so a load that does
-    /// not stand in it yet may have begun.
+    /// Returns whether the load may still be running. Reports lag, so a load that is missing
+    /// from a report may have begun.
     fn is_needed(&self, now: Instant, loaded: &[Loaded]) -> bool {
         match loaded.iter().find(|loaded| loaded.weights == self.weights) {
             Some(loaded) => !loaded.ready,
@@ -58,18 +58,18 @@
     }
 }
 
-/// What an owner remembers of its engine's loads.
+/// The state of an engine's loads, kept by its owner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Loads {
     slot: Option<Slot>,
     paused_until: Option<Instant>,
 }
 
-/// The weights that the configuration in force offers.
+/// Returns the weights that the configuration offers.
 ///
-/// Every version stays until a note withdraws it: a new one is loaded beside
-/// the old one, requests that name no version go to it as soon as it is
-/// ready, and the old one goes with its note and its last stream.
+/// Each version remains until a release note withdraws it. A new version is loaded in addition
+/// to the old one, and requests that name no version use it as soon as it is ready. The old one
+/// is unloaded when it has been withdrawn and its last stream has ended.
 pub(crate) fn list_offered_weights(configuration: &Configuration) -> BTreeSet<Weights> {
     let models = configuration.models.iter();
     models
@@ -87,7 +87,7 @@
         .collect()
 }
 
-/// What to unload: not offered any more, and nothing runs on it.
+/// Returns the weights to unload: no longer offered, and without running requests.
 pub(crate) fn plan_unloads(
     offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
@@ -97,10 +97,9 @@
     surplus.filter(|weights| !offered.contains(weights) && !is_busy(weights)).cloned().collect()
 }
 
-/// What to load next: of what is missing, that with the fewest replicas that
-/// serve, so that a zone that returns all cold brings each model back soon.
-/// Among equals the target's hash decides, so that engines which can't hold
-/// all weights differ in what they hold.
+/// Returns the weights to load next: the missing ones with the fewest ready replicas, so that a
+/// zone that restarts cold soon serves every model. Ties are broken by a hash that includes the
+/// target, so that engines which can't hold all weights load different ones.
 pub(crate) fn plan_load(
     offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
@@ -118,7 +117,7 @@
     hash_parts(&parts.map(str::as_bytes))
 }
 
-/// Orders the difference between what an engine holds and what it is to hold.
+/// Orders the loads and unloads that bring an engine to the offered weights.
 pub(crate) async fn send_orders(
     core: &Core,
     host: &Host,
@@ -166,9 +165,8 @@
     result.is_ok()
 }
 
-/// Takes a slot of the weight store, if one is free: without the bound, a zone
-/// that returns would have all its engines load at once, and each would wait
-/// for the slowest.
+/// Acquires a slot of the weight store if one is free. Without this limit, all engines of a
+/// returning zone would load at once, and each would wait for the slowest.
 async fn acquire_slot(core: &Core, host: &Host, weights: &Weights) -> Option<Slot> {
     let limit = weight::Weights::limit(&core.platform).await;
     let count = limit.map_or(DEFAULT_CONCURRENT_LOADS, |limit| limit.loads);
@@ -183,7 +181,8 @@
     match core.platform.write(write).await {
         Ok(_) => Some(slot),
         Err(_) => {
-            // Also where the answer was lost: the key goes with its lease.
+            // The write may have succeeded with its answer lost; revoking the lease deletes the
+            // key.
             let _ = core.platform.revoke(lease).await;
             None
         }
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -52,8 +52,8 @@
     pub(crate) is_dead: bool,
     /// Loads of weights onto the engine.
     pub(crate) loads: Loads,
-    /// Fingerprints of requests that nodes reported to have run when the target died. They are
-    /// discarded if a load report shows that it is alive.
+    /// Fingerprints of the requests under which nodes reported the target's death. The next
+    /// load report clears them; a detected death records them.
     pub(crate) reported_deaths: Vec<u64>,
     /// The configuration from which the limiter's shares and weights were set.
     pub(crate) release: id::Release,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Sets the target's capacity. The limiter is recreated only while no permit is held and no
-    /// ask is queued.
+    /// Sets the target's capacity and recreates the limiter, unless a permit is held or an ask
+    /// is queued.
     pub(crate) fn set_capacity(&mut self, capacity: Capacity) {
         if self.capacity != capacity && self.permits.is_empty() && self.waiting.is_empty() {
             self.capacity = capacity;
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -1,7 +1,7 @@
-//! Reads what callers send: headers, tokens and bodies, into typed requests.
+//! Parses requests from callers, their headers, tokens and bodies, into typed requests.
 //!
-//! Whatever is wrong becomes a [`Refusal`] that says `ran: no` and names the
-//! place; nothing here panics or waits.
+//! Each error becomes a [`Refusal`] with `ran: no` that names the faulty part of the request.
+//! No function here panics or blocks.
 
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::refuse::{Ran, Reason, Refusal};
@@ -12,38 +12,37 @@
 use serde::Deserialize;
 use std::time::{Duration, Instant};
 
-/// The greatest body taken: a million tokens of prompt, with room for JSON's
-/// escapes.
+/// Maximum size of a request body: a million tokens of prompt, with room for JSON escapes.
 pub(crate) const MAX_BODY_SIZE: size::Bytes = size::Bytes(16 << 20);
 
-/// The time a request has when its caller names none.
+/// Time limit of a request whose caller sets none.
 const DEFAULT_TIME_LEFT: Duration = Duration::from_secs(60);
 
-/// The longest time a request may ask for; also what bounds a planned stop.
+/// Maximum time limit of a request; it also bounds a planned stop.
 pub(crate) const MAX_TIME_LEFT: Duration = Duration::from_secs(3600);
 
-/// The most tokens that may be asked for.
+/// Maximum number of tokens that a request may ask for.
 const MAX_REQUESTED_TOKENS: u64 = 100_000;
 
-/// Leading bytes of a prompt that decide its prefix affinity: a prefix of this
-/// length is worth sending to where it is cached, a shorter one is cheap to
-/// prefill anew.
+/// Number of leading bytes of a prompt that determine its prefix affinity. A prefix of this
+/// length is worth routing to a target that has it cached; a shorter one is cheap to prefill
+/// again.
 pub(crate) const AFFINITY_PREFIX_BYTES: usize = 1024;
 
-/// The header with the time that is left, in milliseconds.
+/// Header with the time left for the answer in milliseconds.
 pub(crate) const TIME_LEFT_HEADER: &str = "x-time-left-ms";
 
-/// The header with the idempotency key.
+/// Header with the idempotency key.
 pub(crate) const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// A caller who proved who it is.
+/// An authenticated caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     pub(crate) account: id::Account,
     pub(crate) partner: id::Partner,
 }
 
-/// A completion to run.
+/// A validated completion request.
 #[derive(Clone, Debug)]
 pub(crate) struct Completion {
     pub(crate) request: id::Request,
@@ -59,7 +58,7 @@
     pub(crate) prefix: u64,
 }
 
-/// The body of a completion, as callers send it.
+/// The JSON body of a completion request.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: id::Model,
@@ -88,12 +87,12 @@
     16
 }
 
-/// A refusal of something that never ran.
+/// Returns a refusal of a request that never ran.
 pub(crate) fn refuse(reason: Reason, detail: impl Into<String>) -> Refusal {
     Refusal { reason, ran: Ran::No, retry_after: None, detail: detail.into() }
 }
 
-/// Reads the bearer token.
+/// Parses the bearer token.
 pub(crate) fn parse_token(headers: &HeaderMap) -> Result<&str, Refusal> {
     headers
         .get(http::header::AUTHORIZATION)
@@ -103,7 +102,7 @@
         .ok_or_else(|| refuse(Reason::Unauthenticated, "header authorization: no bearer token"))
 }
 
-/// Finds the account that a token belongs to.
+/// Returns the account to which a token belongs.
 pub(crate) fn find_caller(token: &str, configuration: &Configuration) -> Result<Caller, Refusal> {
     let (account, entry) = configuration
         .find_account(token)
@@ -111,7 +110,7 @@
     Ok(Caller { account: account.clone(), partner: entry.partner.clone() })
 }
 
-/// Reads the time that the caller leaves for the answer.
+/// Parses the time left for the answer.
 pub(crate) fn parse_time_left(headers: &HeaderMap) -> Result<Duration, Refusal> {
     let Some(value) = headers.get(TIME_LEFT_HEADER) else { return Ok(DEFAULT_TIME_LEFT) };
     let bad =
@@ -125,7 +124,7 @@
     Ok(time)
 }
 
-/// Reads an idempotency key: a UUIDv7, whose own time tells how old it is.
+/// Parses an idempotency key: a UUIDv7, whose timestamp shows its age.
 pub(crate) fn parse_key(headers: &HeaderMap) -> Result<Option<uuid::Uuid>, Refusal> {
     let Some(value) = headers.get(IDEMPOTENCY_KEY_HEADER) else { return Ok(None) };
     let bad = || refuse(Reason::BadKey, format!("header {IDEMPOTENCY_KEY_HEADER}: not a UUIDv7"));
@@ -137,7 +136,7 @@
     }
 }
 
-/// What the headers of a request say.
+/// The caller and the deadline of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Head {
     pub(crate) caller: Caller,
@@ -145,7 +144,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// Reads a completion and checks that the account may have it.
+/// Parses a completion request and checks that the account may use the model.
 pub(crate) fn parse_completion(
     head: Head,
     body: &[u8],
@@ -219,9 +218,9 @@
     Weights { model: body.model.clone(), version: version.clone(), adapter: body.adapter.clone() }
 }
 
-/// The version for a request that names none: the current one, or while no
-/// engine serves that yet another one that is served. A version that has just
-/// gone out is still being loaded, and its callers need not wait for that.
+/// Returns the version for a request that names none: the current one, or another served
+/// version while no engine serves the current one. A newly released version is still being
+/// loaded, and callers needn't wait for that.
 fn choose_version(model: &Model, is_served: impl Fn(&id::Version) -> bool) -> &id::Version {
     if is_served(&model.current) {
         return &model.current;
@@ -229,8 +228,8 @@
     model.versions.keys().rev().find(|version| is_served(version)).unwrap_or(&model.current)
 }
 
-/// A hash of byte strings, each with its length, so that they can't run into
-/// each other.
+/// Hashes byte strings. Each is preceded by its length, so that different splits of the same
+/// bytes have different hashes.
 pub(crate) fn hash_parts(parts: &[&[u8]]) -> u64 {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,5 @@
-//! The exchange with peers.
+//! Gossip with peers: target states, suspects, and the versions of the configuration and the
+//! ownership table.
 
 use crate::core::{Core, Stage};
 use crate::table;
@@ -11,14 +12,14 @@
 use std::sync::{Arc, Weak};
 use tokio::sync::Mutex;
 
-/// Held while a document is fetched: one fetch at a time for each.
+/// Locks that limit each document to one fetch at a time.
 #[derive(Debug, Default)]
 pub(crate) struct FetchLocks {
     release: Mutex<()>,
     owners: Mutex<()>,
 }
 
-/// Answers peers on behalf of the node.
+/// Handles requests from peers.
 #[derive(Clone, Debug)]
 pub(crate) struct Service(pub(crate) Weak<Core>);
 
@@ -71,7 +72,7 @@
     }
 }
 
-/// What this node tells a peer.
+/// Returns the gossip for a peer.
 fn make_gossip(core: &Core, peer: &id::Node) -> Gossip {
     let (seen, since) = core.view.versions(peer);
     let (version, targets) = core.table.states_since(since);
@@ -95,21 +96,20 @@
     core.owners.heard(&gossip.node, gossip.owners);
 }
 
-/// Exchanges gossip with every peer, and fetches what a peer knows better: a
-/// configuration or an ownership table may not reach this node otherwise
-/// while the platform is down.
+/// Exchanges gossip with every peer and fetches newer documents from them: while the platform
+/// is unavailable, a configuration or an ownership table may reach this node in no other way.
 pub(crate) async fn gossip(core: Arc<Core>, links: Links) {
     let interval = core.duration_ms(core.settings.times.gossip_ms);
     loop {
-        // Its own word goes the way of all others'.
+        // This node's own state enters its view in the same way as a peer's.
         let own = make_gossip(&core, core.node_id());
         apply_gossip(&core, &Gossip { seen: own.version, ..own });
         core.view.note_nodes(core.now(), &core.member.nodes());
         for info in core.member.nodes().values() {
-            // An exchange goes both ways, so one of the two begins it. A node
-            // that can't renew its lease is off the others' lists, and they
-            // begin none with it: it would miss every note, and stop to grant
-            // on its targets as if it heard nobody. So it begins them all.
+            // An exchange informs both sides, so the node with the lower id starts it. A node
+            // that can't renew its lease is missing from the others' lists, so they start no
+            // exchange with it. It would miss every release and stop granting permits as if it
+            // had lost all peers, so it starts all exchanges itself.
             if info.node > *core.node_id() || !core.member.confirmed(core.now()) {
                 tokio::spawn(exchange(core.clone(), links.clone(), info.clone()));
             }
@@ -127,7 +127,8 @@
     }
 }
 
-/// The side that was asked looks as well: the asker may know better.
+/// Fetches documents after an exchange that the peer started, since the peer may have newer
+/// ones.
 async fn fetch_from_requester(core: Arc<Core>, gossip: Gossip) {
     let info = core.member.nodes().get(&gossip.node).cloned();
     if let (Some(info), Some(links)) = (info, core.links.get()) {
@@ -135,12 +136,12 @@
     }
 }
 
-/// Fetches what a peer knows better.
+/// Fetches the documents that a peer has in a newer version.
 ///
-/// All peers tell of a new document within one exchange. Were each asked for
-/// it, they would fill the links with the same bytes, and a call that times out
-/// closes its link, with all that waits there. So nobody is asked while another
-/// one is, and who told meanwhile tells again with the next exchange.
+/// All peers announce a new document within one exchange. If each were asked for it, they would
+/// fill the links with the same bytes, and a call that times out closes its link with all other
+/// calls on it. So only one fetch of each document runs at a time; peers that announce it
+/// meanwhile do so again in their next exchange.
 async fn fetch_newer(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
     tokio::join!(fetch_release(core, links, info, gossip), fetch_owners(core, links, info, gossip));
 }
@@ -165,8 +166,8 @@
     }
 }
 
-/// Exchanges with all peers at once, and waits until each has answered or is
-/// past the time that a peer may take.
+/// Exchanges gossip with all peers concurrently, and waits until each has answered or timed
+/// out.
 pub(crate) async fn gossip_with_all_peers(core: &Arc<Core>) {
     let Some(links) = core.links.get() else { return };
     let nodes = core.member.nodes();
@@ -175,7 +176,7 @@
     futures::future::join_all(exchanges).await;
 }
 
-/// Reads the host list again and again.
+/// Polls the platform's host list.
 pub(crate) async fn poll_hosts(core: Arc<Core>) {
     let interval = core.duration_ms(core.settings.times.hosts_ms);
     loop {
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -1,4 +1,4 @@
-//! Getting leave to send: choose a target, ask its owner, check once more.
+//! Obtains permits to send: chooses a target, asks its owner, and checks again before sending.
 
 use crate::core::Core;
 use crate::owned::{QUEUED_REASON, TAKEN_REASON};
@@ -17,19 +17,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Targets that are asked for one attempt. Each answer of "queue too long"
-/// tells that placement was wrong by what it did not yet know; after three,
-/// the fleet is full rather than the choice unlucky.
+/// Maximum number of asks in one attempt that end in a full queue or without an answer. Each
+/// "queue too long" answer shows that placement used outdated states; after three of them, the
+/// fleet is more likely full than the choice unlucky.
 const MAX_COUNTED_ASKS: usize = 4;
 
-/// When to come back where no target takes work at all.
+/// Retry delay for callers if no target accepts work.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How often an outcome is told to an owner that does not answer; after that
-/// its own sweep finds the end by the deadline within the stream's id.
+/// Maximum number of times an outcome is sent to an owner that doesn't answer. After that, the
+/// owner's sweep detects the end by the deadline in the stream's id.
 const MAX_OUTCOME_SENDS: u32 = 3;
 
-/// What an attempt needs.
+/// What an attempt requires.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptSpec<'a> {
     pub(crate) capability: Capability<'a>,
@@ -41,18 +41,18 @@
     pub(crate) deadline: Instant,
     pub(crate) fingerprint: u64,
     pub(crate) prefix: u64,
-    /// Runs beside no other request.
+    /// Whether it must run without other requests on the target.
     pub(crate) is_exclusive: bool,
 }
 
-/// Leave to send one attempt to one target.
+/// A permit to send one attempt to one target.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     pub(crate) target: id::Target,
     pub(crate) address: SocketAddr,
     pub(crate) permit: Permit,
     pub(crate) stream: id::Stream,
-    /// Time until the first token by what is known of the target.
+    /// Expected time until the first token, by the target's known state.
     pub(crate) expected_first_token: Duration,
 }
 
@@ -72,29 +72,29 @@
     }
 }
 
-/// Attempts of a request that may have run. After three targets have failed it the
-/// request is more likely to blame than they are.
+/// Maximum number of attempts that may have run. After three targets have failed, the request
+/// is a likelier cause than the targets.
 const MAX_STARTED_ATTEMPTS: u32 = 3;
 
-/// Attempts that certainly never began, which cost no target anything.
+/// Maximum number of attempts that certainly never started; these cost no target any work.
 const MAX_UNSTARTED_ATTEMPTS: u32 = 8;
 
-/// By which each wait after an attempt that never began is longer than the last.
+/// Increment of the backoff after each attempt that never started.
 const UNSTARTED_BACKOFF_STEP: Duration = Duration::from_millis(10);
 
-/// A request's earlier attempts.
+/// The earlier attempts of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// Targets that failed, or that nothing reached.
+    /// Targets that failed or were unreachable.
     failed: Vec<id::Target>,
-    /// Targets that answered that they never began.
+    /// Targets that answered that the attempt never started.
     refused: Vec<id::Target>,
     runs: u32,
     unstarted: u32,
 }
 
 impl AttemptHistory {
-    /// Notes an attempt that ended so.
+    /// Records a failed attempt on a target.
     pub(crate) fn record(&mut self, target: id::Target, retry: Retry) {
         match retry {
             Retry::Refused => self.refused.push(target),
@@ -103,7 +103,7 @@
         self.count(retry);
     }
 
-    /// Counts an attempt that is not one target's.
+    /// Counts a failed attempt that can't be attributed to a single target.
     pub(crate) fn count(&mut self, retry: Retry) {
         match retry {
             Retry::Refused | Retry::NotSent => self.unstarted += 1,
@@ -111,8 +111,9 @@
         }
     }
 
-    /// Waits until the next attempt; whether there may be one. What kept one from
-    /// beginning lasts for some moments, and would keep the next ones at once.
+    /// Waits before the next attempt; returns whether there may be one. The cause that kept an
+    /// attempt from starting usually lasts for a moment, so immediate retries would fail as
+    /// well.
     pub(crate) async fn wait_before_retry(&self) -> bool {
         let has_attempts_left =
             self.runs < MAX_STARTED_ATTEMPTS && self.unstarted < MAX_UNSTARTED_ATTEMPTS;
@@ -123,10 +124,10 @@
     }
 }
 
-/// Gets leave for an attempt, or the refusal that is final for it.
+/// Obtains a placement for an attempt, or the final refusal for it.
 ///
-/// Targets that never began an earlier attempt come last: they live, and what
-/// broke may have been the connection alone.
+/// Targets on which an earlier attempt never started are tried last: they are alive, and
+/// possibly only the connection failed.
 pub(crate) async fn obtain_placement(
     core: &Core,
     spec: &AttemptSpec<'_>,
@@ -141,7 +142,7 @@
     }
 }
 
-/// As [`obtain`], from a target that isn't among those `tried`.
+/// Obtains a placement on a target that isn't in `rejected`.
 async fn obtain_excluding(
     core: &Core,
     spec: &AttemptSpec<'_>,
@@ -151,7 +152,7 @@
     let mut full_targets = Vec::new();
     let mut asked = 0;
     while asked < MAX_COUNTED_ASKS {
-        // Who was asked for an answer at once may queue the ask now.
+        // Targets that were asked without queueing may queue the ask now.
         if asked >= ASKS_AT_ONCE {
             full_targets.clear();
         }
@@ -169,14 +170,14 @@
         let target = best.target.clone();
         let is_immediate = !spec.is_exclusive && asks_at_once(spec.cost, asked, candidates.len());
         let expected_first_token = hickory_policy::place::estimate_first_token(spec.cost, best);
-        // Counted from the ask on: what waits at an owner is not told yet, and
-        // a whole burst would join the queue of one and the same target.
+        // Counted from the ask on: asks queued at an owner aren't published yet, and a burst of
+        // requests would otherwise choose the same target.
         core.view.note_sent(now, &target, spec.cost);
         match ask_owner(core, spec, &target, is_immediate).await {
             Ok(permit) => {
                 let hosts = core.view.hosts();
-                // The owner may be cut off from the platform and not know that
-                // the zone is out: this node looks for itself before it sends.
+                // The owner may be cut off from the platform and not know that the zone is out
+                // of service, so this node checks its own configuration before sending.
                 let current = core.configuration().unwrap_or(configuration);
                 let host = hosts.get(&target).filter(|_| core.view.may_send(&target, &current));
                 let Some(host) = host else {
@@ -199,8 +200,7 @@
                 }
                 let is_sooner =
                     refusal.as_ref().is_none_or(|r| refused.retry_after < r.retry_after);
-                // An owner that is asked for an answer at once does not say
-                // when to come back.
+                // An owner that refuses an ask without queueing states no retry delay.
                 if is_sooner && !is_immediate {
                     refusal = Some(refused);
                 }
@@ -225,8 +225,8 @@
     Query { cost: spec.cost, class: spec.class, prefix, random: rand::random() }
 }
 
-/// Asks the owner of `target` until it grants or refuses; `None` where the
-/// owner can't be asked.
+/// Asks the owner of `target` until it grants or refuses; returns `Err(None)` if no owner can
+/// be asked.
 async fn ask_owner(
     core: &Core,
     spec: &AttemptSpec<'_>,
@@ -270,8 +270,8 @@
     }
 }
 
-/// Asks the owner of `target` for an answer at once, yes or no. The same ask
-/// again renews the life of its permit.
+/// Asks the owner of `target` for a permit without queueing. Repeating the ask renews the
+/// permit's lifetime.
 pub(crate) async fn ask_immediately(
     core: &Core,
     spec: &AttemptSpec<'_>,
@@ -313,11 +313,11 @@
     }
 }
 
-/// Where the owner of a target listens.
+/// The owner of a target.
 enum Owner {
-    /// It is this node.
+    /// This node.
     Local,
-    /// It is a peer.
+    /// A peer, with the address for other nodes.
     Remote(SocketAddr),
 }
 
@@ -343,10 +343,10 @@
     }
 }
 
-/// Tells the owner of a target that this node serves the rest of a stream.
+/// Informs the owner of a target that this node serves the rest of a stream.
 pub(crate) async fn adopt(core: &Core, adopt: message::Adopt) -> Result<Permit, Refusal> {
-    // The owner may have gone with the caller's node: its successor, once it
-    // is there, finds the stream on the target.
+    // The owner may have failed together with the caller's node. Its successor will find the
+    // stream on the target.
     let refuse_no_owner = || Refusal {
         retry_after: Some(core.permit_lifetime()),
         ..refuse(Reason::NoOwner, "the target has no owner at present")
@@ -366,12 +366,12 @@
     })
 }
 
-/// Whether this node may take its own stream up again after a cut.
+/// Returns whether this node may resume its own stream after a broken connection.
 ///
-/// The engine cuts a reader when another one comes: if this node was paused,
-/// its caller may have gone on through another node, and taking the stream
-/// back would cut that one. While the target has no owner the answer waits,
-/// for `limit` at most: then the cut is far likelier than a second reader.
+/// The engine disconnects a reader when another one connects. If this node was paused, its
+/// caller may have resumed through another node, and resuming here would disconnect that one.
+/// While the target has no owner, the answer is delayed by up to `limit`; after that, a broken
+/// connection is far likelier than a second reader.
 pub(crate) async fn can_keep_stream(core: &Core, request: message::Adopt, limit: Duration) -> bool {
     let end = core.now() + limit;
     loop {
@@ -385,7 +385,7 @@
     }
 }
 
-/// Tells the owner how an attempt ended, without waiting for it.
+/// Reports an attempt's outcome to the owner in the background.
 pub(crate) fn report_outcome(
     core: &Core,
     target: &id::Target,
@@ -419,7 +419,7 @@
     }
 }
 
-/// The id of an attempt's stream.
+/// Returns the id of an attempt's stream.
 pub(crate) fn make_stream_id(
     core: &Arc<Core>,
     request: id::Request,
@@ -429,11 +429,11 @@
     id::Stream { request, attempt, sender: core.node_id().clone(), deadline_ms }
 }
 
-/// A cost of one slot, for calls of plain services.
+/// The cost of a call to a plain service: one slot, no tokens.
 pub(crate) const SERVICE_CALL_COST: Cost =
     Cost { prefill: size::Tokens(0), decode: size::Tokens(0) };
 
-/// Milliseconds of wall-clock time.
+/// Returns the wall-clock time in milliseconds.
 pub(crate) fn wall_ms(core: &Core) -> u64 {
     core.clock.wall_ms()
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,9 +1,9 @@
-//! Relaying the tokens of one stream from an engine to a caller.
+//! Relays the tokens of one stream from an engine to a caller.
 //!
-//! Every token is checked against the position: one that was given already is
-//! passed over, a gap is a cut. A silent or broken connection says nothing of
-//! the engine, so the stream is taken up over a new connection before the
-//! engine is given up on.
+//! Each token's sequence number is checked: tokens that were already delivered are skipped, and
+//! a gap counts as a broken connection. A silent or broken connection doesn't mean that the
+//! engine failed, so the stream is resumed over a new connection before the engine is
+//! considered failed.
 
 use crate::complete::Piece;
 use crate::core::Core;
@@ -21,70 +21,70 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// How often in a row a stream is taken up over a new connection without a
-/// token in between. Middleboxes forget connections rarely; a stream that
-/// stands still for longer has another cause. One that moves on costs its
-/// engine nothing by a cut, while giving it up would cost the account a retry.
+/// Maximum number of consecutive resumes without a new token. Middleboxes rarely drop
+/// connections, so a stream that makes no progress for longer has another cause. Resuming a
+/// stream that makes progress costs its engine nothing, while giving it up would charge the
+/// account a retry.
 const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 3;
 
-/// How often an engine is asked which process it is.
+/// Maximum number of reads of an engine's report to learn its incarnation.
 const MAX_REPORT_READS: u32 = 3;
 
-/// How much longer than expected a first token may take: the estimate knows
-/// the queue, but not what a cold start or a lost cache costs.
+/// Factor by which a first token may exceed its expected time: the estimate includes the queue,
+/// but not a cold start or a lost cache.
 const FIRST_TOKEN_FACTOR: u32 = 4;
 
 /// How the relay of a stream ended.
 #[derive(Clone, Debug)]
 pub(crate) enum End {
-    /// The answer is whole, with this many tokens.
+    /// The answer is complete, with this many tokens.
     Complete(u64),
-    /// The caller is gone.
+    /// The caller has disconnected.
     CallerGone,
     /// Another node serves the stream now.
     TakenOver,
     /// The deadline passed.
     Deadline,
-    /// The stream does not move on, or the engine says nothing.
+    /// The stream makes no progress, or the engine doesn't answer.
     Stalled,
-    /// The engine's port is closed, or it runs anew without the stream.
+    /// The engine's port is closed, or its new process doesn't have the stream.
     TargetDied,
-    /// The engine said no, or failed.
+    /// The engine refused the stream or failed.
     Failed(Error),
 }
 
-/// A stream under relay.
+/// A stream that is being relayed.
 pub(crate) struct Relay<'a> {
     pub(crate) core: &'a Core,
     pub(crate) address: SocketAddr,
     pub(crate) target: &'a id::Target,
     pub(crate) stream: &'a id::Stream,
     pub(crate) deadline: Instant,
-    /// How long the first token may take.
+    /// Timeout for the first token.
     pub(crate) first_token_timeout: Duration,
     pub(crate) out: &'a mpsc::Sender<Piece>,
-    /// Tokens that the caller has been given.
+    /// Number of tokens delivered to the caller.
     pub(crate) delivered: u64,
-    /// When the first token of this relay came.
+    /// When this relay received its first token.
     pub(crate) first_token_at: Option<Instant>,
 }
 
-/// How long a first token may take where `expected` was estimated.
+/// Returns the timeout for a first token with this expected time.
 pub(crate) fn first_token_timeout(core: &Core, expected_first_token: Duration) -> Duration {
     core.duration_ms(core.settings.times.progress_ms)
         + expected_first_token.saturating_mul(FIRST_TOKEN_FACTOR)
 }
 
-/// Why reading one connection ended without an end of the stream.
+/// Why reading from a connection stopped before the end of the stream.
 enum ReadError {
     /// The connection broke or skipped tokens.
     Broken,
-    /// Nothing came for too long.
+    /// The connection was silent for too long.
     Silent,
 }
 
 impl Relay<'_> {
-    /// Opens the stream, within the time that a first token may take.
+    /// Opens the stream, with the timeout of the first token.
     pub(crate) async fn open(
         &mut self,
         opening: impl Future<Output = Result<Tokens, Error>>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Relays until the stream ends, over new connections where need be.
+    /// Relays until the stream ends, resuming it over new connections as needed.
     pub(crate) async fn run(&mut self, mut tokens: Tokens) -> End {
         let mut resumes_without_progress = 0;
         while resumes_without_progress < MAX_RESUMES_WITHOUT_PROGRESS {
@@ -131,8 +131,8 @@
         End::Stalled
     }
 
-    /// Takes the stream up over a new connection; where that one breaks as
-    /// well, over another.
+    /// Resumes the stream over a new connection. If the outcome is unknown, it is retried over
+    /// further connections.
     async fn reopen(&mut self) -> Result<Tokens, End> {
         for _ in 1..MAX_RESUMES_WITHOUT_PROGRESS {
             match self.reopen_once().await {
@@ -143,7 +143,7 @@
         self.reopen_once().await
     }
 
-    /// Takes the stream up from what the caller has, over a new connection.
+    /// Resumes the stream after the last delivered token, over a new connection.
     async fn reopen_once(&mut self) -> Result<Tokens, End> {
         let timeout = self.core.duration_ms(self.core.settings.times.progress_ms);
         let request = Adopt {
@@ -171,17 +171,16 @@
             Ok(Err(Error::NotSent(_))) if is_port_closed(self.address).await => {
                 Err(End::TargetDied)
             }
-            // Silence is no death: a frozen engine or a lost zone must not put
-            // the request under the suspicion of having crashed it.
+            // A timeout isn't a death: requests on a frozen engine or in an unreachable zone
+            // must not be suspected of having crashed it.
             Ok(Err(Error::NotSent(_))) | Err(_) => Err(End::Stalled),
             Ok(Err(error)) => Err(End::Failed(error)),
         }
     }
 
-    /// The engine answers and does not know the stream. Where its process is
-    /// the one that the owner told of, the connection broke before the engine
-    /// read the request; else it died, perhaps of it. A report that is lost on
-    /// its way tells neither.
+    /// Classifies a stream that the engine doesn't know. If the engine's incarnation is the one
+    /// that the owner published, the connection broke before the engine read the request;
+    /// otherwise the engine died, possibly because of it. A lost report proves neither.
     async fn classify_unknown_stream(&self) -> End {
         let known = self.core.view.state(self.target).map(|state| state.incarnation);
         for _ in 0..MAX_REPORT_READS {
@@ -203,7 +202,7 @@
         End::Stalled
     }
 
-    /// Reads one connection until the stream's end or a cut.
+    /// Reads from one connection until the stream ends or the connection fails.
     async fn read(&mut self, tokens: &mut Tokens) -> Result<End, ReadError> {
         loop {
             let timeout = match self.first_token_at {
@@ -239,7 +238,8 @@
         }
     }
 
-    /// Hands a piece on; a caller who takes nothing for too long is gone.
+    /// Sends a piece to the caller's task. A caller that reads nothing until the timeout is
+    /// treated as disconnected.
     async fn deliver(&mut self, piece: Piece) -> Option<End> {
         let timeout = self.core.duration_ms(self.core.settings.times.progress_ms);
         let sent = tokio::select! {
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -1,4 +1,4 @@
-//! Taking up a stream for a caller whose connection or node went.
+//! Resumes a stream for a caller whose connection or node failed.
 
 use crate::complete::Piece;
 use crate::core::{Active, Core};
@@ -13,16 +13,15 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a slow caller.
+/// Maximum number of pieces buffered for a slow caller.
 const MAX_BUFFERED_PIECES: usize = 256;
 
-/// Takes the stream up after `position`. Only the deadline in the stream's id
-/// bounds it.
+/// Resumes the stream after `position`. It is bounded only by the deadline in the stream's id.
 ///
-/// The owner is told, so that it does not cancel a stream that somebody reads
-/// again. Where the target has none, as it may have died with the caller's
-/// node, the engine is asked all the same and its next owner is told beside
-/// that; it leaves the stream alone for longer than it takes to be told.
+/// The target's owner is informed, so that it doesn't cancel a stream that is read again. If
+/// the target has no owner, which may have died with the caller's node, the stream is resumed
+/// anyway and the next owner is informed concurrently; it doesn't cancel orphaned streams for
+/// longer than that takes.
 pub(crate) fn spawn(core: &Arc<Core>, position: Position) -> mpsc::Receiver<Piece> {
     let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
@@ -65,8 +64,8 @@
     let mut relaying = std::pin::pin!(relaying);
     let adopting = adopt(core, position);
     let mut adopting = std::pin::pin!(adopting);
-    // The owner first, where there is one: a paused reader that goes on is
-    // then told that the stream is taken.
+    // Inform the owner first, if there is one: a paused node that still relays the stream then
+    // learns that the stream is taken over.
     let adopted = tokio::time::timeout(core.permit_lifetime() / 4, adopting.as_mut()).await;
     let (end, permit) = match adopted {
         Ok(permit) => (relaying.await, permit),
@@ -92,7 +91,7 @@
     result
 }
 
-/// Tells the owner, as soon as there is one, that this node serves the rest.
+/// Informs the owner, as soon as there is one, that this node serves the rest of the stream.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
     let adopt = Adopt { target, stream, node: core.node_id().clone(), keep: false };
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -1,7 +1,6 @@
-//! All targets that this node owns, and what peers ask of them.
+//! The table of targets that this node owns, and the requests of peers about them.
 //!
-//! They lie in shards, each under its own lock; no lock is held across an
-//! await.
+//! The targets are sharded, with one lock for each shard; no lock is held across an await.
 
 use crate::core::Core;
 use crate::owned::{AskResult, QUEUED_REASON, TAKEN_REASON, Target, refuse, refuse_not_owner};
@@ -17,22 +16,22 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// Shards of the table; a node owns few targets, so few shards do.
+/// Number of shards; a node owns few targets, so few shards suffice.
 const SHARDS: usize = 8;
 
-/// All targets that a node owns.
+/// The targets that a node owns.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
-    /// Counts the changes of what is told to peers.
+    /// Version of the published states, incremented by each change.
     version: AtomicU64,
     shards: [Mutex<HashMap<id::Target, Target>>; SHARDS],
-    /// Told when an ask begins to wait.
+    /// Notified when an ask is queued.
     pub(crate) ask_queued: Notify,
 }
 
 impl Table {
-    /// Begins to own a target under an epoch; one owned under the same epoch
-    /// stays as it is.
+    /// Adds a target under an epoch; a target that is owned under the same epoch is kept
+    /// unchanged.
     pub(crate) fn open(&self, target: &id::Target, epoch: id::Epoch) {
         let mut shard = self.shard(target);
         if shard.get(target).is_some_and(|owned| owned.epoch == epoch) {
@@ -41,8 +40,8 @@
         shard.insert(target.clone(), Target::open(target.clone(), epoch));
     }
 
-    /// Lets go of targets that are not owned any more; who waits for one is
-    /// told to look its owner up again.
+    /// Removes targets that are no longer owned. Asks queued for them are answered that this
+    /// node isn't the owner.
     pub(crate) fn retain(&self, mut keep: impl FnMut(&id::Target, id::Epoch) -> bool) {
         for shard in &self.shards {
             let mut shard = lock(shard);
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Runs `f` on a owned.
+    /// Runs `f` on an owned target.
     pub(crate) fn with<T>(
         &self,
         target: &id::Target,
@@ -59,7 +58,8 @@
         self.shard(target).get_mut(target).map(f)
     }
 
-    /// Grants what fits now on all targets; the number of asks that wait on.
+    /// Grants the queued asks that fit now on all targets; returns the number of asks that
+    /// remain queued.
     pub(crate) fn poll(&self, now: Instant, permit_lifetime: Duration) -> usize {
         let mut waiting = 0;
         for shard in &self.shards {
@@ -71,7 +71,7 @@
         waiting
     }
 
-    /// What peers would be told of all targets now.
+    /// Returns the current states of all targets.
     pub(crate) fn states(&self) -> Vec<State> {
         let shards = self.shards.iter();
         shards
@@ -79,11 +79,11 @@
             .collect()
     }
 
-    /// What a peer is told that has version `since`: what has changed after
-    /// it, and the version that the peer then has.
+    /// Returns the states that changed after version `since`, and the version that a peer has
+    /// after applying them.
     ///
-    /// Telling all of it every time made two thirds of a node's control bytes,
-    /// of which next to nothing was news on an idle fleet.
+    /// Only changes are sent: sending all states in every exchange made up two thirds of a
+    /// node's control traffic, almost none of it changed on an idle fleet.
     pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<State>) {
         let mut changed = Vec::new();
         for shard in &self.shards {
@@ -92,8 +92,8 @@
                 changed.extend(published.filter(|(version, _)| *version > since));
             }
         }
-        // A version past what is told here may belong to a change that a
-        // concurrent call found in a shard passed over already.
+        // A version beyond the states returned here may belong to a change that a concurrent
+        // call found in a shard that was already visited.
         let version = changed.iter().map(|(version, _)| *version).max().unwrap_or(since);
         (version, changed.into_iter().map(|(_, state)| state).collect())
     }
@@ -108,7 +108,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Takes an ask out of the queue when its asker stops waiting.
+/// Removes an ask from the queue when its asker stops waiting.
 struct WithdrawOnDrop<'a> {
     core: &'a Core,
     target: &'a id::Target,
@@ -123,8 +123,8 @@
     }
 }
 
-/// Answers an ask for a permit as owner: at once, or when its turn comes, or
-/// with [`QUEUED`] after half a permit's life.
+/// Answers an ask for a permit as owner: immediately, when its turn comes, or with
+/// [`QUEUED_REASON`] after half a permit's lifetime.
 pub(crate) async fn permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
     let answer = decide_permit(core, ask).await;
     core.metrics.permit(match &answer {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Takes a stream over for the asking node.
+/// Transfers a stream to the asking node.
 pub(crate) fn adopt(core: &Core, adopt: &Adopt) -> Result<Permit, Refusal> {
     let permit_lifetime = core.permit_lifetime();
     let left = adopt.stream.deadline_ms.saturating_sub(core.clock.wall_ms());
@@ -164,14 +164,14 @@
             Err(refuse(TAKEN_REASON, Duration::ZERO))
         }
         Some(_) => Ok(owned.adopt(adopt, until, permit_lifetime)),
-        // A new owner does not know yet what the target holds.
+        // A new owner doesn't know yet which streams the target holds.
         None => Err(refuse_not_owner()),
     });
     let adopted = adopted.ok_or_else(refuse_not_owner)??;
     adopted.ok_or_else(|| refuse(Reason::StreamLost, Duration::ZERO))
 }
 
-/// Takes in how a permitted attempt ended.
+/// Applies the outcome of a permitted attempt.
 pub(crate) fn apply_outcome(core: &Core, outcome: &Outcome) {
     let (now, permit_lifetime) = (core.now(), core.permit_lifetime());
     core.table.with(&outcome.target, |owned| {
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,5 +1,5 @@
-//! What a node knows of the targets: the platform's host list, and what their
-//! owners tell.
+//! A node's view of the targets: the platform's host list and the states that the owners
+//! publish by gossip.
 
 use crate::parse::hash_parts;
 use hickory_policy::cost::Cost;
@@ -14,25 +14,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-/// Shards of the target states; more than the threads that meet there.
+/// Number of shards of the target states; greater than the number of threads that use them.
 const SHARDS: usize = 16;
 
-/// A peer that was not heard for this long is taken to be gone: many exchanges
-/// were missed, and a takeover of what it owns is under way.
+/// A peer that has been silent for this long is considered dead: many gossip exchanges were
+/// missed, and a takeover of its targets is under way.
 const MAX_PEER_SILENCE: Duration = Duration::from_secs(5);
 
-/// How long the address of a node that is registered no more is kept after it
-/// was last heard.
+/// Time for which the address of a node that is no longer registered is kept after its last
+/// gossip.
 const MAX_KNOWN_NODE_AGE: Duration = Duration::from_secs(60);
 
-/// How long this node counts what it sent to a target on top of what the
-/// owner told: by then the owner has told again, or nothing has changed.
+/// Time for which this node adds the work that it sent to a target to the state that the owner
+/// published. By then, the owner has published a newer state, or nothing has changed.
 const MAX_SENT_AGE: Duration = Duration::from_secs(1);
 
 /// The listed hosts by target.
 pub(crate) type Hosts = BTreeMap<id::Target, Host>;
 
-/// What an owner told of a target, and what this node sent there since.
+/// The state of a target as published by its owner, and the work that this node has sent to it
+/// since.
 #[derive(Clone, Debug)]
 struct TargetView {
     state: State,
@@ -44,7 +45,7 @@
     sent_at: Option<Instant>,
 }
 
-/// What a node knows of its peers.
+/// What a node knows of a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerView {
     pub(crate) last_heard: Instant,
@@ -52,13 +53,13 @@
     pub(crate) connections: u32,
     pub(crate) draining: bool,
     incarnation: id::Incarnation,
-    /// The version of its targets that this node has.
+    /// The version of the peer's targets that this node has.
     pub(crate) received_version: u64,
-    /// The version of this node's targets that it has.
+    /// The version of this node's targets that the peer has.
     pub(crate) acknowledged_version: u64,
 }
 
-/// What a node knows of targets and peers.
+/// A node's view of targets and peers.
 #[derive(Debug)]
 pub(crate) struct View {
     /// The zone of this node.
@@ -69,7 +70,7 @@
     known: Mutex<HashMap<id::Node, Info>>,
 }
 
-/// What a request needs of a target.
+/// What a request requires of a target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Capability<'a> {
     /// An engine with these weights.
@@ -79,7 +80,7 @@
 }
 
 impl View {
-    /// The empty view of a node in `zone`.
+    /// Returns the empty view of a node in `zone`.
     pub(crate) fn open(zone: id::Zone) -> Self {
         Self {
             zone,
@@ -99,11 +100,11 @@
         *self.hosts.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(hosts);
     }
 
-    /// Notes where registered nodes listen.
+    /// Records the addresses of registered nodes.
     ///
-    /// An owner that is cut off from the platform alone drops off the list of
-    /// registered nodes and keeps its targets, since its peers still reach it:
-    /// without its address they could not ask it for permits.
+    /// An owner that is cut off from the platform alone is no longer registered, but keeps its
+    /// targets because its peers still reach it. Its address is kept, so that other nodes can
+    /// still ask it for permits.
     pub(crate) fn note_nodes(&self, now: Instant, nodes: &BTreeMap<id::Node, Info>) {
         let peers = self.peers();
         let is_reachable = |node: &id::Node| {
@@ -116,12 +117,12 @@
         known.extend(nodes.iter().map(|(node, info)| (node.clone(), info.clone())));
     }
 
-    /// Where a node listens, as it was last registered.
+    /// Returns the last registered address of a node.
     pub(crate) fn find_node(&self, node: &id::Node) -> Option<Info> {
         self.known.lock().unwrap_or_else(PoisonError::into_inner).get(node).cloned()
     }
 
-    /// Takes in what a peer tells of itself and of the targets it owns.
+    /// Merges a peer's gossip about itself and the targets that it owns.
     pub(crate) fn merge(&self, now: Instant, gossip: &Gossip) {
         let mut peers = self.peers();
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
@@ -131,12 +132,12 @@
             connections: gossip.connections,
             draining: gossip.draining,
             incarnation: gossip.incarnation,
-            // An answer that was overtaken by a later one takes nothing back.
+            // The version must not decrease when answers arrive out of order.
             received_version: known.map_or(0, |known| known.received_version).max(gossip.version),
             acknowledged_version: gossip.seen,
         };
-        // What was overtaken by a later word would put a target back to what
-        // it was, and is not told again.
+        // Target states in a gossip message that arrives after a newer one are ignored: they
+        // would reset targets to an outdated state, and the newer state isn't sent again.
         let is_overtaken = known.is_some_and(|known| gossip.version < known.received_version);
         peers.insert(gossip.node.clone(), view);
         drop(peers);
@@ -145,15 +146,16 @@
         }
     }
 
-    /// The versions that this node and a peer have of each other's targets.
+    /// Returns the version of the peer's targets that this node has, and the version of this
+    /// node's targets that the peer has.
     pub(crate) fn versions(&self, peer: &id::Node) -> (u64, u64) {
         self.peers()
             .get(peer)
             .map_or((0, 0), |known| (known.received_version, known.acknowledged_version))
     }
 
-    /// Takes in one target's state; one under an older epoch comes from an
-    /// owner that has been replaced and is passed over.
+    /// Merges a target's state. A state with an older epoch comes from a replaced owner and is
+    /// ignored.
     fn merge_state(&self, owner: &id::Node, state: State) {
         let mut shard = self.shard(&state.target);
         let known = shard.get(&state.target);
@@ -166,8 +168,8 @@
         shard.insert(target, TargetView { state, owner, key, sent, sent_count, sent_at });
     }
 
-    /// Notes that this node sent work to a target, so that until its owner
-    /// tells again the next choice counts it.
+    /// Records that this node sent work to a target, which is counted in placement until the
+    /// owner publishes a newer state.
     pub(crate) fn note_sent(&self, now: Instant, target: &id::Target, cost: Cost) {
         if let Some(seen) = self.shard(target).get_mut(target) {
             seen.forget_sent(now);
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The newest release that a living peer has in force.
+    /// Returns the newest release that a live peer has in force.
     pub(crate) fn newest_release(&self, now: Instant) -> Option<id::Release> {
         let peers = self.peers();
         let alive = peers.values().filter(|peer| is_alive(now, peer));
@@ -192,7 +194,7 @@
         self.shard(target).get(target).map(|seen| seen.state.clone())
     }
 
-    /// Targets that can serve with these weights.
+    /// Returns the number of targets that are ready to serve these weights.
     pub(crate) fn count_ready(&self, weights: &Weights) -> usize {
         let shards = self.states.iter();
         let count = shards.map(|shard| {
@@ -203,16 +205,16 @@
         count.sum()
     }
 
-    /// Whether new work may go to a target, by the configuration and the host
-    /// list that this node has; checked again just before sending, as the
-    /// owner may be cut off from the platform.
+    /// Returns whether new work may be sent to a target by this node's configuration and host
+    /// list. It is checked again just before sending, since the owner may be cut off from the
+    /// platform.
     pub(crate) fn may_send(&self, target: &id::Target, configuration: &Configuration) -> bool {
         let hosts = self.hosts();
         hosts.get(target).is_some_and(|host| is_in_service(host, configuration))
     }
 
-    /// The targets that can run a request with the hash of its leading blocks,
-    /// less the excluded ones.
+    /// Returns the targets that can run a request, without the excluded ones. `prefix` is the
+    /// hash of the request's leading bytes.
     pub(crate) fn candidates(
         &self,
         now: Instant,
@@ -232,7 +234,7 @@
             .collect()
     }
 
-    /// Puts what this node's own books say in place of what it last told.
+    /// Replaces the gossiped states of this node's own targets by their current states.
     pub(crate) fn apply_own_states(candidates: &mut [Candidate], own: &[State]) {
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -1,5 +1,5 @@
-//! The contract of the callers' interface: what each bad request is told, in
-//! a table, over real sockets.
+//! The contract of the HTTP interface for callers: a table of invalid requests with their
+//! refusals, sent over real sockets.
 
 use hickory_node::Node;
 use hickory_release::configuration::{Account, Model, Partner, Service, Weight, digest_token};
@@ -77,7 +77,7 @@
     }
 }
 
-/// Sends bytes on a connection of its own and reads to its end.
+/// Sends a request on a new connection and returns the answer's head and body.
 fn send(address: SocketAddr, request: &str) -> (String, String) {
     let mut stream = TcpStream::connect(address).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout can be set");
@@ -98,7 +98,7 @@
     request
 }
 
-/// A row of the table: what is sent and the status, reason and `ran` told.
+/// A row of the table: the request, and the expected status, reason and `ran`.
 struct Case {
     name: &'static str,
     method: &'static str,
@@ -147,7 +147,7 @@
         (400, "malformed"),
     ),
     completion(
-        "absurd tokens",
+        "too many tokens",
         r#"{"model":"oak","prompt":"p","max_tokens":9e9}"#,
         (400, "malformed"),
     ),
@@ -173,13 +173,17 @@
     with_headers("another scheme", &[("authorization", "Basic eDp5")], (401, "unauthenticated")),
     with_headers("no time left", &[AUTH, ("x-time-left-ms", "0")], (400, "bad-deadline")),
     with_headers("time below zero", &[AUTH, ("x-time-left-ms", "-5")], (400, "bad-deadline")),
-    with_headers("absurd time", &[AUTH, ("x-time-left-ms", "99999999999")], (400, "bad-deadline")),
+    with_headers(
+        "too much time",
+        &[AUTH, ("x-time-left-ms", "99999999999")],
+        (400, "bad-deadline"),
+    ),
     with_headers("time in words", &[AUTH, ("x-time-left-ms", "soon")], (400, "bad-deadline")),
     at_path("unknown path", "GET", "/v2/entry", &[AUTH], (404, "not-found")),
     at_path("wrong method", "GET", "/v1/completions", &[AUTH], (405, "bad-method")),
     at_path("resume without an event", "GET", "/v1/requests/x", &[AUTH], (400, "bad-header")),
     at_path(
-        "resume with a made-up event",
+        "resume with a forged event",
         "GET",
         "/v1/requests/x",
         &[AUTH, ("last-event-id", "00:1:engine-0:y")],
@@ -207,8 +211,8 @@
     },
 ];
 
-/// Every bad request gets its own clear refusal at once, on a connection that
-/// is not held, and the node serves a good one afterwards.
+/// Each invalid request is refused with its own reason and without holding the connection, and
+/// the node still serves a valid request afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn each_invalid_request_gets_its_listed_refusal() {
     let (_standins, node) = start_node().await;
@@ -231,8 +235,8 @@
     assert!(head.starts_with("HTTP/1.1 200"), "{head}\n{body}");
 }
 
-/// The same key with another content is refused as not run: the first content
-/// ran under that key, this one never does.
+/// An idempotency key that is reused with another body is refused as not run: only the first
+/// body has run under that key.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idempotency_key_is_valid_for_one_body_only() {
     let (standins, node) = start_node().await;
@@ -253,8 +257,8 @@
     assert_eq!(standins.replicas[0].service().runs().of(&key), 1);
 }
 
-/// A body over the bound is refused by its announced length, before it is
-/// sent; a node without configuration refuses everything as not ready.
+/// A body above the size limit is refused by its announced length, before it is sent. A node
+/// without configuration refuses every request as not ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn bodies_are_bounded_and_an_empty_node_is_not_ready() {
     let (_standins, node) = start_node().await;
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -1,6 +1,5 @@
-//! A node whose peers know a newer configuration than it has. The peers are
-//! made up: they stand on the list of nodes, and tell and give what a test
-//! wants.
+//! Tests of a node whose peers have a newer configuration. The peers are simulated: they are
+//! registered as nodes, and answer as each test requires.
 
 use bytes::Bytes;
 use hickory_node::Node;
@@ -29,7 +28,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The bound of every wait; it only ends a test that has failed.
+/// Maximum wait for a condition; it is reached only by a failing test.
 const MAX_TEST_WAIT: Duration = Duration::from_secs(20);
 
 const FLEET_KEY: &str = "2a";
@@ -37,30 +36,30 @@
 const NEW_TOKEN: &str = "new-token";
 const GOSSIP_MS: u64 = 50;
 
-/// Less than a request waits for a newer configuration.
+/// Less than the time for which a request waits for a newer configuration.
 const MAX_IMMEDIATE_TIME: Duration = Duration::from_millis(700);
 
 /// A revision of the ownership table that no write of the test reaches.
 const UNREACHABLE_REVISION: u64 = 1_000_000;
 
-/// What the made-up peers tell and give, and what they were asked for.
+/// The answers of the simulated peers, and the requests that they received.
 #[derive(Debug, Default)]
 struct Peers {
-    /// The release that they say is in force.
+    /// The release that they announce.
     release: AtomicU64,
-    /// The revision of the ownership table that they say they know.
+    /// The revision of the ownership table that they announce.
     owners: AtomicU64,
-    /// The configuration that they give.
+    /// The configuration that they return.
     document: Mutex<Option<Document>>,
-    /// How long a document takes.
+    /// The delay before a document is returned.
     delay: Mutex<Duration>,
-    /// Whether they have ended.
+    /// Whether they have stopped.
     is_stopped: AtomicBool,
     releases: RequestCounter,
     tables: RequestCounter,
 }
 
-/// How often something was asked for.
+/// Counts requests for a document.
 #[derive(Debug, Default)]
 struct RequestCounter {
     count: AtomicUsize,
@@ -82,7 +81,7 @@
         self.count.load(Ordering::SeqCst)
     }
 
-    /// The most that were asked for at the same time.
+    /// Returns the maximum number of concurrent requests.
     fn max_concurrent(&self) -> usize {
         self.max_concurrent.load(Ordering::SeqCst)
     }
@@ -144,7 +143,7 @@
     }
 }
 
-/// A node with made-up peers, and the configuration that it has.
+/// A node with simulated peers.
 struct Fixture {
     node: Node,
     peers: Arc<Peers>,
@@ -183,7 +182,7 @@
     Note { operation: "first".into(), added, ..Note::default() }
 }
 
-/// What the operators allowed meanwhile.
+/// Returns a newer configuration that allows more.
 fn make_newer_document(version: u64) -> Document {
     let mut newer = Configuration { version: id::Release(version), ..Configuration::default() };
     newer.partners.insert("mawe".into(), Partner { share: 1.0 });
@@ -200,7 +199,7 @@
 async fn eventually<F: Future<Output = bool>>(what: &str, mut check: impl FnMut() -> F) {
     let end = Instant::now() + MAX_TEST_WAIT;
     while !check().await {
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
@@ -237,7 +236,7 @@
         }
         let http = Client::builder(TokioExecutor::new()).build_http();
         let fixture = Self { node, peers, http, standins };
-        eventually("targets take work", || async { fixture.node.count_accepting_targets() >= 5 })
+        eventually("targets accept work", || async { fixture.node.count_accepting_targets() >= 5 })
             .await;
         fixture
     }
@@ -262,7 +261,7 @@
         self.post("/v1/completions", token, body).await
     }
 
-    /// Asks for each thing that only the newer configuration allows.
+    /// Makes one request for each thing that only the newer configuration allows.
     async fn request_everything_newer(&self) -> [(&'static str, Answer); 6] {
         let prompt = |rest: Value| {
             let mut body = json!({ "model": "oak", "prompt": "p", "max_tokens": 2 });
@@ -309,7 +308,7 @@
     let member = Member::spawn(store, System, info, Duration::from_secs(5));
     let (peers, to) = (peers.clone(), node.peer_address());
     tokio::spawn(async move {
-        // Held while the peer lives.
+        // Keeps the peer registered while this task runs.
         let _member = member;
         while !peers.is_stopped.load(Ordering::SeqCst) {
             let _ = links.exchange(to, peers.make_gossip(&name), Duration::from_secs(1)).await;
@@ -333,11 +332,10 @@
     }
 }
 
-/// The configuration grows, and a node lags behind. Each of its peers tells it
-/// many times a second that it has the newer one, and it asked each of them at
-/// each word, so that all sent the same large document at once: links filled,
-/// calls timed out and took the permits on the same links with them. It must
-/// ask one peer at a time for each document, and nobody any more when it has it.
+/// A node whose configuration is out of date must fetch each document from one peer at a time,
+/// and stop when it has it. Each peer announces its newer version many times a second; fetching
+/// at each announcement made all peers send the same large document at once, so that links
+/// filled up and calls on them timed out, with their permits.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_document_is_fetched_from_one_peer_at_a_time() {
     let fixture = Fixture::start(8).await;
@@ -346,23 +344,22 @@
     *fixture.peers.document.lock().unwrap() = Some(make_newer_document(5));
     fixture.peers.release.store(5, Ordering::SeqCst);
     fixture.peers.owners.store(UNREACHABLE_REVISION, Ordering::SeqCst);
-    eventually("the newer configuration", || async {
+    eventually("the newer configuration is in force", || async {
         fixture.complete(NEW_TOKEN, "oak").await.status == 200
     })
     .await;
-    eventually("some asks for the table", || async { tables.count() >= 5 }).await;
+    eventually("the table is requested several times", || async { tables.count() >= 5 }).await;
     assert_eq!(
         (releases.count(), releases.max_concurrent(), tables.max_concurrent()),
         (1, 1, 1),
-        "asks for the configuration, and most at the same time for it and for the table"
+        "requests for the configuration, and maximum concurrent requests for it and for the table"
     );
 }
 
-/// Operators allow something and a caller uses it, at a node that has heard
-/// from its peers that there is a newer configuration and can't get it. It
-/// refused for good by the one that it has, and callers don't come back after
-/// that. It must say that it can't serve now and when to come back; what is
-/// wrong by any configuration it goes on refusing at once.
+/// A node that knows of a newer configuration and can't fetch it must refuse what only that
+/// configuration may allow as temporarily unavailable, with a retry delay. A refusal by the old
+/// configuration would be final, and callers don't retry it. Requests that are invalid by any
+/// configuration are still refused immediately.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_with_an_old_configuration_refuses_nothing_permanently() {
     let fixture = Fixture::start(2).await;
@@ -381,7 +378,10 @@
     }
 
     fixture.peers.release.store(5, Ordering::SeqCst);
-    eventually("the node has heard", || async { fixture.peers.releases.count() > 0 }).await;
+    eventually("the node knows of the newer release", || async {
+        fixture.peers.releases.count() > 0
+    })
+    .await;
     let answers = fixture.request_everything_newer().await;
     let behind = expected.map(|(what, _)| (what, (503, "behind", true)));
     assert_eq!(answers.each_ref().map(|(what, answer)| (*what, answer.summary())), behind);
@@ -404,26 +404,29 @@
     let body = fixture.post("/v1/completions", TOKEN, json!({ "model": "oak" })).await;
     assert_eq!(body.summary(), (400, "malformed", false));
     let known = fixture.complete(TOKEN, "oak").await;
-    assert_eq!(known.status, 200, "what it knows is served");
+    assert_eq!(known.status, 200, "what the old configuration allows is served");
     for answer in [path, body, known] {
         assert!(answer.elapsed < MAX_IMMEDIATE_TIME, "{answer:?}");
     }
 
-    // Peers that are gone have taken what they knew with them.
+    // Stopped peers no longer announce the newer configuration.
     fixture.peers.is_stopped.store(true, Ordering::SeqCst);
-    eventually("the node is not behind any more", || async {
+    eventually("the node no longer knows of a newer release", || async {
         fixture.complete(TOKEN, "elm").await.summary() == (404, "not-found", false)
     })
     .await;
 }
 
-/// The newer configuration comes while a request waits that only it allows: the
-/// request is looked up again, and served as if it had come later.
+/// If the newer configuration arrives while a request waits for it, the request is checked
+/// again and served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_waiting_request_is_served_by_the_newer_configuration() {
     let fixture = Fixture::start(2).await;
     fixture.peers.release.store(5, Ordering::SeqCst);
-    eventually("the node has heard", || async { fixture.peers.releases.count() > 0 }).await;
+    eventually("the node knows of the newer release", || async {
+        fixture.peers.releases.count() > 0
+    })
+    .await;
     let give = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         *fixture.peers.document.lock().unwrap() = Some(make_newer_document(5));
@@ -431,7 +434,7 @@
     let (token, model, ()) =
         tokio::join!(fixture.complete(NEW_TOKEN, "oak"), fixture.complete(TOKEN, "ash"), give);
     assert_eq!(token.status, 200, "{token:?}");
-    // No engine has these weights yet, and that is what it is told.
+    // No engine has these weights yet, so the request is refused for that reason.
     assert_ne!(model.status, 403, "{model:?}");
     assert_ne!(model.reason, "behind", "{model:?}");
     drop(fixture.standins);
