--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -5,12 +5,12 @@
 //! caller. If that task drops its receiver, the caller has disconnected.
 
 use crate::core::{Active, Core};
+use crate::event_id::Position;
 use crate::parse::{Completion, refuse};
 use crate::parts::{self, PartReservation};
 use crate::permit::{self, AttemptHistory, AttemptSpec, Placement};
 use crate::record;
 use crate::relay::{self, End, Relay};
-use crate::seal::Position;
 use crate::suspect;
 use crate::view::Capability;
 use compact_str::CompactString;
@@ -47,12 +47,12 @@
     tokio::spawn(async move {
         let _active = Active::begin(&core);
         let _in_flight = core.metrics.begin(Work::Completion);
-        let began = core.now();
+        let admitted_at = core.now();
         let run = Run {
             core: &core,
             completion: &completion,
             out,
-            began,
+            admitted_at,
             delivered: 0,
             was_sent: false,
             deaths: 0,
@@ -68,7 +68,7 @@
     completion: &'a Completion,
     out: mpsc::Sender<Piece>,
     /// When the request was admitted.
-    began: Instant,
+    admitted_at: Instant,
     delivered: u64,
     /// Whether bytes were sent to any target.
     was_sent: bool,
@@ -271,7 +271,7 @@
             delivered: self.delivered,
             first_token_at: None,
         };
-        let began = self.core.now();
+        let started_at = self.core.now();
         let end = match relay.open(self.core.targets.generate(placement.address, &generate)).await {
             Ok(tokens) => relay.run(tokens).await,
             Err(end) => end,
@@ -281,10 +281,10 @@
         if let Some(at) = relay.first_token_at
             && self.delivered == 0
         {
-            self.core.metrics.first_token(completion.cost.prefill, at - self.began);
+            self.core.metrics.first_token(completion.cost.prefill, at - self.admitted_at);
         }
         self.delivered = relay.delivered;
-        (end, relay.first_token_at.map(|at| at - began))
+        (end, relay.first_token_at.map(|at| at - started_at))
     }
 
     /// Reports the outcome to the owner and decides how to continue.
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) settings: Settings,
-    pub(crate) key: Key,
+    pub(crate) fleet_key: Key,
     pub(crate) incarnation: id::Incarnation,
     pub(crate) clock: System,
     pub(crate) platform: MeteredPlatform,
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -38,15 +38,15 @@
     loop {
         let owned = core.owners.owned();
         running.retain(|target, (epoch, task)| {
-            let kept = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
-            if !kept {
+            let is_owned = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
+            if !is_owned {
                 task.abort();
                 core.metrics.owner_changed(match core.stage() {
                     Stage::Serving => Ownership::Lost,
                     Stage::Draining | Stage::Closed => Ownership::Released,
                 });
             }
-            kept
+            is_owned
         });
         core.table
             .retain(|target, epoch| owned.iter().any(|o| o.target == *target && o.epoch == epoch));
@@ -70,21 +70,21 @@
     let mut missed = 0;
     loop {
         if let Some(host) = core.view.hosts().get(&target) {
-            let read = match &host.kind {
+            let has_report = match &host.kind {
                 Kind::Engine => poll_engine(&core, host, epoch).await,
                 Kind::Service(_) => poll_service(&core, host).await,
             };
-            missed = if read { 0 } else { missed + 1 };
+            missed = if has_report { 0 } else { missed + 1 };
             if missed == MAX_MISSED_REPORTS {
                 core.metrics.target_silent();
             }
             update_accepting(&core, host, missed < MAX_MISSED_REPORTS);
         }
-        let (permit_lifetime, resume) =
+        let (permit_lifetime, resume_window) =
             (core.permit_lifetime(), core.duration_ms(core.settings.times.resume_ms));
         let now = core.now();
         core.table.with(&target, |owned| {
-            owned.sweep(now, permit_lifetime, resume);
+            owned.sweep(now, permit_lifetime, resume_window);
             owned.poll(now, permit_lifetime);
         });
         tokio::time::sleep(interval).await;
@@ -94,15 +94,19 @@
 /// Updates whether the target accepts new work.
 fn update_accepting(core: &Core, host: &Host, is_answering: bool) {
     let configuration = core.configuration();
-    let in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
+    let is_in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
     let owned = core.owners.owned();
     let terms = owned.iter().find(|owned| owned.target == host.target).map(|owned| owned.terms);
     let is_wait_over = !matches!(terms, None | Some(Terms::Wait(_)));
-    let confirmed = matches!(terms, Some(Terms::Full));
+    let is_confirmed = matches!(terms, Some(Terms::Full));
     let now = core.now();
     core.table.with(&host.target, |owned| {
-        let known = owned.capacity.streams > 0;
-        owned.set_terms(now, is_answering && in_service && is_wait_over && known, confirmed);
+        let is_capacity_known = owned.capacity.streams > 0;
+        owned.set_terms(
+            now,
+            is_answering && is_in_service && is_wait_over && is_capacity_known,
+            is_confirmed,
+        );
         if let Some(configuration) = &configuration {
             owned.apply_configuration(configuration);
         }
@@ -141,11 +145,11 @@
 fn apply_report(core: &Core, target: &id::Target, report: &Report) {
     let now = core.now();
     let nodes = core.member.nodes();
-    let confirmed = core.member.confirmed(now);
+    let is_confirmed = core.member.confirmed(now);
     // While the platform is unreachable, the list of nodes can't show that a node is gone.
-    let is_live = |node: &id::Node| !confirmed || nodes.contains_key(node);
-    let resume = core.duration_ms(core.settings.times.resume_ms);
-    let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume, is_live };
+    let is_live = |node: &id::Node| !is_confirmed || nodes.contains_key(node);
+    let resume_window = core.duration_ms(core.settings.times.resume_ms);
+    let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume_window, is_live };
     core.table.with(target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
             core.metrics.target_restarted();
--- a/crates/node/src/seal.rs
+++ b/crates/node/src/event_id.rs
@@ -19,15 +19,19 @@
 }
 
 /// Encodes a position as an event id that is valid for this account only.
-pub(crate) fn seal_position(key: &Key, account: &id::Account, position: &Position) -> String {
+pub(crate) fn encode_event_id(key: &Key, account: &id::Account, position: &Position) -> String {
     let text = format!("{}:{}:{}", position.seq, position.target, position.stream);
     let seal = key.seal(&format!("{account}\n{text}")).to_hex();
     format!("{}:{text}", &seal[..SEAL_HEX_DIGITS])
 }
 
 /// Decodes an event id; returns `None` if it is malformed or belongs to another account.
-pub(crate) fn open_position(key: &Key, account: &id::Account, sealed: &str) -> Option<Position> {
-    let (seal, text) = sealed.split_once(':')?;
+pub(crate) fn decode_event_id(
+    key: &Key,
+    account: &id::Account,
+    event_id: &str,
+) -> Option<Position> {
+    let (seal, text) = event_id.split_once(':')?;
     let wanted = key.seal(&format!("{account}\n{text}")).to_hex();
     let same = subtle::ConstantTimeEq::ct_eq(seal.as_bytes(), wanted[..SEAL_HEX_DIGITS].as_bytes());
     if !bool::from(same) {
--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -69,9 +69,9 @@
         }
     }
 
-    pub(crate) fn is_overdue(&self, now: Instant, resume: Duration) -> bool {
+    pub(crate) fn is_overdue(&self, now: Instant, resume_window: Duration) -> bool {
         let is_long_unserved =
-            self.caller_left_at.is_some_and(|at| now.saturating_duration_since(at) > resume);
+            self.caller_left_at.is_some_and(|at| now.saturating_duration_since(at) > resume_window);
         is_long_unserved || now > self.request_deadline + SWEEP_GRACE
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -21,6 +21,7 @@
 mod drain;
 mod drive;
 mod entry;
+mod event_id;
 mod granted;
 mod orders;
 mod owned;
@@ -32,7 +33,6 @@
 mod relay;
 mod reply;
 mod resume;
-mod seal;
 mod serve;
 mod suspect;
 mod sweep;
@@ -79,17 +79,18 @@
     ///
     /// An address that can't be bound, or a malformed fleet key.
     pub async fn spawn(mut settings: Settings) -> io::Result<Self> {
-        let key = settings.fleet_key.parse().map_err(invalid)?;
+        let fleet_key = settings.fleet_key.parse().map_err(invalid)?;
         let callers = TcpListener::bind(settings.callers)?;
         callers.set_nonblocking(true)?;
         let peers = TcpListener::bind(settings.peers)?;
         settings.callers = callers.local_addr()?;
         settings.peers = peers.local_addr()?;
-        let core = Arc::new(open_core(settings, key)?);
+        let core = Arc::new(open_core(settings, fleet_key)?);
         let service =
             admin::Service { core: core.clone(), runtime: tokio::runtime::Handle::current() };
         let admin = hickory_admin::Server::spawn(core.settings.admin, Arc::new(service))?;
-        let links = Links::spawn(peers, core.key.clone(), peers::Service(Arc::downgrade(&core)))?;
+        let links =
+            Links::spawn(peers, core.fleet_key.clone(), peers::Service(Arc::downgrade(&core)))?;
         let _ = core.links.set(links.clone());
         tokio::spawn(peers::poll_hosts(core.clone()));
         tokio::spawn(peers::gossip(core.clone(), links));
@@ -148,7 +149,7 @@
     io::Error::new(io::ErrorKind::InvalidInput, error)
 }
 
-fn open_core(settings: Settings, key: hickory_wire::proof::Key) -> io::Result<Core> {
+fn open_core(settings: Settings, fleet_key: hickory_wire::proof::Key) -> io::Result<Core> {
     let clock = System;
     let times = settings.times;
     let address = Address {
@@ -177,7 +178,7 @@
     let owners = Owners::spawn(platform.clone(), clock, member.clone(), probe, permit);
     let node_id = settings.node.clone();
     Ok(Core {
-        key,
+        fleet_key,
         incarnation,
         clock,
         targets: Targets::open(SHORT_CALL_TIMEOUT),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -138,8 +138,8 @@
         release_slot(core, &mut loads).await;
         let replicas = |weights: &Weights| core.view.count_ready(weights);
         let next = plan_load(&offered, loaded, &host.target, replicas);
-        let paused = loads.paused_until.is_some_and(|until| core.now() < until);
-        if let Some(weights) = next.filter(|_| !paused) {
+        let is_paused = loads.paused_until.is_some_and(|until| core.now() < until);
+        if let Some(weights) = next.filter(|_| !is_paused) {
             load(core, host, epoch, weights, &mut loads).await;
         }
     }
@@ -148,8 +148,9 @@
 
 async fn load(core: &Core, host: &Host, epoch: id::Epoch, weights: Weights, loads: &mut Loads) {
     loads.slot = acquire_slot(core, host, &weights).await;
-    let loading = loads.slot.is_some() && send_order(core, host, epoch, Order::Load(weights)).await;
-    if !loading {
+    let is_loading =
+        loads.slot.is_some() && send_order(core, host, epoch, Order::Load(weights)).await;
+    if !is_loading {
         release_slot(core, loads).await;
         loads.paused_until = Some(core.now() + LOAD_RETRY_DELAY);
     }
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -33,7 +33,7 @@
     pub(crate) target: id::Target,
     pub(crate) epoch: id::Epoch,
     pub(crate) capacity: Capacity,
-    pub(crate) accepting: bool,
+    pub(crate) is_accepting: bool,
     pub(crate) ready: Vec<Weights>,
     pub(crate) kv_used: size::Tokens,
     pub(crate) kv_capacity: size::Tokens,
@@ -46,8 +46,8 @@
     pub(crate) ended: HashMap<id::Stream, Instant>,
     pub(crate) foreign: HashMap<id::Stream, Foreign>,
     pub(crate) last_adopted: Ticket,
-    pub(crate) cancels: Vec<id::Stream>,
-    pub(crate) drops: Vec<Handle>,
+    pub(crate) pending_cancels: Vec<id::Stream>,
+    pub(crate) pending_drops: Vec<Handle>,
     /// Whether the target's death has been counted; reset by its next report.
     pub(crate) is_dead: bool,
     /// Loads of weights onto the engine.
@@ -90,7 +90,7 @@
             target,
             epoch,
             capacity,
-            accepting: false,
+            is_accepting: false,
             ready: Vec::new(),
             kv_used: size::Tokens(0),
             kv_capacity: size::Tokens(0),
@@ -102,8 +102,8 @@
             ended: HashMap::new(),
             foreign: HashMap::new(),
             last_adopted: FIRST_ADOPTED_TICKET,
-            cancels: Vec::new(),
-            drops: Vec::new(),
+            pending_cancels: Vec::new(),
+            pending_drops: Vec::new(),
             is_dead: false,
             loads: Loads::default(),
             reported_deaths: Vec::new(),
@@ -137,10 +137,10 @@
     /// Sets whether the target accepts new work, and whether this owner is confirmed as the
     /// only one. If it accepts none, queued asks are refused at once, so that the askers can
     /// try other targets in time.
-    pub(crate) fn set_terms(&mut self, now: Instant, accepting: bool, confirmed: bool) {
-        self.accepting = accepting;
-        self.limiter.set_confirmed(now, confirmed);
-        for (ticket, reason) in self.limiter.set_accepting(now, accepting) {
+    pub(crate) fn set_terms(&mut self, now: Instant, is_accepting: bool, is_confirmed: bool) {
+        self.is_accepting = is_accepting;
+        self.limiter.set_confirmed(now, is_confirmed);
+        for (ticket, reason) in self.limiter.set_accepting(now, is_accepting) {
             self.answer(now, ticket, Err(refuse(reason, RETRY_ELSEWHERE_AFTER)));
         }
     }
@@ -150,7 +150,7 @@
         if let Some(ticket) = self.tickets.get(&ask.stream).copied() {
             return self.ask_again(now, permit_lifetime, ticket);
         }
-        if !self.accepting {
+        if !self.is_accepting {
             return AskResult::Answered(Err(refuse(Reason::NoTarget, RETRY_ELSEWHERE_AFTER)));
         }
         let request_deadline = now + ask.time_left;
@@ -316,7 +316,7 @@
                 // The target's memory is in use until it confirms the cancel; only then is the
                 // permit released.
                 if let Some(granted) = self.permits.get(&outcome.permit) {
-                    self.cancels.push(granted.stream.clone());
+                    self.pending_cancels.push(granted.stream.clone());
                 }
             }
             Ending::Finished => {
@@ -345,7 +345,7 @@
     fn apply_foreign_outcome(&mut self, now: Instant, outcome: &Outcome) {
         let Some(stream) = &outcome.stream else { return };
         match outcome.ending {
-            Ending::Lost => self.cancels.push(stream.clone()),
+            Ending::Lost => self.pending_cancels.push(stream.clone()),
             Ending::Left => {
                 self.foreign.insert(stream.clone(), Foreign { orphaned_since: Some(now) });
             }
@@ -390,7 +390,7 @@
             waiting: self.limiter.waiting() as u32,
             incarnation: self.incarnation.unwrap_or_default(),
             ready: self.ready.clone(),
-            accepting: self.accepting,
+            accepting: self.is_accepting,
             prefixes: Vec::new(),
         }
     }
--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -50,8 +50,8 @@
     let configuration = core.configuration()?;
     let capability = Capability::Weights(&completion.weights);
     let candidates = core.view.candidates(core.now(), capability, 0, &configuration, &[]);
-    let greatest = candidates.iter().map(|candidate| candidate.kv_capacity).max()?;
-    (completion.cost.kv() > greatest).then_some(candidates)
+    let max_kv_capacity = candidates.iter().map(|candidate| candidate.kv_capacity).max()?;
+    (completion.cost.kv() > max_kv_capacity).then_some(candidates)
 }
 
 /// Reserves engines for all parts of one attempt.
@@ -220,9 +220,9 @@
         if index + 1 == parts.len() {
             break;
         }
-        let keep = make_handle(&parts[index]);
+        let handle = make_handle(&parts[index]);
         prefill_part(core, completion, &parts[index], import.take(), out).await?;
-        import = Some(keep);
+        import = Some(handle);
     }
     Ok(import)
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -7,8 +7,8 @@
 
 use crate::complete::Piece;
 use crate::core::Core;
+use crate::event_id::Position;
 use crate::permit;
-use crate::seal::Position;
 use crate::suspect::is_port_closed;
 use futures::StreamExt;
 use hickory_target::Error;
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,6 +1,6 @@
 //! Encodes answers to callers: problem documents, completions and event streams.
 
-use crate::seal::{Position, seal_position};
+use crate::event_id::{Position, encode_event_id};
 use bytes::Bytes;
 use compact_str::CompactString;
 use hickory_policy::refuse::{Ran, Refusal};
@@ -154,13 +154,13 @@
     pub(crate) account: id::Account,
     pub(crate) model: CompactString,
     pub(crate) prompt: size::Tokens,
-    pub(crate) key: Key,
+    pub(crate) fleet_key: Key,
 }
 
 impl Encoder {
     /// Returns the event of one token.
     pub(crate) fn encode_token(&self, position: &Position, text: &str) -> Bytes {
-        let id = seal_position(&self.key, &self.account, position);
+        let id = encode_event_id(&self.fleet_key, &self.account, position);
         let mut event = format!("id: {id}\ndata: ").into_bytes();
         self.append_document(&mut event, text, None, None);
         event.into()
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -2,10 +2,10 @@
 
 use crate::complete::Piece;
 use crate::core::{Active, Core};
+use crate::event_id::Position;
 use crate::parse::refuse;
 use crate::permit::{self, wall_ms};
 use crate::relay::{self, End, Relay};
-use crate::seal::Position;
 use hickory_policy::refuse::{Ran, Reason, Refusal};
 use hickory_target::engine::Engines;
 use hickory_wire::message::{Adopt, Ending, Permit};
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -7,13 +7,13 @@
 use crate::complete::{self, Piece};
 use crate::core::{Core, Stage};
 use crate::entry::answer_entry;
+use crate::event_id::{self, Position};
 use crate::parse::{
     Caller, Head, MAX_BODY_SIZE, find_caller, parse_completion, parse_key, parse_time_left,
     parse_token, refuse,
 };
 use crate::reply::{self, Body, Encoder};
 use crate::resume;
-use crate::seal::{self, Position};
 use bytes::Bytes;
 use compact_str::CompactString;
 use hickory_policy::refuse::{Reason, Refusal};
@@ -246,7 +246,7 @@
         account: completion.caller.account.clone(),
         model: CompactString::from(completion.weights.model.as_str()),
         prompt: completion.cost.prefill,
-        key: core.key.clone(),
+        fleet_key: core.fleet_key.clone(),
     };
     let streamed = completion.streamed;
     let pieces = complete::spawn(core, completion);
@@ -271,7 +271,7 @@
         account: caller.account,
         model: CompactString::default(),
         prompt: size::Tokens(0),
-        key: core.key.clone(),
+        fleet_key: core.fleet_key.clone(),
     };
     answer_streamed(core, encoder, resume::spawn(core, position)).await
 }
@@ -283,9 +283,9 @@
     name: &str,
 ) -> Result<Position, Refusal> {
     let bad = || refuse(Reason::BadHeader, "header last-event-id: not an id of this stream");
-    let sealed = request.headers().get("last-event-id").ok_or_else(bad)?;
-    let sealed = sealed.to_str().map_err(|_| bad())?;
-    let position = seal::open_position(&core.key, account, sealed).ok_or_else(bad)?;
+    let event_id = request.headers().get("last-event-id").ok_or_else(bad)?;
+    let event_id = event_id.to_str().map_err(|_| bad())?;
+    let position = event_id::decode_event_id(&core.fleet_key, account, event_id).ok_or_else(bad)?;
     if position.stream.request.to_string() != name {
         return Err(bad());
     }
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -19,14 +19,14 @@
     pub(crate) now: Instant,
     pub(crate) wall_ms: u64,
     /// Time for which a stream whose caller has disconnected is kept for a resume.
-    pub(crate) resume: Duration,
+    pub(crate) resume_window: Duration,
     /// Whether a node is registered; true for every node while the registry is unreachable.
     pub(crate) is_live: F,
 }
 
 impl<F: Fn(&id::Node) -> bool> SweepContext<F> {
     fn is_long_ago(&self, at: Instant) -> bool {
-        self.now.saturating_duration_since(at) > self.resume
+        self.now.saturating_duration_since(at) > self.resume_window
     }
 
     fn is_overdue(&self, stream: &id::Stream) -> bool {
@@ -37,7 +37,12 @@
 impl Target {
     /// Removes abandoned asks from the queue, releases permits whose answer never reached the
     /// asker, and queues overdue streams to be cancelled on the target.
-    pub(crate) fn sweep(&mut self, now: Instant, permit_lifetime: Duration, resume: Duration) {
+    pub(crate) fn sweep(
+        &mut self,
+        now: Instant,
+        permit_lifetime: Duration,
+        resume_window: Duration,
+    ) {
         let is_old = |at: Instant| now.saturating_duration_since(at) > permit_lifetime;
         let abandoned = self.waiting.values().filter(|waiting| is_old(waiting.asked_at));
         let abandoned: Vec<id::Stream> = abandoned.map(|waiting| waiting.stream.clone()).collect();
@@ -50,8 +55,9 @@
         for ticket in undelivered {
             self.release_permit(now, ticket, limit::Outcome::Dropped);
         }
-        let overdue = self.permits.values().filter(|granted| granted.is_overdue(now, resume));
-        self.cancels.extend(overdue.map(|granted| granted.stream.clone()));
+        let overdue =
+            self.permits.values().filter(|granted| granted.is_overdue(now, resume_window));
+        self.pending_cancels.extend(overdue.map(|granted| granted.stream.clone()));
         self.ended.retain(|_, at| now.saturating_duration_since(*at) < REPORT_LAG);
     }
 
@@ -95,8 +101,8 @@
         // When the stream of one part of a split prompt ends, its KV cache stays on the engine
         // under a handle, and the part's permit still accounts for that memory.
         let kept = report.handles.iter().filter_map(|handle| {
-            let held = report.streams.iter().any(|held| held.stream == handle.stream);
-            let ticket = self.tickets.get(&handle.stream).filter(|_| !held)?;
+            let is_held = report.streams.iter().any(|held| held.stream == handle.stream);
+            let ticket = self.tickets.get(&handle.stream).filter(|_| !is_held)?;
             self.permits.get(ticket).map(|granted| granted.kv)
         });
         let owned_kv = streams + kept.sum::<size::Tokens>();
@@ -140,7 +146,7 @@
             let is_orphaned = foreign.orphaned_since.is_some_and(|at| context.is_long_ago(at));
             context.is_overdue(stream) || is_orphaned
         });
-        self.cancels.extend(orphans.map(|(stream, _)| stream.clone()));
+        self.pending_cancels.extend(orphans.map(|(stream, _)| stream.clone()));
     }
 
     /// Finds orphaned KV caches. The sender of a split prompt drops its KV caches itself,
@@ -156,12 +162,12 @@
             let is_sender_gone = !(context.is_live)(&stream.sender) && orphaned_since.is_none();
             context.is_overdue(stream) || (is_sender_gone && !self.tickets.contains_key(stream))
         });
-        self.drops = orphans.cloned().collect();
+        self.pending_drops = orphans.cloned().collect();
     }
 
     /// Returns the KV caches to drop now.
     pub(crate) fn take_drops(&mut self) -> Vec<Handle> {
-        std::mem::take(&mut self.drops)
+        std::mem::take(&mut self.pending_drops)
     }
 
     /// Marks permits of nodes that are gone as if their callers had disconnected, so that
@@ -179,7 +185,7 @@
 
     /// Returns the streams to cancel now, without duplicates.
     pub(crate) fn take_cancels(&mut self) -> Vec<id::Stream> {
-        let mut cancels = std::mem::take(&mut self.cancels);
+        let mut cancels = std::mem::take(&mut self.pending_cancels);
         cancels.sort();
         cancels.dedup();
         cancels
@@ -197,7 +203,7 @@
 
     /// Queues a cancel again that the target did not confirm.
     pub(crate) fn retry_cancel(&mut self, stream: id::Stream) {
-        self.cancels.push(stream);
+        self.pending_cancels.push(stream);
     }
 
     /// Records that the target died, detected by a closed port or a new incarnation. Returns
@@ -221,7 +227,7 @@
         for ticket in tickets {
             self.release_permit(now, ticket, limit::Outcome::Dropped);
         }
-        self.cancels.clear();
+        self.pending_cancels.clear();
         self.foreign.clear();
     }
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -40,7 +40,7 @@
     owner: id::Node,
     /// The target's hash, for placement.
     key: u64,
-    sent: size::Tokens,
+    sent_prefill: size::Tokens,
     sent_count: u32,
     sent_at: Option<Instant>,
 }
@@ -67,7 +67,7 @@
     hosts: RwLock<Arc<Hosts>>,
     states: [Mutex<HashMap<id::Target, TargetView>>; SHARDS],
     peers: Mutex<HashMap<id::Node, PeerView>>,
-    known: Mutex<HashMap<id::Node, Info>>,
+    known_nodes: Mutex<HashMap<id::Node, Info>>,
 }
 
 /// What a request requires of a target.
@@ -87,7 +87,7 @@
             hosts: RwLock::default(),
             states: Default::default(),
             peers: Mutex::default(),
-            known: Mutex::default(),
+            known_nodes: Mutex::default(),
         }
     }
 
@@ -112,14 +112,14 @@
                 .get(node)
                 .is_some_and(|p| now.saturating_duration_since(p.last_heard) < MAX_KNOWN_NODE_AGE)
         };
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut known = self.known_nodes.lock().unwrap_or_else(PoisonError::into_inner);
         known.retain(|node, _| is_reachable(node));
         known.extend(nodes.iter().map(|(node, info)| (node.clone(), info.clone())));
     }
 
     /// Returns the last registered address of a node.
     pub(crate) fn find_node(&self, node: &id::Node) -> Option<Info> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner).get(node).cloned()
+        self.known_nodes.lock().unwrap_or_else(PoisonError::into_inner).get(node).cloned()
     }
 
     /// Merges a peer's gossip about itself and the targets that it owns.
@@ -164,18 +164,18 @@
         }
         let (target, owner) = (state.target.clone(), owner.clone());
         let key = known.map_or_else(|| hash_target(&target), |known| known.key);
-        let (sent, sent_count, sent_at) = (size::Tokens(0), 0, None);
-        shard.insert(target, TargetView { state, owner, key, sent, sent_count, sent_at });
+        let (sent_prefill, sent_count, sent_at) = (size::Tokens(0), 0, None);
+        shard.insert(target, TargetView { state, owner, key, sent_prefill, sent_count, sent_at });
     }
 
     /// Records that this node sent work to a target, which is counted in placement until the
     /// owner publishes a newer state.
     pub(crate) fn note_sent(&self, now: Instant, target: &id::Target, cost: Cost) {
-        if let Some(seen) = self.shard(target).get_mut(target) {
-            seen.forget_sent(now);
-            seen.sent_at = Some(now);
-            seen.sent += cost.prefill;
-            seen.sent_count += 1;
+        if let Some(target_view) = self.shard(target).get_mut(target) {
+            target_view.expire_sent(now);
+            target_view.sent_at = Some(now);
+            target_view.sent_prefill += cost.prefill;
+            target_view.sent_count += 1;
         }
     }
 
@@ -191,7 +191,7 @@
     }
 
     pub(crate) fn state(&self, target: &id::Target) -> Option<State> {
-        self.shard(target).get(target).map(|seen| seen.state.clone())
+        self.shard(target).get(target).map(|target_view| target_view.state.clone())
     }
 
     /// Returns the number of targets that are ready to serve these weights.
@@ -199,7 +199,7 @@
         let shards = self.states.iter();
         let count = shards.map(|shard| {
             let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            let states = shard.values().map(|seen| &seen.state);
+            let states = shard.values().map(|target_view| &target_view.state);
             states.filter(|state| state.ready.iter().any(|ready| is_equal(ready, weights))).count()
         });
         count.sum()
@@ -258,9 +258,9 @@
         is_reachable: impl Fn(&id::Node) -> bool,
     ) -> Option<Candidate> {
         let mut shard = self.shard(&host.target);
-        let seen = shard.get_mut(&host.target)?;
-        seen.forget_sent(now);
-        let state = &seen.state;
+        let target_view = shard.get_mut(&host.target)?;
+        target_view.expire_sent(now);
+        let state = &target_view.state;
         let is_capable = match (capability, &host.kind) {
             (Capability::Weights(weights), Kind::Engine) => {
                 state.ready.iter().any(|ready| is_equal(ready, weights))
@@ -268,19 +268,19 @@
             (Capability::Service(service), Kind::Service(name)) => service == name,
             _ => false,
         };
-        (is_capable && state.accepting && is_reachable(&seen.owner)).then(|| Candidate {
+        (is_capable && state.accepting && is_reachable(&target_view.owner)).then(|| Candidate {
             target: host.target.clone(),
-            key: seen.key,
+            key: target_view.key,
             near: host.zone == self.zone,
             own: false,
             cached: state.prefixes.contains(&prefix),
             queued_long: state.queued_long,
-            queued_prefill: state.queued_prefill + seen.sent,
-            kv_free: state.kv_free.saturating_sub(seen.sent),
+            queued_prefill: state.queued_prefill + target_view.sent_prefill,
+            kv_free: state.kv_free.saturating_sub(target_view.sent_prefill),
             kv_capacity: state.kv_capacity,
             prefill_rate: state.prefill_rate,
             bound: state.bound,
-            running: state.running + seen.sent_count,
+            running: state.running + target_view.sent_count,
             waiting: state.waiting,
         })
     }
@@ -296,9 +296,9 @@
 }
 
 impl TargetView {
-    fn forget_sent(&mut self, now: Instant) {
+    fn expire_sent(&mut self, now: Instant) {
         if self.sent_at.is_some_and(|at| now.saturating_duration_since(at) > MAX_SENT_AGE) {
-            (self.sent, self.sent_count, self.sent_at) = (size::Tokens(0), 0, None);
+            (self.sent_prefill, self.sent_count, self.sent_at) = (size::Tokens(0), 0, None);
         }
     }
 }
