--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -150,10 +150,10 @@
 ) -> Result<Placement, Refusal> {
     let mut refusal: Option<Refusal> = None;
     let mut full_targets = Vec::new();
-    let mut asked = 0;
-    while asked < MAX_COUNTED_ASKS {
+    let mut counted_asks = 0;
+    while counted_asks < MAX_COUNTED_ASKS {
         // Targets that were asked without queueing may queue the ask now.
-        if asked >= ASKS_AT_ONCE {
+        if counted_asks >= ASKS_AT_ONCE {
             full_targets.clear();
         }
         let excluded: Vec<id::Target> = rejected.iter().chain(&full_targets).cloned().collect();
@@ -168,7 +168,8 @@
         View::apply_own_states(&mut candidates, &core.table.states());
         let Some(best) = choose_target(&make_query(spec), &candidates) else { break };
         let target = best.target.clone();
-        let is_immediate = !spec.is_exclusive && asks_at_once(spec.cost, asked, candidates.len());
+        let is_immediate =
+            !spec.is_exclusive && asks_at_once(spec.cost, counted_asks, candidates.len());
         let expected_first_token = hickory_policy::place::estimate_first_token(spec.cost, best);
         // Counted from the ask on: asks queued at an owner aren't published yet, and a burst of
         // requests would otherwise choose the same target.
@@ -192,7 +193,7 @@
             Err(Some(refused)) => {
                 core.metrics.retried(Retry::QueueLong);
                 let is_full = counts(refused.reason);
-                asked += usize::from(is_full);
+                counted_asks += usize::from(is_full);
                 if is_immediate && is_full {
                     full_targets.push(target);
                 } else {
@@ -206,7 +207,7 @@
                 }
             }
             Err(None) => {
-                asked += 1;
+                counted_asks += 1;
                 rejected.push(target);
             }
         }
@@ -234,8 +235,8 @@
     is_immediate: bool,
 ) -> Result<Permit, Option<Refusal>> {
     loop {
-        let asked = core.now();
-        let Some(time_left) = spec.deadline.checked_duration_since(asked) else {
+        let asked_at = core.now();
+        let Some(time_left) = spec.deadline.checked_duration_since(asked_at) else {
             return Err(Some(refuse(Reason::Deadline, "the deadline passed in the queue")));
         };
         let ask = Ask { urgent: is_immediate, ..make_ask(spec, target, time_left) };
@@ -247,8 +248,8 @@
             }
         };
         match answer {
-            Ok(permit) if core.now() < asked + permit.life => {
-                core.metrics.permit_waited(core.now() - asked);
+            Ok(permit) if core.now() < asked_at + permit.life => {
+                core.metrics.permit_waited(core.now() - asked_at);
                 return Ok(permit);
             }
             Ok(permit) => {
@@ -277,12 +278,13 @@
     spec: &AttemptSpec<'_>,
     target: &id::Target,
 ) -> Option<Permit> {
-    let asked = core.now();
-    let time_left = spec.deadline.checked_duration_since(asked)?;
+    let asked_at = core.now();
+    let time_left = spec.deadline.checked_duration_since(asked_at)?;
     let ask = Ask { urgent: true, ..make_ask(spec, target, time_left) };
     let permit = send_ask(core, &ask).await.ok()?.ok()?;
     let configuration = core.configuration()?;
-    let is_usable = core.now() < asked + permit.life && core.view.may_send(target, &configuration);
+    let is_usable =
+        core.now() < asked_at + permit.life && core.view.may_send(target, &configuration);
     if !is_usable {
         report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
     }
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -427,12 +427,12 @@
         fixture.peers.releases.count() > 0
     })
     .await;
-    let give = async {
+    let publish = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         *fixture.peers.document.lock().unwrap() = Some(make_newer_document(5));
     };
     let (token, model, ()) =
-        tokio::join!(fixture.complete(NEW_TOKEN, "oak"), fixture.complete(TOKEN, "ash"), give);
+        tokio::join!(fixture.complete(NEW_TOKEN, "oak"), fixture.complete(TOKEN, "ash"), publish);
     assert_eq!(token.status, 200, "{token:?}");
     // No engine has these weights yet, so the request is refused for that reason.
     assert_ne!(model.status, 403, "{model:?}");
