--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -12,7 +12,7 @@
 /// A stream on the target that was granted by a previous owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Foreign {
-    /// When it was first seen without a node that serves it.
+    /// When the owner first saw it without a live node that serves it.
     pub(crate) orphaned_since: Option<Instant>,
 }
 
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -18,10 +18,10 @@
 
 /// Resumes the stream after `position`. It is bounded only by the deadline in the stream's id.
 ///
-/// The target's owner is informed, so that it doesn't cancel a stream that is read again. If
-/// the target has no owner, which may have died with the caller's node, the stream is resumed
-/// anyway and the next owner is informed concurrently; it doesn't cancel orphaned streams for
-/// longer than that takes.
+/// The target's owner is informed, so that it doesn't cancel a stream that is being read again.
+/// If the target has no owner, which may have died with the caller's node, the stream is
+/// resumed anyway and its next owner is informed as soon as there is one. That owner waits
+/// longer before it cancels orphaned streams than it takes to be informed.
 pub(crate) fn spawn(core: &Arc<Core>, position: Position) -> mpsc::Receiver<Piece> {
     let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
