--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -126,7 +126,7 @@
         self.core.keeper.accept(note).await.map(|configuration| configuration.version)
     }
 
-    /// Returns the number of targets that accept new work, as far as this node knows.
+    /// Returns the number of targets that accept new work, by this node's view.
     pub fn count_accepting_targets(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
