--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -1,18 +1,18 @@
-//! Running a completion: attempts, each with leave from a target's owner,
-//! until the answer is whole or given up on.
+//! Runs a completion: one or more attempts, each with a permit from a target's owner, until the
+//! answer is complete or refused.
 //!
-//! A completion runs in a task of its own and hands [`Piece`]s to whoever
-//! writes to the caller; when that side is dropped, the caller is gone.
+//! A completion runs in a task of its own and sends [`Piece`]s to the task that writes to the
+//! caller. If that task drops its receiver, the caller has disconnected.
 
 use crate::core::{Active, Core};
+use crate::event_id::Position;
 use crate::parse::{Completion, refuse};
-use crate::parts::{self, Reserve};
-use crate::permit::{self, Leave, Tried, Want};
+use crate::parts::{self, PartReservation};
+use crate::permit::{self, AttemptHistory, AttemptSpec, Placement};
 use crate::record;
 use crate::relay::{self, End, Relay};
-use crate::seal::Position;
 use crate::suspect;
-use crate::view::Need;
+use crate::view::Capability;
 use compact_str::CompactString;
 use hickory_policy::poison::QUARANTINE_DEATHS;
 use hickory_policy::refuse::{Ran, Reason, Refusal, RetryReason};
@@ -25,36 +25,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Pieces that wait for a slow caller before the engine's stream is left to
-/// wait as well.
-const PIECES_AHEAD: usize = 256;
+/// Maximum number of pieces buffered for a slow caller; when the buffer is full, the relay
+/// stops reading the engine's stream.
+const MAX_BUFFERED_PIECES: usize = 256;
 
-/// What a completion brings.
+/// One piece of a completion's answer.
 #[derive(Clone, Debug)]
 pub(crate) enum Piece {
     /// A token, with the caller's position after it.
     Token(Position, CompactString),
-    /// The whole answer has been given; it has this many tokens.
+    /// The end of a complete answer, with its number of tokens.
     End(u64),
-    /// It is given up on.
+    /// The completion failed with this refusal.
     Refused(Refusal),
 }
 
-/// Starts a completion.
+/// Starts a completion in a task of its own.
 pub(crate) fn spawn(core: &Arc<Core>, completion: Completion) -> mpsc::Receiver<Piece> {
-    let (out, pieces) = mpsc::channel(PIECES_AHEAD);
+    let (out, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let core = core.clone();
     tokio::spawn(async move {
         let _active = Active::begin(&core);
         let _in_flight = core.metrics.begin(Work::Completion);
-        let began = core.now();
+        let admitted_at = core.now();
         let run = Run {
             core: &core,
             completion: &completion,
             out,
-            began,
+            admitted_at,
             delivered: 0,
-            sent: false,
+            was_sent: false,
             deaths: 0,
         };
         run.run().await;
@@ -62,75 +62,75 @@
     pieces
 }
 
-/// One completion under way.
+/// A running completion.
 struct Run<'a> {
     core: &'a Arc<Core>,
     completion: &'a Completion,
     out: mpsc::Sender<Piece>,
     /// When the request was admitted.
-    began: Instant,
+    admitted_at: Instant,
     delivered: u64,
-    /// Whether bytes went to any target.
-    sent: bool,
-    /// Targets that died while they ran it.
+    /// Whether bytes were sent to any target.
+    was_sent: bool,
+    /// Number of targets that died while they ran it.
     deaths: u32,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 enum Attempt {
-    /// The answer is whole.
-    Whole(u64),
-    /// Another target may do it.
-    Again(RetryReason),
+    /// The answer is complete, with this many tokens.
+    Complete(u64),
+    /// Another target may run it.
+    Retry(RetryReason),
     /// The target died while it ran.
-    Died,
-    /// The caller is gone; nothing is left to do.
-    Gone,
-    /// It is given up on.
+    TargetDied,
+    /// The caller has disconnected; no work is left.
+    CallerGone,
+    /// The completion is refused.
     Refused(Refusal),
 }
 
 impl Attempt {
-    /// Why there is to be a further attempt, if so.
+    /// Returns the reason for a further attempt, if there is to be one.
     fn retry(&self) -> Option<RetryReason> {
         match self {
-            Self::Again(reason) => Some(*reason),
-            Self::Died => Some(RetryReason::TargetFailed),
-            Self::Whole(_) | Self::Gone | Self::Refused(_) => None,
+            Self::Retry(reason) => Some(*reason),
+            Self::TargetDied => Some(RetryReason::TargetFailed),
+            Self::Complete(_) | Self::CallerGone | Self::Refused(_) => None,
         }
     }
 }
 
 impl Run<'_> {
     async fn run(mut self) {
-        let mut tried = Tried::default();
+        let mut history = AttemptHistory::default();
         let (core, fingerprint) = (self.core, self.completion.fingerprint);
         let account = &self.completion.caller.account;
-        core.record.earn(account);
+        core.retry_control.earn(account);
         for attempt in 0.. {
-            match self.attempt(attempt, &mut tried).await {
-                Attempt::Whole(count) => {
-                    core.record.note_success(core.now(), fingerprint);
+            match self.attempt(attempt, &mut history).await {
+                Attempt::Complete(count) => {
+                    core.retry_control.note_success(core.now(), fingerprint);
                     let prompt = self.completion.cost.prefill;
                     self.core.metrics.tokens(Direction::Prompt, prompt);
                     self.core.metrics.tokens(Direction::Answer, size::Tokens(count));
                     let _ = self.out.send(Piece::End(count)).await;
                     return;
                 }
-                Attempt::Again(reason) => {
+                Attempt::Retry(reason) => {
                     if let Err(refusal) = suspect::spend_retry(core, account, reason) {
                         return self.refuse(refusal).await;
                     }
                 }
-                Attempt::Gone => return suspect::drop_trial(core, fingerprint),
+                Attempt::CallerGone => return suspect::drop_trial(core, fingerprint),
                 Attempt::Refused(refusal) => {
                     suspect::drop_trial(core, fingerprint);
                     return self.refuse(refusal).await;
                 }
-                Attempt::Died => {
+                Attempt::TargetDied => {
                     self.deaths += 1;
                     if self.deaths >= QUARANTINE_DEATHS {
-                        let refusal = suspect::condemn(core, fingerprint).await;
+                        let refusal = suspect::quarantine(core, fingerprint).await;
                         return self.refuse(refusal).await;
                     }
                     if let Err(refusal) =
@@ -140,7 +140,7 @@
                     }
                 }
             }
-            if !tried.wait().await {
+            if !history.wait_before_retry().await {
                 break;
             }
         }
@@ -149,90 +149,93 @@
     }
 
     async fn refuse(self, mut refusal: Refusal) {
-        if self.sent {
+        if self.was_sent {
             refusal.ran = Ran::Unknown;
         }
         record::log_refusal(self.completion.request, &self.completion.caller.account, &refusal);
         let _ = self.out.send(Piece::Refused(refusal)).await;
     }
 
-    async fn attempt(&mut self, attempt: u32, tried: &mut Tried) -> Attempt {
-        let c = self.completion;
-        let number = attempt * parts::PARTS_MAX;
-        let stream = permit::name_stream(self.core, c.request, number, c.deadline_ms);
-        let want = Want {
-            need: Need::Weights(&c.weights),
+    async fn attempt(&mut self, attempt: u32, history: &mut AttemptHistory) -> Attempt {
+        let completion = self.completion;
+        let number = attempt * parts::STREAMS_PER_ATTEMPT;
+        let stream =
+            permit::make_stream_id(self.core, completion.request, number, completion.deadline_ms);
+        let spec = AttemptSpec {
+            capability: Capability::Weights(&completion.weights),
             stream: &stream,
-            partner: &c.caller.partner,
-            account: &c.caller.account,
-            class: c.class,
-            cost: c.cost,
-            deadline: c.deadline,
-            fingerprint: c.fingerprint,
-            prefix: c.prefix,
-            alone: false,
+            partner: &completion.caller.partner,
+            account: &completion.caller.account,
+            class: completion.class,
+            cost: completion.cost,
+            deadline: completion.deadline,
+            fingerprint: completion.fingerprint,
+            prefix: completion.prefix,
+            is_exclusive: false,
         };
         let judged = tokio::select! {
-            judged = suspect::judge(self.core, c) => judged,
-            () = self.out.closed() => return Attempt::Gone,
+            judged = suspect::judge(self.core, completion) => judged,
+            () = self.out.closed() => return Attempt::CallerGone,
         };
-        // What a target died under is not set beside others again, whether or
-        // not the target's owner has told of the death yet.
-        let want = match judged {
-            Ok(alone) => Want { alone: alone || self.deaths > 0, ..want },
+        // After a target died under this request, further attempts run exclusively, even if the
+        // target's owner hasn't reported the death yet.
+        let spec = match judged {
+            Ok(is_exclusive) => {
+                AttemptSpec { is_exclusive: is_exclusive || self.deaths > 0, ..spec }
+            }
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        if parts::find_candidates(self.core, c).is_some() {
-            let attempt = self.attempt_parts(attempt).await;
+        if parts::find_candidates(self.core, completion).is_some() {
+            let attempt = self.attempt_split(attempt).await;
             if let Some(retry) = attempt.retry() {
-                tried.count(retry);
+                history.count(retry);
             }
             return attempt;
         }
         let obtained = tokio::select! {
-            obtained = permit::obtain(self.core, &want, tried) => obtained,
-            () = self.out.closed() => return Attempt::Gone,
+            obtained = permit::obtain_placement(self.core, &spec, history) => obtained,
+            () = self.out.closed() => return Attempt::CallerGone,
         };
-        let leave = match obtained {
-            Ok(leave) => leave,
+        let placement = match obtained {
+            Ok(placement) => placement,
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        let end = self.send(&leave, None).await;
-        let attempt = self.settle(&leave, end);
+        let end = self.send(&placement, None).await;
+        let attempt = self.settle(&placement, end);
         if let Some(retry) = attempt.retry() {
-            tried.note(leave.target, retry);
+            history.record(placement.target, retry);
         }
         attempt
     }
 
-    /// An attempt over several engines.
-    async fn attempt_parts(&mut self, attempt: u32) -> Attempt {
+    /// Runs an attempt with the prompt split over several engines.
+    async fn attempt_split(&mut self, attempt: u32) -> Attempt {
         let (core, completion, out) = (self.core, self.completion, &self.out);
-        let reserve = Reserve { core, completion, attempt, out };
-        let mut held = match reserve.run().await {
+        let reservation = PartReservation { core, completion, attempt, out };
+        let mut held = match reservation.run().await {
             Ok(held) => held,
-            Err(_) if self.out.is_closed() => return Attempt::Gone,
+            Err(_) if self.out.is_closed() => return Attempt::CallerGone,
             Err(refusal) => return Attempt::Refused(refusal),
         };
-        self.sent = true;
+        self.was_sent = true;
         let prefilled = parts::prefill(core, completion, &mut held, &self.out).await;
-        let Some(leave) = parts::last_leave(&held).cloned() else { return Attempt::Gone };
+        let Some(last) = parts::last_placement(&held).cloned() else { return Attempt::CallerGone };
         let attempt = match prefilled {
             Ok(import) => {
-                let end = self.send(&leave, import).await;
-                self.settle(&leave, end)
+                let end = self.send(&last, import).await;
+                self.settle(&last, end)
             }
-            // The last part was never opened; its own end is told as such.
+            // The last part was never started, so its permit is released as not sent.
             Err(end) => {
-                permit::give_back(
+                permit::report_outcome(
                     core,
-                    &leave.target,
-                    &leave.permit,
-                    &leave.stream,
+                    &last.target,
+                    &last.permit,
+                    &last.stream,
                     Ending::NotSent,
                     None,
                 );
-                read_end(end)
+                classify_end(end)
             }
         };
         parts::release(core, held);
@@ -240,81 +243,92 @@
     }
 
     /// Sends the attempt and relays its tokens.
-    async fn send(&mut self, leave: &Leave, import: Option<Handle>) -> (End, Option<Duration>) {
-        let c = self.completion;
+    async fn send(
+        &mut self,
+        placement: &Placement,
+        import: Option<Handle>,
+    ) -> (End, Option<Duration>) {
+        let completion = self.completion;
         let generate = Generate {
-            stream: leave.stream.clone(),
-            weights: c.weights.clone(),
-            prompt: c.prompt.clone(),
-            max_tokens: c.cost.decode,
-            priority: Priority(leave.permit.priority),
+            stream: placement.stream.clone(),
+            weights: completion.weights.clone(),
+            prompt: completion.prompt.clone(),
+            max_tokens: completion.cost.decode,
+            priority: Priority(placement.permit.priority),
             import,
             prefill_only: None,
             from: self.delivered,
         };
         let mut relay = Relay {
             core: self.core,
-            address: leave.address,
-            target: &leave.target,
-            stream: &leave.stream,
-            deadline: c.deadline,
-            first: relay::first_token_limit(self.core, leave.expected),
+            address: placement.address,
+            target: &placement.target,
+            stream: &placement.stream,
+            deadline: completion.deadline,
+            first_token_timeout: relay::first_token_timeout(
+                self.core,
+                placement.expected_first_token,
+            ),
             out: &self.out,
             delivered: self.delivered,
-            first_token: None,
+            first_token_at: None,
         };
-        let began = self.core.now();
-        let end = match relay.open(self.core.targets.generate(leave.address, &generate)).await {
+        let started_at = self.core.now();
+        let end = match relay.open(self.core.targets.generate(placement.address, &generate)).await {
             Ok(tokens) => relay.run(tokens).await,
             Err(end) => end,
         };
-        // What the caller waits for: with the queue and with failed attempts,
-        // and not the first token of an attempt that goes on with a stream.
-        if let Some(at) = relay.first_token
+        // The caller's time to the first token includes the queue and failed attempts. An
+        // attempt that continues a stream isn't counted.
+        if let Some(at) = relay.first_token_at
             && self.delivered == 0
         {
-            self.core.metrics.first_token(c.cost.prefill, at - self.began);
+            self.core.metrics.first_token(completion.cost.prefill, at - self.admitted_at);
         }
         self.delivered = relay.delivered;
-        (end, relay.first_token.map(|at| at - began))
+        (end, relay.first_token_at.map(|at| at - started_at))
     }
 
-    /// Tells the owner how the attempt ended and decides what comes next.
-    fn settle(&mut self, leave: &Leave, (end, first_token): (End, Option<Duration>)) -> Attempt {
+    /// Reports the outcome to the owner and decides how to continue.
+    fn settle(
+        &mut self,
+        placement: &Placement,
+        (end, first_token): (End, Option<Duration>),
+    ) -> Attempt {
         if !matches!(end, End::Failed(Error::NotSent(_) | Error::Refused(_))) {
-            self.sent = true;
+            self.was_sent = true;
         }
         let ending = match &end {
-            End::Whole(_) => Ending::Finished,
-            // The permit is the other node's to give back.
-            End::Taken => return Attempt::Gone,
-            End::Gone => Ending::Left,
-            End::Died => Ending::TargetDied,
+            End::Complete(_) => Ending::Finished,
+            // The permit belongs to the other node, which reports its outcome.
+            End::TakenOver => return Attempt::CallerGone,
+            End::CallerGone => Ending::Left,
+            End::TargetDied => Ending::TargetDied,
             End::Failed(Error::NotSent(_) | Error::Refused(_)) => Ending::NotSent,
             End::Deadline | End::Stalled | End::Failed(_) => Ending::Lost,
         };
-        let attempt = read_end(end);
+        let attempt = classify_end(end);
         if let Some(reason) = attempt.retry() {
-            record::log_retry(self.core, &self.completion.caller.account, leave, reason);
+            record::log_retry(self.core, &self.completion.caller.account, placement, reason);
         }
-        let (target, permit) = (&leave.target, &leave.permit);
-        permit::give_back(self.core, target, permit, &leave.stream, ending, first_token);
+        let (target, permit) = (&placement.target, &placement.permit);
+        permit::report_outcome(self.core, target, permit, &placement.stream, ending, first_token);
         attempt
     }
 }
 
-/// What comes after an attempt that ended so.
-fn read_end(end: End) -> Attempt {
+/// Returns the result of an attempt whose relay ended with `end`.
+fn classify_end(end: End) -> Attempt {
     match end {
-        End::Whole(count) => Attempt::Whole(count),
-        End::Taken | End::Gone => Attempt::Gone,
+        End::Complete(count) => Attempt::Complete(count),
+        End::TakenOver | End::CallerGone => Attempt::CallerGone,
         End::Deadline => {
             Attempt::Refused(refuse(Reason::Deadline, "the deadline passed while it ran"))
         }
-        End::Stalled => Attempt::Again(RetryReason::Stalled),
-        End::Died => Attempt::Died,
-        End::Failed(Error::NotSent(_)) => Attempt::Again(RetryReason::NotSent),
-        End::Failed(Error::Refused(_)) => Attempt::Again(RetryReason::Refused),
-        End::Failed(_) => Attempt::Again(RetryReason::TargetFailed),
+        End::Stalled => Attempt::Retry(RetryReason::Stalled),
+        End::TargetDied => Attempt::TargetDied,
+        End::Failed(Error::NotSent(_)) => Attempt::Retry(RetryReason::NotSent),
+        End::Failed(Error::Refused(_)) => Attempt::Retry(RetryReason::Refused),
+        End::Failed(_) => Attempt::Retry(RetryReason::TargetFailed),
     }
 }
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,7 +1,7 @@
-//! What the parts of a node share.
+//! The state that all modules of a node share.
 
-use crate::peers::Fetches;
-use crate::suspect::Record;
+use crate::peers::FetchLocks;
+use crate::suspect::RetryControl;
 use crate::table::Table;
 use crate::view::View;
 use hickory_release::configuration::Configuration;
@@ -23,21 +23,21 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How long a new connection to a peer may take to prove that it is alive.
+/// Timeout for a new connection to a peer to prove that the peer is alive.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where a node stands in its life.
+/// Lifecycle stage of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// Serves, and is named to callers.
+    /// Accepts requests and is named to callers by the entry point.
     Serving,
-    /// Serves who still comes, but is not named any more.
+    /// Still accepts requests, but is no longer named to callers.
     Draining,
-    /// Takes nothing more.
+    /// Accepts no more requests.
     Closed,
 }
 
-/// Probes peers over the links, once these are there.
+/// Probes peers over the links; reports every peer as dead until the links are set.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkProbe(pub(crate) Arc<OnceLock<Links>>);
 
@@ -50,34 +50,34 @@
     }
 }
 
-/// The platform, with a count of each call.
-pub(crate) type Port = Metered<Platform, System>;
+/// The platform client, with metrics for each call.
+pub(crate) type MeteredPlatform = Metered<Platform, System>;
 
-/// What the parts of a node share.
+/// The state that all modules of a node share.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) settings: Settings,
-    pub(crate) key: Key,
+    pub(crate) fleet_key: Key,
     pub(crate) incarnation: id::Incarnation,
     pub(crate) clock: System,
-    pub(crate) platform: Port,
+    pub(crate) platform: MeteredPlatform,
     pub(crate) targets: Targets,
     pub(crate) links: Arc<OnceLock<Links>>,
-    pub(crate) fetches: Fetches,
-    pub(crate) member: Member<Port, System>,
-    pub(crate) keeper: Manager<Port, System>,
-    pub(crate) owners: Owners<Port, System, LinkProbe>,
-    pub(crate) ledger: Ledger<Port, System>,
+    pub(crate) fetch_locks: FetchLocks,
+    pub(crate) member: Member<MeteredPlatform, System>,
+    pub(crate) keeper: Manager<MeteredPlatform, System>,
+    pub(crate) owners: Owners<MeteredPlatform, System, LinkProbe>,
+    pub(crate) ledger: Ledger<MeteredPlatform, System>,
     pub(crate) view: View,
     pub(crate) table: Table,
-    pub(crate) record: Record,
+    pub(crate) retry_control: RetryControl,
     pub(crate) metrics: Metrics,
     pub(crate) stage: watch::Sender<Stage>,
     pub(crate) active: AtomicUsize,
 }
 
 impl Core {
-    pub(crate) fn me(&self) -> &id::Node {
+    pub(crate) fn node_id(&self) -> &id::Node {
         &self.settings.node
     }
 
@@ -93,28 +93,28 @@
         self.keeper.current()
     }
 
-    /// Whether a living peer has a newer configuration than this node.
+    /// Returns whether a live peer has a newer configuration than this node.
     pub(crate) fn is_behind(&self) -> bool {
         let known = self.configuration().map(|configuration| configuration.version);
         self.view.newest_release(self.now()) > known
     }
 
-    pub(crate) fn time(&self, millis: u64) -> Duration {
+    pub(crate) fn duration_ms(&self, millis: u64) -> Duration {
         Duration::from_millis(millis)
     }
 
-    /// Life of a permit, from the moment it is asked for.
-    pub(crate) fn permit_life(&self) -> Duration {
-        self.time(self.settings.times.permit_ms)
+    /// Returns the lifetime of a permit, counted from the time of the ask.
+    pub(crate) fn permit_lifetime(&self) -> Duration {
+        self.duration_ms(self.settings.times.permit_ms)
     }
 
-    /// How long a call to a peer may take.
+    /// Returns the timeout of a call to a peer.
     pub(crate) fn peer_timeout(&self) -> Duration {
-        self.permit_life()
+        self.permit_lifetime()
     }
 }
 
-/// Counts a request as active while it lives.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Active(Arc<Core>);
 
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -1,10 +1,10 @@
-//! The owner's loops over its targets: read load reports, grant what fits,
-//! cancel what nobody stands for, give orders.
+//! The owner's background loops: poll load reports, grant permits that fit, cancel orphaned
+//! work and send orders.
 
 use crate::core::{Core, Stage};
 use crate::orders;
 use crate::suspect::is_port_closed;
-use crate::sweep::Found;
+use crate::sweep::SweepContext;
 use hickory_policy::limit::{Capacity, Observed};
 use hickory_policy::ramp::Sample;
 use hickory_state::owner::Allowance;
@@ -19,34 +19,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two looks at which targets are owned.
-const OWNED_INTERVAL: Duration = Duration::from_millis(100);
+/// Poll interval for the set of owned targets.
+const OWNERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Between two looks at queues where anything waits: what fits changes with
-/// each step of an engine, which takes about as long.
-const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Poll interval while asks are queued: the free capacity changes with each engine step, which
+/// takes about as long.
+const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Failed reads of a load report after which a target gets no new work: one
-/// may be a hiccup, and three take less than the bound on new work to a
-/// target that is gone.
-const MISSED_MAX: u32 = 3;
+/// Number of consecutive failed reads of a load report after which a target gets no new work. A
+/// single failure may be transient; three take less time than the limit for new work to a dead
+/// target.
+const MAX_MISSED_REPORTS: u32 = 3;
 
-/// Follows the ownership: one task for each owned target.
-pub(crate) async fn follow_owned(core: Arc<Core>) {
+/// Runs one task for each owned target.
+pub(crate) async fn run_owned_targets(core: Arc<Core>) {
     let mut running: HashMap<id::Target, (id::Epoch, tokio::task::AbortHandle)> = HashMap::new();
     let mut changed = core.owners.subscribe();
     loop {
         let owned = core.owners.owned();
         running.retain(|target, (epoch, task)| {
-            let kept = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
-            if !kept {
+            let is_owned = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
+            if !is_owned {
                 task.abort();
                 core.metrics.owner_changed(match core.stage() {
                     Stage::Serving => Ownership::Lost,
                     Stage::Draining | Stage::Closed => Ownership::Released,
                 });
             }
-            kept
+            is_owned
         });
         core.table
             .retain(|target, epoch| owned.iter().any(|o| o.target == *target && o.epoch == epoch));
@@ -56,63 +56,69 @@
             }
             core.table.open(&owned.target, owned.epoch);
             core.metrics.owner_changed(Ownership::Gained);
-            let task = tokio::spawn(drive(core.clone(), owned.target.clone(), owned.epoch));
+            let task =
+                tokio::spawn(run_owned_target(core.clone(), owned.target.clone(), owned.epoch));
             running.insert(owned.target, (owned.epoch, task.abort_handle()));
         }
-        let _ = tokio::time::timeout(OWNED_INTERVAL, changed.changed()).await;
+        let _ = tokio::time::timeout(OWNERSHIP_POLL_INTERVAL, changed.changed()).await;
     }
 }
 
-/// Drives one owned target until it is not owned any more.
-async fn drive(core: Arc<Core>, target: id::Target, epoch: id::Epoch) {
-    let interval = core.time(core.settings.times.report_ms);
+/// Polls one owned target until its task is aborted because it is no longer owned.
+async fn run_owned_target(core: Arc<Core>, target: id::Target, epoch: id::Epoch) {
+    let interval = core.duration_ms(core.settings.times.report_ms);
     let mut missed = 0;
     loop {
         if let Some(host) = core.view.hosts().get(&target) {
-            let read = match &host.kind {
-                Kind::Engine => drive_engine(&core, host, epoch).await,
-                Kind::Service(_) => drive_service(&core, host).await,
+            let has_report = match &host.kind {
+                Kind::Engine => poll_engine(&core, host, epoch).await,
+                Kind::Service(_) => poll_service(&core, host).await,
             };
-            missed = if read { 0 } else { missed + 1 };
-            if missed == MISSED_MAX {
+            missed = if has_report { 0 } else { missed + 1 };
+            if missed == MAX_MISSED_REPORTS {
                 core.metrics.target_silent();
             }
-            update_accepting(&core, host, missed < MISSED_MAX);
+            update_accepting(&core, host, missed < MAX_MISSED_REPORTS);
         }
-        let (life, resume) = (core.permit_life(), core.time(core.settings.times.resume_ms));
+        let (permit_lifetime, resume_window) =
+            (core.permit_lifetime(), core.duration_ms(core.settings.times.resume_ms));
         let now = core.now();
         core.table.with(&target, |owned| {
-            owned.sweep(now, life, resume);
-            owned.poll(now, life);
+            owned.sweep(now, permit_lifetime, resume_window);
+            owned.poll(now, permit_lifetime);
         });
         tokio::time::sleep(interval).await;
     }
 }
 
-/// Whether the target takes new work, as far as its owner knows.
-fn update_accepting(core: &Core, host: &Host, answers: bool) {
+/// Updates whether the target accepts new work.
+fn update_accepting(core: &Core, host: &Host, is_answering: bool) {
     let configuration = core.configuration();
-    let in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
+    let is_in_service = configuration.as_ref().is_some_and(|c| core.view.may_send(&host.target, c));
     let owned = core.owners.owned();
     let allowance =
         owned.iter().find(|owned| owned.target == host.target).map(|owned| owned.allowance);
-    let waited = !matches!(allowance, None | Some(Allowance::WaitUntil(_)));
-    let confirmed = matches!(allowance, Some(Allowance::Full));
+    let is_wait_over = !matches!(allowance, None | Some(Allowance::WaitUntil(_)));
+    let is_confirmed = matches!(allowance, Some(Allowance::Full));
     let now = core.now();
     core.table.with(&host.target, |owned| {
-        let known = owned.capacity.streams > 0;
-        owned.set_terms(now, answers && in_service && waited && known, confirmed);
+        let is_capacity_known = owned.capacity.streams > 0;
+        owned.set_terms(
+            now,
+            is_answering && is_in_service && is_wait_over && is_capacity_known,
+            is_confirmed,
+        );
         if let Some(configuration) = &configuration {
-            owned.follow(configuration);
+            owned.apply_configuration(configuration);
         }
     });
 }
 
-async fn drive_engine(core: &Core, host: &Host, epoch: id::Epoch) -> bool {
+async fn poll_engine(core: &Core, host: &Host, epoch: id::Epoch) -> bool {
     let report = match Engines::report(&core.targets, host.address).await {
         Ok(report) => report,
         Err(error) => {
-            // A closed port is a death; silence may be anything.
+            // A closed port means that the process died; a timeout may have other causes.
             if matches!(error, Error::NotSent(_)) && is_port_closed(host.address).await {
                 note_death(core, &host.target);
             }
@@ -123,45 +129,45 @@
     if known.is_some_and(|known| known != report.incarnation) {
         note_death(core, &host.target);
     }
-    take_report(core, &host.target, &report);
+    apply_report(core, &host.target, &report);
     cancel_orphans(core, host).await;
     if let Some(configuration) = core.configuration() {
-        orders::give_orders(core, host, epoch, &report.loaded, &configuration).await;
+        orders::send_orders(core, host, epoch, &report.loaded, &configuration).await;
     }
     true
 }
 
-/// Puts what ran on a dead target under suspicion.
+/// Records the requests that ran on a dead target as suspects.
 fn note_death(core: &Core, target: &id::Target) {
-    let ran = core.table.with(target, |owned| owned.take_death()).unwrap_or_default();
-    core.record.note_death(core.now(), ran);
+    let ran = core.table.with(target, |owned| owned.record_death()).unwrap_or_default();
+    core.retry_control.note_death(core.now(), ran);
 }
 
-fn take_report(core: &Core, target: &id::Target, report: &Report) {
+fn apply_report(core: &Core, target: &id::Target, report: &Report) {
     let now = core.now();
     let nodes = core.member.nodes();
-    let confirmed = core.member.is_lease_valid(now);
-    // The list of nodes says nothing while the platform can't be reached.
-    let is_live = |node: &id::Node| !confirmed || nodes.contains_key(node);
-    let resume = core.time(core.settings.times.resume_ms);
-    let found = Found { now, wall_ms: core.clock.wall_ms(), resume, is_live };
+    let is_confirmed = core.member.is_lease_valid(now);
+    // While the platform is unreachable, the list of nodes can't show that a node is gone.
+    let is_live = |node: &id::Node| !is_confirmed || nodes.contains_key(node);
+    let resume_window = core.duration_ms(core.settings.times.resume_ms);
+    let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume_window, is_live };
     core.table.with(target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
             core.metrics.target_restarted();
-            owned.restarted(now);
+            owned.reset_after_restart(now);
         }
-        owned.take_report(report, &found);
+        owned.apply_report(report, &context);
     });
 }
 
-/// Ends on the engine what nobody stands for. What the engine does not
-/// confirm is tried again after the next report.
+/// Cancels orphaned streams and drops orphaned KV caches on the engine. What the engine doesn't
+/// confirm is retried after the next report.
 async fn cancel_orphans(core: &Core, host: &Host) {
     let taken = core.table.with(&host.target, |owned| (owned.take_cancels(), owned.take_drops()));
     let (cancels, drops) = taken.unwrap_or_default();
-    let mut answers = true;
+    let mut is_answering = true;
     for stream in cancels {
-        let cancelled = match answers {
+        let cancelled = match is_answering {
             true => core.targets.cancel(host.address, &stream).await,
             false => Err(Error::Unknown("the target did not answer the last cancel".into())),
         };
@@ -171,14 +177,14 @@
         let now = core.now();
         core.table.with(&host.target, |owned| match cancelled {
             Ok(Cancelled::NeverBegun | Cancelled::Stopped | Cancelled::Ended)
-            | Err(Error::NotFound) => owned.cancelled(now, &stream),
+            | Err(Error::NotFound) => owned.confirm_cancelled(now, &stream),
             Err(_) => {
-                answers = false;
-                owned.cancel_again(stream);
+                is_answering = false;
+                owned.retry_cancel(stream);
             }
         });
     }
-    // Those that stay held are found again in the next report.
+    // KV caches that were not dropped are found again in the next report.
     for handle in drops {
         if core.targets.drop_handle(host.address, &handle).await.is_ok() {
             core.metrics.swept(Orphan::Cache);
@@ -186,29 +192,29 @@
     }
 }
 
-/// Grants what comes to fit as time passes, while anything waits.
+/// Grants permits as capacity becomes free, while asks are queued.
 pub(crate) async fn poll_queues(core: Arc<Core>) {
     loop {
-        let waiting = core.table.poll(core.now(), core.permit_life());
+        let waiting = core.table.poll(core.now(), core.permit_lifetime());
         if waiting == 0 {
-            core.table.queued.notified().await;
+            core.table.ask_queued.notified().await;
         }
-        tokio::time::sleep(POLL_INTERVAL).await;
+        tokio::time::sleep(QUEUE_POLL_INTERVAL).await;
     }
 }
 
-async fn drive_service(core: &Core, host: &Host) -> bool {
+async fn poll_service(core: &Core, host: &Host) -> bool {
     let report: Result<service::Report, Error> =
         Services::report(&core.targets, host.address).await;
     let Ok(report) = report else { return false };
     let now = core.now();
     core.table.with(&host.target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
-            owned.restarted(now);
+            owned.reset_after_restart(now);
             core.metrics.target_restarted();
         }
         owned.incarnation = Some(report.incarnation);
-        // A call weighs one slot and no KV cache.
+        // A call takes one slot and no KV cache.
         owned.kv_capacity = size::Tokens(u64::from(u32::MAX));
         owned.set_capacity(Capacity {
             streams: report.calls_max,
@@ -218,9 +224,9 @@
         let (incarnation, warmth) = (report.incarnation, report.warmth);
         let sample = Sample { incarnation, warmth, cache_hits: 0, cache_misses: 0 };
         owned.observe_load(now, &Observed { sample, ..Observed::default() });
-        // Nothing is held on a service: a cancel has nothing to do.
+        // A service holds no state of a call, so there is nothing to cancel.
         for stream in owned.take_cancels() {
-            owned.cancelled(now, &stream);
+            owned.confirm_cancelled(now, &stream);
         }
     });
     true
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,8 +1,8 @@
-//! Which address a caller should use.
+//! Selects the node that a caller should use.
 //!
-//! There is no balancer: callers ask any node, keep the answer for a while
-//! and connect there. A node that is stopping is not named, and keeps serving
-//! for as long as an answer that names it may be kept.
+//! There is no load balancer: a caller asks any node, caches the answer for a while and
+//! connects to the node that it names. A draining node isn't named, and keeps serving for as
+//! long as answers that name it may be cached.
 
 use crate::core::{Core, Stage};
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A peer that was not heard for this long is not named: several exchanges
-/// were missed, and a caller sent there might find nobody.
-const PEER_MAX_AGE: Duration = Duration::from_secs(2);
+/// A peer that has been silent for this long isn't named: several gossip exchanges were missed,
+/// and the node may be down.
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(2);
 
-/// Alternates that an answer names.
-const ALTERNATES: usize = 3;
+/// Maximum number of alternate addresses in an answer.
+const MAX_ALTERNATES: usize = 3;
 
-/// The answer to which address to use.
+/// The body of the entry answer.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Entry {
     address: SocketAddr,
@@ -25,21 +25,22 @@
     keep_ms: u64,
 }
 
-/// Names a node: the one of two random choices that serves fewer callers.
-/// Two choices suffice to keep a burst of callers, who all see the same
-/// slightly old counts, from running to one node.
+/// Chooses the less loaded of two random nodes.
+///
+/// Choosing between two random nodes keeps a burst of callers, which all see the same slightly
+/// outdated counts, from going to a single node.
 pub(crate) fn answer_entry(core: &Core) -> Option<Entry> {
     let now = core.now();
-    let seen = core.view.peers_seen();
+    let peer_views = core.view.peer_views();
     let mut rng = rand::rng();
     let nodes = core.member.nodes();
     let mut known: Vec<(SocketAddr, u32)> = nodes
         .values()
-        .filter(|info| info.node != *core.me() && !info.draining)
+        .filter(|info| info.node != *core.node_id() && !info.draining)
         .filter_map(|info| {
-            let peer = seen.get(&info.node)?;
-            let heard = now.saturating_duration_since(peer.at) < PEER_MAX_AGE;
-            (heard && !peer.draining).then_some((info.callers, peer.connections))
+            let peer = peer_views.get(&info.node)?;
+            let is_reachable = now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE;
+            (is_reachable && !peer.draining).then_some((info.callers, peer.connections))
         })
         .collect();
     if core.stage() == Stage::Serving {
@@ -49,6 +50,6 @@
     let chosen = known.choose_multiple(&mut rng, 2).min_by_key(|(_, load)| *load)?.0;
     known.retain(|(address, _)| *address != chosen);
     known.shuffle(&mut rng);
-    let alternates = known.into_iter().take(ALTERNATES).map(|(address, _)| address).collect();
+    let alternates = known.into_iter().take(MAX_ALTERNATES).map(|(address, _)| address).collect();
     Some(Entry { address: chosen, alternates, keep_ms: core.settings.times.entry_keep_ms })
 }
--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -1,79 +1,77 @@
-//! What an owner keeps of each permit that is out, each ask that waits and each
-//! stream that it did not grant.
+//! An owner's records of permits, of queued asks, and of streams that it did not grant.
 
 use hickory_unit::{id, size};
 use hickory_wire::message::{Permit, Refusal, Weights};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// How long after its deadline a stream may still be found on a target before
-/// it is swept: the sender ends it at the deadline, and its message may be
-/// under way.
+/// Time after its deadline for which a stream may remain on a target before it is swept: the
+/// sender ends it at the deadline, and that message may still be in transit.
 pub(crate) const SWEEP_GRACE: Duration = Duration::from_secs(2);
 
-/// A stream that the target holds and this owner did not grant: a former
-/// owner did.
+/// A stream on the target that was granted by a previous owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Foreign {
-    /// When it was first seen without anybody who stands for it.
-    pub(crate) alone: Option<Instant>,
+    /// When the owner first saw it without a live node that serves it.
+    pub(crate) orphaned_since: Option<Instant>,
 }
 
-/// A permit that is out.
+/// A granted permit.
 #[derive(Clone, Debug)]
 pub(crate) struct Granted {
     pub(crate) stream: id::Stream,
-    pub(crate) until: Instant,
+    pub(crate) request_deadline: Instant,
     pub(crate) priority: u8,
     /// Hash of account and content.
     pub(crate) fingerprint: u64,
-    /// KV cache at its greatest.
+    /// Maximum size of its KV cache.
     pub(crate) kv: size::Tokens,
-    /// What runs it, on an engine.
+    /// The weights that it runs on; `None` for a plain service.
     pub(crate) weights: Option<Weights>,
-    /// When the caller's connection went, where it did.
-    pub(crate) left: Option<Instant>,
-    /// When it was granted, while its asker has not been told.
-    pub(crate) untold: Option<Instant>,
-    /// Whether the target's death is counted against it already.
-    pub(crate) counted: bool,
+    /// When the caller disconnected, if it has.
+    pub(crate) caller_left_at: Option<Instant>,
+    /// When it was granted, if its asker hasn't received the permit yet.
+    pub(crate) undelivered_since: Option<Instant>,
+    /// Whether a death of the target has already been counted against the request.
+    pub(crate) is_death_counted: bool,
     /// The node that serves it.
     pub(crate) node: id::Node,
 }
 
-/// An ask in the queue.
+/// A queued ask.
 #[derive(Debug)]
 pub(crate) struct Waiting {
     pub(crate) stream: id::Stream,
-    pub(crate) asked: Instant,
-    pub(crate) until: Instant,
+    pub(crate) asked_at: Instant,
+    pub(crate) request_deadline: Instant,
     pub(crate) priority: u8,
     pub(crate) fingerprint: u64,
     pub(crate) kv: size::Tokens,
     pub(crate) weights: Option<Weights>,
-    pub(crate) waker: Option<oneshot::Sender<Result<Permit, Refusal>>>,
+    pub(crate) responder: Option<oneshot::Sender<Result<Permit, Refusal>>>,
 }
 
 impl Granted {
-    pub(crate) fn to(stream: id::Stream, until: Instant, priority: u8) -> Self {
+    pub(crate) fn open(stream: id::Stream, request_deadline: Instant, priority: u8) -> Self {
         let node = stream.sender.clone();
         let (fingerprint, kv, weights) = (0, size::Tokens(0), None);
         Self {
             stream,
-            until,
+            request_deadline,
             priority,
             fingerprint,
             kv,
             weights,
-            left: None,
-            untold: None,
-            counted: false,
+            caller_left_at: None,
+            undelivered_since: None,
+            is_death_counted: false,
             node,
         }
     }
 
-    pub(crate) fn is_overdue(&self, now: Instant, resume: Duration) -> bool {
-        let left_long = self.left.is_some_and(|at| now.saturating_duration_since(at) > resume);
-        left_long || now > self.until + SWEEP_GRACE
+    pub(crate) fn is_overdue(&self, now: Instant, resume_window: Duration) -> bool {
+        let is_long_unserved =
+            self.caller_left_at.is_some_and(|at| now.saturating_duration_since(at) > resume_window);
+        is_long_unserved || now > self.request_deadline + SWEEP_GRACE
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,15 +1,15 @@
 //! The hickoryrun node as a library.
 //!
-//! A node takes callers, asks the owners of targets for leave to send, relays
-//! answers, and owns some of the targets itself. The modules stand in the
-//! order in which a request goes through them.
+//! A node accepts requests from callers, asks the owners of targets for permits, relays
+//! answers, and owns some of the targets itself. Each target has one owner, which limits the
+//! work on it; the node that accepted a request sends it to the target directly.
 //!
 //! ```no_run
 //! # async fn run(settings: hickory_settings::Node) -> std::io::Result<()> {
 //! let node = hickory_node::Node::spawn(settings).await?;
-//! println!("callers connect to {}", node.callers());
+//! println!("callers connect to {}", node.caller_address());
 //! node.drain();
-//! node.closed().await;
+//! node.wait_closed().await;
 //! # Ok(())
 //! # }
 //! ```
@@ -21,6 +21,7 @@
 mod drain;
 mod drive;
 mod entry;
+mod event_id;
 mod granted;
 mod orders;
 mod owned;
@@ -32,7 +33,6 @@
 mod relay;
 mod reply;
 mod resume;
-mod seal;
 mod serve;
 mod suspect;
 mod sweep;
@@ -60,86 +60,86 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long a short call to a target may take.
-const TARGET_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of short calls to a target, such as reports, cancels and orders.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A running node.
 #[derive(Clone, Debug)]
 pub struct Node {
     core: Arc<Core>,
-    /// Serves operators until the last clone of the node is dropped.
+    /// Serves the administration interface until the last clone of the node is dropped.
     admin: Arc<hickory_admin::server::Handle<admin::Service>>,
 }
 
 impl Node {
-    /// Binds the addresses of the settings (port 0 takes a free one) and
-    /// starts the node on the current Tokio runtime.
+    /// Binds the addresses of the settings (port 0 selects a free port) and starts the node on
+    /// the current Tokio runtime.
     ///
     /// # Errors
     ///
-    /// An address that can't be bound, or a fleet key that is malformed.
+    /// An address that can't be bound, or a malformed fleet key.
     pub async fn spawn(mut settings: Settings) -> io::Result<Self> {
-        let key = settings.fleet_key.parse().map_err(invalid)?;
+        let fleet_key = settings.fleet_key.parse().map_err(invalid)?;
         let callers = TcpListener::bind(settings.callers)?;
         callers.set_nonblocking(true)?;
         let peers = TcpListener::bind(settings.peers)?;
         settings.callers = callers.local_addr()?;
         settings.peers = peers.local_addr()?;
-        let core = Arc::new(open_core(settings, key)?);
+        let core = Arc::new(open_core(settings, fleet_key)?);
         let service =
             admin::Service { core: core.clone(), runtime: tokio::runtime::Handle::current() };
         let admin = hickory_admin::Server::spawn(core.settings.admin, Arc::new(service))?;
-        let links = Links::spawn(peers, core.key.clone(), peers::Service(Arc::downgrade(&core)))?;
+        let links =
+            Links::spawn(peers, core.fleet_key.clone(), peers::Service(Arc::downgrade(&core)))?;
         let _ = core.links.set(links.clone());
-        tokio::spawn(peers::follow_hosts(core.clone()));
+        tokio::spawn(peers::poll_hosts(core.clone()));
         tokio::spawn(peers::gossip(core.clone(), links));
-        tokio::spawn(drive::follow_owned(core.clone()));
+        tokio::spawn(drive::run_owned_targets(core.clone()));
         tokio::spawn(drive::poll_queues(core.clone()));
-        tokio::spawn(drain::follow(core.clone()));
+        tokio::spawn(drain::run(core.clone()));
         let listener = tokio::net::TcpListener::from_std(callers)?;
         tokio::spawn(serve::serve(core.clone(), listener));
         Ok(Self { core, admin: Arc::new(admin) })
     }
 
-    /// Where callers connect.
-    pub fn callers(&self) -> SocketAddr {
+    /// Returns the address on which callers connect.
+    pub fn caller_address(&self) -> SocketAddr {
         self.core.settings.callers
     }
 
-    /// Where operators connect.
-    pub fn admin(&self) -> SocketAddr {
+    /// Returns the address of the administration interface.
+    pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Where other nodes connect.
-    pub fn peers(&self) -> SocketAddr {
+    /// Returns the address on which other nodes connect.
+    pub fn peer_address(&self) -> SocketAddr {
         self.core.settings.peers
     }
 
-    /// Accepts a release note: writes the configuration that it makes of the
-    /// present one, whole or not at all.
+    /// Applies a release note to the current configuration and stores the result atomically.
     ///
     /// # Errors
     ///
-    /// Why the note is not accepted, or that it is not known whether it is.
+    /// Returns why the note was rejected, or that its outcome is unknown.
     pub async fn accept(&self, note: &Note) -> Result<id::Release, Rejection> {
         self.core.keeper.accept(note).await.map(|configuration| configuration.version)
     }
 
-    /// Targets that take new work, as far as this node knows.
-    pub fn accepting(&self) -> usize {
+    /// Returns the number of targets that accept new work, by this node's view.
+    pub fn count_accepting_targets(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
         states.filter(|state| state.accepting).count()
     }
 
-    /// Begins a planned stop; [`Node::closed`] tells when it is done.
+    /// Begins a planned stop; [`Node::wait_closed`] waits for its end.
     pub fn drain(&self) {
         drain::begin(&self.core);
     }
 
-    /// Waits until the node takes nothing more and its last request has ended.
-    pub async fn closed(&self) {
+    /// Waits until the node is closed: it accepts no more requests and the last one has ended.
+    pub async fn wait_closed(&self) {
         let mut stage = self.core.stage.subscribe();
         let _ = stage.wait_for(|stage| *stage == Stage::Closed).await;
     }
@@ -149,7 +149,7 @@
     io::Error::new(io::ErrorKind::InvalidInput, error)
 }
 
-fn open_core(settings: Settings, key: hickory_wire::proof::Key) -> io::Result<Core> {
+fn open_core(settings: Settings, fleet_key: hickory_wire::proof::Key) -> io::Result<Core> {
     let clock = System;
     let times = settings.times;
     let address = Address {
@@ -176,22 +176,22 @@
     let member = Member::spawn(platform.clone(), clock, info, lease);
     let probe = LinkProbe(links.clone());
     let owners = Owners::spawn(platform.clone(), clock, member.clone(), probe, permit);
-    let me = settings.node.clone();
+    let node_id = settings.node.clone();
     Ok(Core {
-        key,
+        fleet_key,
         incarnation,
         clock,
-        targets: Targets::open(TARGET_TIMEOUT),
+        targets: Targets::open(SHORT_CALL_TIMEOUT),
         links,
-        fetches: peers::Fetches::default(),
+        fetch_locks: peers::FetchLocks::default(),
         keeper: Manager::spawn(platform.clone(), clock),
-        ledger: Ledger::new(platform.clone(), clock, me, claim::Options::default()),
+        ledger: Ledger::new(platform.clone(), clock, node_id, claim::Options::default()),
         member,
         owners,
         platform,
         view: view::View::open(settings.zone.clone()),
         table: table::Table::default(),
-        record: suspect::Record::default(),
+        retry_control: suspect::RetryControl::default(),
         metrics,
         stage: watch::channel(Stage::Serving).0,
         active: AtomicUsize::new(0),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to engines: which weights they are to hold.
+//! Orders to engines: which weights they load and unload.
 //!
-//! The configuration says which weights exist; an owner compares that with
-//! what its engine holds and orders the difference. Orders are idempotent and
-//! follow from the present state, so a late order of a former owner is undone
-//! by the next comparison, also on engines that ignore fencing numbers.
+//! The configuration lists the offered weights; an owner compares it with what its engine has
+//! loaded and orders the difference. Orders are idempotent and derived from the current state,
+//! so a late order of a previous owner is undone by the next comparison, even on engines that
+//! don't check fencing epochs.
 
 use crate::core::Core;
 use crate::parse::hash_parts;
@@ -18,59 +18,59 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Keys of the load slots.
-const SLOTS: &str = "loads/";
+/// Key prefix of the load slots.
+const LOAD_SLOT_PREFIX: &str = "loads/";
 
-/// Time to live of a load slot's lease: an owner that dies while its engine
-/// loads holds others up for this long at most.
-const SLOT_TTL: Duration = Duration::from_secs(15);
+/// Time to live of a load slot's lease: an owner that dies while its engine loads blocks the
+/// slot for at most this long.
+const LOAD_SLOT_TTL: Duration = Duration::from_secs(15);
 
-/// Between two renewals of a held slot.
-const SLOT_RENEWAL: Duration = Duration::from_secs(5);
+/// Interval at which a held slot's lease is renewed.
+const LOAD_SLOT_RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Before the next try after no slot was free, or an engine refused a load
-/// for want of room: much less than a load takes, much more than a report.
-const LOAD_PAUSE: Duration = Duration::from_secs(2);
+/// Retry delay after no slot was free or an engine had no room for the load: much shorter than
+/// a load, and much longer than a report interval.
+const LOAD_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a load may be missing from load reports, which lag.
+/// Time for which a load may be missing from load reports, which lag.
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
-/// Loads at once where the weight store does not say what it bears.
-const LOADS_DEFAULT: u32 = 1;
+/// Maximum number of concurrent loads if the weight store publishes no limit.
+const DEFAULT_CONCURRENT_LOADS: u32 = 1;
 
 /// A slot of the weight store, held while an engine loads.
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     lease: Lease,
     weights: Weights,
-    taken: Instant,
-    renewed: Instant,
+    acquired_at: Instant,
+    renewed_at: Instant,
 }
 
 impl Slot {
-    /// Whether the load may still run: the report lags, so a load that does
-    /// not stand in it yet may have begun.
+    /// Returns whether the load may still be running. Reports lag, so a load that is missing
+    /// from a report may have begun.
     fn is_needed(&self, now: Instant, loaded: &[Loaded]) -> bool {
         match loaded.iter().find(|loaded| loaded.weights == self.weights) {
             Some(loaded) => !loaded.ready,
-            None => now.saturating_duration_since(self.taken) < REPORT_LAG,
+            None => now.saturating_duration_since(self.acquired_at) < REPORT_LAG,
         }
     }
 }
 
-/// What an owner remembers of its engine's loads.
+/// The state of an engine's loads, kept by its owner.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Loads {
     slot: Option<Slot>,
     paused_until: Option<Instant>,
 }
 
-/// The weights that the configuration in force offers.
+/// Returns the weights that the configuration offers.
 ///
-/// Every version stays until a note withdraws it: a new one is loaded beside
-/// the old one, requests that name no version go to it as soon as it is
-/// ready, and the old one goes with its note and its last stream.
-pub(crate) fn list_offers(configuration: &Configuration) -> BTreeSet<Weights> {
+/// Each version remains until a release note withdraws it. A new version is loaded in addition
+/// to the old one, and requests that name no version use it as soon as it is ready. The old one
+/// is unloaded when it has been withdrawn and its last stream has ended.
+pub(crate) fn list_offered_weights(configuration: &Configuration) -> BTreeSet<Weights> {
     let models = configuration.models.iter();
     models
         .flat_map(|(name, model)| {
@@ -87,27 +87,26 @@
         .collect()
 }
 
-/// What to unload: not offered any more, and nothing runs on it.
+/// Returns the weights to unload: no longer offered, and without running requests.
 pub(crate) fn plan_unloads(
-    offers: &BTreeSet<Weights>,
+    offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
     is_busy: impl Fn(&Weights) -> bool,
 ) -> Vec<Weights> {
     let surplus = loaded.iter().map(|loaded| &loaded.weights);
-    surplus.filter(|weights| !offers.contains(weights) && !is_busy(weights)).cloned().collect()
+    surplus.filter(|weights| !offered.contains(weights) && !is_busy(weights)).cloned().collect()
 }
 
-/// What to load next: of what is missing, that with the fewest replicas that
-/// serve, so that a zone that returns all cold brings each model back soon.
-/// Among equals the target's hash decides, so that engines which can't hold
-/// all weights differ in what they hold.
+/// Returns the weights to load next: the missing ones with the fewest ready replicas, so that a
+/// zone that restarts cold soon serves every model. Ties are broken by a hash that includes the
+/// target, so that engines which can't hold all weights load different ones.
 pub(crate) fn plan_load(
-    offers: &BTreeSet<Weights>,
+    offered: &BTreeSet<Weights>,
     loaded: &[Loaded],
     target: &id::Target,
     replicas: impl Fn(&Weights) -> usize,
 ) -> Option<Weights> {
-    let missing = offers.iter().filter(|w| !loaded.iter().any(|loaded| loaded.weights == **w));
+    let missing = offered.iter().filter(|w| !loaded.iter().any(|loaded| loaded.weights == **w));
     let order = |weights: &&Weights| (replicas(weights), hash_weights(target, weights));
     missing.min_by_key(order).cloned()
 }
@@ -118,18 +117,18 @@
     hash_parts(&parts.map(str::as_bytes))
 }
 
-/// Orders the difference between what an engine holds and what it is to hold.
-pub(crate) async fn give_orders(
+/// Orders the loads and unloads that bring an engine to the offered weights.
+pub(crate) async fn send_orders(
     core: &Core,
     host: &Host,
     epoch: id::Epoch,
     loaded: &[Loaded],
     configuration: &Configuration,
 ) {
-    let offers = list_offers(configuration);
+    let offered = list_offered_weights(configuration);
     let busy = core.table.with(&host.target, |owned| owned.busy_weights()).unwrap_or_default();
-    for weights in plan_unloads(&offers, loaded, |weights| busy.contains(weights)) {
-        order(core, host, epoch, Order::Unload(weights)).await;
+    for weights in plan_unloads(&offered, loaded, |weights| busy.contains(weights)) {
+        send_order(core, host, epoch, Order::Unload(weights)).await;
     }
     let mut loads = core.table.with(&host.target, |owned| owned.loads.clone()).unwrap_or_default();
     let now = core.now();
@@ -138,9 +137,9 @@
     } else if loaded.iter().all(|loaded| loaded.ready) {
         release_slot(core, &mut loads).await;
         let replicas = |weights: &Weights| core.view.count_ready(weights);
-        let next = plan_load(&offers, loaded, &host.target, replicas);
-        let paused = loads.paused_until.is_some_and(|until| core.now() < until);
-        if let Some(weights) = next.filter(|_| !paused) {
+        let next = plan_load(&offered, loaded, &host.target, replicas);
+        let is_paused = loads.paused_until.is_some_and(|until| core.now() < until);
+        if let Some(weights) = next.filter(|_| !is_paused) {
             load(core, host, epoch, weights, &mut loads).await;
         }
     }
@@ -148,15 +147,16 @@
 }
 
 async fn load(core: &Core, host: &Host, epoch: id::Epoch, weights: Weights, loads: &mut Loads) {
-    loads.slot = take_slot(core, host, &weights).await;
-    let loading = loads.slot.is_some() && order(core, host, epoch, Order::Load(weights)).await;
-    if !loading {
+    loads.slot = acquire_slot(core, host, &weights).await;
+    let is_loading =
+        loads.slot.is_some() && send_order(core, host, epoch, Order::Load(weights)).await;
+    if !is_loading {
         release_slot(core, loads).await;
-        loads.paused_until = Some(core.now() + LOAD_PAUSE);
+        loads.paused_until = Some(core.now() + LOAD_RETRY_DELAY);
     }
 }
 
-async fn order(core: &Core, host: &Host, epoch: id::Epoch, order: Order) -> bool {
+async fn send_order(core: &Core, host: &Host, epoch: id::Epoch, order: Order) -> bool {
     let result = core.targets.order(host.address, epoch, &order).await;
     core.metrics.ordered(match &result {
         Ok(()) => label::Order::Confirmed,
@@ -166,24 +166,24 @@
     result.is_ok()
 }
 
-/// Takes a slot of the weight store, if one is free: without the bound, a zone
-/// that returns would have all its engines load at once, and each would wait
-/// for the slowest.
-async fn take_slot(core: &Core, host: &Host, weights: &Weights) -> Option<Slot> {
+/// Acquires a slot of the weight store if one is free. Without this limit, all engines of a
+/// returning zone would load at once, and each would wait for the slowest.
+async fn acquire_slot(core: &Core, host: &Host, weights: &Weights) -> Option<Slot> {
     let limit = weight::Weights::limit(&core.platform).await;
-    let count = limit.map_or(LOADS_DEFAULT, |limit| limit.loads);
-    let (taken, _) = core.platform.list(SLOTS).await.ok()?;
-    let key = |index: u32| format!("{SLOTS}{index}");
-    let free = (0..count).map(key).find(|key| !taken.iter().any(|entry| entry.key == *key))?;
-    let lease = core.platform.grant(SLOT_TTL).await.ok()?;
+    let count = limit.map_or(DEFAULT_CONCURRENT_LOADS, |limit| limit.loads);
+    let (used, _) = core.platform.list(LOAD_SLOT_PREFIX).await.ok()?;
+    let key = |index: u32| format!("{LOAD_SLOT_PREFIX}{index}");
+    let free = (0..count).map(key).find(|key| !used.iter().any(|entry| entry.key == *key))?;
+    let lease = core.platform.grant(LOAD_SLOT_TTL).await.ok()?;
     let value = Some(format!("{} {} {}", host.target, weights.model, weights.version));
     let write = Write { key: free, value, expect: Expect::Absent, lease: Some(lease) };
     let now = core.now();
-    let slot = Slot { lease, weights: weights.clone(), taken: now, renewed: now };
+    let slot = Slot { lease, weights: weights.clone(), acquired_at: now, renewed_at: now };
     match core.platform.write(write).await {
         Ok(_) => Some(slot),
         Err(_) => {
-            // Also where the answer was lost: the key goes with its lease.
+            // The write may have succeeded with its answer lost; revoking the lease deletes the
+            // key.
             let _ = core.platform.revoke(lease).await;
             None
         }
@@ -193,9 +193,9 @@
 async fn renew_slot(core: &Core, loads: &mut Loads) {
     let now = core.now();
     if let Some(slot) = &mut loads.slot
-        && now.saturating_duration_since(slot.renewed) > SLOT_RENEWAL
+        && now.saturating_duration_since(slot.renewed_at) > LOAD_SLOT_RENEWAL_INTERVAL
     {
-        slot.renewed = now;
+        slot.renewed_at = now;
         let _ = core.platform.renew(slot.lease).await;
     }
 }
--- a/crates/node/src/record.rs
+++ b/crates/node/src/record.rs
@@ -1,31 +1,38 @@
-//! Log lines about requests: each names its request, attempt, account, target
-//! and zone, as far as they are known.
+//! Log lines about requests. Each contains the request, attempt, account, target and zone that
+//! are known.
 
 use crate::core::Core;
-use crate::permit::Leave;
+use crate::permit::Placement;
 use hickory_policy::refuse::{Ran, Refusal, RetryReason};
 use hickory_telemetry::logs::Subject;
 use hickory_unit::id;
 use log::Level;
 
-/// An attempt failed, and another one follows.
-pub(crate) fn log_retry(core: &Core, account: &id::Account, leave: &Leave, reason: RetryReason) {
+/// Logs that an attempt failed and another one follows.
+pub(crate) fn log_retry(
+    core: &Core,
+    account: &id::Account,
+    placement: &Placement,
+    reason: RetryReason,
+) {
     if Level::Warn > log::max_level() {
         return;
     }
-    let host = core.view.hosts().get(&leave.target).map(|host| host.zone.clone());
+    let host = core.view.hosts().get(&placement.target).map(|host| host.zone.clone());
     let subject = Subject {
-        request: Some(leave.stream.request),
-        attempt: Some(leave.stream.attempt),
+        request: Some(placement.stream.request),
+        attempt: Some(placement.stream.attempt),
         account: Some(account.clone()),
-        target: Some(leave.target.clone()),
+        target: Some(placement.target.clone()),
         zone: host,
     };
     subject.log(Level::Warn, module_path!(), format_args!("attempt failed: {reason}"));
 }
 
-/// An admitted request is given up on. One that has not run tells of load and
-/// is counted; one that may have run tells of a fault and is worth a line.
+/// Logs that an admitted request is refused.
+///
+/// A request that has not run indicates load and is counted in the metrics, so it is logged at
+/// debug level. One that may have run indicates a fault and is logged as a warning.
 pub(crate) fn log_refusal(request: id::Request, account: &id::Account, refusal: &Refusal) {
     let level = match refusal.ran {
         Ran::No => Level::Debug,
--- a/crates/node/src/reply.rs
+++ b/crates/node/src/reply.rs
@@ -1,6 +1,6 @@
-//! What callers get: problem documents, completions and event streams.
+//! Encodes answers to callers: problem documents, completions and event streams.
 
-use crate::seal::{Position, seal_position};
+use crate::event_id::{Position, encode_event_id};
 use bytes::Bytes;
 use compact_str::CompactString;
 use hickory_policy::refuse::{Ran, Refusal};
@@ -14,12 +14,12 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// The body of a response: whole, or a stream of events.
+/// The body of a response: complete, or a stream of events.
 #[derive(Debug)]
 pub(crate) enum Body {
-    /// All at once.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Each piece is written to the connection as it comes.
+    /// Events, each written to the connection as it arrives.
     Events(mpsc::Receiver<Bytes>),
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// The problem document of RFC 9457, with what callers need to decide.
+/// A problem document (RFC 9457), extended by what callers need to decide on a retry.
 #[derive(Debug, Serialize)]
 struct Problem<'a> {
     r#type: String,
@@ -59,14 +59,14 @@
     status: u16,
     detail: &'a str,
     reason: String,
-    ran: Ranged,
+    ran: RanStatus,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_ms: Option<u64>,
 }
 
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Ranged {
+enum RanStatus {
     No,
     Unknown,
 }
@@ -80,15 +80,15 @@
         detail: &refusal.detail,
         reason,
         ran: match refusal.ran {
-            Ran::No => Ranged::No,
-            Ran::Unknown => Ranged::Unknown,
+            Ran::No => RanStatus::No,
+            Ran::Unknown => RanStatus::Unknown,
         },
         retry_after_ms: refusal.retry_after.map(|time| time.as_millis() as u64),
     };
     serde_json::to_vec(&problem).unwrap_or_default()
 }
 
-/// The response that says a refusal.
+/// Returns the response for a refusal.
 pub(crate) fn answer_refusal(refusal: &Refusal) -> Response<Body> {
     let status =
         StatusCode::from_u16(refusal.reason.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
@@ -104,7 +104,7 @@
     response
 }
 
-/// A response with a JSON document.
+/// Returns a response with a JSON document.
 pub(crate) fn answer_json<T: Serialize>(document: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(document).unwrap_or_default();
     let mut response = Response::new(Body::Whole(Some(bytes.into())));
@@ -114,7 +114,7 @@
     response
 }
 
-/// The response that carries a stream of events.
+/// Returns the response that carries a stream of events.
 pub(crate) fn answer_events(events: mpsc::Receiver<Bytes>) -> Response<Body> {
     let mut response = Response::new(Body::Events(events));
     let headers = response.headers_mut();
@@ -123,7 +123,7 @@
     response
 }
 
-/// A completion document, whole or one piece of it.
+/// A completion document: a whole answer, or one piece of a streamed one.
 #[derive(Debug, Serialize)]
 struct Document<'a> {
     id: id::Request,
@@ -154,19 +154,19 @@
     pub(crate) account: id::Account,
     pub(crate) model: CompactString,
     pub(crate) prompt: size::Tokens,
-    pub(crate) key: Key,
+    pub(crate) fleet_key: Key,
 }
 
 impl Encoder {
-    /// The event of one token.
+    /// Returns the event of one token.
     pub(crate) fn encode_token(&self, position: &Position, text: &str) -> Bytes {
-        let id = seal_position(&self.key, &self.account, position);
+        let id = encode_event_id(&self.fleet_key, &self.account, position);
         let mut event = format!("id: {id}\ndata: ").into_bytes();
         self.append_document(&mut event, text, None, None);
         event.into()
     }
 
-    /// The events that end an answer of `count` tokens.
+    /// Returns the events that end an answer of `count` tokens.
     pub(crate) fn encode_end(&self, count: u64) -> Bytes {
         let mut event = b"data: ".to_vec();
         self.append_document(&mut event, "", Some("length"), Some(count));
@@ -174,7 +174,7 @@
         event.into()
     }
 
-    /// The event that ends an answer which can't be made whole.
+    /// Returns the event that ends an incomplete answer with a failure.
     pub(crate) fn encode_failure(&self, refusal: &Refusal) -> Bytes {
         let mut event = b"event: error\ndata: ".to_vec();
         event.extend_from_slice(&encode_problem(refusal));
@@ -182,7 +182,7 @@
         event.into()
     }
 
-    /// The whole answer as one document.
+    /// Returns the whole answer as one document.
     pub(crate) fn answer_whole(&self, text: &str, count: u64) -> Response<Body> {
         answer_json(&self.document(text, Some("length"), Some(count)))
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,19 +1,19 @@
-//! The callers' interface over HTTP.
+//! The HTTP interface for callers.
 //!
-//! hyper serves it and not oxhttp, which holds a stream's tokens back until
-//! its buffer is full or the answer ends (measured, see docs/DESIGN.md).
+//! It uses hyper because oxhttp buffers a stream's tokens until its buffer is full or the
+//! answer ends (see docs/DESIGN.md).
 
 use crate::call::{self, Call};
 use crate::complete::{self, Piece};
 use crate::core::{Core, Stage};
 use crate::entry::answer_entry;
+use crate::event_id::{self, Position};
 use crate::parse::{
-    BODY_MAX, Caller, Head, find_caller, parse_completion, parse_key, parse_time_left, parse_token,
-    refuse,
+    Caller, Head, MAX_BODY_SIZE, find_caller, parse_completion, parse_key, parse_time_left,
+    parse_token, refuse,
 };
 use crate::reply::{self, Body, Encoder};
 use crate::resume;
-use crate::seal::{self, Position};
 use bytes::Bytes;
 use compact_str::CompactString;
 use hickory_policy::refuse::{Reason, Refusal};
@@ -31,28 +31,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
-/// How long a caller may take to send its headers: a connection that sends
-/// none would otherwise be held for good.
+/// Timeout for reading a request's headers: an idle connection would otherwise be held
+/// indefinitely.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may take over its body.
+/// Timeout for reading a request's body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long sent bytes may stay without an acknowledgement before the kernel
-/// closes the connection: what lies between the ends may have forgotten it.
-const USER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for which sent data may remain unacknowledged before the kernel closes the connection.
+/// It detects connections that a middlebox has dropped from its tables.
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a request waits for a newer configuration that a peer has: large
-/// ones take about a second. Less where its caller has less time.
-const BEHIND_WAIT: Duration = Duration::from_millis(800);
+/// Maximum wait for a newer configuration that a peer has, limited to a quarter of the
+/// request's time left. Fetching a large configuration takes about a second.
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
 
-/// When to come back to a node that is behind, or to another one.
-const BEHIND_RETRY: Duration = Duration::from_millis(500);
+/// Retry delay for a caller that was refused because this node's configuration is out of date.
+const BEHIND_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Events written ahead of a slow caller.
-const EVENTS_AHEAD: usize = 64;
+/// Maximum number of events buffered for a slow caller.
+const MAX_BUFFERED_EVENTS: usize = 64;
 
-/// Accepts callers until the node is closed.
+/// Accepts connections from callers until the node is closed.
 pub(crate) async fn serve(core: Arc<Core>, listener: TcpListener) {
     let mut stage = core.stage.subscribe();
     loop {
@@ -61,7 +61,7 @@
                 Ok((stream, _)) => {
                     tokio::spawn(serve_connection(core.clone(), stream));
                 }
-                // Out of file descriptors, most likely: let some be closed.
+                // Most likely out of file descriptors: wait for some to be closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             },
             () = wait_closed(&mut stage) => return,
@@ -75,7 +75,7 @@
 
 async fn serve_connection(core: Arc<Core>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(USER_TIMEOUT));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let mut stage = core.stage.subscribe();
     let service = hyper::service::service_fn(move |request| answer(core.clone(), request));
     let connection = hyper::server::conn::http1::Builder::new()
@@ -87,7 +87,7 @@
         _ = connection.as_mut() => return,
         () = wait_closed(&mut stage) => {}
     }
-    // The answer under way is finished, and no further request is read.
+    // Finish the current answer and read no further request.
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
@@ -101,7 +101,7 @@
         }
     };
     if core.stage() != Stage::Serving {
-        // Makes a caller with a kept connection ask again where to go.
+        // A caller with a keep-alive connection then asks again which node to use.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
@@ -150,51 +150,50 @@
     }
 }
 
-/// Finds what a request may have by the configuration in force.
+/// Looks up what a request may use in the current configuration.
 ///
-/// A node that is behind waits a little for the newer configuration: by the
-/// old one it would refuse for good what operators have just allowed, and
-/// callers don't come back after that.
-async fn wait_entitled<T>(
+/// If a peer has a newer configuration, waits briefly for it: a refusal by the old one would be
+/// final for something that operators have just allowed, since callers don't retry it.
+async fn resolve_entitlement<T>(
     core: &Core,
     time_left: Duration,
     find: impl Fn(&Configuration) -> Result<T, Refusal>,
 ) -> Result<T, Refusal> {
-    let end = core.now() + BEHIND_WAIT.min(time_left / 4);
+    let end = core.now() + MAX_CONFIGURATION_WAIT.min(time_left / 4);
     let mut changes = core.keeper.subscribe();
     loop {
-        // Before the look at the configuration, so that one which comes in
-        // between is not taken for the one that the node was behind with.
+        // Read before the configuration: one that arrives in between must not be mistaken for
+        // the outdated one.
         let is_behind = core.is_behind();
         let configuration = changes.borrow_and_update().clone().ok_or_else(refuse_not_ready)?;
         let refusal = match find(&configuration) {
-            Err(refusal) if is_behind && is_by_configuration(refusal.reason) => refusal,
+            Err(refusal) if is_behind && depends_on_configuration(refusal.reason) => refusal,
             found => return found,
         };
         let wait = end.saturating_duration_since(core.now());
         if !matches!(tokio::time::timeout(wait, changes.changed()).await, Ok(Ok(()))) {
             let behind = refuse(Reason::Behind, refusal.detail);
-            return Err(Refusal { retry_after: Some(BEHIND_RETRY), ..behind });
+            return Err(Refusal { retry_after: Some(BEHIND_RETRY_AFTER), ..behind });
         }
     }
 }
 
-fn is_by_configuration(reason: Reason) -> bool {
+fn depends_on_configuration(reason: Reason) -> bool {
     matches!(reason, Reason::Unauthenticated | Reason::Forbidden | Reason::NotFound)
 }
 
-/// Reads the bearer token; a node without a configuration refuses all alike.
+/// Reads the bearer token. Without a configuration, every request is refused as not ready.
 fn read_token<'a>(core: &Core, headers: &'a HeaderMap) -> Result<&'a str, Refusal> {
     core.configuration().ok_or_else(refuse_not_ready)?;
     parse_token(headers)
 }
 
 async fn read_body(body: Incoming) -> Result<Bytes, Refusal> {
-    let too_large = || refuse(Reason::TooLarge, format!("body: more than {BODY_MAX} bytes"));
-    if body_hint(&body) > BODY_MAX.0 {
+    let too_large = || refuse(Reason::TooLarge, format!("body: more than {MAX_BODY_SIZE} bytes"));
+    if body_size_hint(&body) > MAX_BODY_SIZE.0 {
         return Err(too_large());
     }
-    let read = Limited::new(body, BODY_MAX.0 as usize).collect();
+    let read = Limited::new(body, MAX_BODY_SIZE.0 as usize).collect();
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(too_large()),
@@ -203,12 +202,12 @@
     }
 }
 
-fn body_hint(body: &Incoming) -> u64 {
+fn body_size_hint(body: &Incoming) -> u64 {
     hyper::body::Body::size_hint(body).lower()
 }
 
-/// Reads who asks and how much time is left, counted from the arrival: the
-/// time that the body takes is the caller's.
+/// Reads the caller and the deadline. The deadline counts from the arrival of the headers, so
+/// that the time for reading the body counts against the caller's time.
 fn open_request(
     core: &Core,
     arrived: Instant,
@@ -231,14 +230,14 @@
     let (parts, body) = request.into_parts();
     let token = read_token(core, &parts.headers)?;
     let time_left = parse_time_left(&parts.headers).unwrap_or_default();
-    let head = wait_entitled(core, time_left, |configuration| {
+    let head = resolve_entitlement(core, time_left, |configuration| {
         open_request(core, arrived, token, &parts.headers, configuration)
     });
     let head = head.await?;
     let body = read_body(body).await?;
     let is_served = |weights: &Weights| core.view.count_ready(weights) > 0;
     let time_left = head.deadline.saturating_duration_since(core.now());
-    let completion = wait_entitled(core, time_left, |configuration| {
+    let completion = resolve_entitlement(core, time_left, |configuration| {
         parse_completion(head.clone(), &body, configuration, is_served)
     });
     let completion = completion.await?;
@@ -247,7 +246,7 @@
         account: completion.caller.account.clone(),
         model: CompactString::from(completion.weights.model.as_str()),
         prompt: completion.cost.prefill,
-        key: core.key.clone(),
+        fleet_key: core.fleet_key.clone(),
     };
     let streamed = completion.streamed;
     let pieces = complete::spawn(core, completion);
@@ -265,14 +264,14 @@
     let token = read_token(core, request.headers())?;
     let time_left = parse_time_left(request.headers()).unwrap_or_default();
     let find = |configuration: &Configuration| find_caller(token, configuration);
-    let caller = wait_entitled(core, time_left, find).await?;
+    let caller = resolve_entitlement(core, time_left, find).await?;
     let position = parse_position(core, request, &caller.account, name)?;
     let encoder = Encoder {
         request: position.stream.request,
         account: caller.account,
         model: CompactString::default(),
         prompt: size::Tokens(0),
-        key: core.key.clone(),
+        fleet_key: core.fleet_key.clone(),
     };
     answer_streamed(core, encoder, resume::spawn(core, position)).await
 }
@@ -284,17 +283,17 @@
     name: &str,
 ) -> Result<Position, Refusal> {
     let bad = || refuse(Reason::BadHeader, "header last-event-id: not an id of this stream");
-    let sealed = request.headers().get("last-event-id").ok_or_else(bad)?;
-    let sealed = sealed.to_str().map_err(|_| bad())?;
-    let position = seal::open_position(&core.key, account, sealed).ok_or_else(bad)?;
+    let event_id = request.headers().get("last-event-id").ok_or_else(bad)?;
+    let event_id = event_id.to_str().map_err(|_| bad())?;
+    let position = event_id::decode_event_id(&core.fleet_key, account, event_id).ok_or_else(bad)?;
     if position.stream.request.to_string() != name {
         return Err(bad());
     }
     Ok(position)
 }
 
-/// Answers with a stream of events. Its status waits for the first piece, so
-/// that a refusal keeps its own.
+/// Answers with an event stream. The status is sent with the first piece, so that a refusal
+/// before it has its own status.
 async fn answer_streamed(
     core: &Arc<Core>,
     encoder: Encoder,
@@ -305,7 +304,7 @@
         Some(piece) => piece,
         None => return Err(refuse(Reason::TargetFailed, "ended without an answer")),
     };
-    let (events, body) = mpsc::channel(EVENTS_AHEAD);
+    let (events, body) = mpsc::channel(MAX_BUFFERED_EVENTS);
     let request = encoder.request;
     tokio::spawn(write_events(core.clone(), encoder, first, pieces, events));
     let mut response = reply::answer_events(body);
@@ -384,15 +383,15 @@
     let (parts, body) = request.into_parts();
     let token = read_token(core, &parts.headers)?;
     let time_left = parse_time_left(&parts.headers).unwrap_or_default();
-    let opened = wait_entitled(core, time_left, |configuration| {
+    let opened = resolve_entitlement(core, time_left, |configuration| {
         let head = open_request(core, arrived, token, &parts.headers, configuration)?;
         let key = parse_key(&parts.headers)?;
         let entry = find_service(&head.caller, &service, configuration)?;
         Ok((head, key, entry.once.contains(&path)))
     });
-    let (head, key, once) = opened.await?;
+    let (head, key, at_most_once) = opened.await?;
     let call = Call {
-        once,
+        at_most_once,
         body: read_body(body).await?,
         caller: head.caller,
         service,
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -1,5 +1,5 @@
-//! Requests that may crash the targets that run them, and the budgets that
-//! keep retries from multiplying.
+//! Limits on retries: tracks requests that may crash the targets that run them, and keeps a
+//! retry budget for each account.
 
 use crate::core::Core;
 use crate::parse::{Completion, hash_parts, refuse};
@@ -14,25 +14,25 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Shards of the retry budgets.
+/// Number of shards of the retry budgets.
 const SHARDS: usize = 8;
 
-/// Between two looks at whether a suspect's trial has ended.
-const TRIAL_INTERVAL: Duration = Duration::from_millis(20);
+/// Poll interval while another trial of the same content is running.
+const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a host may take to say that nothing listens at a port.
+/// Timeout for a host to report that a port is closed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long a change of suspicion is told to peers that know this node
-/// already: many exchanges, so that lost ones don't matter.
-const TOLD_FOR: Duration = Duration::from_secs(30);
+/// Time for which a changed suspicion is sent to peers that have already received this node's
+/// state. It spans many gossip exchanges, so that lost ones don't matter.
+const SUSPICION_GOSSIP_DURATION: Duration = Duration::from_secs(30);
 
-/// Suspects told in one exchange at most; the latest go first.
-const TOLD_MAX: usize = 128;
+/// Maximum number of suspects in one exchange; the most recent ones are sent.
+const MAX_GOSSIPED_SUSPECTS: usize = 128;
 
-/// The node's suspects and retry budgets.
+/// Suspects and retry budgets of the node.
 #[derive(Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct RetryControl {
     suspects: Mutex<Suspects>,
     budgets: [Mutex<Budget>; SHARDS],
 }
@@ -41,18 +41,18 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Record {
+impl RetryControl {
     fn budget(&self, account: &id::Account) -> MutexGuard<'_, Budget> {
         let index = hash_parts(&[account.as_str().as_bytes()]) as usize % SHARDS;
         lock(&self.budgets[index])
     }
 
-    /// Notes a request, which earns its account part of a retry.
+    /// Credits the account's retry budget for a new request.
     pub(crate) fn earn(&self, account: &id::Account) {
         self.budget(account).record_request(account);
     }
 
-    /// Takes one retry out of the account's budget.
+    /// Charges one retry to the account's budget.
     pub(crate) fn spend(&self, account: &id::Account) -> Result<(), Refusal> {
         match self.budget(account).try_spend(account) {
             true => Ok(()),
@@ -63,25 +63,25 @@
         }
     }
 
-    /// A target died, and these ran on it.
+    /// Records that a target died while these requests ran on it.
     pub(crate) fn note_death(&self, now: Instant, ran: Vec<u64>) {
         lock(&self.suspects).record_death(now, ran);
     }
 
-    /// Contents under suspicion or in quarantine; those that were cleared are
-    /// only kept to be told.
-    pub(crate) fn suspects(&self, now: Instant) -> usize {
+    /// Counts the contents that are suspected or quarantined. Cleared ones are kept only for
+    /// gossip and don't count.
+    pub(crate) fn count_suspects(&self, now: Instant) -> usize {
         lock(&self.suspects).snapshot(now).iter().filter(|suspect| suspect.deaths > 0).count()
     }
 
-    /// A request ran to its end.
+    /// Records that a request ran to its end.
     pub(crate) fn note_success(&self, now: Instant, fingerprint: u64) {
         lock(&self.suspects).record_success(now, fingerprint);
     }
 
-    /// Takes in what a peer knows.
-    pub(crate) fn merge(&self, now: Instant, told: &[message::Suspect]) {
-        let suspects = told.iter().map(|suspect| Suspect {
+    /// Merges the suspects known to a peer.
+    pub(crate) fn merge(&self, now: Instant, suspects: &[message::Suspect]) {
+        let suspects = suspects.iter().map(|suspect| Suspect {
             fingerprint: suspect.fingerprint,
             deaths: suspect.deaths,
             age: suspect.age,
@@ -89,14 +89,14 @@
         lock(&self.suspects).merge(now, suspects);
     }
 
-    /// What a peer is told; one that knows nothing of this node yet gets what
-    /// is old as well.
-    pub(crate) fn tell(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
-        let mut told = lock(&self.suspects).snapshot(now);
-        told.retain(|suspect| is_new || suspect.age < TOLD_FOR);
-        told.sort_unstable_by_key(|suspect| suspect.age);
-        told.truncate(TOLD_MAX);
-        let suspects = told.into_iter().map(|suspect| message::Suspect {
+    /// Returns the suspects to send to a peer. A peer that has no state of this node yet also
+    /// receives the old ones.
+    pub(crate) fn suspects_for_peer(&self, now: Instant, is_new: bool) -> Vec<message::Suspect> {
+        let mut suspects = lock(&self.suspects).snapshot(now);
+        suspects.retain(|suspect| is_new || suspect.age < SUSPICION_GOSSIP_DURATION);
+        suspects.sort_unstable_by_key(|suspect| suspect.age);
+        suspects.truncate(MAX_GOSSIPED_SUSPECTS);
+        let suspects = suspects.into_iter().map(|suspect| message::Suspect {
             fingerprint: suspect.fingerprint,
             deaths: suspect.deaths,
             age: suspect.age,
@@ -105,8 +105,8 @@
     }
 }
 
-/// Whether a completion runs beside others or alone, or is refused. Waits
-/// while another trial of the same content is under way.
+/// Decides whether a completion may run; returns whether it must run exclusively. Waits while
+/// another trial of the same content is running.
 pub(crate) async fn judge(core: &Core, completion: &Completion) -> Result<bool, Refusal> {
     let fingerprint = completion.fingerprint;
     loop {
@@ -115,7 +115,7 @@
             return Err(refuse(Reason::Deadline, "the deadline passed before it could be sent"));
         }
         {
-            let mut suspects = lock(&core.record.suspects);
+            let mut suspects = lock(&core.retry_control.suspects);
             match suspects.verdict(now, fingerprint) {
                 Verdict::Clear => return Ok(false),
                 Verdict::RunAlone => {
@@ -126,7 +126,7 @@
                 Verdict::Wait => {}
             }
         }
-        tokio::time::sleep(TRIAL_INTERVAL).await;
+        tokio::time::sleep(TRIAL_POLL_INTERVAL).await;
     }
 }
 
@@ -134,32 +134,31 @@
     refuse(Reason::Quarantined, "targets died while they ran this content")
 }
 
-/// Whether the host answers that nothing listens there: the process is gone.
-/// A host that says nothing may be cut off or frozen, with all it runs.
+/// Returns whether the host refuses connections to this port, so that the process is gone. A
+/// host that doesn't answer may be partitioned or frozen, with its streams intact.
 pub(crate) async fn is_port_closed(at: SocketAddr) -> bool {
     let connect = tokio::time::timeout(CONNECT_TIMEOUT, tokio::net::TcpStream::connect(at));
     matches!(connect.await, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Quarantines a request under which two targets died, and tells all peers
-/// before the caller is answered: a resend through another node must not cost
-/// a third target.
-pub(crate) async fn condemn(core: &Arc<Core>, fingerprint: u64) -> Refusal {
+/// Quarantines a request under which two targets died. All peers are informed before the caller
+/// is answered: a resend through another node must not kill a third target.
+pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
     let condemned = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
-    lock(&core.record.suspects).merge(now, [condemned]);
+    lock(&core.retry_control.suspects).merge(now, [condemned]);
     core.metrics.quarantined();
-    peers::tell_all(core).await;
+    peers::gossip_with_all_peers(core).await;
     refuse_quarantined()
 }
 
-/// Ends the trial of a suspect that said nothing about it.
+/// Ends the trial of a suspect whose outcome is inconclusive.
 pub(crate) fn drop_trial(core: &Core, fingerprint: u64) {
-    lock(&core.record.suspects).cancel_trial(fingerprint);
+    lock(&core.retry_control.suspects).cancel_trial(fingerprint);
 }
 
-/// Notes why an attempt is made again. It counts against the account's budget
-/// unless the last one never began: that cost no target anything.
+/// Records the reason of a retry, and charges it to the account's budget unless the last
+/// attempt never started: that cost no target any work.
 pub(crate) fn spend_retry(
     core: &Core,
     account: &id::Account,
@@ -168,6 +167,6 @@
     core.metrics.retried(reason);
     match reason {
         RetryReason::NotSent | RetryReason::Refused => Ok(()),
-        _ => core.record.spend(account),
+        _ => core.retry_control.spend(account),
     }
 }
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -1,9 +1,7 @@
-//! What a target holds, as its load reports show it, and what of that nobody
-//! stands for any more.
+//! Applies load reports of an owned target, and finds orphaned work on it.
 //!
-//! A node may die, freeze or lose a message at any moment; what it left on a
-//! target is found here by the sender and the deadline in each stream's id,
-//! and released without the node.
+//! A node may die, freeze or lose a message at any time. What it left on a target is identified
+//! by the sender and the deadline in each stream's id, and released without the node's help.
 
 use crate::granted::{Foreign, SWEEP_GRACE};
 use crate::owned::Target;
@@ -13,22 +11,22 @@
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
 
-/// How long an ended stream may still stand in load reports, which lag.
+/// Time for which an ended stream may still appear in load reports, which lag.
 const REPORT_LAG: Duration = Duration::from_secs(3);
 
-/// With what a load report is read.
-pub(crate) struct Found<F> {
+/// The time, settings and membership by which a load report is evaluated.
+pub(crate) struct SweepContext<F> {
     pub(crate) now: Instant,
     pub(crate) wall_ms: u64,
-    /// How long a stream whose caller is gone is kept for a resume.
-    pub(crate) resume: Duration,
-    /// Whether a node is known to be there; true while nothing is known.
+    /// Time for which a stream whose caller has disconnected is kept for a resume.
+    pub(crate) resume_window: Duration,
+    /// Whether a node is registered; true for every node while the registry is unreachable.
     pub(crate) is_live: F,
 }
 
-impl<F: Fn(&id::Node) -> bool> Found<F> {
+impl<F: Fn(&id::Node) -> bool> SweepContext<F> {
     fn is_long_ago(&self, at: Instant) -> bool {
-        self.now.saturating_duration_since(at) > self.resume
+        self.now.saturating_duration_since(at) > self.resume_window
     }
 
     fn is_overdue(&self, stream: &id::Stream) -> bool {
@@ -37,32 +35,41 @@
 }
 
 impl Target {
-    /// Takes out of queue and books what nobody stands for any more, and
-    /// names the streams to cancel on the target.
-    pub(crate) fn sweep(&mut self, now: Instant, life: Duration, resume: Duration) {
-        let old = |at: Instant| now.saturating_duration_since(at) > life;
-        let silent = self.waiting.values().filter(|waiting| old(waiting.asked));
-        let silent: Vec<id::Stream> = silent.map(|waiting| waiting.stream.clone()).collect();
-        silent.iter().for_each(|stream| self.withdraw(stream));
-        let untold = self.permits.iter().filter(|(_, granted)| granted.untold.is_some_and(old));
-        let untold: Vec<Ticket> = untold.map(|(ticket, _)| *ticket).collect();
-        for ticket in untold {
-            self.give_back(now, ticket, limit::Outcome::Abandoned);
+    /// Removes abandoned asks from the queue, releases permits whose answer never reached the
+    /// asker, and queues overdue streams to be cancelled on the target.
+    pub(crate) fn sweep(
+        &mut self,
+        now: Instant,
+        permit_lifetime: Duration,
+        resume_window: Duration,
+    ) {
+        let is_old = |at: Instant| now.saturating_duration_since(at) > permit_lifetime;
+        let abandoned = self.waiting.values().filter(|waiting| is_old(waiting.asked_at));
+        let abandoned: Vec<id::Stream> = abandoned.map(|waiting| waiting.stream.clone()).collect();
+        abandoned.iter().for_each(|stream| self.withdraw(stream));
+        let undelivered = self
+            .permits
+            .iter()
+            .filter(|(_, granted)| granted.undelivered_since.is_some_and(is_old));
+        let undelivered: Vec<Ticket> = undelivered.map(|(ticket, _)| *ticket).collect();
+        for ticket in undelivered {
+            self.release_permit(now, ticket, limit::Outcome::Abandoned);
         }
-        let overdue = self.permits.values().filter(|granted| granted.is_overdue(now, resume));
-        self.cancels.extend(overdue.map(|granted| granted.stream.clone()));
+        let overdue =
+            self.permits.values().filter(|granted| granted.is_overdue(now, resume_window));
+        self.pending_cancels.extend(overdue.map(|granted| granted.stream.clone()));
         self.ended.retain(|_, at| now.saturating_duration_since(*at) < REPORT_LAG);
     }
 
-    /// Takes in a load report: what the target bears, what it holds, and what
-    /// of that nobody stands for.
-    pub(crate) fn take_report<F>(&mut self, report: &Report, found: &Found<F>)
+    /// Applies a load report: capacity, loaded weights and held streams; then looks for
+    /// orphaned streams and KV caches.
+    pub(crate) fn apply_report<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         self.incarnation = Some(report.incarnation);
-        self.dead = false;
-        self.fallen.clear();
+        self.is_dead = false;
+        self.reported_deaths.clear();
         self.kv_used = report.kv_used;
         self.kv_capacity = report.kv_capacity;
         let ready = report.loaded.iter().filter(|loaded| loaded.ready);
@@ -72,14 +79,14 @@
             kv: report.kv_capacity,
             prefill_rate: report.prefill_rate,
         });
-        self.mark_gone(found);
-        self.sweep_held(report, found);
-        self.sweep_handles(report, found);
+        self.mark_unserved(context);
+        self.sweep_held(report, context);
+        self.sweep_handles(report, context);
         let observed = self.observe(report);
-        self.observe_load(found.now, &observed);
+        self.observe_load(context.now, &observed);
     }
 
-    /// Takes a load report's warmth and foreign work into the limit.
+    /// Passes a load report's warmth and foreign work to the limiter.
     pub(crate) fn observe_load(&mut self, now: Instant, observed: &Observed) {
         if let Some(cold) = self.limiter.observe(now, observed) {
             log::info!(target = self.target.as_str(), cold:% = cold; "target ramps anew");
@@ -87,19 +94,19 @@
     }
 
     fn observe(&self, report: &Report) -> Observed {
-        // What has ended stands in the report until its lag has passed.
-        let own = |held: &&Held| !self.is_foreign(&held.stream);
+        // An ended stream remains in reports until `REPORT_LAG` has passed.
+        let is_own = |held: &&Held| !self.is_foreign(&held.stream);
         let foreign = report.streams.iter().filter(|held| self.is_foreign(&held.stream));
-        let streams: size::Tokens = report.streams.iter().filter(own).map(|held| held.kv).sum();
-        // A part of a long prompt stays on the engine as a kept KV cache when
-        // its stream has ended; its permit stands for it.
+        let streams: size::Tokens = report.streams.iter().filter(is_own).map(|held| held.kv).sum();
+        // When the stream of one part of a split prompt ends, its KV cache stays on the engine
+        // under a handle, and the part's permit still accounts for that memory.
         let kept = report.handles.iter().filter_map(|handle| {
-            let held = report.streams.iter().any(|held| held.stream == handle.stream);
-            let ticket = self.tickets.get(&handle.stream).filter(|_| !held)?;
+            let is_held = report.streams.iter().any(|held| held.stream == handle.stream);
+            let ticket = self.tickets.get(&handle.stream).filter(|_| !is_held)?;
             self.permits.get(ticket).map(|granted| granted.kv)
         });
         let owned_kv = streams + kept.sum::<size::Tokens>();
-        let left = report.streams.iter().filter_map(|held| {
+        let prefill_left = report.streams.iter().filter_map(|held| {
             let ticket = self.tickets.get(&held.stream)?;
             Some((*ticket, held.prefill_left))
         });
@@ -112,114 +119,115 @@
             },
             foreign_streams: foreign.count() as u32,
             foreign_kv: report.kv_used.saturating_sub(owned_kv),
-            prefill_left: left.collect(),
+            prefill_left: prefill_left.collect(),
         }
     }
 
-    /// Whether a stream that the target holds was granted by a former owner.
+    /// Returns whether a stream that the target holds was granted by a previous owner.
     fn is_foreign(&self, stream: &id::Stream) -> bool {
         !self.tickets.contains_key(stream) && !self.ended.contains_key(stream)
     }
 
-    /// Finds among the streams that the target holds those that nobody stands
-    /// for: their deadline is past, or their node is gone and none has taken
-    /// them up for the time of a resume.
-    fn sweep_held<F>(&mut self, report: &Report, found: &Found<F>)
+    /// Finds orphaned streams: their deadline has passed, or their sender is gone and no node
+    /// has resumed them within the resume time.
+    fn sweep_held<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         let known = std::mem::take(&mut self.foreign);
         let held = report.streams.iter().map(|held| &held.stream);
         for stream in held.filter(|stream| self.is_foreign(stream)).collect::<Vec<_>>() {
-            let before = known.get(stream).and_then(|foreign| foreign.alone);
-            let alone = before.or_else(|| (!(found.is_live)(&stream.sender)).then_some(found.now));
-            self.foreign.insert(stream.clone(), Foreign { alone });
+            let before = known.get(stream).and_then(|foreign| foreign.orphaned_since);
+            let orphaned_since =
+                before.or_else(|| (!(context.is_live)(&stream.sender)).then_some(context.now));
+            self.foreign.insert(stream.clone(), Foreign { orphaned_since });
         }
         let orphans = self.foreign.iter().filter(|(stream, foreign)| {
-            let alone = foreign.alone.is_some_and(|at| found.is_long_ago(at));
-            found.is_overdue(stream) || alone
+            let is_orphaned = foreign.orphaned_since.is_some_and(|at| context.is_long_ago(at));
+            context.is_overdue(stream) || is_orphaned
         });
-        self.cancels.extend(orphans.map(|(stream, _)| stream.clone()));
+        self.pending_cancels.extend(orphans.map(|(stream, _)| stream.clone()));
     }
 
-    /// Finds kept KV caches whose work is over: the sender of a placement over
-    /// several engines drops them itself, unless it died half-way.
-    fn sweep_handles<F>(&mut self, report: &Report, found: &Found<F>)
+    /// Finds orphaned KV caches. The sender of a split prompt drops its KV caches itself,
+    /// unless it dies before.
+    fn sweep_handles<F>(&mut self, report: &Report, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         let orphans = report.handles.iter().filter(|handle| {
             let stream = &handle.stream;
-            let alone = self.foreign.get(stream).and_then(|foreign| foreign.alone);
-            let gone = !(found.is_live)(&stream.sender) && alone.is_none();
-            found.is_overdue(stream) || (gone && !self.tickets.contains_key(stream))
+            let orphaned_since =
+                self.foreign.get(stream).and_then(|foreign| foreign.orphaned_since);
+            let is_sender_gone = !(context.is_live)(&stream.sender) && orphaned_since.is_none();
+            context.is_overdue(stream) || (is_sender_gone && !self.tickets.contains_key(stream))
         });
-        self.drops = orphans.cloned().collect();
+        self.pending_drops = orphans.cloned().collect();
     }
 
-    /// The kept KV caches to drop now.
+    /// Returns the KV caches to drop now.
     pub(crate) fn take_drops(&mut self) -> Vec<Handle> {
-        std::mem::take(&mut self.drops)
+        std::mem::take(&mut self.pending_drops)
     }
 
-    /// Marks what gone nodes served, as if their callers had left: another
-    /// node may take it up.
-    fn mark_gone<F>(&mut self, found: &Found<F>)
+    /// Marks permits of nodes that are gone as if their callers had disconnected, so that
+    /// another node can resume the streams.
+    fn mark_unserved<F>(&mut self, context: &SweepContext<F>)
     where
         F: Fn(&id::Node) -> bool,
     {
         for granted in self.permits.values_mut() {
-            if granted.left.is_none() && !(found.is_live)(&granted.node) {
-                granted.left = Some(found.now);
+            if granted.caller_left_at.is_none() && !(context.is_live)(&granted.node) {
+                granted.caller_left_at = Some(context.now);
             }
         }
     }
 
-    /// The streams to cancel now, each once.
+    /// Returns the streams to cancel now, without duplicates.
     pub(crate) fn take_cancels(&mut self) -> Vec<id::Stream> {
-        let mut cancels = std::mem::take(&mut self.cancels);
+        let mut cancels = std::mem::take(&mut self.pending_cancels);
         cancels.sort();
         cancels.dedup();
         cancels
     }
 
-    /// The target confirmed that a stream is gone.
-    pub(crate) fn cancelled(&mut self, now: Instant, stream: &id::Stream) {
+    /// Releases a stream whose cancel the target confirmed.
+    pub(crate) fn confirm_cancelled(&mut self, now: Instant, stream: &id::Stream) {
         if let Some(ticket) = self.tickets.get(stream).copied() {
-            self.give_back(now, ticket, limit::Outcome::Abandoned);
+            self.release_permit(now, ticket, limit::Outcome::Abandoned);
         }
         if self.foreign.remove(stream).is_some() {
             self.ended.insert(stream.clone(), now);
         }
     }
 
-    /// The target did not answer a cancel: tried again.
-    pub(crate) fn cancel_again(&mut self, stream: id::Stream) {
-        self.cancels.push(stream);
+    /// Queues a cancel again that the target did not confirm.
+    pub(crate) fn retry_cancel(&mut self, stream: id::Stream) {
+        self.pending_cancels.push(stream);
     }
 
-    /// The target died, by a closed port or a new incarnation: what ran on it,
-    /// once for each death.
-    pub(crate) fn take_death(&mut self) -> Vec<u64> {
-        let told = std::mem::take(&mut self.fallen);
-        if std::mem::replace(&mut self.dead, true) {
-            return told;
+    /// Records that the target died, detected by a closed port or a new incarnation. Returns
+    /// the fingerprints of the requests that ran on it: those that this owner granted once for
+    /// each death, and those that nodes have reported since.
+    pub(crate) fn record_death(&mut self) -> Vec<u64> {
+        let reported = std::mem::take(&mut self.reported_deaths);
+        if std::mem::replace(&mut self.is_dead, true) {
+            return reported;
         }
         let ran = self.permits.values_mut().map(|granted| {
-            granted.counted = true;
+            granted.is_death_counted = true;
             granted.fingerprint
         });
-        ran.filter(|fingerprint| *fingerprint != 0).chain(told).collect()
+        ran.filter(|fingerprint| *fingerprint != 0).chain(reported).collect()
     }
 
-    /// The target runs as a new process: what was granted to the old one is
-    /// gone with it.
-    pub(crate) fn restarted(&mut self, now: Instant) {
+    /// Discards the permits granted to the target's previous process.
+    pub(crate) fn reset_after_restart(&mut self, now: Instant) {
         let tickets: Vec<Ticket> = self.permits.keys().copied().collect();
         for ticket in tickets {
-            self.give_back(now, ticket, limit::Outcome::Abandoned);
+            self.release_permit(now, ticket, limit::Outcome::Abandoned);
         }
-        self.cancels.clear();
+        self.pending_cancels.clear();
         self.foreign.clear();
     }
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,5 +1,5 @@
-//! What a node knows of the targets: the platform's host list, and what their
-//! owners tell.
+//! A node's view of the targets: the platform's host list and the states that the owners
+//! publish by gossip.
 
 use crate::parse::hash_parts;
 use hickory_policy::cost::Cost;
@@ -14,64 +14,65 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-/// Shards of the target states; more than the threads that meet there.
+/// Number of shards of the target states; greater than the number of threads that use them.
 const SHARDS: usize = 16;
 
-/// A peer that was not heard for this long is taken to be gone: many exchanges
-/// were missed, and a takeover of what it owns is under way.
-const PEER_MAX_AGE: Duration = Duration::from_secs(5);
+/// A peer that has been silent for this long is considered dead: many gossip exchanges were
+/// missed, and a takeover of its targets is under way.
+const MAX_PEER_SILENCE: Duration = Duration::from_secs(5);
 
-/// How long the address of a node that is registered no more is kept after it
-/// was last heard.
-const KNOWN_MAX_AGE: Duration = Duration::from_secs(60);
+/// Time for which the address of a node that is no longer registered is kept after its last
+/// gossip.
+const MAX_KNOWN_NODE_AGE: Duration = Duration::from_secs(60);
 
-/// How long this node counts what it sent to a target on top of what the
-/// owner told: by then the owner has told again, or nothing has changed.
-const SENT_MAX_AGE: Duration = Duration::from_secs(1);
+/// Time for which this node adds the work that it sent to a target to the state that the owner
+/// published. By then, the owner has published a newer state, or nothing has changed.
+const MAX_SENT_AGE: Duration = Duration::from_secs(1);
 
 /// The listed hosts by target.
 pub(crate) type Hosts = BTreeMap<id::Target, Host>;
 
-/// What an owner told of a target, and what this node sent there since.
+/// The state of a target as published by its owner, and the work that this node has sent to it
+/// since.
 #[derive(Clone, Debug)]
-struct Seen {
+struct TargetView {
     state: State,
     owner: id::Node,
     /// The target's hash, for placement.
     key: u64,
-    sent: size::Tokens,
+    sent_prefill: size::Tokens,
     sent_count: u32,
     sent_at: Option<Instant>,
 }
 
-/// What a node knows of its peers.
+/// What a node knows of a peer.
 #[derive(Clone, Debug)]
-pub(crate) struct PeerSeen {
-    pub(crate) at: Instant,
+pub(crate) struct PeerView {
+    pub(crate) last_heard: Instant,
     pub(crate) release: id::Release,
     pub(crate) connections: u32,
     pub(crate) draining: bool,
     incarnation: id::Incarnation,
-    /// The version of its targets that this node has.
-    pub(crate) version: u64,
-    /// The version of this node's targets that it has.
-    pub(crate) seen: u64,
+    /// The version of the peer's targets that this node has.
+    pub(crate) received_version: u64,
+    /// The version of this node's targets that the peer has.
+    pub(crate) acknowledged_version: u64,
 }
 
-/// What a node knows of targets and peers.
+/// A node's view of targets and peers.
 #[derive(Debug)]
 pub(crate) struct View {
     /// The zone of this node.
     zone: id::Zone,
     hosts: RwLock<Arc<Hosts>>,
-    states: [Mutex<HashMap<id::Target, Seen>>; SHARDS],
-    peers: Mutex<HashMap<id::Node, PeerSeen>>,
-    known: Mutex<HashMap<id::Node, Info>>,
+    states: [Mutex<HashMap<id::Target, TargetView>>; SHARDS],
+    peers: Mutex<HashMap<id::Node, PeerView>>,
+    known_nodes: Mutex<HashMap<id::Node, Info>>,
 }
 
-/// What a request needs of a target.
+/// What a request requires of a target.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Need<'a> {
+pub(crate) enum Capability<'a> {
     /// An engine with these weights.
     Weights(&'a Weights),
     /// A replica of this plain service.
@@ -79,14 +80,14 @@
 }
 
 impl View {
-    /// The empty view of a node in `zone`.
+    /// Returns the empty view of a node in `zone`.
     pub(crate) fn open(zone: id::Zone) -> Self {
         Self {
             zone,
             hosts: RwLock::default(),
             states: Default::default(),
             peers: Mutex::default(),
-            known: Mutex::default(),
+            known_nodes: Mutex::default(),
         }
     }
 
@@ -99,57 +100,62 @@
         *self.hosts.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(hosts);
     }
 
-    /// Notes where registered nodes listen.
+    /// Records the addresses of registered nodes.
     ///
-    /// An owner that is cut off from the platform alone drops off the list of
-    /// registered nodes and keeps its targets, since its peers still reach it:
-    /// without its address they could not ask it for permits.
+    /// An owner that is cut off from the platform alone is no longer registered, but keeps its
+    /// targets because its peers still reach it. Its address is kept, so that other nodes can
+    /// still ask it for permits.
     pub(crate) fn note_nodes(&self, now: Instant, nodes: &BTreeMap<id::Node, Info>) {
         let peers = self.peers();
-        let is_heard = |node: &id::Node| {
-            peers.get(node).is_some_and(|p| now.saturating_duration_since(p.at) < KNOWN_MAX_AGE)
+        let is_reachable = |node: &id::Node| {
+            peers
+                .get(node)
+                .is_some_and(|p| now.saturating_duration_since(p.last_heard) < MAX_KNOWN_NODE_AGE)
         };
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.retain(|node, _| is_heard(node));
+        let mut known = self.known_nodes.lock().unwrap_or_else(PoisonError::into_inner);
+        known.retain(|node, _| is_reachable(node));
         known.extend(nodes.iter().map(|(node, info)| (node.clone(), info.clone())));
     }
 
-    /// Where a node listens, as it was last registered.
+    /// Returns the last registered address of a node.
     pub(crate) fn find_node(&self, node: &id::Node) -> Option<Info> {
-        self.known.lock().unwrap_or_else(PoisonError::into_inner).get(node).cloned()
+        self.known_nodes.lock().unwrap_or_else(PoisonError::into_inner).get(node).cloned()
     }
 
-    /// Takes in what a peer tells of itself and of the targets it owns.
+    /// Merges a peer's gossip about itself and the targets that it owns.
     pub(crate) fn merge(&self, now: Instant, gossip: &Gossip) {
         let mut peers = self.peers();
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
-        let seen = PeerSeen {
-            at: now,
+        let view = PeerView {
+            last_heard: now,
             release: gossip.release,
             connections: gossip.connections,
             draining: gossip.draining,
             incarnation: gossip.incarnation,
-            // An answer that was overtaken by a later one takes nothing back.
-            version: known.map_or(0, |known| known.version).max(gossip.version),
-            seen: gossip.seen,
+            // The version must not decrease when answers arrive out of order.
+            received_version: known.map_or(0, |known| known.received_version).max(gossip.version),
+            acknowledged_version: gossip.seen,
         };
-        // What was overtaken by a later word would put a target back to what
-        // it was, and is not told again.
-        let is_overtaken = known.is_some_and(|known| gossip.version < known.version);
-        peers.insert(gossip.node.clone(), seen);
+        // Target states in a gossip message that arrives after a newer one are ignored: they
+        // would reset targets to an outdated state, and the newer state isn't sent again.
+        let is_overtaken = known.is_some_and(|known| gossip.version < known.received_version);
+        peers.insert(gossip.node.clone(), view);
         drop(peers);
         for state in gossip.targets.iter().filter(|_| !is_overtaken) {
             self.merge_state(&gossip.node, state.clone());
         }
     }
 
-    /// The versions that this node and a peer have of each other's targets.
+    /// Returns the version of the peer's targets that this node has, and the version of this
+    /// node's targets that the peer has.
     pub(crate) fn versions(&self, peer: &id::Node) -> (u64, u64) {
-        self.peers().get(peer).map_or((0, 0), |known| (known.version, known.seen))
+        self.peers()
+            .get(peer)
+            .map_or((0, 0), |known| (known.received_version, known.acknowledged_version))
     }
 
-    /// Takes in one target's state; one under an older epoch comes from an
-    /// owner that has been replaced and is passed over.
+    /// Merges a target's state. A state with an older epoch comes from a replaced owner and is
+    /// ignored.
     fn merge_state(&self, owner: &id::Node, state: State) {
         let mut shard = self.shard(&state.target);
         let known = shard.get(&state.target);
@@ -158,77 +164,78 @@
         }
         let (target, owner) = (state.target.clone(), owner.clone());
         let key = known.map_or_else(|| hash_target(&target), |known| known.key);
-        let (sent, sent_count, sent_at) = (size::Tokens(0), 0, None);
-        shard.insert(target, Seen { state, owner, key, sent, sent_count, sent_at });
+        let (sent_prefill, sent_count, sent_at) = (size::Tokens(0), 0, None);
+        shard.insert(target, TargetView { state, owner, key, sent_prefill, sent_count, sent_at });
     }
 
-    /// Notes that this node sent work to a target, so that until its owner
-    /// tells again the next choice counts it.
+    /// Records that this node sent work to a target, which is counted in placement until the
+    /// owner publishes a newer state.
     pub(crate) fn note_sent(&self, now: Instant, target: &id::Target, cost: Cost) {
-        if let Some(seen) = self.shard(target).get_mut(target) {
-            seen.forget_sent(now);
-            seen.sent_at = Some(now);
-            seen.sent += cost.prefill;
-            seen.sent_count += 1;
+        if let Some(target_view) = self.shard(target).get_mut(target) {
+            target_view.expire_sent(now);
+            target_view.sent_at = Some(now);
+            target_view.sent_prefill += cost.prefill;
+            target_view.sent_count += 1;
         }
     }
 
-    /// The newest release that a living peer has in force.
+    /// Returns the newest release that a live peer has in force.
     pub(crate) fn newest_release(&self, now: Instant) -> Option<id::Release> {
         let peers = self.peers();
-        let living = peers.values().filter(|peer| is_living(now, peer));
-        living.map(|peer| peer.release).max()
+        let alive = peers.values().filter(|peer| is_alive(now, peer));
+        alive.map(|peer| peer.release).max()
     }
 
-    pub(crate) fn peers_seen(&self) -> HashMap<id::Node, PeerSeen> {
+    pub(crate) fn peer_views(&self) -> HashMap<id::Node, PeerView> {
         self.peers().clone()
     }
 
     pub(crate) fn state(&self, target: &id::Target) -> Option<State> {
-        self.shard(target).get(target).map(|seen| seen.state.clone())
+        self.shard(target).get(target).map(|target_view| target_view.state.clone())
     }
 
-    /// Targets that can serve with these weights.
+    /// Returns the number of targets that are ready to serve these weights.
     pub(crate) fn count_ready(&self, weights: &Weights) -> usize {
         let shards = self.states.iter();
         let count = shards.map(|shard| {
             let shard = shard.lock().unwrap_or_else(PoisonError::into_inner);
-            let states = shard.values().map(|seen| &seen.state);
-            states.filter(|state| state.ready.iter().any(|ready| is_same(ready, weights))).count()
+            let states = shard.values().map(|target_view| &target_view.state);
+            states.filter(|state| state.ready.iter().any(|ready| is_equal(ready, weights))).count()
         });
         count.sum()
     }
 
-    /// Whether new work may go to a target, by the configuration and the host
-    /// list that this node has; checked again just before sending, as the
-    /// owner may be cut off from the platform.
+    /// Returns whether new work may be sent to a target by this node's configuration and host
+    /// list. It is checked again just before sending, since the owner may be cut off from the
+    /// platform.
     pub(crate) fn may_send(&self, target: &id::Target, configuration: &Configuration) -> bool {
         let hosts = self.hosts();
         hosts.get(target).is_some_and(|host| is_in_service(host, configuration))
     }
 
-    /// The targets that can run a request with the hash of its leading blocks,
-    /// less the excluded ones.
+    /// Returns the targets that can run a request, without the excluded ones. `prefix` is the
+    /// hash of the request's leading bytes.
     pub(crate) fn candidates(
         &self,
         now: Instant,
-        need: Need<'_>,
+        capability: Capability<'_>,
         prefix: u64,
         configuration: &Configuration,
         excluded: &[id::Target],
     ) -> Vec<Candidate> {
         let hosts = self.hosts();
         let peers = self.peers();
-        let is_heard = |node: &id::Node| peers.get(node).is_some_and(|peer| is_living(now, peer));
+        let is_reachable =
+            |node: &id::Node| peers.get(node).is_some_and(|peer| is_alive(now, peer));
         hosts
             .values()
             .filter(|host| is_in_service(host, configuration) && !excluded.contains(&host.target))
-            .filter_map(|host| self.candidate(now, host, need, prefix, is_heard))
+            .filter_map(|host| self.candidate(now, host, capability, prefix, is_reachable))
             .collect()
     }
 
-    /// Puts what this node's own books say in place of what it last told.
-    pub(crate) fn refresh_own(candidates: &mut [Candidate], own: &[State]) {
+    /// Replaces the gossiped states of this node's own targets by their current states.
+    pub(crate) fn apply_own_states(candidates: &mut [Candidate], own: &[State]) {
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
             let Some(candidate) = found else { continue };
@@ -246,65 +253,65 @@
         &self,
         now: Instant,
         host: &Host,
-        need: Need<'_>,
+        capability: Capability<'_>,
         prefix: u64,
-        is_heard: impl Fn(&id::Node) -> bool,
+        is_reachable: impl Fn(&id::Node) -> bool,
     ) -> Option<Candidate> {
         let mut shard = self.shard(&host.target);
-        let seen = shard.get_mut(&host.target)?;
-        seen.forget_sent(now);
-        let state = &seen.state;
-        let fits = match (need, &host.kind) {
-            (Need::Weights(weights), Kind::Engine) => {
-                state.ready.iter().any(|ready| is_same(ready, weights))
+        let target_view = shard.get_mut(&host.target)?;
+        target_view.expire_sent(now);
+        let state = &target_view.state;
+        let is_capable = match (capability, &host.kind) {
+            (Capability::Weights(weights), Kind::Engine) => {
+                state.ready.iter().any(|ready| is_equal(ready, weights))
             }
-            (Need::Service(service), Kind::Service(name)) => service == name,
+            (Capability::Service(service), Kind::Service(name)) => service == name,
             _ => false,
         };
-        (fits && state.accepting && is_heard(&seen.owner)).then(|| Candidate {
+        (is_capable && state.accepting && is_reachable(&target_view.owner)).then(|| Candidate {
             target: host.target.clone(),
-            hash: seen.key,
+            hash: target_view.key,
             is_same_zone: host.zone == self.zone,
             is_owned: false,
             has_cached_prefix: state.prefixes.contains(&prefix),
             queued_long: state.queued_long,
-            queued_prefill: state.queued_prefill + seen.sent,
-            kv_free: state.kv_free.saturating_sub(seen.sent),
+            queued_prefill: state.queued_prefill + target_view.sent_prefill,
+            kv_free: state.kv_free.saturating_sub(target_view.sent_prefill),
             kv_capacity: state.kv_capacity,
             prefill_rate: state.prefill_rate,
             max_streams: state.bound,
-            running: state.running + seen.sent_count,
+            running: state.running + target_view.sent_count,
             waiting: state.waiting,
         })
     }
 
-    fn shard(&self, target: &id::Target) -> MutexGuard<'_, HashMap<id::Target, Seen>> {
+    fn shard(&self, target: &id::Target) -> MutexGuard<'_, HashMap<id::Target, TargetView>> {
         let index = hash_parts(&[target.as_str().as_bytes()]) as usize % SHARDS;
         self.states[index].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn peers(&self) -> MutexGuard<'_, HashMap<id::Node, PeerSeen>> {
+    fn peers(&self) -> MutexGuard<'_, HashMap<id::Node, PeerView>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Seen {
-    fn forget_sent(&mut self, now: Instant) {
-        if self.sent_at.is_some_and(|at| now.saturating_duration_since(at) > SENT_MAX_AGE) {
-            (self.sent, self.sent_count, self.sent_at) = (size::Tokens(0), 0, None);
+impl TargetView {
+    fn expire_sent(&mut self, now: Instant) {
+        if self.sent_at.is_some_and(|at| now.saturating_duration_since(at) > MAX_SENT_AGE) {
+            (self.sent_prefill, self.sent_count, self.sent_at) = (size::Tokens(0), 0, None);
         }
     }
 }
 
-fn is_living(now: Instant, peer: &PeerSeen) -> bool {
-    now.saturating_duration_since(peer.at) < PEER_MAX_AGE
+fn is_alive(now: Instant, peer: &PeerView) -> bool {
+    now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE
 }
 
 fn is_in_service(host: &Host, configuration: &Configuration) -> bool {
     host.standing == Standing::Live && !configuration.zone_out(&host.zone)
 }
 
-fn is_same(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
+fn is_equal(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
     ready.model == wanted.model
         && ready.version == wanted.version
         && ready.adapter == wanted.adapter
