--- a/apps/hickory-node/src/main.rs
+++ b/apps/hickory-node/src/main.rs
@@ -3,7 +3,7 @@
 use clap::Parser;
 use hickory_node::Node;
 use hickory_settings::Level;
-use hickory_telemetry::logs::First;
+use hickory_telemetry::logs::FirstLine;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
@@ -39,7 +39,7 @@
     let settings = hickory_settings::open(&options.settings)?;
     let level = options.log.unwrap_or_else(|| read_level(settings.logs.level));
     let file = options.log_file.as_deref().or(settings.logs.file.as_deref());
-    let first = hickory_telemetry::logs::open_with_first(level, file)?;
+    let first = hickory_telemetry::logs::open_with_first_line(level, file)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(options.threads)
         .enable_all()
@@ -60,7 +60,7 @@
     }
 }
 
-async fn run(settings: hickory_settings::Node, first: First) -> eyre::Result<()> {
+async fn run(settings: hickory_settings::Node, first: FirstLine) -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let name = settings.node.clone();
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -137,14 +137,16 @@
 
     fn metrics(&self) -> String {
         let metrics = &self.core.metrics;
-        metrics.configuration(self.core.configuration().map_or(id::Release(0), |c| c.version));
-        metrics.owned(self.core.owners.owned().len());
+        metrics.set_configuration_version(
+            self.core.configuration().map_or(id::Release(0), |c| c.version),
+        );
+        metrics.set_owned_targets(self.core.owners.owned().len());
         let now = self.core.now();
         let heard = |at| now.saturating_duration_since(at) < REACHABLE_MAX_AGE;
         let others = self.core.view.peers_seen();
         let others = others.iter().filter(|(node, peer)| *node != self.core.me() && heard(peer.at));
-        metrics.peers(others.count());
-        metrics.suspects(self.core.record.suspects(now));
+        metrics.set_connected_peers(others.count());
+        metrics.set_suspects(self.core.record.suspects(now));
         metrics.render()
     }
 
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -48,7 +48,7 @@
     let core = core.clone();
     let task = tokio::spawn(async move {
         let _active = Active::begin(&core);
-        let _in_flight = core.metrics.begin(Work::Service);
+        let _in_flight = core.metrics.begin_request(Work::Service);
         match (call.once, call.key) {
             (true, Some(key)) => run_once(&core, &call, key).await,
             (true, None) => {
@@ -72,7 +72,7 @@
 /// Claims the call before its first byte, and sends it at most once.
 async fn run_once(core: &Arc<Core>, call: &Call, key: Uuid) -> Result<Reply, Refusal> {
     let answer = core.ledger.claim(key, fingerprint(call), call.deadline).await;
-    core.metrics.claimed(label_claim(&answer));
+    core.metrics.count_claim(label_claim(&answer));
     let claim = match answer {
         claim::Answer::Granted(claim) => claim,
         other => return read_unclaimed(other),
--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -18,7 +18,7 @@
 use hickory_policy::refuse::{Ran, Reason, Refusal, Retry};
 use hickory_target::Error;
 use hickory_target::engine::{Engines, Generate, Handle, Priority};
-use hickory_telemetry::label::{Direction, Work};
+use hickory_telemetry::label::{TokenDirection, Work};
 use hickory_unit::size;
 use hickory_wire::message::Ending;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
     let core = core.clone();
     tokio::spawn(async move {
         let _active = Active::begin(&core);
-        let _in_flight = core.metrics.begin(Work::Completion);
+        let _in_flight = core.metrics.begin_request(Work::Completion);
         let began = core.now();
         let run = Run {
             core: &core,
@@ -112,8 +112,8 @@
                 Attempt::Whole(count) => {
                     core.record.note_success(core.now(), fingerprint);
                     let prompt = self.completion.cost.prefill;
-                    self.core.metrics.tokens(Direction::Prompt, prompt);
-                    self.core.metrics.tokens(Direction::Answer, size::Tokens(count));
+                    self.core.metrics.count_tokens(TokenDirection::Prompt, prompt);
+                    self.core.metrics.count_tokens(TokenDirection::Answer, size::Tokens(count));
                     let _ = self.out.send(Piece::End(count)).await;
                     return;
                 }
@@ -271,7 +271,7 @@
         if let Some(at) = relay.first_token
             && self.delivered == 0
         {
-            self.core.metrics.first_token(c.cost.prefill, at - self.began);
+            self.core.metrics.observe_first_token(c.cost.prefill, at - self.began);
         }
         self.delivered = relay.delivered;
         (end, relay.first_token.map(|at| at - began))
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -41,7 +41,7 @@
             let kept = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
             if !kept {
                 task.abort();
-                core.metrics.owner_changed(match core.stage() {
+                core.metrics.count_ownership_change(match core.stage() {
                     Stage::Serving => Ownership::Lost,
                     Stage::Draining | Stage::Closed => Ownership::Released,
                 });
@@ -55,7 +55,7 @@
                 continue;
             }
             core.table.open(&owned.target, owned.epoch);
-            core.metrics.owner_changed(Ownership::Gained);
+            core.metrics.count_ownership_change(Ownership::Gained);
             let task = tokio::spawn(drive(core.clone(), owned.target.clone(), owned.epoch));
             running.insert(owned.target, (owned.epoch, task.abort_handle()));
         }
@@ -75,7 +75,7 @@
             };
             missed = if read { 0 } else { missed + 1 };
             if missed == MISSED_MAX {
-                core.metrics.target_silent();
+                core.metrics.count_target_silence();
             }
             update_accepting(&core, host, missed < MISSED_MAX);
         }
@@ -146,7 +146,7 @@
     let found = Found { now, wall_ms: core.clock.wall_ms(), resume, is_live };
     core.table.with(target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
-            core.metrics.target_restarted();
+            core.metrics.count_target_restart();
             owned.restarted(now);
         }
         owned.take_report(report, &found);
@@ -165,7 +165,7 @@
             false => Err(Error::Unknown("the target did not answer the last cancel".into())),
         };
         if matches!(cancelled, Ok(Cancelled::Stopped)) {
-            core.metrics.swept(Orphan::Stream);
+            core.metrics.count_orphan(Orphan::Stream);
         }
         let now = core.now();
         core.table.with(&host.target, |owned| match cancelled {
@@ -180,7 +180,7 @@
     // Those that stay held are found again in the next report.
     for handle in drops {
         if core.targets.drop_handle(host.address, &handle).await.is_ok() {
-            core.metrics.swept(Orphan::Cache);
+            core.metrics.count_orphan(Orphan::Cache);
         }
     }
 }
@@ -204,7 +204,7 @@
     core.table.with(&host.target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
             owned.restarted(now);
-            core.metrics.target_restarted();
+            core.metrics.count_target_restart();
         }
         owned.incarnation = Some(report.incarnation);
         // A call weighs one slot and no KV cache.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -157,9 +157,9 @@
         hosts: settings.platform.hosts,
         weights: settings.platform.weights,
     };
-    let metrics = Metrics::open().map_err(invalid)?;
+    let metrics = Metrics::new().map_err(invalid)?;
     let platform = Platform::open(address, Duration::from_millis(times.platform_ms));
-    let platform = Metered::open(platform, clock, metrics.clone());
+    let platform = Metered::new(platform, clock, metrics.clone());
     let incarnation = id::Incarnation(clock.wall_ms());
     let info = Info {
         node: settings.node.clone(),
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -158,7 +158,7 @@
 
 async fn order(core: &Core, host: &Host, epoch: id::Epoch, order: Order) -> bool {
     let result = core.targets.order(host.address, epoch, &order).await;
-    core.metrics.ordered(match &result {
+    core.metrics.count_order(match &result {
         Ok(()) => label::Order::Confirmed,
         Err(Error::Stale) => label::Order::Fenced,
         Err(_) => label::Order::Failed,
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -184,7 +184,7 @@
                 return Ok(Leave { target, address, permit, stream, expected });
             }
             Err(Some(refused)) => {
-                core.metrics.retried(Retry::QueueLong);
+                core.metrics.count_retry(Retry::QueueLong);
                 let is_full = counts(refused.reason);
                 asked += usize::from(is_full);
                 if at_once && is_full {
@@ -235,22 +235,22 @@
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
-                core.metrics.retried(Retry::OwnerSilent);
+                core.metrics.count_retry(Retry::OwnerSilent);
                 return Err(None);
             }
         };
         match answer {
             Ok(permit) if core.now() < asked + permit.life => {
-                core.metrics.permit_waited(core.now() - asked);
+                core.metrics.observe_permit_wait(core.now() - asked);
                 return Ok(permit);
             }
             Ok(permit) => {
-                core.metrics.retried(Retry::StalePermit);
+                core.metrics.count_retry(Retry::StalePermit);
                 give_back(core, target, &permit, want.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED => {}
             Err(refused) if refused.not_owner => {
-                core.metrics.retried(Retry::NotOwner);
+                core.metrics.count_retry(Retry::NotOwner);
                 return Err(None);
             }
             Err(refused) => {
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -96,7 +96,7 @@
     let mut response = match route(&core, request).await {
         Ok(response) => response,
         Err(refusal) => {
-            core.metrics.refused(refusal.reason, refusal.ran);
+            core.metrics.count_refusal(refusal.reason, refusal.ran);
             reply::answer_refusal(&refusal)
         }
     };
@@ -328,7 +328,7 @@
             Piece::Token(position, text) => (encoder.encode_token(position, text), false),
             Piece::End(count) => (encoder.encode_end(*count), true),
             Piece::Refused(refusal) => {
-                core.metrics.refused(refusal.reason, refusal.ran);
+                core.metrics.count_refusal(refusal.reason, refusal.ran);
                 (encoder.encode_failure(refusal), true)
             }
         };
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -148,7 +148,7 @@
     let now = core.now();
     let condemned = Suspect { fingerprint, deaths: DEATHS, age: Duration::ZERO };
     lock(&core.record.suspects).merge(now, [condemned]);
-    core.metrics.quarantined();
+    core.metrics.count_quarantine();
     peers::tell_all(core).await;
     refuse_quarantined()
 }
@@ -165,7 +165,7 @@
     account: &id::Account,
     reason: Retry,
 ) -> Result<(), Refusal> {
-    core.metrics.retried(reason);
+    core.metrics.count_retry(reason);
     match reason {
         Retry::NotSent | Retry::Refused => Ok(()),
         _ => core.record.spend(account),
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -127,7 +127,7 @@
 /// with [`QUEUED`] after half a permit's life.
 pub(crate) async fn permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
     let answer = decide_permit(core, ask).await;
-    core.metrics.permit(match &answer {
+    core.metrics.count_permit(match &answer {
         Ok(_) => label::Permit::Granted,
         Err(refusal) if refusal.reason == QUEUED => label::Permit::Queued,
         Err(_) => label::Permit::Refused,
--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -183,7 +183,7 @@
     async fn try_standalone(&mut self) -> Option<PlaceResult<D, S, C>> {
         let time = match self.decide_standalone() {
             Decision::Answered(answer) => {
-                let outcome = self.handle_answer(answer, Decider::Alone);
+                let outcome = self.handle_answer(answer, Decider::Requester);
                 if outcome.is_some() {
                     return outcome;
                 }
@@ -227,10 +227,10 @@
             }
             // This node may know a target that the owner doesn't know yet.
             Answer::Rejected(rejection)
-                if rejection.reason == RejectReason::NoTarget && decider != Decider::Alone =>
+                if rejection.reason == RejectReason::NoTarget && decider != Decider::Requester =>
             {
                 match self.decide_standalone() {
-                    Decision::Answered(answer) => self.handle_answer(answer, Decider::Alone),
+                    Decision::Answered(answer) => self.handle_answer(answer, Decider::Requester),
                     Decision::Wait(..) => Some(Err(rejection)),
                 }
             }
@@ -251,7 +251,7 @@
             return None;
         };
         self.is_placed = true;
-        core.metrics.placed(decider);
+        core.metrics.count_placement(decider);
         place.publish();
         Some(place)
     }
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -107,7 +107,7 @@
         Self {
             bounds: RwLock::new(Arc::new(settings.bounds.clone())),
             settings,
-            store: Metered::open(store, clock.clone(), metrics.clone()),
+            store: Metered::new(store, clock.clone(), metrics.clone()),
             metrics,
             incarnation,
             clock,
@@ -229,8 +229,8 @@
     }
 
     fn note_configuration(&self, view: &View, waited: Option<Duration>) {
-        self.metrics.configuration(id::Release(view.version()));
-        self.metrics.configuration_delayed(waited.unwrap_or_default());
+        self.metrics.set_configuration_version(id::Release(view.version()));
+        self.metrics.observe_configuration_delay(waited.unwrap_or_default());
         log::info!(
             version = view.version(),
             revision:% = view.config_revision,
--- a/crates/path/src/fetch.rs
+++ b/crates/path/src/fetch.rs
@@ -13,7 +13,7 @@
 use hickory_policy::member::State;
 use hickory_policy::spread::{ANSWER_MOST, Busy, Choice, Givers, SILENCE};
 use hickory_store::store::{Revision, Store};
-use hickory_telemetry::label::{Fetch, Way};
+use hickory_telemetry::label::{Fetch, TransferDirection};
 use hickory_unit::clock::Clock;
 use hickory_unit::size;
 use http::{Method, Request, StatusCode};
@@ -277,7 +277,7 @@
     }
 
     fn note_busy(&mut self, peer: SocketAddr, busy: Busy, others: &[SocketAddr]) {
-        self.core.metrics.fetch(Fetch::Busy);
+        self.core.metrics.count_fetch(Fetch::Busy);
         let others: Vec<SocketAddr> =
             others.iter().filter(|other| **other != self.core.settings.sync).copied().collect();
         self.sources.note_busy(self.core.now(), peer, busy, &others, rand::random());
@@ -288,7 +288,7 @@
         let took_ms = now.saturating_duration_since(started_at).as_millis() as u64;
         let behind_ms = self.core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
         log::warn!(peer:%, took_ms, behind_ms; "peer gave no items: {error}");
-        self.core.metrics.fetch(Fetch::Failed);
+        self.core.metrics.count_fetch(Fetch::Failed);
         self.sources.note_failed(now, peer);
     }
 }
@@ -304,11 +304,12 @@
         Ok(answer) => answer,
         Err(error) => return Fetched::Failed(error.to_string()),
     };
-    core.metrics.fetch_bytes(Way::Taken, size::Bytes(answer.body.len() as u64));
+    core.metrics
+        .count_fetch_bytes(TransferDirection::Received, size::Bytes(answer.body.len() as u64));
     match answer.status {
         StatusCode::OK => match serde_json::from_slice(&answer.body) {
             Ok(updates) => {
-                core.metrics.fetch(Fetch::Taken);
+                core.metrics.count_fetch(Fetch::Received);
                 Fetched::Complete(updates)
             }
             Err(error) => Fetched::Failed(error.to_string()),
@@ -390,13 +391,13 @@
             Ok(Some(Err(error))) => return Fetched::Failed(error.to_string()),
             Ok(None) => {
                 exchange.release(None);
-                core.metrics.fetch(Fetch::Taken);
+                core.metrics.count_fetch(Fetch::Received);
                 return Fetched::Complete(added);
             }
             Err(_) => return Fetched::Failed("answer stalled before its end".to_owned()),
         };
         let Ok(data) = frame.into_data() else { continue };
-        core.metrics.fetch_bytes(Way::Taken, size::Bytes(data.len() as u64));
+        core.metrics.count_fetch_bytes(TransferDirection::Received, size::Bytes(data.len() as u64));
         buffer.extend_from_slice(&data);
         loop {
             match codec.decode(&mut buffer) {
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -335,7 +335,7 @@
         if owned != self.owned {
             let names: Vec<String> = owned.iter().map(ToString::to_string).collect();
             log::info!(groups:% = names.join(","); "groups owned by this node");
-            core.metrics.owned(owned.len());
+            core.metrics.set_owned_targets(owned.len());
             self.owned = owned;
         }
     }
@@ -415,7 +415,7 @@
     let mut remaining = events;
     loop {
         let (datagram, left) = encode(core, remaining);
-        core.metrics.datagram(hickory_unit::size::Bytes(datagram.len() as u64));
+        core.metrics.count_datagram(hickory_unit::size::Bytes(datagram.len() as u64));
         // A datagram that can't be sent is treated as lost.
         let _ = socket.send_to(&datagram, to).await;
         if left.is_empty() {
--- a/crates/path/src/intake.rs
+++ b/crates/path/src/intake.rs
@@ -210,8 +210,8 @@
     core: Arc<Core<D, S, C>>,
     _: Request<Incoming>,
 ) -> Response<Reply> {
-    core.metrics.peers(core.count_peers());
-    core.metrics.suspects(core.suspects().len());
+    core.metrics.set_connected_peers(core.count_peers());
+    core.metrics.set_suspects(core.suspects().len());
     reply::plain(StatusCode::OK, &core.metrics.render())
 }
 
--- a/crates/path/src/lib.rs
+++ b/crates/path/src/lib.rs
@@ -78,7 +78,7 @@
     ///
     /// Returns an error if the metrics can't be opened.
     pub fn serve(settings: Settings, sockets: Sockets, store: S, clock: C) -> io::Result<Self> {
-        let metrics = Metrics::open().map_err(io::Error::other)?;
+        let metrics = Metrics::new().map_err(io::Error::other)?;
         let core = Arc::new(Core::open(settings, store, clock, metrics));
         store_watch::spawn(&core);
         fetch::spawn(&core);
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -75,7 +75,7 @@
 
     /// Counts and logs a request that was answered completely.
     pub(crate) fn log_answered(&self, place: &Place<D, S, C>, status: StatusCode) {
-        self.core.metrics.answered(self.work, self.age());
+        self.core.metrics.observe_answer(self.work, self.age());
         log::info!(
             request = self.job.head.attempt.as_str(),
             route = self.job.route.name.as_str(),
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -100,7 +100,7 @@
     arrived: Instant,
     refusal: &Refusal,
 ) -> Response<Reply> {
-    core.metrics.refused(refusal.reason, refusal.ran);
+    core.metrics.count_refusal(refusal.reason, refusal.ran);
     log_refusal(core, attempt, arrived, refusal);
     let mut response = reply::plain(refusal.status, &refusal.detail);
     if let Some(time) = refusal.retry_after {
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -20,7 +20,7 @@
 use hickory_policy::resume;
 use hickory_store::store::Store;
 use hickory_telemetry::label::Work;
-use hickory_telemetry::metrics::Guard;
+use hickory_telemetry::metrics::InFlightGuard;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
 use http::{Response, StatusCode};
@@ -62,7 +62,7 @@
     /// The time from the arrival to the first event.
     pub(crate) first_event_time: Option<Duration>,
     /// Counts the request as admitted until it is dropped.
-    _admitted: Guard,
+    _admitted: InFlightGuard,
     /// The total time that the request waited in queues for a place.
     pub(crate) queue_wait: Duration,
     /// The longest time between two events so far.
@@ -106,7 +106,7 @@
         may_have_run: false,
         resume_after,
         first_event_time: None,
-        _admitted: core.metrics.begin(work),
+        _admitted: core.metrics.begin_request(work),
         queue_wait: Duration::ZERO,
         longest_pause: Duration::ZERO,
     };
@@ -184,7 +184,7 @@
         match ask::place(self, &tried).await {
             Ok(place) => {
                 self.queue_wait += self.core.now().saturating_duration_since(began);
-                self.core.metrics.permit_waited(self.queue_wait);
+                self.core.metrics.observe_permit_wait(self.queue_wait);
                 Ok(place)
             }
             Err(rejection) => Err(self.refuse_placement(rejection, began)),
@@ -278,7 +278,7 @@
             }
             None => self.note_failure(place, &failure),
         }
-        self.core.metrics.retried(failure.reason());
+        self.core.metrics.count_retry(failure.reason());
         match failure {
             Failure::ConnectionRefused | Failure::NotSent(_) | Failure::NotReserved { .. } => {
                 self.counted_sends -= 1;
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -120,7 +120,7 @@
         place.begin_decode();
         run.first_event_time = Some(run.age());
         if let Some(prompt) = run.job.head.prompt {
-            run.core.metrics.first_token(prompt.tokens, run.age());
+            run.core.metrics.observe_first_token(prompt.tokens, run.age());
         }
         let mut head = take_head(&mut reader.exchange);
         D::strip_connection_headers(&mut head.headers);
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -7,7 +7,7 @@
 use crate::reply::{self, Pieces, Reply};
 use hickory_policy::spread::{Busy, Given, Meter, Ticket};
 use hickory_store::store::{Revision, Store};
-use hickory_telemetry::label::{Fetch, Way};
+use hickory_telemetry::label::{Fetch, TransferDirection};
 use hickory_unit::clock::Clock;
 use hickory_unit::size;
 use http::{Response, StatusCode, Uri};
@@ -92,8 +92,8 @@
         }
     }
     let body = serde_json::to_string(&updates).map_err(|error| error.to_string())?;
-    core.metrics.fetch(Fetch::Given);
-    core.metrics.fetch_bytes(Way::Given, size::Bytes(body.len() as u64));
+    core.metrics.count_fetch(Fetch::Sent);
+    core.metrics.count_fetch_bytes(TransferDirection::Sent, size::Bytes(body.len() as u64));
     Ok(reply::json(StatusCode::OK, body))
 }
 
@@ -113,8 +113,8 @@
         Ok(ticket) => ticket,
         Err((busy, others)) => return Ok(busy_response(core, busy, others)),
     };
-    core.metrics.fetch(Fetch::Given);
-    core.metrics.fetch_bytes(Way::Given, size);
+    core.metrics.count_fetch(Fetch::Sent);
+    core.metrics.count_fetch_bytes(TransferDirection::Sent, size);
     let transfer = Transfer { ticket, revision, to: request.from, chunk_count: pieces.len(), size };
     tokio::spawn(track_transfer(core.clone(), transfer, pieces.unsent()));
     Ok(Response::new(Reply::Pieces(pieces)))
@@ -188,7 +188,7 @@
     busy: Busy,
     others: Vec<SocketAddr>,
 ) -> Response<Reply> {
-    core.metrics.fetch(Fetch::TurnedAway);
+    core.metrics.count_fetch(Fetch::Rejected);
     let busy_reply = BusyReply { wait_ms: busy.wait.as_millis() as u64, others };
     match serde_json::to_string(&busy_reply) {
         Ok(body) => reply::json(StatusCode::SERVICE_UNAVAILABLE, body),
--- a/crates/telemetry/src/label.rs
+++ b/crates/telemetry/src/label.rs
@@ -52,7 +52,7 @@
         /// The owner's successor, as the owner was silent.
         Successor = "successor",
         /// The request's own node, as both were silent.
-        Alone = "alone",
+        Requester = "alone",
     }
 
     /// A call to the platform.
@@ -146,11 +146,11 @@
     /// What came of documents that nodes ask each other for.
     Fetch {
         /// Given to a peer.
-        Given = "given",
+        Sent = "given",
         /// A peer was turned away, since the link was busy.
-        TurnedAway = "turned_away",
+        Rejected = "turned_away",
         /// Taken from a peer.
-        Taken = "taken",
+        Received = "taken",
         /// A peer that was asked was busy.
         Busy = "busy",
         /// A peer gave no answer, or broke off.
@@ -158,15 +158,15 @@
     }
 
     /// The way of a document's bytes.
-    Way {
+    TransferDirection {
         /// To a peer.
-        Given = "given",
+        Sent = "given",
         /// From a peer.
-        Taken = "taken",
+        Received = "taken",
     }
 
     /// The way of a token.
-    Direction {
+    TokenDirection {
         /// Prompt tokens received.
         Prompt = "prompt",
         /// Tokens of answers relayed.
--- a/crates/telemetry/src/lines.rs
+++ b/crates/telemetry/src/lines.rs
@@ -59,9 +59,9 @@
 /// The line that comes before all others. Until it is written, or given up by
 /// being dropped, they wait.
 #[derive(Debug)]
-pub struct First(Sender<Vec<u8>>);
+pub struct FirstLine(Sender<Vec<u8>>);
 
-impl First {
+impl FirstLine {
     /// Lets the line be written, and does not wait for it.
     pub fn write(self, line: &str) {
         // Without a writer there is no one to read it either.
@@ -80,14 +80,14 @@
     /// Starts the writer, which writes nothing before the first line.
     pub(crate) fn spawn_with_first(
         out: impl Write + Send + 'static,
-    ) -> std::io::Result<(First, Self)> {
+    ) -> std::io::Result<(FirstLine, Self)> {
         let (first, ready) = bounded(1);
         let (queue, lines) = bounded(WAITING_MAX);
         let writer = std::thread::Builder::new().name("log".into()).stack_size(STACK);
         writer.spawn(move || write_lines(ready.into_iter().take(1).chain(lines), out))?;
         let allowance = Mutex::new(Allowance { lines: BURST, at: Instant::now() });
         let dropped = AtomicU64::new(0);
-        Ok((First(first), Self { queue, dropped, allowance, encoder: JsonEncoder::new() }))
+        Ok((FirstLine(first), Self { queue, dropped, allowance, encoder: JsonEncoder::new() }))
     }
 
     fn send(&self, line: Vec<u8>) {
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,6 +1,6 @@
 //! Logs as JSON lines.
 
-pub use crate::lines::First;
+pub use crate::lines::FirstLine;
 use crate::lines::Lines;
 use hickory_unit::id;
 use log::kv::{self, Key, Source, Value, VisitSource};
@@ -48,12 +48,12 @@
 
 /// Opens the process's log as [`open_stdout`] does, or appends it to `file`
 /// where one is given. Either way standard output begins with the line that
-/// [`First`] is given.
+/// [`FirstLine`] is given.
 ///
 /// # Errors
 ///
 /// As of [`open`] and [`open_stdout`].
-pub fn open_with_first(level: LevelFilter, file: Option<&Path>) -> eyre::Result<First> {
+pub fn open_with_first_line(level: LevelFilter, file: Option<&Path>) -> eyre::Result<FirstLine> {
     let (first, lines) = Lines::spawn_with_first(std::io::stdout())?;
     match file {
         Some(path) => open(level, path)?,
--- a/crates/telemetry/src/metered.rs
+++ b/crates/telemetry/src/metered.rs
@@ -19,7 +19,7 @@
 
 impl<P, C: Clock> Metered<P, C> {
     /// Counts the calls of `port` into `metrics`.
-    pub fn open(port: P, clock: C, metrics: Metrics) -> Self {
+    pub fn new(port: P, clock: C, metrics: Metrics) -> Self {
         Self { port, clock, metrics }
     }
 
@@ -31,7 +31,7 @@
         let start = self.clock.now();
         let result = work.await;
         let time = self.clock.now().saturating_duration_since(start);
-        self.metrics.platform_called(call, read_result(&result), time);
+        self.metrics.record_platform_call(call, read_result(&result), time);
         result
     }
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -4,8 +4,8 @@
 //! the request path is one atomic addition, with no lock and no map.
 
 use crate::label::{
-    Call, Claim, Decider, Direction, Fetch, Length, Order, Orphan, Outcome, Ownership, Permit, Way,
-    Work,
+    Call, Claim, Decider, Fetch, Length, Order, Orphan, Outcome, Ownership, Permit, TokenDirection,
+    TransferDirection, Work,
 };
 use derive_more::Display;
 use hickory_policy::refuse::{Ran, Reason, Retry};
@@ -77,7 +77,7 @@
 
 impl Metrics {
     /// Opens metrics with all series at zero.
-    pub fn open() -> Result<Self, Error> {
+    pub fn new() -> Result<Self, Error> {
         let registry = Registry::new_custom(Some("hickory".to_owned()), None)?;
         let r = &registry;
         Ok(Self {
@@ -116,7 +116,7 @@
                 ("permit_wait_seconds", "Time from asking for a permit to having it"),
                 PERMIT_BOUNDS,
             )?,
-            tokens: open_counters(r, "tokens_total", "Tokens", "direction", Direction::ALL)?,
+            tokens: open_counters(r, "tokens_total", "Tokens", "direction", TokenDirection::ALL)?,
             platform_calls: open_calls(r)?,
             platform_seconds: open_histograms(
                 r,
@@ -209,7 +209,7 @@
                 "peer_fetch_bytes_total",
                 "Bytes of what nodes asked each other for",
                 "way",
-                Way::ALL,
+                TransferDirection::ALL,
             )?,
             peers: open_gauge(r, "peers_connected", "Nodes that this node has a link to")?,
             registry,
@@ -217,45 +217,45 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: Reason, ran: Ran) {
+    pub fn count_refusal(&self, reason: Reason, ran: Ran) {
         self.refusals[reason as usize][ran as usize].inc();
     }
 
     /// Counts an attempt made again.
-    pub fn retried(&self, reason: Retry) {
+    pub fn count_retry(&self, reason: Retry) {
         self.retries[reason as usize].inc();
     }
 
     /// Counts an admitted request, in flight until the guard is dropped.
-    pub fn begin(&self, work: Work) -> Guard {
+    pub fn begin_request(&self, work: Work) -> InFlightGuard {
         self.admitted[work as usize].inc();
         let gauge = self.in_flight[work as usize].clone();
         gauge.inc();
-        Guard(gauge)
+        InFlightGuard(gauge)
     }
 
     /// Notes the time to a first token.
-    pub fn first_token(&self, prompt: size::Tokens, time: Duration) {
+    pub fn observe_first_token(&self, prompt: size::Tokens, time: Duration) {
         self.first_token[Length::of(prompt) as usize].observe(time.as_secs_f64());
     }
 
     /// Notes the time to the end of a whole answer.
-    pub fn answered(&self, work: Work, time: Duration) {
+    pub fn observe_answer(&self, work: Work, time: Duration) {
         self.answer[work as usize].observe(time.as_secs_f64());
     }
 
     /// Notes the time from asking for a permit to having it.
-    pub fn permit_waited(&self, time: Duration) {
+    pub fn observe_permit_wait(&self, time: Duration) {
         self.permit_wait.observe(time.as_secs_f64());
     }
 
     /// Counts tokens.
-    pub fn tokens(&self, direction: Direction, tokens: size::Tokens) {
+    pub fn count_tokens(&self, direction: TokenDirection, tokens: size::Tokens) {
         self.tokens[direction as usize].inc_by(tokens.0);
     }
 
     /// Counts a call to the platform.
-    pub fn platform_called(&self, call: Call, result: Outcome, time: Duration) {
+    pub fn record_platform_call(&self, call: Call, result: Outcome, time: Duration) {
         self.platform_calls[call as usize][result as usize].inc();
         // A watch lasts until something changes: its time says nothing.
         if call != Call::Watch {
@@ -264,88 +264,88 @@
     }
 
     /// Counts a change of ownership.
-    pub fn owner_changed(&self, change: Ownership) {
+    pub fn count_ownership_change(&self, change: Ownership) {
         self.ownership[change as usize].inc();
     }
 
     /// Sets how many targets this node owns.
-    pub fn owned(&self, targets: usize) {
+    pub fn set_owned_targets(&self, targets: usize) {
         self.owned.set(targets as i64);
     }
 
     /// Counts an answer to an ask for a permit.
-    pub fn permit(&self, answer: Permit) {
+    pub fn count_permit(&self, answer: Permit) {
         self.permits[answer as usize].inc();
     }
 
     /// Counts something released by a sweep.
-    pub fn swept(&self, kind: Orphan) {
+    pub fn count_orphan(&self, kind: Orphan) {
         self.orphans[kind as usize].inc();
     }
 
     /// Counts a claim.
-    pub fn claimed(&self, result: Claim) {
+    pub fn count_claim(&self, result: Claim) {
         self.claims[result as usize].inc();
     }
 
     /// Counts an order to an engine.
-    pub fn ordered(&self, result: Order) {
+    pub fn count_order(&self, result: Order) {
         self.orders[result as usize].inc();
     }
 
     /// Counts a quarantine.
-    pub fn quarantined(&self) {
+    pub fn count_quarantine(&self) {
         self.quarantines.inc();
     }
 
     /// Sets how many contents are under suspicion.
-    pub fn suspects(&self, known: usize) {
+    pub fn set_suspects(&self, known: usize) {
         self.suspects.set(known as i64);
     }
 
     /// Counts a target that came back as a new process.
-    pub fn target_restarted(&self) {
+    pub fn count_target_restart(&self) {
         self.target_restarts.inc();
     }
 
     /// Counts a target that ceased to answer.
-    pub fn target_silent(&self) {
+    pub fn count_target_silence(&self) {
         self.target_silences.inc();
     }
 
     /// Sets the version of the configuration in force.
-    pub fn configuration(&self, version: id::Release) {
+    pub fn set_configuration_version(&self, version: id::Release) {
         self.configuration.set(version.0 as i64);
     }
 
     /// Notes the time from the first word of newer data to having it in force.
-    pub fn configuration_delayed(&self, time: Duration) {
+    pub fn observe_configuration_delay(&self, time: Duration) {
         self.configuration_delay.observe(time.as_secs_f64());
     }
 
     /// Counts what came of a fetch between nodes.
-    pub fn fetch(&self, result: Fetch) {
+    pub fn count_fetch(&self, result: Fetch) {
         self.fetches[result as usize].inc();
     }
 
     /// Counts the bytes of a fetch between nodes.
-    pub fn fetch_bytes(&self, way: Way, bytes: size::Bytes) {
+    pub fn count_fetch_bytes(&self, way: TransferDirection, bytes: size::Bytes) {
         self.fetched[way as usize].inc_by(bytes.0);
     }
 
     /// Counts a request that was placed.
-    pub fn placed(&self, by: Decider) {
+    pub fn count_placement(&self, by: Decider) {
         self.placements[by as usize].inc();
     }
 
     /// Counts a datagram that is sent to another node.
-    pub fn datagram(&self, bytes: size::Bytes) {
+    pub fn count_datagram(&self, bytes: size::Bytes) {
         self.datagrams.inc();
         self.datagram_bytes.inc_by(bytes.0);
     }
 
     /// Sets how many peers this node has a link to.
-    pub fn peers(&self, connected: usize) {
+    pub fn set_connected_peers(&self, connected: usize) {
         self.peers.set(connected as i64);
     }
 
@@ -357,9 +357,9 @@
 
 /// A request in flight; ends when dropped.
 #[derive(Debug)]
-pub struct Guard(IntGauge);
+pub struct InFlightGuard(IntGauge);
 
-impl Drop for Guard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.dec();
     }
--- a/crates/telemetry/tests/docs.rs
+++ b/crates/telemetry/tests/docs.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn every_metric_is_explained_and_none_is_made_up() {
-    let text = Metrics::open().unwrap().render();
+    let text = Metrics::new().unwrap().render();
     let mut metrics: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).collect();
     let rows = PAGE.lines().filter_map(|line| line.strip_prefix("| `hickory_"));
--- a/crates/telemetry/tests/metered.rs
+++ b/crates/telemetry/tests/metered.rs
@@ -89,9 +89,9 @@
     ];
     for (error, result) in errors {
         for call in Call::ALL {
-            let (clock, metrics) = (Manual::start(), Metrics::open().unwrap());
+            let (clock, metrics) = (Manual::start(), Metrics::new().unwrap());
             let port = Failing(clock.clone(), error.clone());
-            let platform = Metered::open(port, clock, metrics.clone());
+            let platform = Metered::new(port, clock, metrics.clone());
             assert_eq!(make(&platform, *call).await, error);
 
             let text = metrics.render();
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn every_refusal_and_retry_reason_has_its_series_from_the_start() {
-    let text = Metrics::open().unwrap().render();
+    let text = Metrics::new().unwrap().render();
     for reason in Reason::ALL {
         for ran in ["no", "unknown"] {
             let series = format!(r#"hickory_refusals_total{{ran="{ran}",reason="{reason}"}}"#);
@@ -28,8 +28,8 @@
 #[test]
 fn each_reason_counts_into_its_own_series() {
     for (index, reason) in Reason::ALL.iter().enumerate() {
-        let metrics = Metrics::open().unwrap();
-        metrics.refused(*reason, Ran::Unknown);
+        let metrics = Metrics::new().unwrap();
+        metrics.count_refusal(*reason, Ran::Unknown);
         let text = metrics.render();
         let counted: Vec<&str> = text
             .lines()
@@ -39,8 +39,8 @@
         assert_eq!(counted, [expected], "reason {index}");
     }
     for reason in Retry::ALL {
-        let metrics = Metrics::open().unwrap();
-        metrics.retried(*reason);
+        let metrics = Metrics::new().unwrap();
+        metrics.count_retry(*reason);
         let series = format!(r#"hickory_retries_total{{reason="{reason}"}}"#);
         assert_eq!(value(&metrics.render(), &series), Some(1.0));
     }
@@ -50,8 +50,8 @@
 fn each_call_and_result_counts_into_its_own_series() {
     for call in Call::ALL {
         for result in Outcome::ALL {
-            let metrics = Metrics::open().unwrap();
-            metrics.platform_called(*call, *result, Duration::from_millis(3));
+            let metrics = Metrics::new().unwrap();
+            metrics.record_platform_call(*call, *result, Duration::from_millis(3));
             let series =
                 format!(r#"hickory_platform_calls_total{{call="{call}",result="{result}"}}"#);
             assert_eq!(value(&metrics.render(), &series), Some(1.0));
@@ -61,9 +61,9 @@
 
 #[test]
 fn a_request_is_in_flight_until_its_guard_drops() {
-    let metrics = Metrics::open().unwrap();
+    let metrics = Metrics::new().unwrap();
     let series = r#"hickory_requests_in_flight{work="completion"}"#;
-    let guard = metrics.begin(Work::Completion);
+    let guard = metrics.begin_request(Work::Completion);
     assert_eq!(value(&metrics.render(), series), Some(1.0));
     drop(guard);
     assert_eq!(value(&metrics.render(), series), Some(0.0));
@@ -72,9 +72,9 @@
 
 #[test]
 fn whole_answers_are_kept_apart_by_work() {
-    let metrics = Metrics::open().unwrap();
+    let metrics = Metrics::new().unwrap();
     for work in Work::ALL {
-        metrics.answered(*work, Duration::from_millis(250));
+        metrics.observe_answer(*work, Duration::from_millis(250));
         let series = format!(r#"hickory_answer_seconds_count{{work="{work}"}}"#);
         assert_eq!(value(&metrics.render(), &series), Some(1.0));
     }
@@ -82,11 +82,11 @@
 
 #[test]
 fn first_tokens_are_kept_apart_by_prompt_length() {
-    let metrics = Metrics::open().unwrap();
+    let metrics = Metrics::new().unwrap();
     let lengths = [1_000, 10_000, 100_000, 1_000_000];
     for (length, class) in lengths.into_iter().zip(Length::ALL) {
         assert_eq!(Length::of(size::Tokens(length)), *class);
-        metrics.first_token(size::Tokens(length), Duration::from_millis(250));
+        metrics.observe_first_token(size::Tokens(length), Duration::from_millis(250));
         let series = format!(r#"hickory_first_token_seconds_count{{prompt="{class}"}}"#);
         assert_eq!(value(&metrics.render(), &series), Some(1.0));
     }
