--- a/crates/telemetry/src/lines.rs
+++ b/crates/telemetry/src/appender.rs
@@ -16,43 +16,44 @@
 use std::time::Instant;
 
 /// Lines that wait at most, some 100 KB.
-const WAITING_MAX: usize = 512;
+const MAX_QUEUED_LINES: usize = 512;
 
 /// Lines a second that are written at most, and those that may come at once. A
 /// node with 35 requests a second writes some 40; a burst of refusals, of which
 /// each has a line, would otherwise take the processor from the requests.
-const RATE: f64 = 200.0;
-const BURST: f64 = 400.0;
+const MAX_LINES_PER_SECOND: f64 = 200.0;
+const MAX_BURST_LINES: f64 = 400.0;
 
 /// The writer's stack: it formats nothing.
-const STACK: usize = 64 << 10;
+const WRITER_STACK_BYTES: usize = 64 << 10;
 
 /// An appender that never waits.
 #[derive(Debug)]
-pub(crate) struct Lines {
+pub(crate) struct QueuedAppender {
     queue: Sender<Vec<u8>>,
     dropped: AtomicU64,
-    allowance: Mutex<Allowance>,
+    bucket: Mutex<TokenBucket>,
     encoder: JsonEncoder,
 }
 
 /// Lines that may be written now.
 #[derive(Debug)]
-struct Allowance {
-    lines: f64,
-    at: Instant,
+struct TokenBucket {
+    tokens: f64,
+    refilled: Instant,
 }
 
-impl Allowance {
-    fn take(&mut self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.at);
-        self.at = now;
-        self.lines = (self.lines + RATE * passed.as_secs_f64()).min(BURST);
-        let allowed = self.lines >= 1.0;
-        if allowed {
-            self.lines -= 1.0;
+impl TokenBucket {
+    fn try_take(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled);
+        self.refilled = now;
+        self.tokens =
+            (self.tokens + MAX_LINES_PER_SECOND * elapsed.as_secs_f64()).min(MAX_BURST_LINES);
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
+            self.tokens -= 1.0;
         }
-        allowed
+        is_allowed
     }
 }
 
@@ -69,25 +70,25 @@
     }
 }
 
-impl Lines {
+impl QueuedAppender {
     /// Starts the writer.
     pub(crate) fn spawn(out: impl Write + Send + 'static) -> std::io::Result<Self> {
-        let (first, lines) = Self::spawn_with_first(out)?;
+        let (first, lines) = Self::spawn_with_first_line(out)?;
         drop(first);
         Ok(lines)
     }
 
     /// Starts the writer, which writes nothing before the first line.
-    pub(crate) fn spawn_with_first(
+    pub(crate) fn spawn_with_first_line(
         out: impl Write + Send + 'static,
     ) -> std::io::Result<(FirstLine, Self)> {
         let (first, ready) = bounded(1);
-        let (queue, lines) = bounded(WAITING_MAX);
-        let writer = std::thread::Builder::new().name("log".into()).stack_size(STACK);
-        writer.spawn(move || write_lines(ready.into_iter().take(1).chain(lines), out))?;
-        let allowance = Mutex::new(Allowance { lines: BURST, at: Instant::now() });
+        let (queue, lines) = bounded(MAX_QUEUED_LINES);
+        let writer = std::thread::Builder::new().name("log".into()).stack_size(WRITER_STACK_BYTES);
+        writer.spawn(move || write_all_lines(ready.into_iter().take(1).chain(lines), out))?;
+        let bucket = Mutex::new(TokenBucket { tokens: MAX_BURST_LINES, refilled: Instant::now() });
         let dropped = AtomicU64::new(0);
-        Ok((FirstLine(first), Self { queue, dropped, allowance, encoder: JsonEncoder::new() }))
+        Ok((FirstLine(first), Self { queue, dropped, bucket, encoder: JsonEncoder::new() }))
     }
 
     fn send(&self, line: Vec<u8>) {
@@ -96,7 +97,7 @@
         }
     }
 
-    fn tell_dropped(&self) {
+    fn log_dropped_count(&self) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let line = format!(
@@ -109,18 +110,18 @@
     }
 }
 
-impl Append for Lines {
+impl Append for QueuedAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
-        let allowed = {
-            let mut allowance = self.allowance.lock().unwrap_or_else(PoisonError::into_inner);
-            allowance.take(Instant::now())
+        let is_allowed = {
+            let mut bucket = self.bucket.lock().unwrap_or_else(PoisonError::into_inner);
+            bucket.try_take(Instant::now())
         };
-        if !allowed {
+        if !is_allowed {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
         if self.dropped.load(Ordering::Relaxed) > 0 {
-            self.tell_dropped();
+            self.log_dropped_count();
         }
         let mut line = SimpleWriter(Vec::with_capacity(256));
         self.encoder.encode(&mut line, record)?;
@@ -131,7 +132,7 @@
     fn flush(&self) {}
 }
 
-fn write_lines(lines: impl Iterator<Item = Vec<u8>>, mut out: impl Write) {
+fn write_all_lines(lines: impl Iterator<Item = Vec<u8>>, mut out: impl Write) {
     for line in lines {
         // Nobody reads any more: there is no one left to tell.
         let _ = out.write_all(&line).and_then(|()| out.flush());
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs as JSON lines and metrics in the Prometheus text format.
 
+mod appender;
 pub mod label;
-mod lines;
 pub mod logs;
 pub mod metered;
 pub mod metrics;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,7 +1,7 @@
 //! Logs as JSON lines.
 
-pub use crate::lines::FirstLine;
-use crate::lines::Lines;
+pub use crate::appender::FirstLine;
+use crate::appender::QueuedAppender;
 use hickory_unit::id;
 use log::kv::{self, Key, Source, Value, VisitSource};
 use log::{Level, LevelFilter, Record};
@@ -12,7 +12,7 @@
 use std::path::Path;
 
 /// The name of the only appender.
-const APPENDER: &str = "lines";
+const APPENDER_NAME: &str = "lines";
 
 /// Opens the process's log: JSON lines appended to `file`.
 ///
@@ -26,8 +26,8 @@
 
 fn init(level: LevelFilter, appender: Box<dyn Append>) -> eyre::Result<log4rs::Handle> {
     let config = Config::builder()
-        .appender(Appender::builder().build(APPENDER, appender))
-        .build(Root::builder().appender(APPENDER).build(level))?;
+        .appender(Appender::builder().build(APPENDER_NAME, appender))
+        .build(Root::builder().appender(APPENDER_NAME).build(level))?;
     Ok(log4rs::init_config(config)?)
 }
 
@@ -43,7 +43,7 @@
 ///
 /// The thread can't be started, or a log is open already.
 pub fn open_stdout(level: LevelFilter) -> eyre::Result<log4rs::Handle> {
-    init(level, Box::new(Lines::spawn(std::io::stdout())?))
+    init(level, Box::new(QueuedAppender::spawn(std::io::stdout())?))
 }
 
 /// Opens the process's log as [`open_stdout`] does, or appends it to `file`
@@ -54,10 +54,10 @@
 ///
 /// As of [`open`] and [`open_stdout`].
 pub fn open_with_first_line(level: LevelFilter, file: Option<&Path>) -> eyre::Result<FirstLine> {
-    let (first, lines) = Lines::spawn_with_first(std::io::stdout())?;
+    let (first, appender) = QueuedAppender::spawn_with_first_line(std::io::stdout())?;
     match file {
         Some(path) => open(level, path)?,
-        None => init(level, Box::new(lines))?,
+        None => init(level, Box::new(appender))?,
     };
     Ok(first)
 }
--- a/crates/telemetry/src/metered.rs
+++ b/crates/telemetry/src/metered.rs
@@ -23,20 +23,20 @@
         Self { port, clock, metrics }
     }
 
-    async fn count<T>(
+    async fn measure<T>(
         &self,
         call: Call,
-        work: impl Future<Output = Result<T, Error>>,
+        response: impl Future<Output = Result<T, Error>>,
     ) -> Result<T, Error> {
         let start = self.clock.now();
-        let result = work.await;
-        let time = self.clock.now().saturating_duration_since(start);
-        self.metrics.record_platform_call(call, read_result(&result), time);
+        let result = response.await;
+        let elapsed = self.clock.now().saturating_duration_since(start);
+        self.metrics.record_platform_call(call, outcome_of(&result), elapsed);
         result
     }
 }
 
-fn read_result<T>(result: &Result<T, Error>) -> Outcome {
+fn outcome_of<T>(result: &Result<T, Error>) -> Outcome {
     match result {
         Ok(_) => Outcome::Done,
         Err(Error::Conflict(_)) => Outcome::Conflict,
@@ -48,42 +48,42 @@
 
 impl<P: Store, C: Clock> Store for Metered<P, C> {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        self.count(Call::Get, self.port.get(key)).await
+        self.measure(Call::Get, self.port.get(key)).await
     }
 
     async fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), Error> {
-        self.count(Call::List, self.port.list(prefix)).await
+        self.measure(Call::List, self.port.list(prefix)).await
     }
 
     async fn write(&self, write: Write) -> Result<Revision, Error> {
-        self.count(Call::Write, self.port.write(write)).await
+        self.measure(Call::Write, self.port.write(write)).await
     }
 
     async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Batch, Error> {
-        self.count(Call::Watch, self.port.watch(prefix, after, wait)).await
+        self.measure(Call::Watch, self.port.watch(prefix, after, wait)).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
-        self.count(Call::Grant, self.port.grant(ttl)).await
+        self.measure(Call::Grant, self.port.grant(ttl)).await
     }
 
     async fn renew(&self, lease: Lease) -> Result<(), Error> {
-        self.count(Call::Renew, self.port.renew(lease)).await
+        self.measure(Call::Renew, self.port.renew(lease)).await
     }
 
     async fn revoke(&self, lease: Lease) -> Result<(), Error> {
-        self.count(Call::Revoke, self.port.revoke(lease)).await
+        self.measure(Call::Revoke, self.port.revoke(lease)).await
     }
 }
 
 impl<P: host::List, C: Clock> host::List for Metered<P, C> {
     async fn hosts(&self) -> Result<Vec<Host>, Error> {
-        self.count(Call::Hosts, self.port.hosts()).await
+        self.measure(Call::Hosts, self.port.hosts()).await
     }
 }
 
 impl<P: weight::Weights, C: Clock> weight::Weights for Metered<P, C> {
     async fn limit(&self) -> Result<weight::Limit, Error> {
-        self.count(Call::Limit, self.port.limit()).await
+        self.measure(Call::Limit, self.port.limit()).await
     }
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -19,22 +19,24 @@
 /// Bounds in seconds of the time to first token and to the end of an answer: from
 /// a cached short prompt on loopback to a prompt of a million tokens on a busy
 /// fleet.
-const FIRST_TOKEN_BOUNDS: &[f64] = &[
+const RESPONSE_TIME_BOUNDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.71, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0, 40.0,
     80.0, 160.0, 320.0, 640.0,
 ];
 
 /// Bounds in seconds of a wait for a permit.
-const PERMIT_BOUNDS: &[f64] =
+const PERMIT_WAIT_BOUNDS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0];
 
 /// Bounds in seconds of a call to the platform, which answers in
 /// milliseconds and is given up on after a second by default.
-const CALL_BOUNDS: &[f64] = &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
+const PLATFORM_CALL_BOUNDS: &[f64] =
+    &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
 
 /// Bounds in seconds of the time in which a node that heard of a new configuration
 /// has it in force; it should be seconds at the most.
-const DELAY_BOUNDS: &[f64] = &[0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0];
+const CONFIGURATION_DELAY_BOUNDS: &[f64] =
+    &[0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0];
 
 /// A registration that failed: a metric's name stands twice or is malformed.
 #[derive(Debug, Display, derive_more::Error, derive_more::From)]
@@ -47,16 +49,16 @@
     registry: Registry,
     refusals: Vec<[IntCounter; 2]>,
     retries: Vec<IntCounter>,
-    admitted: Vec<IntCounter>,
+    requests: Vec<IntCounter>,
     in_flight: Vec<IntGauge>,
-    first_token: Vec<Histogram>,
-    answer: Vec<Histogram>,
+    first_token_time: Vec<Histogram>,
+    answer_time: Vec<Histogram>,
     permit_wait: Histogram,
     tokens: Vec<IntCounter>,
     platform_calls: Vec<Vec<IntCounter>>,
-    platform_seconds: Vec<Histogram>,
-    ownership: Vec<IntCounter>,
-    owned: IntGauge,
+    platform_call_time: Vec<Histogram>,
+    ownership_changes: Vec<IntCounter>,
+    owned_targets: IntGauge,
     permits: Vec<IntCounter>,
     orphans: Vec<IntCounter>,
     claims: Vec<IntCounter>,
@@ -65,14 +67,14 @@
     suspects: IntGauge,
     target_restarts: IntCounter,
     target_silences: IntCounter,
-    configuration: IntGauge,
+    configuration_version: IntGauge,
     configuration_delay: Histogram,
     fetches: Vec<IntCounter>,
-    fetched: Vec<IntCounter>,
+    fetch_bytes: Vec<IntCounter>,
     placements: Vec<IntCounter>,
     datagrams: IntCounter,
     datagram_bytes: IntCounter,
-    peers: IntGauge,
+    connected_peers: IntGauge,
 }
 
 impl Metrics {
@@ -81,137 +83,131 @@
         let registry = Registry::new_custom(Some("hickory".to_owned()), None)?;
         let r = &registry;
         Ok(Self {
-            refusals: open_refusals(r)?,
-            retries: open_counters(
-                r,
-                "retries_total",
-                "Attempts made again",
-                "reason",
-                Retry::ALL,
-            )?,
-            admitted: open_counters(r, "requests_total", "Requests admitted", "work", Work::ALL)?,
-            in_flight: open_gauges(
+            refusals: add_refusals(r)?,
+            retries: add_counters(r, "retries_total", "Attempts made again", "reason", Retry::ALL)?,
+            requests: add_counters(r, "requests_total", "Requests admitted", "work", Work::ALL)?,
+            in_flight: add_gauges(
                 r,
                 "requests_in_flight",
                 "Requests admitted and not yet ended",
                 "work",
                 Work::ALL,
             )?,
-            first_token: open_histograms(
+            first_token_time: add_histograms(
                 r,
                 ("first_token_seconds", "Time from a request to its first token"),
                 "prompt",
                 Length::ALL,
-                FIRST_TOKEN_BOUNDS,
+                RESPONSE_TIME_BOUNDS,
             )?,
-            answer: open_histograms(
+            answer_time: add_histograms(
                 r,
                 ("answer_seconds", "Time from a request to the end of its whole answer"),
                 "work",
                 Work::ALL,
-                FIRST_TOKEN_BOUNDS,
+                RESPONSE_TIME_BOUNDS,
             )?,
-            permit_wait: open_histogram(
+            permit_wait: add_histogram(
                 r,
                 ("permit_wait_seconds", "Time from asking for a permit to having it"),
-                PERMIT_BOUNDS,
+                PERMIT_WAIT_BOUNDS,
             )?,
-            tokens: open_counters(r, "tokens_total", "Tokens", "direction", TokenDirection::ALL)?,
-            platform_calls: open_calls(r)?,
-            platform_seconds: open_histograms(
+            tokens: add_counters(r, "tokens_total", "Tokens", "direction", TokenDirection::ALL)?,
+            platform_calls: add_platform_calls(r)?,
+            platform_call_time: add_histograms(
                 r,
                 ("platform_call_seconds", "Time that a call to the platform took"),
                 "call",
                 Call::ALL,
-                CALL_BOUNDS,
+                PLATFORM_CALL_BOUNDS,
             )?,
-            ownership: open_counters(
+            ownership_changes: add_counters(
                 r,
                 "ownership_changes_total",
                 "Changes of the ownership of targets at this node",
                 "change",
                 Ownership::ALL,
             )?,
-            owned: open_gauge(r, "targets_owned", "Targets that this node owns")?,
-            permits: open_counters(
+            owned_targets: add_gauge(r, "targets_owned", "Targets that this node owns")?,
+            permits: add_counters(
                 r,
                 "permits_total",
                 "Answers to asks for a permit, as owner",
                 "answer",
                 Permit::ALL,
             )?,
-            orphans: open_counters(
+            orphans: add_counters(
                 r,
                 "orphans_swept_total",
                 "What was released on targets because no caller was left",
                 "kind",
                 Orphan::ALL,
             )?,
-            claims: open_counters(
+            claims: add_counters(
                 r,
                 "claims_total",
                 "Claims for calls that run at most once",
                 "result",
                 Claim::ALL,
             )?,
-            orders: open_counters(r, "orders_total", "Orders to engines", "result", Order::ALL)?,
-            quarantines: open_counter(
+            orders: add_counters(r, "orders_total", "Orders to engines", "result", Order::ALL)?,
+            quarantines: add_counter(
                 r,
                 "quarantines_total",
                 "Requests quarantined because targets died while they ran",
             )?,
-            suspects: open_gauge(
+            suspects: add_gauge(
                 r,
                 "suspects",
                 "Contents that ran on a target when it died, as known here",
             )?,
-            target_restarts: open_counter(
+            target_restarts: add_counter(
                 r,
                 "target_restarts_total",
                 "Owned targets that came back as a new process",
             )?,
-            target_silences: open_counter(
+            target_silences: add_counter(
                 r,
                 "target_silences_total",
                 "Owned targets that ceased to answer and got no new work",
             )?,
-            configuration: open_gauge(
+            configuration_version: add_gauge(
                 r,
                 "configuration_version",
                 "Version of the configuration in force",
             )?,
-            configuration_delay: open_histogram(
+            configuration_delay: add_histogram(
                 r,
                 (
                     "configuration_delay_seconds",
                     "Time from the first word of newer operators' data to having it in force",
                 ),
-                DELAY_BOUNDS,
+                CONFIGURATION_DELAY_BOUNDS,
             )?,
-            placements: open_counters(
+            placements: add_counters(
                 r,
                 "placements_total",
                 "Requests that were placed, by who decided",
                 "by",
                 Decider::ALL,
             )?,
-            datagrams: open_counter(r, "datagrams_sent_total", "Datagrams sent to other nodes")?,
-            datagram_bytes: open_counter(r, "datagram_bytes_sent_total", "Their bytes")?,
-            fetches: open_counters(
+            datagrams: add_counter(r, "datagrams_sent_total", "Datagrams sent to other nodes")?,
+            datagram_bytes: add_counter(r, "datagram_bytes_sent_total", "Their bytes")?,
+            fetches: add_counters(
                 r,
                 "peer_fetches_total",
                 "What nodes asked each other for, by what came of it",
                 "result",
                 Fetch::ALL,
             )?,
-            fetched: open_counters(
+            fetch_bytes: add_counters(
                 r,
                 "peer_fetch_bytes_total",
                 "Bytes of what nodes asked each other for",
                 "way",
                 TransferDirection::ALL,
             )?,
-            peers: open_gauge(r, "peers_connected", "Nodes that this node has a link to")?,
+            connected_peers: add_gauge(r, "peers_connected", "Nodes that this node has a link to")?,
             registry,
         })
     }
@@ -228,7 +224,7 @@
 
     /// Counts an admitted request, in flight until the guard is dropped.
     pub fn begin_request(&self, work: Work) -> InFlightGuard {
-        self.admitted[work as usize].inc();
+        self.requests[work as usize].inc();
         let gauge = self.in_flight[work as usize].clone();
         gauge.inc();
         InFlightGuard(gauge)
@@ -236,12 +232,12 @@
 
     /// Notes the time to a first token.
     pub fn observe_first_token(&self, prompt: size::Tokens, time: Duration) {
-        self.first_token[Length::of(prompt) as usize].observe(time.as_secs_f64());
+        self.first_token_time[Length::of(prompt) as usize].observe(time.as_secs_f64());
     }
 
     /// Notes the time to the end of a whole answer.
     pub fn observe_answer(&self, work: Work, time: Duration) {
-        self.answer[work as usize].observe(time.as_secs_f64());
+        self.answer_time[work as usize].observe(time.as_secs_f64());
     }
 
     /// Notes the time from asking for a permit to having it.
@@ -259,18 +255,18 @@
         self.platform_calls[call as usize][result as usize].inc();
         // A watch lasts until something changes: its time says nothing.
         if call != Call::Watch {
-            self.platform_seconds[call as usize].observe(time.as_secs_f64());
+            self.platform_call_time[call as usize].observe(time.as_secs_f64());
         }
     }
 
     /// Counts a change of ownership.
     pub fn count_ownership_change(&self, change: Ownership) {
-        self.ownership[change as usize].inc();
+        self.ownership_changes[change as usize].inc();
     }
 
     /// Sets how many targets this node owns.
     pub fn set_owned_targets(&self, targets: usize) {
-        self.owned.set(targets as i64);
+        self.owned_targets.set(targets as i64);
     }
 
     /// Counts an answer to an ask for a permit.
@@ -315,7 +311,7 @@
 
     /// Sets the version of the configuration in force.
     pub fn set_configuration_version(&self, version: id::Release) {
-        self.configuration.set(version.0 as i64);
+        self.configuration_version.set(version.0 as i64);
     }
 
     /// Notes the time from the first word of newer data to having it in force.
@@ -329,13 +325,13 @@
     }
 
     /// Counts the bytes of a fetch between nodes.
-    pub fn count_fetch_bytes(&self, way: TransferDirection, bytes: size::Bytes) {
-        self.fetched[way as usize].inc_by(bytes.0);
+    pub fn count_fetch_bytes(&self, direction: TransferDirection, bytes: size::Bytes) {
+        self.fetch_bytes[direction as usize].inc_by(bytes.0);
     }
 
     /// Counts a request that was placed.
-    pub fn count_placement(&self, by: Decider) {
-        self.placements[by as usize].inc();
+    pub fn count_placement(&self, decider: Decider) {
+        self.placements[decider as usize].inc();
     }
 
     /// Counts a datagram that is sent to another node.
@@ -346,7 +342,7 @@
 
     /// Sets how many peers this node has a link to.
     pub fn set_connected_peers(&self, connected: usize) {
-        self.peers.set(connected as i64);
+        self.connected_peers.set(connected as i64);
     }
 
     /// All series in the Prometheus text format.
@@ -365,19 +361,19 @@
     }
 }
 
-fn open_counter(registry: &Registry, name: &str, help: &str) -> Result<IntCounter, Error> {
+fn add_counter(registry: &Registry, name: &str, help: &str) -> Result<IntCounter, Error> {
     let counter = IntCounter::new(name, help)?;
     registry.register(Box::new(counter.clone()))?;
     Ok(counter)
 }
 
-fn open_gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, Error> {
+fn add_gauge(registry: &Registry, name: &str, help: &str) -> Result<IntGauge, Error> {
     let gauge = IntGauge::new(name, help)?;
     registry.register(Box::new(gauge.clone()))?;
     Ok(gauge)
 }
 
-fn open_histogram(
+fn add_histogram(
     registry: &Registry,
     (name, help): (&str, &str),
     bounds: &[f64],
@@ -389,7 +385,7 @@
 }
 
 /// One counter for each value of a label, in the order of the values.
-fn open_counters<L: std::fmt::Display>(
+fn add_counters<L: std::fmt::Display>(
     registry: &Registry,
     name: &str,
     help: &str,
@@ -401,7 +397,7 @@
     Ok(values.iter().map(|v| counters.with_label_values(&[&v.to_string()])).collect())
 }
 
-fn open_gauges<L: std::fmt::Display>(
+fn add_gauges<L: std::fmt::Display>(
     registry: &Registry,
     name: &str,
     help: &str,
@@ -413,7 +409,7 @@
     Ok(values.iter().map(|v| gauges.with_label_values(&[&v.to_string()])).collect())
 }
 
-fn open_histograms<L: std::fmt::Display>(
+fn add_histograms<L: std::fmt::Display>(
     registry: &Registry,
     (name, help): (&str, &str),
     label: &str,
@@ -426,7 +422,7 @@
     Ok(values.iter().map(|v| histograms.with_label_values(&[&v.to_string()])).collect())
 }
 
-fn open_refusals(registry: &Registry) -> Result<Vec<[IntCounter; 2]>, Error> {
+fn add_refusals(registry: &Registry) -> Result<Vec<[IntCounter; 2]>, Error> {
     let opts = Opts::new("refusals_total", "Requests refused, by reason and whether they ran");
     let refusals = IntCounterVec::new(opts, &["reason", "ran"])?;
     registry.register(Box::new(refusals.clone()))?;
@@ -436,7 +432,7 @@
     Ok(Reason::ALL.iter().map(|r| [open(r, Ran::No), open(r, Ran::Unknown)]).collect())
 }
 
-fn open_calls(registry: &Registry) -> Result<Vec<Vec<IntCounter>>, Error> {
+fn add_platform_calls(registry: &Registry) -> Result<Vec<Vec<IntCounter>>, Error> {
     let opts = Opts::new("platform_calls_total", "Calls to the platform, by kind and result");
     let calls = IntCounterVec::new(opts, &["call", "result"])?;
     registry.register(Box::new(calls.clone()))?;
--- a/crates/telemetry/tests/metered.rs
+++ b/crates/telemetry/tests/metered.rs
@@ -11,16 +11,16 @@
 
 /// A platform whose every call takes 40 ms and ends with the same error.
 #[derive(Clone)]
-struct Failing(Manual, Error);
+struct FailingPlatform(Manual, Error);
 
-impl Failing {
+impl FailingPlatform {
     async fn fail<T>(&self) -> Result<T, Error> {
         self.0.advance(Duration::from_millis(40));
         Err(self.1.clone())
     }
 }
 
-impl Store for Failing {
+impl Store for FailingPlatform {
     async fn get(&self, _: &str) -> Result<Option<Entry>, Error> {
         self.fail().await
     }
@@ -50,20 +50,20 @@
     }
 }
 
-impl List for Failing {
+impl List for FailingPlatform {
     async fn hosts(&self) -> Result<Vec<Host>, Error> {
         self.fail().await
     }
 }
 
-impl Weights for Failing {
+impl Weights for FailingPlatform {
     async fn limit(&self) -> Result<Limit, Error> {
         self.fail().await
     }
 }
 
 /// Makes one call of a kind, and returns its error.
-async fn make<P: Store + List + Weights>(platform: &P, call: Call) -> Error {
+async fn call_platform<P: Store + List + Weights>(platform: &P, call: Call) -> Error {
     let lease = Lease(1);
     let write = Write { key: "k".into(), value: None, expect: Expect::Any, lease: None };
     match call {
@@ -90,9 +90,9 @@
     for (error, result) in errors {
         for call in Call::ALL {
             let (clock, metrics) = (Manual::start(), Metrics::new().unwrap());
-            let port = Failing(clock.clone(), error.clone());
+            let port = FailingPlatform(clock.clone(), error.clone());
             let platform = Metered::new(port, clock, metrics.clone());
-            assert_eq!(make(&platform, *call).await, error);
+            assert_eq!(call_platform(&platform, *call).await, error);
 
             let text = metrics.render();
             let counted: Vec<&str> = text
