--- a/apps/hickory/src/report.rs
+++ b/apps/hickory/src/report.rs
@@ -3,9 +3,9 @@
 use crate::args::Report;
 use crate::failure::Failure;
 use crate::print::print_json;
-use hickory_report::page::write_page;
+use hickory_report::atomic_file;
+use hickory_report::page::render_page;
 use hickory_report::read::read_lines;
-use hickory_report::save::save;
 use hickory_report::summary::Summary;
 use hickory_report::tally::Tally;
 use std::fmt::Display;
@@ -25,13 +25,13 @@
     for log in &options.logs {
         read_log(log, &mut tally).map_err(|error| fail(log, error))?;
     }
-    if let Some(fault) = tally.first_fault().filter(|_| options.strict) {
+    if let Some(fault) = tally.first_problem().filter(|_| options.strict) {
         return Err(Failure::Local(fault));
     }
     let summary = Summary::of(&tally);
     if let Some(out) = &options.out {
-        let page = write_page(&summary).map_err(|error| fail(out, error))?;
-        save(out, &page).map_err(|error| fail(out, error))?;
+        let page = render_page(&summary).map_err(|error| fail(out, error))?;
+        atomic_file::write(out, &page).map_err(|error| fail(out, error))?;
     }
     match (&options.out, json) {
         (_, true) => print_json(&summary),
--- a/crates/report/src/save.rs
+++ b/crates/report/src/atomic_file.rs
@@ -10,18 +10,18 @@
 /// # Errors
 ///
 /// The file can't be written or moved; nothing is left of it.
-pub fn save(path: &Path, text: &str) -> io::Result<()> {
-    let beside = name_beside(path)?;
-    let file = OpenOptions::new().write(true).create_new(true).open(&beside)?;
-    let moved = write_all(file, text).and_then(|()| fs::rename(&beside, path));
-    if moved.is_err() {
+pub fn write(path: &Path, text: &str) -> io::Result<()> {
+    let temporary = temporary_path(path)?;
+    let file = OpenOptions::new().write(true).create_new(true).open(&temporary)?;
+    let result = write_all(file, text).and_then(|()| fs::rename(&temporary, path));
+    if result.is_err() {
         // The first error is the one to tell of.
-        let _ = fs::remove_file(&beside);
+        let _ = fs::remove_file(&temporary);
     }
-    moved
+    result
 }
 
-fn name_beside(path: &Path) -> io::Result<PathBuf> {
+fn temporary_path(path: &Path) -> io::Result<PathBuf> {
     let Some(name) = path.file_name() else {
         return Err(io::Error::new(io::ErrorKind::InvalidInput, "it names no file"));
     };
--- a/crates/report/src/spread.rs
+++ b/crates/report/src/distribution.rs
@@ -4,16 +4,16 @@
 use hdrhistogram::Histogram;
 
 /// The greatest value that is told apart.
-const VALUE_MAX: u64 = 10_000_000;
+const MAX_VALUE: u64 = 10_000_000;
 
 /// How values are spread, to so many digits; takes memory from its first value on.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Spread<const DIGITS: u8>(Option<Box<Histogram<u32>>>);
+pub(crate) struct Distribution<const DIGITS: u8>(Option<Box<Histogram<u32>>>);
 
-impl<const DIGITS: u8> Spread<DIGITS> {
+impl<const DIGITS: u8> Distribution<DIGITS> {
     pub(crate) fn add(&mut self, value: u64) {
         if self.0.is_none() {
-            self.0 = Histogram::new_with_bounds(1, VALUE_MAX, DIGITS).ok().map(Box::new);
+            self.0 = Histogram::new_with_bounds(1, MAX_VALUE, DIGITS).ok().map(Box::new);
         }
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record(value);
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -5,15 +5,15 @@
 //! counted; [`page::write_page`] draws it, and [`save::save`] puts the page down
 //! whole or not at all.
 
+pub mod atomic_file;
+pub mod bounded_counts;
+mod distribution;
 pub mod line;
 pub mod outcome;
 pub mod page;
 mod plot;
 pub mod read;
-pub mod roll;
-pub mod save;
 pub mod size;
-mod spread;
 pub mod summary;
 mod table;
 pub mod tally;
--- a/crates/report/src/line.rs
+++ b/crates/report/src/line.rs
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 
 /// The greatest number that a field may hold.
-const NUMBER_MAX: u64 = 1_000_000_000_000;
+const MAX_NUMBER: u64 = 1_000_000_000_000;
 
 /// Characters of a name that are kept.
-const NAME_MAX: usize = 64;
+const MAX_NAME_CHARS: usize = 64;
 
 /// The fields of the lines that are read, also those that aren't needed.
-const FIELDS: &[&str] = &[
+const KNOWN_FIELDS: &[&str] = &[
     "account",
     "age_ms",
     "ahead_ms",
@@ -57,7 +57,7 @@
 ];
 
 /// The fields that say what a decision knew.
-pub const KNOWN: [&str; 11] = [
+pub const DECISION_FIELDS: [&str; 11] = [
     "prompt",
     "goal_left_ms",
     "limit_left_ms",
@@ -72,7 +72,7 @@
 ];
 
 /// What nodes came to believe or do, as far as it is counted.
-const NEWS: &[&str] = &[
+const NODE_EVENTS: &[&str] = &[
     "a target died under a request",
     "configuration taken over",
     "peer gave no items",
@@ -93,19 +93,19 @@
 
 /// Why a line can't be read.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Fault {
+pub enum LineError {
     /// It is no JSON document of a log line.
     #[display("no JSON log line: {_0}")]
-    Shape(#[error(not(source))] String),
+    Malformed(#[error(not(source))] String),
     /// It is longer than any line of a node.
     #[display("longer than {_0} bytes")]
-    Length(#[error(not(source))] usize),
+    TooLong(#[error(not(source))] usize),
     /// A field that is needed is missing.
     #[display("field {_0} is missing")]
-    Missing(#[error(not(source))] &'static str),
+    MissingField(#[error(not(source))] &'static str),
     /// A field holds no number that it may hold.
     #[display("field {_0} holds no number within bounds")]
-    Number(#[error(not(source))] &'static str),
+    InvalidNumber(#[error(not(source))] &'static str),
 }
 
 /// A log line, as far as it is read.
@@ -122,7 +122,7 @@
     /// What it tells.
     pub event: Event,
     /// Fields that aren't known here.
-    pub unknown: Vec<CompactString>,
+    pub unknown_fields: Vec<CompactString>,
 }
 
 /// What a line tells.
@@ -133,21 +133,21 @@
     /// A request was refused.
     Refused(Refused),
     /// A request of so many tokens ended without a whole answer.
-    Broken(u64),
+    Failed(u64),
     /// The caller of a request of so many tokens left.
-    Gone(u64),
+    CallerGone(u64),
     /// A long prompt was placed.
     Placed(Placed),
     /// A request begins to wait for engines.
-    Waits,
+    WaitStarted,
     /// An attempt failed.
-    Attempt(Attempt),
+    AttemptFailed(FailedAttempt),
     /// No repeat was left to spend.
-    Spent,
+    RetriesExhausted,
     /// A node dropped so many of its lines.
     Dropped(u64),
     /// What a node came to believe or do.
-    News(&'static str),
+    NodeEvent(&'static str),
     /// A message that isn't counted.
     Other,
 }
@@ -206,9 +206,9 @@
     pub status: u64,
     /// Whether it ran.
     pub ran: CompactString,
-    /// What was known, in the order of [`KNOWN`]; all missing where it did not
+    /// What was known, in the order of [`DECISION_FIELDS`]; all missing where it did not
     /// matter.
-    pub known: [Option<u64>; KNOWN.len()],
+    pub known: [Option<u64>; DECISION_FIELDS.len()],
 }
 
 /// A long prompt that was placed.
@@ -222,11 +222,11 @@
 
 /// An attempt that failed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Attempt {
+pub struct FailedAttempt {
     /// Its target, where the line names it.
     pub target: Option<CompactString>,
     /// Why it failed.
-    pub why: CompactString,
+    pub reason: CompactString,
 }
 
 /// A line as the nodes write it.
@@ -245,32 +245,35 @@
 struct Fields(BTreeMap<CompactString, Value>);
 
 impl Fields {
-    fn number(&self, name: &'static str) -> Result<Option<u64>, Fault> {
+    fn number(&self, name: &'static str) -> Result<Option<u64>, LineError> {
         let Some(value) = self.0.get(name) else { return Ok(None) };
         let number = match value {
             Value::String(text) => text.parse().ok(),
             other => other.as_u64(),
         };
-        number.filter(|number| *number <= NUMBER_MAX).map(Some).ok_or(Fault::Number(name))
+        number
+            .filter(|number| *number <= MAX_NUMBER)
+            .map(Some)
+            .ok_or(LineError::InvalidNumber(name))
     }
 
-    fn need(&self, name: &'static str) -> Result<u64, Fault> {
-        self.number(name)?.ok_or(Fault::Missing(name))
+    fn require(&self, name: &'static str) -> Result<u64, LineError> {
+        self.number(name)?.ok_or(LineError::MissingField(name))
     }
 
-    fn number_or_0(&self, name: &'static str) -> Result<u64, Fault> {
+    fn number_or_0(&self, name: &'static str) -> Result<u64, LineError> {
         Ok(self.number(name)?.unwrap_or(0))
     }
 
     fn text(&self, name: &str) -> CompactString {
-        self.0.get(name).and_then(Value::as_str).map(shorten).unwrap_or_default()
+        self.0.get(name).and_then(Value::as_str).map(truncate_name).unwrap_or_default()
     }
 
-    fn need_text(&self, name: &'static str) -> Result<CompactString, Fault> {
-        Some(self.text(name)).filter(|text| !text.is_empty()).ok_or(Fault::Missing(name))
+    fn require_text(&self, name: &'static str) -> Result<CompactString, LineError> {
+        Some(self.text(name)).filter(|text| !text.is_empty()).ok_or(LineError::MissingField(name))
     }
 
-    fn flag(&self, name: &str) -> Option<bool> {
+    fn boolean(&self, name: &str) -> Option<bool> {
         match self.0.get(name)? {
             Value::String(text) => text.parse().ok(),
             other => other.as_bool(),
@@ -279,99 +282,101 @@
 }
 
 /// Reads a line; it may stand behind columns of whatever gathered the logs.
-pub fn read_line(bytes: &[u8]) -> Result<Line, Fault> {
-    let begin = bytes.iter().position(|&byte| byte == b'{').unwrap_or(0);
-    let raw: Raw =
-        serde_json::from_slice(&bytes[begin..]).map_err(|error| Fault::Shape(error.to_string()))?;
+pub fn parse_line(bytes: &[u8]) -> Result<Line, LineError> {
+    let start = bytes.iter().position(|&byte| byte == b'{').unwrap_or(0);
+    let raw: Raw = serde_json::from_slice(&bytes[start..])
+        .map_err(|error| LineError::Malformed(error.to_string()))?;
     let fields = &raw.attributes;
-    let event = read_event(&raw.message, fields)?;
+    let event = parse_event(&raw.message, fields)?;
     let time = match (raw.time, &event) {
         (Some(time), _) => time.timestamp_millis(),
         (None, Event::Dropped(_)) => 0,
-        (None, _) => return Err(Fault::Missing("time")),
+        (None, _) => return Err(LineError::MissingField("time")),
     };
-    let unknown = match event {
-        Event::News(_) | Event::Other => Vec::new(),
-        _ => fields.0.keys().filter(|name| !FIELDS.contains(&name.as_str())).cloned().collect(),
+    let unknown_fields = match event {
+        Event::NodeEvent(_) | Event::Other => Vec::new(),
+        _ => {
+            fields.0.keys().filter(|name| !KNOWN_FIELDS.contains(&name.as_str())).cloned().collect()
+        }
     };
     Ok(Line {
         time_ms: time,
-        node: raw.mdc.get("node").map(|node| shorten(node)).unwrap_or_default(),
+        node: raw.mdc.get("node").map(|node| truncate_name(node)).unwrap_or_default(),
         request: fields.text("request"),
         age_ms: fields.number_or_0("age_ms")?,
         event,
-        unknown,
+        unknown_fields,
     })
 }
 
-fn read_event(message: &str, fields: &Fields) -> Result<Event, Fault> {
+fn parse_event(message: &str, fields: &Fields) -> Result<Event, LineError> {
     let name = message.split_once(": ").map_or(message, |(name, _)| name);
-    if let Some(name) = NEWS.iter().find(|known| **known == name) {
-        return Ok(Event::News(name));
+    if let Some(name) = NODE_EVENTS.iter().find(|message| **message == name) {
+        return Ok(Event::NodeEvent(name));
     }
-    if let Some(why) = message.strip_prefix("attempt failed: ") {
+    if let Some(reason) = message.strip_prefix("attempt failed: ") {
         let target = Some(fields.text("target_id")).filter(|target| !target.is_empty());
-        return Ok(Event::Attempt(Attempt { target, why: shorten(why) }));
+        return Ok(Event::AttemptFailed(FailedAttempt { target, reason: truncate_name(reason) }));
     }
     if let Some(count) = message.strip_suffix(" log lines were dropped") {
         return Ok(count.parse().map_or(Event::Other, |count: u32| Event::Dropped(count.into())));
     }
     match message {
-        "answered" => read_answered(fields).map(Event::Answered),
-        "placed" => read_placed(fields).map(Event::Placed),
-        "waits for engines" => Ok(Event::Waits),
-        "no repeat left to spend" => Ok(Event::Spent),
-        "the caller is gone" => fields.number_or_0("prompt").map(Event::Gone),
-        "the deadline passed within the stream" => fields.number_or_0("prompt").map(Event::Broken),
+        "answered" => parse_answered(fields).map(Event::Answered),
+        "placed" => parse_placed(fields).map(Event::Placed),
+        "waits for engines" => Ok(Event::WaitStarted),
+        "no repeat left to spend" => Ok(Event::RetriesExhausted),
+        "the caller is gone" => fields.number_or_0("prompt").map(Event::CallerGone),
+        "the deadline passed within the stream" => fields.number_or_0("prompt").map(Event::Failed),
         _ if message.starts_with("given up on: ") => {
-            fields.number_or_0("prompt").map(Event::Broken)
+            fields.number_or_0("prompt").map(Event::Failed)
         }
-        _ if message.starts_with("refused: ") => read_refused(fields).map(Event::Refused),
+        _ if message.starts_with("refused: ") => parse_refused(fields).map(Event::Refused),
         _ => Ok(Event::Other),
     }
 }
 
-fn read_answered(fields: &Fields) -> Result<Answered, Fault> {
+fn parse_answered(fields: &Fields) -> Result<Answered, LineError> {
     Ok(Answered {
-        target: fields.need_text("target_id")?,
-        status: fields.need("status")?,
-        sends: fields.need("sends")?,
-        prompt: fields.need("prompt")?,
-        expected_ms: fields.need("expected_ms")?,
-        first_ms: fields.need("first_ms")?,
+        target: fields.require_text("target_id")?,
+        status: fields.require("status")?,
+        sends: fields.require("sends")?,
+        prompt: fields.require("prompt")?,
+        expected_ms: fields.require("expected_ms")?,
+        first_ms: fields.require("first_ms")?,
         goal_ms: fields.number("goal_ms")?,
-        wait_ms: fields.need("wait_ms")?,
-        pause_ms: fields.need("pause_ms")?,
+        wait_ms: fields.require("wait_ms")?,
+        pause_ms: fields.require("pause_ms")?,
         pause_max_ms: fields.number_or_0("pause_max_ms")?,
-        short: fields.flag("short"),
+        short: fields.boolean("short"),
         part_ms: fields.number_or_0("part_ms")?,
-        age_ms: fields.need("age_ms")?,
+        age_ms: fields.require("age_ms")?,
     })
 }
 
-fn read_refused(fields: &Fields) -> Result<Refused, Fault> {
-    let mut known = [None; KNOWN.len()];
-    for (value, name) in known.iter_mut().zip(KNOWN) {
+fn parse_refused(fields: &Fields) -> Result<Refused, LineError> {
+    let mut known = [None; DECISION_FIELDS.len()];
+    for (value, name) in known.iter_mut().zip(DECISION_FIELDS) {
         *value = fields.number(name)?;
     }
     // A prompt of which nothing was read has no size.
     known[0] = known[0].filter(|prompt| *prompt > 0);
     Ok(Refused {
-        reason: fields.need_text("reason")?,
-        status: fields.need("status")?,
-        ran: fields.need_text("ran")?,
+        reason: fields.require_text("reason")?,
+        status: fields.require("status")?,
+        ran: fields.require_text("ran")?,
         known,
     })
 }
 
-fn read_placed(fields: &Fields) -> Result<Placed, Fault> {
-    let first = fields.need_text("target_id")?;
+fn parse_placed(fields: &Fields) -> Result<Placed, LineError> {
+    let first = fields.require_text("target_id")?;
     let helpers = fields.0.get("helpers").and_then(Value::as_str).unwrap_or_default();
-    let helpers = helpers.split(',').filter(|name| !name.is_empty()).map(shorten);
+    let helpers = helpers.split(',').filter(|name| !name.is_empty()).map(truncate_name);
     let targets = std::iter::once(first).chain(helpers).collect();
-    Ok(Placed { targets, part_ms: fields.need("part_ms")? })
+    Ok(Placed { targets, part_ms: fields.require("part_ms")? })
 }
 
-fn shorten(name: &str) -> CompactString {
-    name.chars().take(NAME_MAX).collect()
+fn truncate_name(name: &str) -> CompactString {
+    name.chars().take(MAX_NAME_CHARS).collect()
 }
--- a/crates/report/src/outcome.rs
+++ b/crates/report/src/outcome.rs
@@ -59,7 +59,7 @@
 }
 
 /// Judges an answer.
-pub fn judge_answer(answer: &Answered) -> Outcome {
+pub fn classify_answer(answer: &Answered) -> Outcome {
     let Some(goal) = answer.goal_ms.filter(|_| answer.status < 500) else {
         return if answer.status < 500 { Outcome::Unjudged } else { Outcome::Failed };
     };
@@ -71,7 +71,7 @@
 }
 
 /// Judges a refusal.
-pub fn judge_refusal(refusal: &Refused) -> Outcome {
+pub fn classify_refusal(refusal: &Refused) -> Outcome {
     let invalid = (400..500).contains(&refusal.status) && !matches!(refusal.status, 408 | 429);
     match (refusal.ran.as_str(), invalid) {
         ("no", true) => Outcome::Invalid,
@@ -108,7 +108,7 @@
     }
 
     /// Requests that ended in a way that speaks against the service.
-    pub fn bad(&self) -> u64 {
+    pub fn count_bad(&self) -> u64 {
         Outcome::ALL.into_iter().filter(|o| o.is_bad()).map(|o| self.total(o)).sum()
     }
 }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -16,7 +16,7 @@
 /// # Errors
 ///
 /// A plot can't be drawn.
-pub fn write_page(summary: &Summary) -> Result<String> {
+pub fn render_page(summary: &Summary) -> Result<String> {
     let outcomes = plot::draw_outcomes(summary)?;
     let occupancy = plot::draw_occupancy(summary)?;
     let page = html! {
@@ -29,34 +29,34 @@
             }
             body {
                 h1 { "hickory report" }
-                (write_lines(summary))
+                (render_line_counts(summary))
                 (table::list_worst(summary).render())
                 h2 { "Outcomes" }
                 (table::list_outcomes(summary).render())
-                @for plot in &outcomes { (show(plot)) }
+                @for plot in &outcomes { (render_plot(plot)) }
                 h2 { "First tokens" }
-                (table::list_first(summary).render())
-                @if let Some(plot) = &plot::draw_predicted(summary)? { (show(plot)) }
-                @if let Some(plot) = &plot::draw_first(summary)? { (show(plot)) }
+                (table::list_first_tokens(summary).render())
+                @if let Some(plot) = &plot::draw_predictions(summary)? { (render_plot(plot)) }
+                @if let Some(plot) = &plot::draw_first_tokens(summary)? { (render_plot(plot)) }
                 h2 { "Waits" }
                 (table::list_waits(summary).render())
-                @if let Some(plot) = &plot::draw_waits(summary)? { (show(plot)) }
+                @if let Some(plot) = &plot::draw_waits(summary)? { (render_plot(plot)) }
                 h2 { "Pauses" }
                 (table::list_pauses(summary).render())
-                @if let Some(plot) = &plot::draw_pauses(summary)? { (show(plot)) }
+                @if let Some(plot) = &plot::draw_pauses(summary)? { (render_plot(plot)) }
                 h2 { "Occupancy" }
                 (table::list_engines(summary).render())
-                (write_drawn(summary))
-                @for plot in &occupancy { (show(plot)) }
+                (render_undrawn(summary))
+                @for plot in &occupancy { (render_plot(plot)) }
                 h2 { "Refusals" }
                 (table::list_refusals(summary).render())
-                (table::list_known(summary).render())
+                (table::list_refusal_values(summary).render())
                 h2 { "Sends again" }
                 (table::list_sends(summary).render())
                 (table::list_attempts(summary).render())
-                @if let Some(plot) = &plot::draw_attempts(summary)? { (show(plot)) }
+                @if let Some(plot) = &plot::draw_attempts(summary)? { (render_plot(plot)) }
                 h2 { "Nodes" }
-                (table::list_news(summary).render())
+                (table::list_node_events(summary).render())
                 (table::list_faults(summary).render())
             }
         }
@@ -64,11 +64,11 @@
     Ok(page.into_string())
 }
 
-fn show(plot: &Plot) -> Markup {
+fn render_plot(plot: &Plot) -> Markup {
     html! { figure aria-label=(plot.title) { (PreEscaped(&plot.svg)) } }
 }
 
-fn write_lines(summary: &Summary) -> Markup {
+fn render_line_counts(summary: &Summary) -> Markup {
     let lines = &summary.lines;
     html! {
         p {
@@ -87,8 +87,8 @@
     }
 }
 
-fn write_drawn(summary: &Summary) -> Markup {
+fn render_undrawn(summary: &Summary) -> Markup {
     let busy = summary.engines.iter().filter(|row| row.short_ms + row.long_ms > 0).count();
-    let more = busy.saturating_sub(plot::ENGINES_DRAWN);
-    html! { @if more > 0 { p { "Not drawn: " (more) " engines that read less." } } }
+    let undrawn = busy.saturating_sub(plot::MAX_ENGINES_DRAWN);
+    html! { @if undrawn > 0 { p { "Not drawn: " (undrawn) " engines that read less." } } }
 }
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,7 +1,7 @@
 //! Draws what was counted over time, as SVG.
 
 use crate::outcome::{self, Outcome};
-use crate::summary::{Cell, Point, Summary, show_time};
+use crate::summary::{Cell, Point, Summary, format_time};
 use eyre::Result;
 use plotters::chart::SeriesAnno;
 use plotters::coord::Shift;
@@ -15,20 +15,20 @@
 const HEIGHT: u32 = 230;
 
 /// The height of the plot of predicted against real first tokens.
-const SQUARE: u32 = 480;
+const PREDICTED_HEIGHT: u32 = 480;
 
 /// The height of an engine's row, and of what stands around the rows.
-const ROW: u32 = 14;
-const AROUND: u32 = 70;
+const ENGINE_ROW_HEIGHT: u32 = 14;
+const ENGINE_PLOT_PADDING: u32 = 70;
 
 /// Engines that are drawn, those that read the most.
-pub(crate) const ENGINES_DRAWN: usize = 40;
+pub(crate) const MAX_ENGINES_DRAWN: usize = 40;
 
 /// The font; a browser takes its own of the kind.
 const FONT: &str = "sans-serif";
 
 /// The least time on axes of times by their logarithm.
-const LEAST_MS: f64 = 1.0;
+const MIN_LOG_AXIS_MS: f64 = 1.0;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -37,7 +37,7 @@
 type Series = (&'static str, RGBColor, fn(&Point) -> Option<f64>);
 
 /// The colour of an outcome.
-fn paint(outcome: Outcome) -> RGBColor {
+fn outcome_color(outcome: Outcome) -> RGBColor {
     match outcome {
         Outcome::InTime => RGBColor(90, 160, 90),
         Outcome::Late => RGBColor(230, 170, 40),
@@ -51,7 +51,7 @@
 
 /// Outcomes as they stand on each other: what is bad from the ground up, where it
 /// compares best.
-const STACK: [Outcome; outcome::COUNT] = [
+const STACKING_ORDER: [Outcome; outcome::COUNT] = [
     Outcome::Failed,
     Outcome::Refused,
     Outcome::Late,
@@ -66,13 +66,13 @@
 
 /// The span that plots are drawn over.
 #[derive(Clone, Copy)]
-struct Span {
+struct TimeSpan {
     begin_ms: i64,
     step_s: f64,
     length_s: f64,
 }
 
-impl Span {
+impl TimeSpan {
     fn of(summary: &Summary) -> Option<Self> {
         let (first, last) = (summary.series.first()?, summary.series.last()?);
         let step_s = summary.step_s as f64;
@@ -81,13 +81,13 @@
     }
 
     /// Where a step begins and ends.
-    fn place(&self, point: &Point) -> (f64, f64) {
+    fn bounds(&self, point: &Point) -> (f64, f64) {
         let begin = (point.time_ms - self.begin_ms) as f64 / 1_000.0;
         (begin, begin + self.step_s)
     }
 
-    fn label(&self, at: f64) -> String {
-        let time = show_time(self.begin_ms + (at * 1_000.0) as i64);
+    fn format_label(&self, at: f64) -> String {
+        let time = format_time(self.begin_ms + (at * 1_000.0) as i64);
         time.get(11..19).unwrap_or_default().to_owned()
     }
 }
@@ -100,37 +100,38 @@
 
 /// Draws requests by outcome over time, a plot for each size.
 pub(crate) fn draw_outcomes(summary: &Summary) -> Result<Vec<Plot>> {
-    let Some(span) = Span::of(summary) else { return Ok(Vec::new()) };
+    let Some(span) = TimeSpan::of(summary) else { return Ok(Vec::new()) };
     let sizes = summary.outcomes.iter().map(|row| row.size);
     sizes.map(|size| draw_size(summary, span, size)).collect()
 }
 
-fn draw_size(summary: &Summary, span: Span, size: &'static str) -> Result<Plot> {
-    let sum = |point: &Point| STACK.iter().map(|o| count(point, size, *o)).sum::<f64>();
+fn draw_size(summary: &Summary, span: TimeSpan, size: &'static str) -> Result<Plot> {
+    let sum = |point: &Point| STACKING_ORDER.iter().map(|o| count(point, size, *o)).sum::<f64>();
     let top = summary.series.iter().map(sum).fold(1.0, f64::max);
     draw(format!("Outcomes: {size}"), HEIGHT, |area| {
         let mut chart = open_chart(area, span, top, "requests a step")?;
-        for (index, outcome) in STACK.into_iter().enumerate() {
-            let color = paint(outcome);
-            let stand = |point: &Point| {
-                let below: f64 = STACK[..index].iter().map(|o| count(point, size, *o)).sum();
-                let (from, to) = span.place(point);
+        for (index, outcome) in STACKING_ORDER.into_iter().enumerate() {
+            let color = outcome_color(outcome);
+            let to_bar = |point: &Point| {
+                let below: f64 =
+                    STACKING_ORDER[..index].iter().map(|o| count(point, size, *o)).sum();
+                let (from, to) = span.bounds(point);
                 [(from, below), (to, below + count(point, size, outcome))]
             };
             let points = summary.series.iter().filter(|p| count(p, size, outcome) > 0.0);
-            let bars: Vec<[(f64, f64); 2]> = points.map(stand).collect();
+            let bars: Vec<[(f64, f64); 2]> = points.map(to_bar).collect();
             if bars.is_empty() {
                 continue;
             }
             let fills = bars.iter().map(|corners| Rectangle::new(*corners, color.filled()));
-            name(chart.draw_series(fills)?, outcome.name(), color);
+            label_series(chart.draw_series(fills)?, outcome.name(), color);
             // Few beside many have no height of their own.
             let edges = bars.iter().filter(|_| outcome.is_bad()).map(|[(from, _), (to, above)]| {
                 PathElement::new(vec![(*from, *above), (*to, *above)], color.stroke_width(2))
             });
             chart.draw_series(edges)?;
         }
-        draw_names(&mut chart)
+        draw_legend(&mut chart)
     })
 }
 
@@ -141,7 +142,7 @@
 }
 
 /// Draws first tokens as they were expected and as they came, over time.
-pub(crate) fn draw_first(summary: &Summary) -> Result<Option<Plot>> {
+pub(crate) fn draw_first_tokens(summary: &Summary) -> Result<Option<Plot>> {
     draw_lines(
         summary,
         "First tokens over time",
@@ -181,18 +182,18 @@
     let points = &summary.series;
     let values = series.iter().flat_map(|(_, _, value)| points.iter().filter_map(value));
     let top = values.fold(None, |top: Option<f64>, value| Some(top.unwrap_or(1.0).max(value)));
-    let (Some(top), Some(span)) = (top, Span::of(summary)) else { return Ok(None) };
+    let (Some(top), Some(span)) = (top, TimeSpan::of(summary)) else { return Ok(None) };
     let plot = draw(title.to_owned(), HEIGHT, |area| {
         let mut chart = open_chart(area, span, top, "ms")?;
         for (label, color, value) in series {
             let marks = points.iter().filter_map(|point| {
-                let (from, to) = span.place(point);
+                let (from, to) = span.bounds(point);
                 let value = value(point)?;
                 Some(PathElement::new(vec![(from, value), (to, value)], color.stroke_width(3)))
             });
-            name(chart.draw_series(marks)?, label, *color);
+            label_series(chart.draw_series(marks)?, label, *color);
         }
-        draw_names(&mut chart)
+        draw_legend(&mut chart)
     })?;
     Ok(Some(plot))
 }
@@ -201,31 +202,31 @@
 pub(crate) fn draw_attempts(summary: &Summary) -> Result<Option<Plot>> {
     let points = summary.series.iter().filter(|point| point.failed_attempts > 0);
     let top = points.clone().map(|point| point.failed_attempts).max();
-    let (Some(top), Some(span)) = (top, Span::of(summary)) else { return Ok(None) };
+    let (Some(top), Some(span)) = (top, TimeSpan::of(summary)) else { return Ok(None) };
     let plot = draw("Failed attempts over time".to_owned(), HEIGHT, |area| {
         let mut chart = open_chart(area, span, top as f64, "attempts a step")?;
-        let color = paint(Outcome::Failed);
+        let color = outcome_color(Outcome::Failed);
         let bars = points.map(|point| {
-            let (from, to) = span.place(point);
+            let (from, to) = span.bounds(point);
             Rectangle::new([(from, 0.0), (to, point.failed_attempts as f64)], color.filled())
         });
-        name(chart.draw_series(bars)?, "failed attempts", color);
-        draw_names(&mut chart)
+        label_series(chart.draw_series(bars)?, "failed attempts", color);
+        draw_legend(&mut chart)
     })?;
     Ok(Some(plot))
 }
 
 /// Draws how often a first token that was expected at a time came at another.
-pub(crate) fn draw_predicted(summary: &Summary) -> Result<Option<Plot>> {
+pub(crate) fn draw_predictions(summary: &Summary) -> Result<Option<Plot>> {
     let cells = &summary.predicted.cells;
-    let most = cells.iter().map(|cell| cell.count).max().unwrap_or(0) as f64;
+    let max_count = cells.iter().map(|cell| cell.count).max().unwrap_or(0) as f64;
     if cells.is_empty() {
         return Ok(None);
     }
     let greatest = |cell: &Cell| cell.expected_ms.max(cell.first_ms);
-    let top = cells.iter().map(greatest).fold(LEAST_MS, f64::max) * 2.0;
-    let range = || (LEAST_MS..top).log_scale();
-    let plot = draw("Predicted against real first token".to_owned(), SQUARE, |area| {
+    let top = cells.iter().map(greatest).fold(MIN_LOG_AXIS_MS, f64::max) * 2.0;
+    let range = || (MIN_LOG_AXIS_MS..top).log_scale();
+    let plot = draw("Predicted against real first token".to_owned(), PREDICTED_HEIGHT, |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(40)
@@ -233,12 +234,14 @@
             .build_cartesian_2d(range(), range())?;
         chart.configure_mesh().x_desc("expected, ms").y_desc("real, ms").draw()?;
         chart.draw_series(cells.iter().map(|cell| {
-            let strength = 0.2 + 0.8 * (1.0 + cell.count as f64).ln() / (1.0 + most).ln();
-            let (x, y) = (cell.expected_ms.max(LEAST_MS), cell.first_ms.max(LEAST_MS));
+            let opacity = 0.2 + 0.8 * (1.0 + cell.count as f64).ln() / (1.0 + max_count).ln();
+            let (x, y) =
+                (cell.expected_ms.max(MIN_LOG_AXIS_MS), cell.first_ms.max(MIN_LOG_AXIS_MS));
             let corner = (x * std::f64::consts::SQRT_2, y * std::f64::consts::SQRT_2);
-            Rectangle::new([(x, y), corner], FIRST_COLOR.mix(strength).filled())
+            Rectangle::new([(x, y), corner], FIRST_COLOR.mix(opacity).filled())
         }))?;
-        let equal = PathElement::new(vec![(LEAST_MS, LEAST_MS), (top, top)], SECOND_COLOR);
+        let equal =
+            PathElement::new(vec![(MIN_LOG_AXIS_MS, MIN_LOG_AXIS_MS), (top, top)], SECOND_COLOR);
         chart.draw_series([equal])?;
         Ok(())
     })?;
@@ -249,15 +252,15 @@
 /// ones, each in a plot.
 pub(crate) fn draw_occupancy(summary: &Summary) -> Result<Vec<Plot>> {
     let busy = summary.engines.iter().filter(|row| row.short_ms + row.long_ms > 0);
-    let mut names: Vec<&str> = busy.map(|row| row.name.as_str()).take(ENGINES_DRAWN).collect();
+    let mut names: Vec<&str> = busy.map(|row| row.name.as_str()).take(MAX_ENGINES_DRAWN).collect();
     // Rows are drawn from below.
     names.reverse();
-    let Some(span) = Span::of(summary).filter(|_| !names.is_empty()) else {
+    let Some(span) = TimeSpan::of(summary).filter(|_| !names.is_empty()) else {
         return Ok(Vec::new());
     };
     let kinds = [("short prompts", FIRST_COLOR), ("long prompts", SECOND_COLOR)];
     let draw_kind = |(index, (kind, color)): (usize, (&str, RGBColor))| {
-        let height = AROUND + ROW * names.len() as u32;
+        let height = ENGINE_PLOT_PADDING + ENGINE_ROW_HEIGHT * names.len() as u32;
         draw(format!("Occupancy of engines: {kind}"), height, |area| {
             draw_rows(area, summary, span, &names, (index, color))
         })
@@ -268,7 +271,7 @@
 fn draw_rows(
     area: &Area<'_>,
     summary: &Summary,
-    span: Span,
+    span: TimeSpan,
     names: &[&str],
     (index, color): (usize, RGBColor),
 ) -> Result<()> {
@@ -287,17 +290,17 @@
         .configure_mesh()
         .disable_mesh()
         .x_labels(8)
-        .x_label_formatter(&|at| span.label(*at))
+        .x_label_formatter(&|at| span.format_label(*at))
         .y_labels(count + 1)
         .y_label_formatter(&label)
         .draw()?;
     for (row, name) in names.iter().enumerate() {
         let (below, above) = (row as f64 - 0.45, row as f64 + 0.45);
         chart.draw_series(summary.series.iter().filter_map(|point| {
-            let part = point.engines.get(*name)?[index] as f64 / (span.step_s * 1_000.0);
-            let (from, to) = span.place(point);
-            let fill = color.mix(part.clamp(0.0, 1.0)).filled();
-            (part > 0.0).then(|| Rectangle::new([(from, below), (to, above)], fill))
+            let occupancy = point.engines.get(*name)?[index] as f64 / (span.step_s * 1_000.0);
+            let (from, to) = span.bounds(point);
+            let fill = color.mix(occupancy.clamp(0.0, 1.0)).filled();
+            (occupancy > 0.0).then(|| Rectangle::new([(from, below), (to, above)], fill))
         }))?;
     }
     Ok(())
@@ -317,7 +320,7 @@
 
 fn open_chart<'a, 'b>(
     area: &'a Area<'b>,
-    span: Span,
+    span: TimeSpan,
     top: f64,
     unit: &str,
 ) -> Result<Chart<'a, 'b>> {
@@ -330,20 +333,20 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(8)
-        .x_label_formatter(&|at| span.label(*at))
+        .x_label_formatter(&|at| span.format_label(*at))
         .y_labels(5)
         .y_desc(unit)
         .draw()?;
     Ok(chart)
 }
 
-fn name(series: &mut SeriesAnno<'_, SVGBackend<'_>>, label: &str, color: RGBColor) {
+fn label_series(series: &mut SeriesAnno<'_, SVGBackend<'_>>, label: &str, color: RGBColor) {
     series
         .label(label)
         .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 12, y + 4)], color.filled()));
 }
 
-fn draw_names<'a, 'b: 'a>(chart: &mut Chart<'a, 'b>) -> Result<()> {
+fn draw_legend<'a, 'b: 'a>(chart: &mut Chart<'a, 'b>) -> Result<()> {
     chart
         .configure_series_labels()
         .position(SeriesLabelPosition::UpperLeft)
--- a/crates/report/src/size.rs
+++ b/crates/report/src/size.rs
@@ -21,7 +21,7 @@
 impl Class {
     /// The class of a prompt of so many tokens.
     pub fn of(tokens: u64) -> Self {
-        Self(CLASSES.iter().position(|(most, _)| tokens <= *most).unwrap_or(COUNT - 1))
+        Self(CLASSES.iter().position(|(max_tokens, _)| tokens <= *max_tokens).unwrap_or(COUNT - 1))
     }
 
     /// All classes, from the smallest.
--- a/crates/report/src/summary.rs
+++ b/crates/report/src/summary.rs
@@ -1,18 +1,18 @@
 //! What was counted, as a document.
 
-use crate::line::KNOWN;
+use crate::line::DECISION_FIELDS;
 use crate::outcome::{Counts, Outcome};
 use crate::size::Class;
-use crate::tally::{Engine, News, Reason, Step, Tally, cell_begin};
+use crate::tally::{EngineCounts, NodeEventCounts, RefusalCounts, Step, Tally, half_octave_start};
 use chrono::{DateTime, SecondsFormat};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
 /// Steps that are named as the worst.
-const WORST_MAX: usize = 10;
+const MAX_WORST_STEPS: usize = 10;
 
 /// The name of what had no room of its own.
-pub(crate) const OTHERS: &str = "others";
+pub(crate) const OTHERS_NAME: &str = "others";
 
 /// How values are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -41,9 +41,9 @@
     /// The width of a step.
     pub step_s: i64,
     /// Requests by size, and of all sizes.
-    pub outcomes: Vec<Row>,
+    pub outcomes: Vec<OutcomeRow>,
     /// The steps with the most requests that were late, refused or failed.
-    pub worst: Vec<Worst>,
+    pub worst: Vec<WorstStep>,
     /// Predicted against real first tokens.
     pub predicted: Predicted,
     /// How long requests waited, by size.
@@ -61,7 +61,7 @@
     /// Sends again.
     pub sends: Sends,
     /// What nodes came to believe or do.
-    pub news: Vec<NewsRow>,
+    pub news: Vec<NodeEventRow>,
     /// The steps in which something was counted.
     pub series: Vec<Point>,
 }
@@ -85,7 +85,7 @@
 
 /// Requests by outcome.
 #[derive(Debug, Serialize)]
-pub struct Row {
+pub struct OutcomeRow {
     /// Their size.
     pub size: &'static str,
     /// How many ended in which way, in the order of [`Outcome::ALL`].
@@ -95,7 +95,7 @@
 
 /// A step that went badly.
 #[derive(Debug, Serialize)]
-pub struct Worst {
+pub struct WorstStep {
     /// Its beginning.
     pub time: String,
     /// Requests that came in it and were late.
@@ -187,7 +187,7 @@
 #[derive(Debug, Serialize)]
 pub struct Sends {
     /// Answers by how many targets they were sent to; the last stands for more.
-    pub answered: [u64; crate::tally::SENDS_MAX],
+    pub answered: [u64; crate::tally::SENDS_BUCKETS],
     /// Failed attempts by why.
     pub failed: BTreeMap<String, u64>,
     /// How often no repeat was left.
@@ -196,7 +196,7 @@
 
 /// How often nodes came to believe or did something.
 #[derive(Debug, Serialize)]
-pub struct NewsRow {
+pub struct NodeEventRow {
     /// What.
     pub message: &'static str,
     /// How often.
@@ -215,7 +215,7 @@
     #[serde(skip)]
     pub(crate) time_ms: i64,
     /// Requests by size; sizes without any are left out.
-    pub outcomes: Vec<Row>,
+    pub outcomes: Vec<OutcomeRow>,
     /// When first tokens were expected.
     pub expected_ms: Option<Quantiles>,
     /// When they came.
@@ -241,48 +241,55 @@
     /// What a tally holds.
     pub fn of(tally: &Tally) -> Self {
         let names: BTreeMap<usize, &str> =
-            tally.engines.names().map(|(name, number, _)| (number, name)).collect();
+            tally.engines.named().map(|(name, number, _)| (number, name)).collect();
         let step_ms = tally.timeline.step_ms();
         let last = tally.timeline.steps().last().map(|(time, _)| time + step_ms);
         Self {
-            lines: read_state(tally),
-            from: tally.timeline.steps().next().map(|(time, _)| show_time(time)),
-            to: last.map(show_time),
+            lines: summarize_lines(tally),
+            from: tally.timeline.steps().next().map(|(time, _)| format_time(time)),
+            to: last.map(format_time),
             step_s: step_ms / 1_000,
-            outcomes: list_rows(&tally.outcomes),
+            outcomes: outcome_rows(&tally.outcomes),
             worst: list_worst(tally),
-            predicted: read_predicted(tally),
+            predicted: summarize_predictions(tally),
             waits: Class::all()
                 .filter_map(|c| Some((c.name(), tally.waits[c.index()].quantiles()?)))
                 .collect(),
             began_to_wait: tally.began_to_wait,
-            pauses: Pauses { streams: tally.paced, over_ms: tally.over.quantiles() },
+            pauses: Pauses {
+                streams: tally.paced_streams,
+                over_ms: tally.excess_pause.quantiles(),
+            },
             engines: list_engines(tally),
-            occupancy_unsaid: tally.unsaid,
+            occupancy_unsaid: tally.unknown_length,
             refusals: list_refusals(tally),
-            sends: read_sends(tally),
-            news: tally.news.iter().map(|(message, news)| show_news(message, news)).collect(),
+            sends: summarize_sends(tally),
+            news: tally
+                .node_events
+                .iter()
+                .map(|(message, event)| summarize_node_event(message, event))
+                .collect(),
             series: tally
                 .timeline
                 .steps()
-                .map(|(time, step)| read_point(time, step, &names))
+                .map(|(time, step)| summarize_step(time, step, &names))
                 .collect(),
         }
     }
 }
 
 /// A moment as people read it, in UTC.
-pub(crate) fn show_time(ms: i64) -> String {
+pub(crate) fn format_time(ms: i64) -> String {
     let time = DateTime::from_timestamp_millis(ms).unwrap_or_default();
     time.to_rfc3339_opts(SecondsFormat::Secs, true)
 }
 
-fn read_state(tally: &Tally) -> Lines {
+fn summarize_lines(tally: &Tally) -> Lines {
     let lines = &tally.lines;
-    let known = lines.unknown.names().map(|(name, _, met)| (name, met));
-    let others = lines.unknown.others().map(|met| (OTHERS, met));
-    let show = |(name, met): (&str, &crate::tally::Met)| {
-        (name.to_owned(), format!("{} times, first at {}", met.count, met.first))
+    let known = lines.unknown.named().map(|(name, _, field)| (name, field));
+    let others = lines.unknown.others().map(|field| (OTHERS_NAME, field));
+    let show = |(name, field): (&str, &crate::tally::Occurrences)| {
+        (name.to_owned(), format!("{} times, first at {}", field.count, field.first_place))
     };
     Lines {
         read: lines.read,
@@ -295,30 +302,30 @@
 }
 
 /// Requests by size; sizes without any are left out.
-fn list_rows(counts: &Counts) -> Vec<Row> {
-    let row = |class: Class| Row {
+fn outcome_rows(counts: &Counts) -> Vec<OutcomeRow> {
+    let row = |class: Class| OutcomeRow {
         size: class.name(),
         counts: Outcome::ALL.map(|outcome| counts.get(class, outcome)),
     };
     Class::all().map(row).filter(|row| row.counts.iter().any(|count| *count > 0)).collect()
 }
 
-fn list_worst(tally: &Tally) -> Vec<Worst> {
+fn list_worst(tally: &Tally) -> Vec<WorstStep> {
     let mut steps: Vec<(i64, &Step)> =
-        tally.timeline.steps().filter(|(_, step)| step.outcomes.bad() > 0).collect();
-    steps.sort_by_key(|(time, step)| (std::cmp::Reverse(step.outcomes.bad()), *time));
-    steps.truncate(WORST_MAX);
-    let show = |(time, step): (i64, &Step)| Worst {
-        time: show_time(time),
+        tally.timeline.steps().filter(|(_, step)| step.outcomes.count_bad() > 0).collect();
+    steps.sort_by_key(|(time, step)| (std::cmp::Reverse(step.outcomes.count_bad()), *time));
+    steps.truncate(MAX_WORST_STEPS);
+    let show = |(time, step): (i64, &Step)| WorstStep {
+        time: format_time(time),
         late: step.outcomes.total(Outcome::Late),
         refused: step.outcomes.total(Outcome::Refused),
         failed: step.outcomes.total(Outcome::Failed),
-        examples: step.examples.iter().map(show_example).collect(),
+        examples: step.examples.iter().map(summarize_example).collect(),
     };
     steps.into_iter().map(show).collect()
 }
 
-fn show_example(example: &crate::tally::Example) -> Example {
+fn summarize_example(example: &crate::tally::Example) -> Example {
     Example {
         request: example.request.to_string(),
         outcome: example.outcome,
@@ -326,76 +333,80 @@
     }
 }
 
-fn read_predicted(tally: &Tally) -> Predicted {
+fn summarize_predictions(tally: &Tally) -> Predicted {
     let cell = |(&(expected, first), &count): (&(u8, u8), &u64)| Cell {
-        expected_ms: cell_begin(expected).round(),
-        first_ms: cell_begin(first).round(),
+        expected_ms: half_octave_start(expected).round(),
+        first_ms: half_octave_start(first).round(),
         count,
     };
     Predicted {
-        expected_ms: tally.expected.quantiles(),
-        first_ms: tally.first.quantiles(),
-        cells: tally.predicted.iter().map(cell).collect(),
+        expected_ms: tally.expected_first_token.quantiles(),
+        first_ms: tally.first_token.quantiles(),
+        cells: tally.first_token_cells.iter().map(cell).collect(),
     }
 }
 
 fn list_engines(tally: &Tally) -> Vec<EngineRow> {
-    let show = |name: &str, engine: &Engine| EngineRow {
+    let show = |name: &str, engine: &EngineCounts| EngineRow {
         name: name.to_owned(),
         answered: engine.answered,
         late: engine.late,
         failed: engine.failed,
         placed: engine.placed,
-        short_ms: engine.reading.short_ms,
-        long_ms: engine.reading.long_ms,
+        short_ms: engine.prefill.short_ms,
+        long_ms: engine.prefill.long_ms,
     };
     let mut rows: Vec<EngineRow> =
-        tally.engines.names().map(|(name, _, engine)| show(name, engine)).collect();
+        tally.engines.named().map(|(name, _, engine)| show(name, engine)).collect();
     rows.sort_by_key(|row| std::cmp::Reverse((row.short_ms + row.long_ms, row.answered)));
-    rows.extend(tally.engines.others().map(|engine| show(OTHERS, engine)));
+    rows.extend(tally.engines.others().map(|engine| show(OTHERS_NAME, engine)));
     rows
 }
 
 fn list_refusals(tally: &Tally) -> Vec<Refusal> {
-    let show = |name: &str, reason: &Reason| Refusal {
+    let show = |name: &str, reason: &RefusalCounts| Refusal {
         reason: name.to_owned(),
         count: reason.count,
-        may_have_run: reason.ran,
-        known: KNOWN
+        may_have_run: reason.may_have_run,
+        known: DECISION_FIELDS
             .iter()
             .zip(&reason.known)
-            .filter_map(|(name, spread)| Some((*name, spread.quantiles()?)))
+            .filter_map(|(name, distribution)| Some((*name, distribution.quantiles()?)))
             .collect(),
     };
     let mut rows: Vec<Refusal> =
-        tally.reasons.names().map(|(name, _, reason)| show(name, reason)).collect();
+        tally.refusals.named().map(|(name, _, reason)| show(name, reason)).collect();
     rows.sort_by_key(|row| std::cmp::Reverse(row.count));
-    rows.extend(tally.reasons.others().map(|reason| show(OTHERS, reason)));
+    rows.extend(tally.refusals.others().map(|reason| show(OTHERS_NAME, reason)));
     rows
 }
 
-fn read_sends(tally: &Tally) -> Sends {
-    let named = tally.attempts.names().map(|(why, _, count)| (why.to_owned(), *count));
-    let others = tally.attempts.others().map(|count| (OTHERS.to_owned(), *count));
-    Sends { answered: tally.sends, failed: named.chain(others).collect(), spent: tally.spent }
+fn summarize_sends(tally: &Tally) -> Sends {
+    let named = tally.failed_attempts.named().map(|(why, _, count)| (why.to_owned(), *count));
+    let others = tally.failed_attempts.others().map(|count| (OTHERS_NAME.to_owned(), *count));
+    Sends {
+        answered: tally.sends,
+        failed: named.chain(others).collect(),
+        spent: tally.retries_exhausted,
+    }
 }
 
-fn show_news(message: &'static str, news: &News) -> NewsRow {
-    let (first, last) = (show_time(news.first_ms), show_time(news.last_ms));
-    NewsRow { message, count: news.count, first, last }
+fn summarize_node_event(message: &'static str, event: &NodeEventCounts) -> NodeEventRow {
+    let (first, last) = (format_time(event.first_ms), format_time(event.last_ms));
+    NodeEventRow { message, count: event.count, first, last }
 }
 
-fn read_point(time_ms: i64, step: &Step, names: &BTreeMap<usize, &str>) -> Point {
-    let engines = step.engines.iter().enumerate().filter(|(_, r)| r.short_ms + r.long_ms > 0);
+fn summarize_step(time_ms: i64, step: &Step, names: &BTreeMap<usize, &str>) -> Point {
+    let engines = step.prefill_times.iter().enumerate().filter(|(_, r)| r.short_ms + r.long_ms > 0);
     Point {
-        time: show_time(time_ms),
+        time: format_time(time_ms),
         time_ms,
-        outcomes: list_rows(&step.outcomes),
-        expected_ms: step.expected.quantiles(),
-        first_ms: step.first.quantiles(),
+        outcomes: outcome_rows(&step.outcomes),
+        expected_ms: step.expected_first_token.quantiles(),
+        first_ms: step.first_token.quantiles(),
         wait_ms: step.wait.quantiles(),
-        over_ms: step.over.quantiles(),
-        failed_attempts: step.attempts,
+        over_ms: step.excess_pause.quantiles(),
+        failed_attempts: step.failed_attempts,
         engines: engines
             .filter_map(|(number, r)| {
                 Some(((*names.get(&number)?).to_owned(), [r.short_ms, r.long_ms]))
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -38,27 +38,27 @@
     }
 }
 
-const SPREAD: [&str; 5] = ["count", "p50", "p95", "p99", "max"];
+const QUANTILE_COLUMNS: [&str; 5] = ["count", "p50", "p95", "p99", "max"];
 
-fn show_spread(spread: Option<&Quantiles>) -> Vec<String> {
-    match spread {
+fn quantile_cells(distribution: Option<&Quantiles>) -> Vec<String> {
+    match distribution {
         None => vec!["0".into(), String::new(), String::new(), String::new(), String::new()],
         Some(q) => [q.count, q.p50, q.p95, q.p99, q.max].map(|n| n.to_string()).to_vec(),
     }
 }
 
-fn spread_row(name: &str, spread: Option<&Quantiles>) -> Vec<String> {
-    [vec![name.to_owned()], show_spread(spread)].concat()
+fn quantile_row(name: &str, distribution: Option<&Quantiles>) -> Vec<String> {
+    [vec![name.to_owned()], quantile_cells(distribution)].concat()
 }
 
-fn spread_head(first: &'static str) -> Vec<&'static str> {
-    [&[first][..], &SPREAD].concat()
+fn quantile_head(first: &'static str) -> Vec<&'static str> {
+    [&[first][..], &QUANTILE_COLUMNS].concat()
 }
 
 /// The steps that went worst, with requests to go on with.
 pub(crate) fn list_worst(summary: &Summary) -> Table {
     let head = ["from", "late", "refused", "failed", "go on with hickory explain"];
-    let row = |worst: &crate::summary::Worst| {
+    let row = |worst: &crate::summary::WorstStep| {
         let examples = worst.examples.iter().map(|example| {
             format!("{} ({}, {})", example.request, example.outcome.name(), example.node)
         });
@@ -73,7 +73,7 @@
 pub(crate) fn list_outcomes(summary: &Summary) -> Table {
     let mut head = vec!["prompt, tokens"];
     head.extend(Outcome::ALL.map(Outcome::name));
-    let row = |row: &crate::summary::Row| {
+    let row = |row: &crate::summary::OutcomeRow| {
         let counts = row.counts.iter().map(u64::to_string);
         std::iter::once(row.size.to_owned()).chain(counts).collect()
     };
@@ -81,27 +81,28 @@
 }
 
 /// Predicted and real first tokens.
-pub(crate) fn list_first(summary: &Summary) -> Table {
+pub(crate) fn list_first_tokens(summary: &Summary) -> Table {
     let predicted = &summary.predicted;
     let rows = vec![
-        spread_row("expected", predicted.expected_ms.as_ref()),
-        spread_row("real", predicted.first_ms.as_ref()),
+        quantile_row("expected", predicted.expected_ms.as_ref()),
+        quantile_row("real", predicted.first_ms.as_ref()),
     ];
-    Table::new("First tokens, ms", &spread_head("first token"), rows)
+    Table::new("First tokens, ms", &quantile_head("first token"), rows)
         .with_note("Streams that were sent once; both times count from the placing.")
 }
 
 /// Waits by size.
 pub(crate) fn list_waits(summary: &Summary) -> Table {
-    let rows = summary.waits.iter().map(|(size, spread)| spread_row(size, Some(spread)));
-    Table::new("Waits by size, ms", &spread_head("prompt, tokens"), rows.collect())
+    let rows =
+        summary.waits.iter().map(|(size, distribution)| quantile_row(size, Some(distribution)));
+    Table::new("Waits by size, ms", &quantile_head("prompt, tokens"), rows.collect())
         .with_note(format!("{} requests began to wait for engines.", summary.began_to_wait))
 }
 
 /// Pauses over the wanted one.
 pub(crate) fn list_pauses(summary: &Summary) -> Table {
-    let rows = vec![spread_row("over by", summary.pauses.over_ms.as_ref())];
-    Table::new("Pauses over what is wanted, ms", &spread_head("longest pause"), rows)
+    let rows = vec![quantile_row("over by", summary.pauses.over_ms.as_ref())];
+    Table::new("Pauses over what is wanted, ms", &quantile_head("longest pause"), rows)
         .with_note(format!("Of {} streams of which one is wanted.", summary.pauses.streams))
 }
 
@@ -131,12 +132,12 @@
 }
 
 /// What was known at refusals.
-pub(crate) fn list_known(summary: &Summary) -> Table {
-    let head = [&["reason"][..], &spread_head("known")].concat();
+pub(crate) fn list_refusal_values(summary: &Summary) -> Table {
+    let head = [&["reason"][..], &quantile_head("known")].concat();
     let rows = summary.refusals.iter().flat_map(|refusal| {
         let known = refusal.known.iter();
-        known.map(|(name, spread)| {
-            [vec![refusal.reason.clone()], spread_row(name, Some(spread))].concat()
+        known.map(|(name, distribution)| {
+            [vec![refusal.reason.clone()], quantile_row(name, Some(distribution))].concat()
         })
     });
     Table::new("What refusals knew", &head, rows.collect())
@@ -160,8 +161,8 @@
 }
 
 /// What nodes came to believe or do.
-pub(crate) fn list_news(summary: &Summary) -> Table {
-    let row = |news: &crate::summary::NewsRow| {
+pub(crate) fn list_node_events(summary: &Summary) -> Table {
+    let row = |news: &crate::summary::NodeEventRow| {
         vec![news.message.into(), news.count.to_string(), news.first.clone(), news.last.clone()]
     };
     let head = ["message", "count", "first", "last"];
--- a/crates/report/src/timeline.rs
+++ b/crates/report/src/timeline.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 /// Steps that are kept; more are merged two by two.
-pub const STEPS_MAX: usize = 1_440;
+pub const MAX_STEPS: usize = 1_440;
 
 /// The width of a step before any were merged.
-const STEP_MS: i64 = 1_000;
+const INITIAL_STEP_MS: i64 = 1_000;
 
 /// What can be counted together.
 pub trait Merge: Default {
@@ -23,18 +23,18 @@
 
 impl<T> Default for Timeline<T> {
     fn default() -> Self {
-        Self { step_ms: STEP_MS, steps: BTreeMap::new() }
+        Self { step_ms: INITIAL_STEP_MS, steps: BTreeMap::new() }
     }
 }
 
 impl<T: Merge> Timeline<T> {
     /// The step that a moment lies in, in milliseconds of Unix time.
-    pub fn at(&mut self, time_ms: i64) -> &mut T {
-        while self.steps.len() >= STEPS_MAX && !self.steps.contains_key(&self.number(time_ms)) {
+    pub fn step_at(&mut self, time_ms: i64) -> &mut T {
+        while self.steps.len() >= MAX_STEPS && !self.steps.contains_key(&self.index(time_ms)) {
             self.coarsen();
         }
-        let number = self.number(time_ms);
-        self.steps.entry(number).or_default()
+        let index = self.index(time_ms);
+        self.steps.entry(index).or_default()
     }
 
     /// The width of a step.
@@ -44,17 +44,17 @@
 
     /// The steps in which something was counted, with their beginnings.
     pub fn steps(&self) -> impl Iterator<Item = (i64, &T)> {
-        self.steps.iter().map(|(number, step)| (number * self.step_ms, step))
+        self.steps.iter().map(|(index, step)| (index * self.step_ms, step))
     }
 
-    fn number(&self, time_ms: i64) -> i64 {
+    fn index(&self, time_ms: i64) -> i64 {
         time_ms.div_euclid(self.step_ms)
     }
 
     fn coarsen(&mut self) {
         self.step_ms *= 2;
-        for (number, step) in std::mem::take(&mut self.steps) {
-            self.steps.entry(number.div_euclid(2)).or_default().merge(step);
+        for (index, step) in std::mem::take(&mut self.steps) {
+            self.steps.entry(index.div_euclid(2)).or_default().merge(step);
         }
     }
 }
--- a/crates/report/tests/counting.rs
+++ b/crates/report/tests/counting.rs
@@ -5,8 +5,8 @@
 
 use hickory_report::outcome::Outcome;
 use hickory_report::summary::Summary;
-use hickory_report::tally::{ENGINES_MAX, REASONS_MAX};
-use hickory_report::timeline::STEPS_MAX;
+use hickory_report::tally::{MAX_ENGINES, MAX_REASONS};
+use hickory_report::timeline::MAX_STEPS;
 use log::{answer, line, sum_up};
 use serde_json::json;
 
@@ -156,20 +156,20 @@
 #[test]
 fn what_is_kept_is_bounded() {
     let mut log = String::new();
-    let count_all = 2 * STEPS_MAX as i64 + 100;
+    let count_all = 2 * MAX_STEPS as i64 + 100;
     for number in 0..count_all {
-        let target = format!("i-{}", number % (ENGINES_MAX as i64 + 20));
+        let target = format!("i-{}", number % (MAX_ENGINES as i64 + 20));
         let first_ms = if number % 2 == 0 { 100 } else { 400 };
         log += &answer(number * 1_000, json!({ "target_id": target, "first_ms": first_ms }));
-        let why = format!("attempt failed: cause {}", number % (REASONS_MAX as i64 + 5));
+        let why = format!("attempt failed: cause {}", number % (MAX_REASONS as i64 + 5));
         log += &line(number * 1_000, &why, json!({ "target_id": target }));
     }
     let summary = sum_up(&log);
     assert_eq!(summary.step_s, 4);
-    assert!(summary.series.len() <= STEPS_MAX, "{}", summary.series.len());
-    assert_eq!(summary.engines.len(), ENGINES_MAX + 1);
+    assert!(summary.series.len() <= MAX_STEPS, "{}", summary.series.len());
+    assert_eq!(summary.engines.len(), MAX_ENGINES + 1);
     assert_eq!(summary.engines.last().unwrap().name, "others");
-    assert_eq!(summary.sends.failed.len(), REASONS_MAX + 1);
+    assert_eq!(summary.sends.failed.len(), MAX_REASONS + 1);
     assert!(summary.worst.iter().all(|worst| worst.examples.len() <= 3));
     let rows = || summary.series.iter().flat_map(|point| &point.outcomes);
     let late: u64 = rows().map(|row| row.counts[Outcome::Late as usize]).sum();
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -3,8 +3,8 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
 
-use hickory_report::page::write_page;
-use hickory_report::save::save;
+use hickory_report::atomic_file;
+use hickory_report::page::render_page;
 use log::{answer, line, sum_up};
 use serde_json::json;
 use std::fs;
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_page_has_its_tables_and_plots() {
-    let page = write_page(&sum_up(write_log())).unwrap();
+    let page = render_page(&sum_up(write_log())).unwrap();
     for title in [
         "Worst steps",
         "Outcomes by size",
@@ -62,7 +62,7 @@
 /// from callers.
 #[test]
 fn a_page_needs_nothing_else_and_escapes_names() {
-    let page = write_page(&sum_up(write_log())).unwrap();
+    let page = render_page(&sum_up(write_log())).unwrap();
     for part in ["<script", "<link", "<img", "src=", "href=", "url(", "@import", "<late"] {
         assert!(!page.contains(part), "{part}");
     }
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_page_of_nothing_says_so() {
-    let page = write_page(&sum_up("")).unwrap();
+    let page = render_page(&sum_up("")).unwrap();
     assert!(page.contains("Nothing to show"));
     assert!(!page.contains("<svg"));
     assert!(page.ends_with("</html>"));
@@ -81,7 +81,7 @@
 fn more_engines_than_are_drawn_are_said() {
     let log: String =
         (0..45).map(|n| answer(0, json!({ "target_id": format!("i-{n}") }))).collect();
-    let page = write_page(&sum_up(log)).unwrap();
+    let page = render_page(&sum_up(log)).unwrap();
     assert!(page.contains("Not drawn: 5 engines that read less."));
 }
 
@@ -91,9 +91,9 @@
 fn few_beside_many_are_seen() {
     let log = answer(0, json!({})).repeat(1_000);
     let line = "<polyline fill=\"none\" opacity=\"1\" stroke=\"#E6AA28\" stroke-width=\"2\"";
-    assert!(!write_page(&sum_up(&log)).unwrap().contains(line));
+    assert!(!render_page(&sum_up(&log)).unwrap().contains(line));
     let log = log + &answer(0, json!({ "first_ms": 301 }));
-    assert!(write_page(&sum_up(&log)).unwrap().contains(line));
+    assert!(render_page(&sum_up(&log)).unwrap().contains(line));
 }
 
 /// A directory of a test, removed with it.
@@ -124,17 +124,17 @@
 fn a_file_is_put_down_whole_or_not_at_all() {
     let scratch = Scratch::open("save");
     let page = scratch.0.join("page.html");
-    save(&page, "first").unwrap();
-    save(&page, "second").unwrap();
+    atomic_file::write(&page, "first").unwrap();
+    atomic_file::write(&page, "second").unwrap();
     assert_eq!(fs::read_to_string(&page).unwrap(), "second");
     assert_eq!(scratch.names(), ["page.html"]);
 
     let taken = scratch.0.join("taken");
     fs::create_dir(&taken).unwrap();
-    save(&taken, "third").unwrap_err();
-    save(&scratch.0.join("nowhere/page.html"), "third").unwrap_err();
-    save(&page.join("below"), "third").unwrap_err();
-    save(Path::new("/"), "third").unwrap_err();
+    atomic_file::write(&taken, "third").unwrap_err();
+    atomic_file::write(&scratch.0.join("nowhere/page.html"), "third").unwrap_err();
+    atomic_file::write(&page.join("below"), "third").unwrap_err();
+    atomic_file::write(Path::new("/"), "third").unwrap_err();
     let mut names = scratch.names();
     names.sort();
     assert_eq!(names, ["page.html", "taken"]);
--- a/crates/report/tests/reading.rs
+++ b/crates/report/tests/reading.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
 
-use hickory_report::read::{LINE_MAX_BYTES, read_lines};
+use hickory_report::read::{MAX_LINE_BYTES, read_lines};
 use hickory_report::tally::Tally;
 use log::{answer, line, sum_up};
 use serde_json::json;
@@ -12,7 +12,7 @@
 #[test]
 fn bad_lines_are_counted_with_their_places_and_passed_over() {
     let good = answer(0, json!({}));
-    let long = format!("{}{}", " ".repeat(LINE_MAX_BYTES), good);
+    let long = format!("{}{}", " ".repeat(MAX_LINE_BYTES), good);
     let cases = [
         ("not a log line".to_owned(), "no JSON log line"),
         ("{\"time\":".to_owned(), "no JSON log line"),
@@ -40,7 +40,7 @@
 fn lines_are_read_whatever_stands_around_them() {
     let good = answer(0, json!({}));
     let longest = good.trim_end();
-    let fill = " ".repeat(LINE_MAX_BYTES - longest.len());
+    let fill = " ".repeat(MAX_LINE_BYTES - longest.len());
     for text in [
         String::new(),
         format!("  12.5 entry-1 {good}"),
