--- a/apps/hickory/src/accept.rs
+++ b/apps/hickory/src/accept.rs
@@ -1,7 +1,7 @@
 //! Release notes: accept, find and compare.
 
-use crate::client::{Client, Silence, read_document};
-use crate::failure::{Failure, read_problem};
+use crate::client::{Client, NoAnswer, read_document};
+use crate::failure::{Failure, failure_of};
 use crate::print;
 use hickory_admin::view;
 use hickory_release::configuration::Configuration;
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// Rounds over all nodes before a command gives up.
-const ROUNDS: usize = 2;
+const MAX_ROUNDS: usize = 2;
 
 /// How long a node may take to have in force what another one accepted.
-const IN_FORCE: Duration = Duration::from_secs(8);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Between two reads of the configuration while it is not there yet.
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Accepts the note in a file.
 pub(crate) fn run(client: &Client, file: &Path, json: bool) -> Result<(), Failure> {
@@ -28,7 +28,7 @@
         .map_err(|findings| Failure::Invalid { file: name.clone(), findings })?
         .note;
     let operation = match note.operation.is_empty() {
-        true => draw_operation(),
+        true => new_operation_id(),
         false => note.operation,
     };
     let accepted = send(client, &text, &operation, note.against, &name)?;
@@ -92,7 +92,7 @@
     let mut lost = false;
     let mut unavailable = None;
     let nodes = client.nodes();
-    for (index, node) in nodes.iter().cycle().take(nodes.len() * ROUNDS).enumerate() {
+    for (index, node) in nodes.iter().cycle().take(nodes.len() * MAX_ROUNDS).enumerate() {
         // Only a lost note needs a second round: all others are told at once
         // that nothing was done.
         if index >= nodes.len() && !lost {
@@ -103,20 +103,20 @@
         }
         match client.post(*node, "/v1/admin/releases", text, operation) {
             Ok(Ok(answer)) => return read_document(&answer),
-            Ok(Err(problem)) => match read_problem(*problem, file) {
+            Ok(Err(problem)) => match failure_of(*problem, file) {
                 Failure::Unknown { detail, .. } => {
                     lost = true;
                     reasons.push(format!("{node}: {detail}"));
                 }
                 failure @ Failure::Unavailable(_) => unavailable = Some(failure),
                 Failure::Conflict { present: Some(version), detail } if lost => {
-                    let version = later_version(version, against);
-                    return settle_conflict(client, operation, version, detail);
+                    let version = version_to_await(version, against);
+                    return resolve_conflict(client, operation, version, detail);
                 }
                 failure => return Err(failure),
             },
-            Err(Silence::NotSent(reason)) => reasons.push(format!("{node}: {reason}")),
-            Err(Silence::Lost(reason)) => {
+            Err(NoAnswer::NotSent(reason)) => reasons.push(format!("{node}: {reason}")),
+            Err(NoAnswer::Lost(reason)) => {
                 lost = true;
                 reasons.push(format!("{node}: {reason}"));
             }
@@ -133,7 +133,7 @@
 
 /// A conflict after a lost answer may be one with the very note that was
 /// lost: the configuration that the node met has its operation then.
-fn settle_conflict(
+fn resolve_conflict(
     client: &Client,
     operation: &str,
     version: id::Release,
@@ -150,8 +150,8 @@
 
 /// The version to wait for after a conflict: a node that lost a race may tell
 /// of the version that it had read before.
-pub(crate) fn later_version(told: id::Release, against: id::Release) -> id::Release {
-    if told == against { id::Release(told.0.saturating_add(1)) } else { told }
+pub(crate) fn version_to_await(reported: id::Release, against: id::Release) -> id::Release {
+    if reported == against { id::Release(reported.0.saturating_add(1)) } else { reported }
 }
 
 /// The configuration once a node has `version` in force: the one that told of
@@ -160,7 +160,7 @@
     client: &Client,
     version: id::Release,
 ) -> Result<Configuration, Failure> {
-    let end = Instant::now() + IN_FORCE;
+    let end = Instant::now() + IN_FORCE_TIMEOUT;
     loop {
         let present = read_configuration(client)?;
         if present.version >= version {
@@ -170,7 +170,7 @@
             let detail = format!("version {version} is not in force yet; nothing was done");
             return Err(Failure::Conflict { present: Some(version), detail });
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -182,11 +182,11 @@
     format!("/v1/admin/releases/{operation}")
 }
 
-fn draw_operation() -> String {
+fn new_operation_id() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
 /// A note that changes nothing yet.
-pub(crate) fn draw_note(against: id::Release) -> Note {
-    Note { against, operation: draw_operation(), ..Note::default() }
+pub(crate) fn new_note(against: id::Release) -> Note {
+    Note { against, operation: new_operation_id(), ..Note::default() }
 }
--- a/apps/hickory/src/check.rs
+++ b/apps/hickory/src/check.rs
@@ -45,13 +45,13 @@
             places.locate(&mut findings);
             invalid(findings)
         })?;
-        check_against(note.against, present.version)?;
+        check_version(note.against, present.version)?;
     }
     print_passed(name, Vec::new(), json);
     Ok(())
 }
 
-fn check_against(
+fn check_version(
     against: hickory_unit::id::Release,
     present: hickory_unit::id::Release,
 ) -> Result<(), Failure> {
--- a/apps/hickory/src/client.rs
+++ b/apps/hickory/src/client.rs
@@ -1,7 +1,7 @@
 //! Calls to the administration API.
 
 use crate::args::Fleet;
-use crate::failure::{Failure, read_problem};
+use crate::failure::{Failure, failure_of};
 use hickory_admin::OPERATION_HEADER;
 use hickory_admin::problem::Problem;
 use oxhttp::model::header::AUTHORIZATION;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// The variable that holds the operator's token.
-const TOKEN_VARIABLE: &str = "HICKORY_TOKEN";
+const TOKEN_ENV_VARIABLE: &str = "HICKORY_TOKEN";
 
 /// Statuses of success.
-const STATUS_OK: std::ops::Range<u16> = 200..300;
+const SUCCESS_STATUSES: std::ops::Range<u16> = 200..300;
 
 /// A client of several nodes.
 pub(crate) struct Client {
@@ -28,7 +28,7 @@
 
 /// Why there is no answer from one node.
 #[derive(Debug)]
-pub(crate) enum Silence {
+pub(crate) enum NoAnswer {
     /// The call did not reach it.
     NotSent(String),
     /// It may have been served.
@@ -36,7 +36,7 @@
 }
 
 /// The answer of one node.
-pub(crate) type Answer = Result<Result<String, Box<Problem>>, Silence>;
+pub(crate) type Answer = Result<Result<String, Box<Problem>>, NoAnswer>;
 
 impl Client {
     /// A client of the nodes that the arguments name.
@@ -63,12 +63,12 @@
         for node in &self.nodes {
             match self.call(*node, Method::GET, path) {
                 Ok(Ok(text)) => return read_document(&text),
-                Ok(Err(problem)) => match read_problem(*problem, path) {
+                Ok(Err(problem)) => match failure_of(*problem, path) {
                     // Another node may have a configuration, or the platform.
                     failure @ Failure::Unavailable(_) => unavailable = Some(failure),
                     failure => return Err(failure),
                 },
-                Err(Silence::NotSent(reason) | Silence::Lost(reason)) => {
+                Err(NoAnswer::NotSent(reason) | NoAnswer::Lost(reason)) => {
                     reasons.push(format!("{node}: {reason}"));
                 }
             }
@@ -102,18 +102,18 @@
 
     fn exchange(&self, request: Builder, body: String) -> Answer {
         let request =
-            request.body(Body::from(body)).map_err(|error| Silence::NotSent(error.to_string()))?;
-        let response = self.http.request(request).map_err(describe_silence)?;
+            request.body(Body::from(body)).map_err(|error| NoAnswer::NotSent(error.to_string()))?;
+        let response = self.http.request(request).map_err(classify_error)?;
         let status = response.status().as_u16();
         let text = response.into_body().to_string();
-        let text = text.map_err(|error| Silence::Lost(error.to_string()))?;
-        if STATUS_OK.contains(&status) {
+        let text = text.map_err(|error| NoAnswer::Lost(error.to_string()))?;
+        if SUCCESS_STATUSES.contains(&status) {
             return Ok(Ok(text));
         }
         match serde_json::from_str(&text) {
             Ok(problem) => Ok(Err(Box::new(problem))),
             // An error of the HTTP library itself has no problem document.
-            Err(_) => Err(Silence::Lost(format!("status {status}"))),
+            Err(_) => Err(NoAnswer::Lost(format!("status {status}"))),
         }
     }
 }
@@ -126,14 +126,14 @@
 
 /// Only errors that can't come after a connection stands count as not sent;
 /// a doubt costs one read, a wrong guess an unnoticed change.
-fn describe_silence(error: io::Error) -> Silence {
+fn classify_error(error: io::Error) -> NoAnswer {
     match error.kind() {
         ErrorKind::ConnectionRefused
         | ErrorKind::InvalidInput
         | ErrorKind::HostUnreachable
-        | ErrorKind::NetworkUnreachable => Silence::NotSent(error.to_string()),
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => Silence::Lost("timeout".to_owned()),
-        _ => Silence::Lost(error.to_string()),
+        | ErrorKind::NetworkUnreachable => NoAnswer::NotSent(error.to_string()),
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => NoAnswer::Lost("timeout".to_owned()),
+        _ => NoAnswer::Lost(error.to_string()),
     }
 }
 
@@ -142,11 +142,11 @@
     let token = match file {
         Some(file) => std::fs::read_to_string(file)
             .map_err(|error| Failure::Local(format!("{}: {error}", file.display())))?,
-        None => std::env::var(TOKEN_VARIABLE).unwrap_or_default(),
+        None => std::env::var(TOKEN_ENV_VARIABLE).unwrap_or_default(),
     };
     let token = token.trim().to_owned();
     if token.is_empty() {
-        let detail = format!("give a token by --token-file or {TOKEN_VARIABLE}");
+        let detail = format!("give a token by --token-file or {TOKEN_ENV_VARIABLE}");
         return Err(Failure::Unauthorized(detail));
     }
     if !token.bytes().all(|b| b.is_ascii_graphic()) {
--- a/apps/hickory/src/demo.rs
+++ b/apps/hickory/src/demo.rs
@@ -23,16 +23,16 @@
 
 /// How long requests are sent; with the answers that are still under way
 /// then, the demo ends within half a minute.
-const SENDING: Duration = Duration::from_secs(12);
+const SEND_DURATION: Duration = Duration::from_secs(12);
 
 /// When the long prompts begin: what short ones see before is what they are
 /// compared with.
-const LONG_FROM: Duration = Duration::from_secs(4);
+const LONG_PROMPTS_START: Duration = Duration::from_secs(4);
 
 /// Time for the prompt of a million tokens. Engines report their rate as if
 /// they ran at real speed, at which its prefill takes 25 s; here it takes half
 /// of that or less.
-const HUGE_DEADLINE: Duration = Duration::from_secs(26);
+const HUGE_PROMPT_DEADLINE: Duration = Duration::from_secs(26);
 
 /// How long the fleet may take to be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
@@ -47,19 +47,20 @@
 
 /// Runs the demo and prints its report.
 pub(crate) fn run(options: &Demo) -> Result<(), Failure> {
-    let standins = Fleet::spawn(standin_options()).map_err(local)?;
+    let standins = Fleet::spawn(standin_options()).map_err(local_failure)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.map_err(local)?;
-    let nodes = runtime.block_on(start(&standins))?;
+    let runtime = runtime.map_err(local_failure)?;
+    let nodes = runtime.block_on(start_nodes(&standins))?;
     println!("{NODES} nodes before {} engines, ready", standins.engines.len());
     for node in &nodes {
         println!("  callers at {}, operators at {}", node.callers(), node.admin());
     }
-    println!("sending for {} s\n", SENDING.as_secs());
+    println!("sending for {} s\n", SEND_DURATION.as_secs());
     let entries = nodes.iter().map(Node::callers).collect();
-    let report = run::run(workload(options.seed), entries, credentials()).map_err(local)?;
+    let report =
+        run::run(load_options(options.seed), entries, credentials()).map_err(local_failure)?;
     println!("{report}");
-    runtime.block_on(stop(&nodes));
+    runtime.block_on(stop_nodes(&nodes));
     println!("planned stop of all nodes done");
     match report.lost() {
         0 => Ok(()),
@@ -67,7 +68,7 @@
     }
 }
 
-fn local(error: impl std::fmt::Display) -> Failure {
+fn local_failure(error: impl std::fmt::Display) -> Failure {
     Failure::Local(error.to_string())
 }
 
@@ -80,26 +81,28 @@
     options
 }
 
-fn token(account: &str) -> String {
+fn token_of(account: &str) -> String {
     format!("{account}-token")
 }
 
 fn credentials() -> Vec<Credential> {
     let accounts = ACCOUNTS.iter();
-    accounts.map(|(name, _)| Credential { account: (*name).into(), token: token(name) }).collect()
+    accounts
+        .map(|(name, _)| Credential { account: (*name).into(), token: token_of(name) })
+        .collect()
 }
 
-fn workload(seed: u64) -> mix::Options {
-    let mut options = mix::Options::mixed(seed, SENDING, 20.0);
+fn load_options(seed: u64) -> mix::Options {
+    let mut options = mix::Options::mixed(seed, SEND_DURATION, 20.0);
     for part in &mut options.parts {
         if !matches!(part.length, Length::Short) {
-            part.from = LONG_FROM;
+            part.from = LONG_PROMPTS_START;
         }
         // One prompt greater than two engines: more would still be prefilled
         // when the demo is to end.
         if matches!(part.length, Length::Huge) {
             part.arrival = Arrival::Once(1);
-            part.deadline = HUGE_DEADLINE;
+            part.deadline = HUGE_PROMPT_DEADLINE;
         } else {
             part.deadline = part.deadline.min(Duration::from_secs(12));
         }
@@ -115,17 +118,17 @@
     options
 }
 
-async fn start(standins: &Fleet) -> Result<Vec<Node>, Failure> {
+async fn start_nodes(standins: &Fleet) -> Result<Vec<Node>, Failure> {
     let platform = standins.platform();
-    let any = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
+    let any_port = SocketAddr::new(Ipv4Addr::LOCALHOST.into(), 0);
     let mut nodes = Vec::new();
     for index in 0..NODES {
         let settings = Settings {
             node: format!("node-{index}").as_str().into(),
             zone: ["a", "b", "c"][index].into(),
-            callers: any,
-            admin: any,
-            peers: any,
+            callers: any_port,
+            admin: any_port,
+            peers: any_port,
             platform: Platform {
                 store: platform.store,
                 hosts: platform.hosts,
@@ -136,9 +139,9 @@
             times: Times { entry_keep_ms: 1_000, ..Times::default() },
             logs: Default::default(),
         };
-        nodes.push(Node::spawn(settings).await.map_err(local)?);
+        nodes.push(Node::spawn(settings).await.map_err(local_failure)?);
     }
-    nodes[0].accept(&first_note()).await.map_err(local)?;
+    nodes[0].accept(&first_note()).await.map_err(local_failure)?;
     let targets = standins.engines.len() + standins.replicas.len();
     let end = Instant::now() + START_TIMEOUT;
     while nodes.iter().any(|node| node.accepting() < targets) {
@@ -150,7 +153,7 @@
     Ok(nodes)
 }
 
-async fn stop(nodes: &[Node]) {
+async fn stop_nodes(nodes: &[Node]) {
     nodes.iter().for_each(Node::drain);
     for node in nodes {
         node.closed().await;
@@ -166,7 +169,7 @@
     };
     let account = |name: &str, partner: &str| Account {
         partner: partner.into(),
-        token_digest: configuration::digest_token(&token(name)),
+        token_digest: configuration::digest_token(&token_of(name)),
         weight: 1.0,
         models: [MODEL.into()].into(),
         services: ["orders".into()].into(),
--- a/apps/hickory/src/explain.rs
+++ b/apps/hickory/src/explain.rs
@@ -9,10 +9,10 @@
 
 /// How long before the request's arrival changes of belief are shown: what was
 /// believed when it came was learnt in these seconds, or long before.
-const BEFORE: TimeDelta = TimeDelta::seconds(5);
+const LOOKBACK: TimeDelta = TimeDelta::seconds(5);
 
 /// The message of a placement.
-const PLACED: &str = "placed";
+const PLACED_MESSAGE: &str = "placed";
 
 /// A log line, as far as it is read.
 #[derive(Deserialize)]
@@ -54,7 +54,7 @@
 
 /// What the logs say.
 #[derive(Debug, Serialize)]
-struct Course {
+struct RequestHistory {
     request: String,
     steps: Vec<Step>,
     /// Lines that could not be read.
@@ -63,42 +63,42 @@
 
 /// Prints the course of a request; `-` stands for standard input.
 pub(crate) fn run(request: &str, files: &[PathBuf], json: bool) -> Result<(), Failure> {
-    let mut lines = Vec::new();
+    let mut steps = Vec::new();
     let mut skipped = 0;
     for file in files {
         let text = read_input(file)?;
         let name = file.file_stem().unwrap_or_default().to_string_lossy();
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
-            match read_line(line) {
-                Some(line) => lines.push(read_step(line, &name, request)),
+            match parse_line(line) {
+                Some(line) => steps.push(to_step(line, &name, request)),
                 None => skipped += 1,
             }
         }
     }
-    let steps = select(lines);
+    let steps = select_steps(steps);
     if steps.is_empty() {
         return Err(Failure::Local(format!("no line names the request {request}")));
     }
-    let course = Course { request: request.to_owned(), steps, skipped };
+    let history = RequestHistory { request: request.to_owned(), steps, skipped };
     match json {
-        true => print_json(&course),
-        false => print!("{}", describe(&course)),
+        true => print_json(&history),
+        false => print!("{}", render_history(&history)),
     }
     Ok(())
 }
 
 /// A line may stand behind columns of whatever gathered the logs.
-fn read_line(line: &str) -> Option<Line> {
+fn parse_line(line: &str) -> Option<Line> {
     serde_json::from_str(&line[line.find('{')?..]).ok()
 }
 
-fn read_step(line: Line, file: &str, request: &str) -> Step {
+fn to_step(line: Line, file: &str, request: &str) -> Step {
     let mut known: BTreeMap<String, String> =
-        line.attributes.into_iter().map(|(name, value)| (name, show(value))).collect();
+        line.attributes.into_iter().map(|(name, value)| (name, value_text(value))).collect();
     let about = match known.get("request").map(String::as_str) {
         None => About::Belief,
         Some(named) if named == request => About::Request,
-        Some(_) if line.message == PLACED => About::Work,
+        Some(_) if line.message == PLACED_MESSAGE => About::Work,
         Some(_) => About::Other,
     };
     if about == About::Request {
@@ -114,7 +114,7 @@
     }
 }
 
-fn show(value: serde_json::Value) -> String {
+fn value_text(value: serde_json::Value) -> String {
     match value {
         serde_json::Value::String(text) => text,
         other => other.to_string(),
@@ -123,44 +123,44 @@
 
 /// The steps of the request, what its nodes came to believe meanwhile, and the
 /// long work on its targets.
-fn select(mut steps: Vec<Step>) -> Vec<Step> {
+fn select_steps(mut steps: Vec<Step>) -> Vec<Step> {
     steps.retain(|step| step.about != About::Other);
     steps.sort_by(|a, b| (a.time, &a.node).cmp(&(b.time, &b.node)));
     let own = || steps.iter().filter(|step| step.about == About::Request);
     let nodes: BTreeSet<String> = own().map(|step| step.node.clone()).collect();
-    let targets: BTreeSet<String> = own().flat_map(find_targets).map(str::to_owned).collect();
-    let (Some(begin), Some(end)) = (own().map(arrived).min(), own().map(|s| s.time).max()) else {
+    let targets: BTreeSet<String> = own().flat_map(targets_of).map(str::to_owned).collect();
+    let (Some(begin), Some(end)) = (own().map(arrival_time).min(), own().map(|s| s.time).max())
+    else {
         return Vec::new();
     };
-    let window = begin - BEFORE..=end;
+    let window = begin - LOOKBACK..=end;
     steps.retain(|step| match step.about {
         About::Request => true,
         About::Belief => nodes.contains(&step.node) && window.contains(&step.time),
-        About::Work => {
-            window.contains(&step.time) && find_targets(step).any(|t| targets.contains(t))
-        }
+        About::Work => window.contains(&step.time) && targets_of(step).any(|t| targets.contains(t)),
         About::Other => false,
     });
     steps
 }
 
 /// The targets that a step names.
-fn find_targets(step: &Step) -> impl Iterator<Item = &str> {
+fn targets_of(step: &Step) -> impl Iterator<Item = &str> {
     let names = ["target_id", "helpers"].into_iter().filter_map(|name| step.known.get(name));
     names.flat_map(|names| names.split(',')).filter(|name| !name.is_empty())
 }
 
 /// When the request came, by the age that a line gives it.
-fn arrived(step: &Step) -> DateTime<FixedOffset> {
+fn arrival_time(step: &Step) -> DateTime<FixedOffset> {
     let age = step.known.get("age_ms").and_then(|age| age.parse().ok()).unwrap_or(0);
     step.time - TimeDelta::milliseconds(age)
 }
 
-fn describe(course: &Course) -> String {
-    let begin = course.steps.iter().filter(|s| s.about == About::Request).map(arrived).min();
+fn render_history(history: &RequestHistory) -> String {
+    let arrival =
+        history.steps.iter().filter(|s| s.about == About::Request).map(arrival_time).min();
     let mut text = String::new();
-    for step in &course.steps {
-        let since = begin.map_or(TimeDelta::zero(), |begin| step.time - begin);
+    for step in &history.steps {
+        let since_arrival = arrival.map_or(TimeDelta::zero(), |arrival| step.time - arrival);
         let known: Vec<String> =
             step.known.iter().map(|(name, value)| format!("{name}={value}")).collect();
         let mark = match step.about {
@@ -170,7 +170,7 @@
         };
         text.push_str(&format!(
             "{:>8} ms {mark} {:<16} {:<5} {}  {}\n",
-            since.num_milliseconds(),
+            since_arrival.num_milliseconds(),
             step.node,
             step.level.to_lowercase(),
             step.message,
@@ -180,8 +180,8 @@
     text.push_str(
         "(* the node came to believe this, + long work on a target; times since the arrival)\n",
     );
-    if course.skipped > 0 {
-        text.push_str(&format!("({} lines could not be read)\n", course.skipped));
+    if history.skipped > 0 {
+        text.push_str(&format!("({} lines could not be read)\n", history.skipped));
     }
     text
 }
--- a/apps/hickory/src/failure.rs
+++ b/apps/hickory/src/failure.rs
@@ -94,7 +94,7 @@
 }
 
 /// The failure that a problem document tells of; `file` names what was sent.
-pub(crate) fn read_problem(problem: Problem, file: &str) -> Failure {
+pub(crate) fn failure_of(problem: Problem, file: &str) -> Failure {
     let Problem { code, detail, present, operation, findings, .. } = problem;
     match code {
         Code::Unauthorized => Failure::Unauthorized(detail),
--- a/apps/hickory/src/print.rs
+++ b/apps/hickory/src/print.rs
@@ -40,7 +40,7 @@
 
 /// What was done about a zone.
 #[derive(Serialize)]
-struct Move<'a> {
+struct ZoneChange<'a> {
     zone: &'a str,
     out: bool,
     version: id::Release,
@@ -57,7 +57,7 @@
     json: bool,
 ) {
     if json {
-        print_json(&Move { zone, out, version, conflicts });
+        print_json(&ZoneChange { zone, out, version, conflicts });
         return;
     }
     for conflict in conflicts {
@@ -69,7 +69,7 @@
 
 /// A failure as JSON.
 #[derive(Serialize)]
-struct Document<'a> {
+struct FailureDocument<'a> {
     failure: &'a str,
     code: u8,
     detail: String,
@@ -90,7 +90,7 @@
         _ => None,
     };
     if json {
-        let document = Document {
+        let document = FailureDocument {
             failure: failure.name(),
             code: failure.code(),
             detail: failure.detail(),
--- a/apps/hickory/src/report.rs
+++ b/apps/hickory/src/report.rs
@@ -19,19 +19,19 @@
         return Err(Failure::Usage("nothing to do: give --out FILE, --json, or both".into()));
     }
     if let Some(out) = &options.out {
-        check_out(out, options)?;
+        check_output_path(out, options)?;
     }
     let mut tally = Tally::default();
     for log in &options.logs {
-        read_log(log, &mut tally).map_err(|error| fail(log, error))?;
+        tally_log(log, &mut tally).map_err(|error| file_failure(log, error))?;
     }
     if let Some(fault) = tally.first_problem().filter(|_| options.strict) {
         return Err(Failure::Local(fault));
     }
     let summary = Summary::of(&tally);
     if let Some(out) = &options.out {
-        let page = render_page(&summary).map_err(|error| fail(out, error))?;
-        atomic_file::write(out, &page).map_err(|error| fail(out, error))?;
+        let page = render_page(&summary).map_err(|error| file_failure(out, error))?;
+        atomic_file::write(out, &page).map_err(|error| file_failure(out, error))?;
     }
     match (&options.out, json) {
         (_, true) => print_json(&summary),
@@ -46,22 +46,22 @@
     Ok(())
 }
 
-fn fail(place: &Path, error: impl Display) -> Failure {
-    Failure::Local(format!("{}: {error}", place.display()))
+fn file_failure(path: &Path, error: impl Display) -> Failure {
+    Failure::Local(format!("{}: {error}", path.display()))
 }
 
 /// A page in the place of a log would end the log.
-fn check_out(out: &Path, options: &Report) -> Result<(), Failure> {
+fn check_output_path(out: &Path, options: &Report) -> Result<(), Failure> {
     // What isn't there is no log.
-    let Ok(place) = fs::canonicalize(out) else { return Ok(()) };
-    let is_log = |log: &&std::path::PathBuf| fs::canonicalize(log).is_ok_and(|log| log == place);
+    let Ok(out_path) = fs::canonicalize(out) else { return Ok(()) };
+    let is_log = |log: &&std::path::PathBuf| fs::canonicalize(log).is_ok_and(|log| log == out_path);
     match options.logs.iter().find(is_log) {
         Some(_) => Err(Failure::Usage(format!("{}: it is one of the logs", out.display()))),
         None => Ok(()),
     }
 }
 
-fn read_log(log: &Path, tally: &mut Tally) -> io::Result<()> {
+fn tally_log(log: &Path, tally: &mut Tally) -> io::Result<()> {
     if log == Path::new("-") {
         return read_lines(io::stdin().lock(), "-", tally);
     }
--- a/apps/hickory/src/show.rs
+++ b/apps/hickory/src/show.rs
@@ -1,8 +1,8 @@
 //! What the fleet looks like.
 
 use crate::accept::read_configuration;
-use crate::client::{Client, Silence, read_document};
-use crate::failure::{Failure, read_problem};
+use crate::client::{Client, NoAnswer, read_document};
+use crate::failure::{Failure, failure_of};
 use crate::print::print_json;
 use crate::table::Table;
 use hickory_admin::view;
@@ -31,14 +31,14 @@
     let mut table =
         Table::new(&["NODE", "ZONE", "CALLERS", "VERSION", "OWNED", "REACHABLE", "DRAINING"]);
     for node in nodes {
-        table.row([
+        table.add_row([
             node.node.to_string(),
             node.zone.to_string(),
             node.callers.to_string(),
             node.version.to_string(),
             node.owned.to_string(),
-            yes(node.reachable),
-            yes(node.draining),
+            yes_no(node.reachable),
+            yes_no(node.draining),
         ]);
     }
     print!("{table}");
@@ -65,12 +65,12 @@
         "READY",
     ]);
     for target in targets {
-        table.row([
+        table.add_row([
             target.target.to_string(),
             target.zone.to_string(),
             target.kind,
             target.standing,
-            yes(target.accepting),
+            yes_no(target.accepting),
             target.running.to_string(),
             target.bound.to_string(),
             target.waiting.to_string(),
@@ -91,7 +91,7 @@
     }
     let mut table = Table::new(&["TARGET", "NODE", "EPOCH"]);
     for owner in owners.owners {
-        table.row([owner.target.to_string(), owner.node.to_string(), owner.epoch.to_string()]);
+        table.add_row([owner.target.to_string(), owner.node.to_string(), owner.epoch.to_string()]);
     }
     print!("{table}");
     Ok(())
@@ -113,10 +113,10 @@
             }
             Ok(())
         }
-        Ok(Err(problem)) => Err(read_problem(*problem, "drain")),
-        Err(Silence::NotSent(reason)) => Err(Failure::Unreachable(vec![reason])),
+        Ok(Err(problem)) => Err(failure_of(*problem, "drain")),
+        Err(NoAnswer::NotSent(reason)) => Err(Failure::Unreachable(vec![reason])),
         // A second order to drain does no harm; the operator may repeat it.
-        Err(Silence::Lost(reason)) => Err(Failure::Unreachable(vec![reason])),
+        Err(NoAnswer::Lost(reason)) => Err(Failure::Unreachable(vec![reason])),
     }
 }
 
@@ -126,11 +126,11 @@
     let mut partners = Table::new(&["PARTNER", "SHARE", "OF FLEET"]);
     for (name, partner) in &configuration.partners {
         let percent = format!("{:.1}%", 100.0 * partner.share / total);
-        partners.row([name.to_string(), partner.share.to_string(), percent]);
+        partners.add_row([name.to_string(), partner.share.to_string(), percent]);
     }
     let mut accounts = Table::new(&["ACCOUNT", "PARTNER", "WEIGHT", "MODELS", "SERVICES"]);
     for (name, account) in &configuration.accounts {
-        accounts.row([
+        accounts.add_row([
             name.to_string(),
             account.partner.to_string(),
             account.weight.to_string(),
@@ -141,19 +141,19 @@
     let mut models = Table::new(&["MODEL", "CURRENT", "VERSIONS", "ADAPTERS"]);
     for (name, Model { current, versions, adapters }) in &configuration.models {
         let versions = join(versions.keys());
-        models.row([name.to_string(), current.to_string(), versions, join(adapters.keys())]);
+        models.add_row([name.to_string(), current.to_string(), versions, join(adapters.keys())]);
     }
     let mut zones = Table::new(&["ZONE", "SERVICE"]);
     for (name, zone) in &configuration.zones {
-        zones.row([name.to_string(), if zone.out { "out" } else { "in" }.to_owned()]);
+        zones.add_row([name.to_string(), if zone.out { "out" } else { "in" }.to_owned()]);
     }
     let mut services = Table::new(&["SERVICE", "AT MOST ONCE"]);
     for (name, Service { once }) in &configuration.services {
-        services.row([name.to_string(), join(once)]);
+        services.add_row([name.to_string(), join(once)]);
     }
     let mut targets = Table::new(&["TARGET", "CHECKS FENCING"]);
     for (name, target) in &configuration.targets {
-        targets.row([name.to_string(), yes(target.checks_fence)]);
+        targets.add_row([name.to_string(), yes_no(target.checks_fence)]);
     }
     for table in [partners, accounts, models, zones, services, targets] {
         if !table.is_empty() {
@@ -167,6 +167,6 @@
     names.into_iter().map(|name| name.to_string()).collect::<Vec<_>>().join(" ")
 }
 
-fn yes(is: bool) -> String {
-    if is { "yes" } else { "no" }.to_owned()
+fn yes_no(value: bool) -> String {
+    if value { "yes" } else { "no" }.to_owned()
 }
--- a/apps/hickory/src/table.rs
+++ b/apps/hickory/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Blanks between two columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// Rows under a heading, in aligned columns.
 pub(crate) struct Table {
@@ -17,9 +17,9 @@
     }
 
     /// Adds a row.
-    pub(crate) fn row<const N: usize>(&mut self, cells: [String; N]) {
-        let shown = cells.map(|cell| if cell.is_empty() { "-".to_owned() } else { cell });
-        self.rows.push(shown.into());
+    pub(crate) fn add_row<const N: usize>(&mut self, cells: [String; N]) {
+        let cells = cells.map(|cell| if cell.is_empty() { "-".to_owned() } else { cell });
+        self.rows.push(cells.into());
     }
 
     /// Whether there is no row but the heading.
@@ -37,7 +37,7 @@
         for row in &self.rows {
             let last = row.len() - 1;
             for (column, cell) in row[..last].iter().enumerate() {
-                write!(f, "{cell:<width$}", width = self.width(column) + GAP)?;
+                write!(f, "{cell:<width$}", width = self.width(column) + COLUMN_GAP)?;
             }
             writeln!(f, "{}", row[last])?;
         }
--- a/apps/hickory/src/token.rs
+++ b/apps/hickory/src/token.rs
@@ -10,11 +10,11 @@
 use serde::Serialize;
 
 /// Random bytes in a token: beyond guessing.
-const BYTES: usize = 32;
+const TOKEN_BYTES: usize = 32;
 
 /// A token and its digest.
 #[derive(Serialize)]
-struct Pair {
+struct TokenAndDigest {
     token: String,
     digest: String,
 }
@@ -27,12 +27,12 @@
 
 /// Prints a new token. The fleet only ever has the digest.
 pub(crate) fn print_new(json: bool) -> Result<(), Failure> {
-    let mut bytes = [0; BYTES];
+    let mut bytes = [0; TOKEN_BYTES];
     OsRng
         .try_fill_bytes(&mut bytes)
         .map_err(|error| Failure::Local(format!("no random bytes: {error}")))?;
     let token: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    let pair = Pair { digest: digest_token(&token), token };
+    let pair = TokenAndDigest { digest: digest_token(&token), token };
     if json {
         print_json(&pair);
     } else {
--- a/apps/hickory/src/zone.rs
+++ b/apps/hickory/src/zone.rs
@@ -1,6 +1,6 @@
 //! Zones out of service and back.
 
-use crate::accept::{await_version, draw_note, later_version, read_configuration, send_note};
+use crate::accept::{await_version, new_note, read_configuration, send_note, version_to_await};
 use crate::client::Client;
 use crate::failure::Failure;
 use crate::print;
@@ -10,7 +10,7 @@
 
 /// Conflicts that are met with another try. Operators race each other, but a
 /// zone's outage must not wait for the end of a long row of other notes.
-const TRIES: usize = 8;
+const MAX_ATTEMPTS: usize = 8;
 
 /// Takes a zone out, or brings it back.
 ///
@@ -20,15 +20,15 @@
 pub(crate) fn run(client: &Client, name: &str, out: bool, json: bool) -> Result<(), Failure> {
     let zone = id::Zone::from(name);
     let mut present = read_configuration(client)?;
-    let seen = find_zone(&present, &zone)?;
-    if seen.out == out {
+    let initial = look_up_zone(&present, &zone)?;
+    if initial.out == out {
         print::print_zone(name, out, present.version, &[], json);
         return Ok(());
     }
     let mut conflicts = Vec::new();
-    let mut note = draw_note(present.version);
+    let mut note = new_note(present.version);
     note.changed.zones.insert(zone.clone(), Zone { out });
-    while conflicts.len() < TRIES {
+    while conflicts.len() < MAX_ATTEMPTS {
         note.against = present.version;
         match send_note(client, &note) {
             Ok(accepted) => {
@@ -36,19 +36,19 @@
                 return Ok(());
             }
             Err(Failure::Conflict { present: Some(version), .. }) => {
-                let version = later_version(version, present.version);
+                let version = version_to_await(version, present.version);
                 conflicts.push(version);
                 present = await_version(client, version)?;
-                check_untouched(&present, &zone, seen)?;
+                check_unchanged(&present, &zone, initial)?;
             }
             Err(failure) => return Err(failure),
         }
     }
-    let detail = format!("gave up after {TRIES} conflicts; zone {zone} is unchanged");
+    let detail = format!("gave up after {MAX_ATTEMPTS} conflicts; zone {zone} is unchanged");
     Err(Failure::Conflict { present: Some(present.version), detail })
 }
 
-fn find_zone(configuration: &Configuration, zone: &id::Zone) -> Result<Zone, Failure> {
+fn look_up_zone(configuration: &Configuration, zone: &id::Zone) -> Result<Zone, Failure> {
     configuration.zones.get(zone).copied().ok_or_else(|| {
         let known: Vec<&str> = configuration.zones.keys().map(id::Zone::as_str).collect();
         let message = format!("no such zone; there are: {}", known.join(", "));
@@ -57,8 +57,8 @@
     })
 }
 
-fn check_untouched(present: &Configuration, zone: &id::Zone, seen: Zone) -> Result<(), Failure> {
-    if present.zones.get(zone) == Some(&seen) {
+fn check_unchanged(present: &Configuration, zone: &id::Zone, initial: Zone) -> Result<(), Failure> {
+    if present.zones.get(zone) == Some(&initial) {
         return Ok(());
     }
     let state = match present.zones.get(zone) {
--- a/apps/hickory/tests/fleet.rs
+++ b/apps/hickory/tests/fleet.rs
@@ -37,27 +37,31 @@
 }
 
 /// The time that a node has to answer where none falls silent: out of reach.
-const LONG: &str = "60000";
+const LONG_TIMEOUT_MS: &str = "60000";
 /// The same where one does; the others answer within it many times over.
-const SHORT: &str = "2000";
+const SHORT_TIMEOUT_MS: &str = "2000";
 
 struct Scenario {
     name: &'static str,
     nodes: Vec<Node>,
-    timeout: &'static str,
+    timeout_ms: &'static str,
     args: &'static [&'static str],
 }
 
-fn one(name: &'static str, args: &'static [&'static str]) -> Scenario {
-    many(name, vec![up([])], args)
+fn one_node(name: &'static str, args: &'static [&'static str]) -> Scenario {
+    with_nodes(name, vec![up([])], args)
 }
 
-fn many(name: &'static str, nodes: Vec<Node>, args: &'static [&'static str]) -> Scenario {
-    Scenario { name, nodes, timeout: LONG, args }
+fn with_nodes(name: &'static str, nodes: Vec<Node>, args: &'static [&'static str]) -> Scenario {
+    Scenario { name, nodes, timeout_ms: LONG_TIMEOUT_MS, args }
 }
 
-fn silent(name: &'static str, nodes: Vec<Node>, args: &'static [&'static str]) -> Scenario {
-    Scenario { name, nodes, timeout: SHORT, args }
+fn with_silent_node(
+    name: &'static str,
+    nodes: Vec<Node>,
+    args: &'static [&'static str],
+) -> Scenario {
+    Scenario { name, nodes, timeout_ms: SHORT_TIMEOUT_MS, args }
 }
 
 fn up(faults: impl IntoIterator<Item = Fault>) -> Node {
@@ -65,13 +69,13 @@
 }
 
 /// What keeps a node's address as it is for the time of a scenario.
-enum Guard {
+enum RunningNode {
     Up(Arc<Fake>, Handle<Fake>),
     Dead(Socket),
     Mute(TcpListener),
 }
 
-impl Guard {
+impl RunningNode {
     fn open(platform: &Arc<Platform>, node: Node) -> Self {
         match node {
             Node::Up(faults) => {
@@ -111,13 +115,13 @@
 
 /// Runs one scenario on a platform of its own, and writes down what the
 /// operator sees, how many notes each node got, and what is in force.
-fn play(scenario: Scenario, report: &mut String) {
+fn run_scenario(scenario: Scenario, report: &mut String) {
     let platform = Platform::open(FIRST);
-    let guards: Vec<Guard> =
-        scenario.nodes.into_iter().map(|node| Guard::open(&platform, node)).collect();
-    let addresses: Vec<String> = guards.iter().map(Guard::address).collect();
+    let nodes: Vec<RunningNode> =
+        scenario.nodes.into_iter().map(|node| RunningNode::open(&platform, node)).collect();
+    let addresses: Vec<String> = nodes.iter().map(RunningNode::address).collect();
     let mut args = Vec::from(scenario.args);
-    args.extend(["--timeout-ms", scenario.timeout]);
+    args.extend(["--timeout-ms", scenario.timeout_ms]);
     addresses.iter().for_each(|address| args.extend(["--node", address]));
     let mut output = run(&args, &[("HICKORY_TOKEN", TOKEN)]);
     output.command = scenario.args.join(" ");
@@ -125,21 +129,22 @@
     for (index, address) in addresses.iter().enumerate() {
         text = text.replace(address, &format!("NODE-{}", index + 1));
     }
-    let accepts: Vec<usize> = guards.iter().map(Guard::accepts).collect();
+    let accepts: Vec<usize> = nodes.iter().map(RunningNode::accepts).collect();
     let configuration = platform.configuration();
-    let operations = configuration.operations.iter().map(|o| hide_random(o)).collect::<Vec<_>>();
-    writeln!(report, "## {}\n{}", scenario.name, hide_random(&text)).unwrap();
+    let operations =
+        configuration.operations.iter().map(|o| hide_random_ids(o)).collect::<Vec<_>>();
+    writeln!(report, "## {}\n{}", scenario.name, hide_random_ids(&text)).unwrap();
     writeln!(report, "notes {accepts:?}, version {}: {operations:?}\n", configuration.version)
         .unwrap();
-    for guard in &guards {
-        if let Guard::Up(fake, _) = guard {
+    for node in &nodes {
+        if let RunningNode::Up(fake, _) = node {
             fake.release();
         }
     }
 }
 
 /// Operation ids that were drawn are UUIDs; their five groups are hidden.
-fn hide_random(text: &str) -> String {
+fn hide_random_ids(text: &str) -> String {
     let is_random = |word: &str| word.len() == 36 && word.matches('-').count() == 4;
     let hide = |word: &str| if is_random(word) { "RANDOM".to_owned() } else { word.to_owned() };
     text.split('\n')
@@ -148,44 +153,44 @@
         .join("\n")
 }
 
-fn play_all(scenarios: impl IntoIterator<Item = Scenario>) -> String {
+fn run_scenarios(scenarios: impl IntoIterator<Item = Scenario>) -> String {
     let mut report = String::new();
-    scenarios.into_iter().for_each(|scenario| play(scenario, &mut report));
+    scenarios.into_iter().for_each(|scenario| run_scenario(scenario, &mut report));
     report
 }
 
 #[test]
 fn what_is_shown() {
-    let report = play_all([
-        one("nodes", &["nodes"]),
-        one("nodes as JSON", &["--json", "nodes"]),
-        one("targets", &["targets"]),
-        one("owners", &["owners"]),
-        one("owners as JSON", &["--json", "owners"]),
-        one("configuration", &["release", "show"]),
-        one("drain", &["drain"]),
-        many("the first node is dead", vec![Node::Dead, up([])], &["owners"]),
-        many("all nodes are dead", vec![Node::Dead, Node::Dead], &["owners"]),
-        many("the node to drain is dead", vec![Node::Dead], &["drain"]),
+    let report = run_scenarios([
+        one_node("nodes", &["nodes"]),
+        one_node("nodes as JSON", &["--json", "nodes"]),
+        one_node("targets", &["targets"]),
+        one_node("owners", &["owners"]),
+        one_node("owners as JSON", &["--json", "owners"]),
+        one_node("configuration", &["release", "show"]),
+        one_node("drain", &["drain"]),
+        with_nodes("the first node is dead", vec![Node::Dead, up([])], &["owners"]),
+        with_nodes("all nodes are dead", vec![Node::Dead, Node::Dead], &["owners"]),
+        with_nodes("the node to drain is dead", vec![Node::Dead], &["drain"]),
     ]);
     insta::assert_snapshot!(report);
 }
 
 #[test]
 fn notes_are_accepted_compared_and_refused() {
-    let report = play_all([
-        one("accept", &["release", "accept", "note.jsonc"]),
-        one("accept as JSON", &["--json", "release", "accept", "note.jsonc"]),
-        one("diff", &["release", "diff", "note.jsonc"]),
-        one("diff as JSON", &["--json", "release", "diff", "note.jsonc"]),
-        one("diff of a stale note", &["release", "diff", "note_stale.jsonc"]),
-        one("diff of an invalid note", &["release", "diff", "note_reference.jsonc"]),
-        one("stale", &["release", "accept", "note_stale.jsonc"]),
-        one("stale as JSON", &["--json", "release", "accept", "note_stale.jsonc"]),
-        one("wrong by itself", &["release", "accept", "note_shape.jsonc"]),
-        one("wrong against the configuration", &["release", "accept", "note_reference.jsonc"]),
-        one("find", &["release", "find", "op-first"]),
-        one("find in vain", &["release", "find", "op-never"]),
+    let report = run_scenarios([
+        one_node("accept", &["release", "accept", "note.jsonc"]),
+        one_node("accept as JSON", &["--json", "release", "accept", "note.jsonc"]),
+        one_node("diff", &["release", "diff", "note.jsonc"]),
+        one_node("diff as JSON", &["--json", "release", "diff", "note.jsonc"]),
+        one_node("diff of a stale note", &["release", "diff", "note_stale.jsonc"]),
+        one_node("diff of an invalid note", &["release", "diff", "note_reference.jsonc"]),
+        one_node("stale", &["release", "accept", "note_stale.jsonc"]),
+        one_node("stale as JSON", &["--json", "release", "accept", "note_stale.jsonc"]),
+        one_node("wrong by itself", &["release", "accept", "note_shape.jsonc"]),
+        one_node("wrong against the configuration", &["release", "accept", "note_reference.jsonc"]),
+        one_node("find", &["release", "find", "op-first"]),
+        one_node("find in vain", &["release", "find", "op-never"]),
     ]);
     insta::assert_snapshot!(report);
 }
@@ -195,24 +200,40 @@
 // told of as a conflict, or, under a new id, be accepted twice.
 #[test]
 fn a_note_whose_answer_is_lost_is_accepted_once() {
-    let report = play_all([
-        many("the platform's answer is lost after the write", vec![up([Fault::LostAfter])], ACCEPT),
-        many("the write is lost", vec![up([Fault::LostBefore])], ACCEPT),
-        many("the write is lost, then the node", vec![up([Fault::LostBefore]), Node::Dead], ACCEPT),
-        many(
+    let report = run_scenarios([
+        with_nodes(
+            "the platform's answer is lost after the write",
+            vec![up([Fault::LostAfter])],
+            ACCEPT,
+        ),
+        with_nodes("the write is lost", vec![up([Fault::LostBefore])], ACCEPT),
+        with_nodes(
+            "the write is lost, then the node",
+            vec![up([Fault::LostBefore]), Node::Dead],
+            ACCEPT,
+        ),
+        with_nodes(
             "lost on both nodes, written by the second",
             vec![up([Fault::LostBefore]), up([Fault::LostAfter])],
             ACCEPT,
         ),
-        many("the platform is down at one node", vec![up([Fault::Unavailable]), up([])], ACCEPT),
-        many("the platform is down", vec![up([Fault::Unavailable, Fault::Unavailable])], ACCEPT),
-        many("all nodes are dead", vec![Node::Dead, Node::Dead], ACCEPT),
-        many(
+        with_nodes(
+            "the platform is down at one node",
+            vec![up([Fault::Unavailable]), up([])],
+            ACCEPT,
+        ),
+        with_nodes(
+            "the platform is down",
+            vec![up([Fault::Unavailable, Fault::Unavailable])],
+            ACCEPT,
+        ),
+        with_nodes("all nodes are dead", vec![Node::Dead, Node::Dead], ACCEPT),
+        with_nodes(
             "lost, and another note gets in",
             vec![up([Fault::LostBefore]), up([Fault::Race(OTHER_SHARE)])],
             ACCEPT,
         ),
-        many(
+        with_nodes(
             "lost, and takes effect while it is sent again",
             vec![up([Fault::LostBefore]), up([Fault::Overtaken])],
             ACCEPT,
@@ -227,23 +248,23 @@
 #[test]
 fn a_zone_is_tried_again_only_while_others_leave_it_alone() {
     const OUT: &[&str] = &["zone", "out", "nairobi-a"];
-    let report = play_all([
-        one("out", OUT),
-        one("out as JSON", &["--json", "zone", "out", "nairobi-a"]),
-        one("back while it is in service", &["zone", "back", "nairobi-a"]),
-        one("unknown", &["zone", "out", "atlantis"]),
-        many("another note gets in", vec![up([Fault::Race(OTHER_SHARE)])], OUT),
-        many(
+    let report = run_scenarios([
+        one_node("out", OUT),
+        one_node("out as JSON", &["--json", "zone", "out", "nairobi-a"]),
+        one_node("back while it is in service", &["zone", "back", "nairobi-a"]),
+        one_node("unknown", &["zone", "out", "atlantis"]),
+        with_nodes("another note gets in", vec![up([Fault::Race(OTHER_SHARE)])], OUT),
+        with_nodes(
             "two others get in",
             vec![up([Fault::Race(OTHER_SHARE), Fault::Race(OTHER_SHARE)])],
             OUT,
         ),
-        many("others never cease", vec![up(vec![Fault::Race(OTHER_SHARE); 20])], OUT),
-        many("another gets in unseen", vec![up([Fault::RaceUnseen(OTHER_SHARE)])], OUT),
-        many("another one takes it out", vec![up([Fault::Race(SAME_ZONE)])], OUT),
-        many("another one withdraws it", vec![up([Fault::Race(NO_ZONE)])], OUT),
-        many("the answer is lost", vec![up([Fault::LostAfter])], OUT),
-        many("the platform is down", vec![up(vec![Fault::Unavailable; 2])], OUT),
+        with_nodes("others never cease", vec![up(vec![Fault::Race(OTHER_SHARE); 20])], OUT),
+        with_nodes("another gets in unseen", vec![up([Fault::RaceUnseen(OTHER_SHARE)])], OUT),
+        with_nodes("another one takes it out", vec![up([Fault::Race(SAME_ZONE)])], OUT),
+        with_nodes("another one withdraws it", vec![up([Fault::Race(NO_ZONE)])], OUT),
+        with_nodes("the answer is lost", vec![up([Fault::LostAfter])], OUT),
+        with_nodes("the platform is down", vec![up(vec![Fault::Unavailable; 2])], OUT),
     ]);
     insta::assert_snapshot!(report);
 }
@@ -253,17 +274,22 @@
 // operator waits for no longer than the timeout and is served by the next.
 #[test]
 fn a_node_that_never_answers_is_given_up_on() {
-    let report = play_all([
-        silent("the first of two is mute", vec![Node::Mute, up([])], &["owners"]),
-        silent("the note is written, and no answer comes", vec![up([Fault::Silent])], ACCEPT),
-        silent("the same, before two", vec![up([Fault::Silent]), up([])], ACCEPT),
-        silent("the first is mute", vec![Node::Mute, up([])], ACCEPT),
+    let report = run_scenarios([
+        with_silent_node("the first of two is mute", vec![Node::Mute, up([])], &["owners"]),
+        with_silent_node(
+            "the note is written, and no answer comes",
+            vec![up([Fault::Silent])],
+            ACCEPT,
+        ),
+        with_silent_node("the same, before two", vec![up([Fault::Silent]), up([])], ACCEPT),
+        with_silent_node("the first is mute", vec![Node::Mute, up([])], ACCEPT),
     ]);
     insta::assert_snapshot!(report);
 }
 
 #[test]
 fn a_note_sent_to_a_node_that_never_answers_may_have_been_accepted() {
-    let report = play_all([silent("the only node is mute", vec![Node::Mute], ACCEPT)]);
+    let report =
+        run_scenarios([with_silent_node("the only node is mute", vec![Node::Mute], ACCEPT)]);
     insta::assert_snapshot!(report);
 }
