--- a/crates/telemetry/src/appender.rs
+++ b/crates/telemetry/src/appender.rs
@@ -1,8 +1,8 @@
-//! Log lines by a thread of their own.
+//! A log appender that never blocks: a dedicated thread writes the lines.
 //!
-//! A reader that stops reading must not stop the requests whose lines it does
-//! not read. Lines wait in a bounded queue; where it is full they are dropped,
-//! and the next one that is written says how many.
+//! If the reader of the log stops reading, requests must still proceed. Lines
+//! go through a bounded queue. Lines that exceed the queue or the rate limit
+//! are dropped, and a line that is logged later reports how many.
 
 use crossbeam::channel::{Sender, TrySendError, bounded};
 use log::Record;
@@ -15,19 +15,22 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
-/// Lines that wait at most, some 100 KB.
+/// Bound of the queue to the writer thread, about 100 KB.
 const MAX_QUEUED_LINES: usize = 512;
 
-/// Lines a second that are written at most, and those that may come at once. A
-/// node with 35 requests a second writes some 40; a burst of refusals, of which
-/// each has a line, would otherwise take the processor from the requests.
+/// Rate limit of the log. A node with 35 requests per second writes about 40
+/// lines per second. Each refusal writes a line, and without a limit a burst of
+/// refusals would take processor time from the requests.
 const MAX_LINES_PER_SECOND: f64 = 200.0;
+
+/// Lines that may be written at once, before the rate limit applies.
 const MAX_BURST_LINES: f64 = 400.0;
 
-/// The writer's stack: it formats nothing.
+/// Stack of the writer thread, which is small because lines are formatted before
+/// they are queued.
 const WRITER_STACK_BYTES: usize = 64 << 10;
 
-/// An appender that never waits.
+/// An appender that queues formatted lines and never blocks.
 #[derive(Debug)]
 pub(crate) struct QueuedAppender {
     queue: Sender<Vec<u8>>,
@@ -36,7 +39,7 @@
     encoder: JsonEncoder,
 }
 
-/// Lines that may be written now.
+/// A token bucket that limits the rate of lines.
 #[derive(Debug)]
 struct TokenBucket {
     tokens: f64,
@@ -44,6 +47,7 @@
 }
 
 impl TokenBucket {
+    /// Takes the token of one line; returns whether there was one.
     fn try_take(&mut self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.refilled);
         self.refilled = now;
@@ -57,28 +61,30 @@
     }
 }
 
-/// The line that comes before all others. Until it is written, or given up by
-/// being dropped, they wait.
+/// The permission to write the first line. All other lines wait until it is
+/// written or this value is dropped.
 #[derive(Debug)]
 pub struct FirstLine(Sender<Vec<u8>>);
 
 impl FirstLine {
-    /// Lets the line be written, and does not wait for it.
+    /// Queues the line and returns without waiting until it is written.
     pub fn write(self, line: &str) {
-        // Without a writer there is no one to read it either.
+        // This fails only if the writer thread has ended, and then the line can't
+        // be written.
         let _ = self.0.try_send(format!("{line}\n").into_bytes());
     }
 }
 
 impl QueuedAppender {
-    /// Starts the writer.
+    /// Starts the writer thread.
     pub(crate) fn spawn(out: impl Write + Send + 'static) -> std::io::Result<Self> {
         let (first, lines) = Self::spawn_with_first_line(out)?;
         drop(first);
         Ok(lines)
     }
 
-    /// Starts the writer, which writes nothing before the first line.
+    /// Starts the writer thread, which holds all lines until the first line is
+    /// written or given up.
     pub(crate) fn spawn_with_first_line(
         out: impl Write + Send + 'static,
     ) -> std::io::Result<(FirstLine, Self)> {
@@ -134,7 +140,7 @@
 
 fn write_all_lines(lines: impl Iterator<Item = Vec<u8>>, mut out: impl Write) {
     for line in lines {
-        // Nobody reads any more: there is no one left to tell.
+        // The reader is gone, so the error can't be reported anywhere.
         let _ = out.write_all(&line).and_then(|()| out.flush());
     }
 }
--- a/crates/telemetry/src/label.rs
+++ b/crates/telemetry/src/label.rs
@@ -1,7 +1,8 @@
-//! The label values of the metrics, as types.
+//! The label values of the metrics, as enums.
 //!
-//! Each value is known when the process starts, so that each series shows
-//! from the beginning, at zero, and none can be made by a caller's input.
+//! The set of values is fixed at compile time. Every series is therefore
+//! exported from the start with the value zero, and a caller's input can't
+//! create a series.
 
 use hickory_unit::size;
 
@@ -23,7 +24,7 @@
 }
 
 labels! {
-    /// The length of a prompt, to the nearest power of ten.
+    /// A prompt length class: the nearest power of ten on a logarithmic scale.
     Length {
         /// Up to 3,162 tokens.
         Thousand = "1k",
@@ -31,87 +32,88 @@
         TenThousand = "10k",
         /// Up to 316,227 tokens.
         HundredThousand = "100k",
-        /// More.
+        /// More than 316,227 tokens.
         Million = "1m",
     }
 
-    /// What a caller asks for.
+    /// The kind of a caller's request.
     Work {
         /// A completion.
         Completion = "completion",
-        /// A stream taken up again.
+        /// The resumption of an interrupted stream.
         Resume = "resume",
-        /// A call of a plain service.
+        /// A call to a service replica.
         Service = "service",
     }
 
-    /// Who chose the targets of a request.
+    /// The node that chose the targets of a request.
     Decider {
-        /// The owner of their group.
+        /// The owner of the target group.
         Owner = "owner",
-        /// The owner's successor, as the owner was silent.
+        /// The owner's successor, because the owner did not respond.
         Successor = "successor",
-        /// The request's own node, as both were silent.
+        /// The node that received the request, because neither the owner nor
+        /// the successor responded.
         Requester = "alone",
     }
 
     /// A call to the platform.
     Call {
-        /// Read of a key.
+        /// Reads one key.
         Get = "get",
-        /// Read of a prefix.
+        /// Lists the keys under a prefix.
         List = "list",
-        /// Compare-and-swap.
+        /// Writes a key by compare-and-swap.
         Write = "write",
-        /// Watch.
+        /// Watches a prefix for changes.
         Watch = "watch",
-        /// A lease is opened.
+        /// Creates a lease.
         Grant = "grant",
-        /// A lease is renewed.
+        /// Renews a lease.
         Renew = "renew",
-        /// A lease is ended.
+        /// Revokes a lease.
         Revoke = "revoke",
-        /// Read of the host list.
+        /// Reads the host list.
         Hosts = "hosts",
-        /// Read of the weight store's limit.
+        /// Reads the load limit of the weight store.
         Limit = "limit",
     }
 
-    /// How a call to the platform ended.
+    /// The result of a call to the platform.
     Outcome {
-        /// It was done.
+        /// The call succeeded.
         Done = "done",
-        /// The condition did not hold.
+        /// The condition of a compare-and-swap did not hold.
         Conflict = "conflict",
-        /// It certainly had no effect.
+        /// The call failed and had no effect.
         NotDone = "not_done",
-        /// No answer came; it may have had an effect.
+        /// No response arrived; the call may have taken effect.
         Unknown = "unknown",
-        /// The lease had lapsed.
+        /// The lease had expired.
         LeaseLapsed = "lease_lapsed",
     }
 
-    /// How the ownership of a target changed at this node.
+    /// A change of a target's ownership at this node.
     Ownership {
         /// This node became the owner.
         Gained = "gained",
-        /// This node handed it over.
+        /// This node released the ownership.
         Released = "released",
-        /// Another node took it.
+        /// Another node took the ownership over.
         Lost = "lost",
     }
 
-    /// The answer to an ask for a permit, at the owner.
+    /// The owner's answer to a permit request.
     Permit {
-        /// It may send.
+        /// The requester may send at once.
         Granted = "granted",
-        /// It waits in the queue first.
+        /// The request was queued.
         Queued = "queued",
-        /// It may not send.
+        /// The requester may not send.
         Refused = "refused",
     }
 
-    /// What a sweep found without a caller, and released.
+    /// A resource on a target that had no caller any more and was released.
     Orphan {
         /// A stream.
         Stream = "stream",
@@ -121,43 +123,43 @@
         Prefix = "prefix",
     }
 
-    /// How a claim for a call that must run at most once ended.
+    /// The result of claiming a call that must run at most once.
     Claim {
-        /// It was written; the call may be sent.
+        /// The claim was written; the call may be sent.
         Won = "won",
-        /// The same call was claimed before.
+        /// The call was already claimed.
         Held = "held",
-        /// It could not be written; the call never runs under this key.
+        /// The claim could not be written; the call never runs under this key.
         NotDone = "not_done",
-        /// Nobody can tell whether the call ran under this key before.
+        /// It is unknown whether the call already ran under this key.
         Unknown = "unknown",
     }
 
-    /// An order to an engine.
+    /// The result of an order to an engine.
     Order {
-        /// It was confirmed.
+        /// The engine confirmed the order.
         Confirmed = "confirmed",
-        /// The engine refused the fencing number.
+        /// The engine rejected the fencing epoch.
         Fenced = "fenced",
-        /// It failed or got no answer.
+        /// The order failed or got no response.
         Failed = "failed",
     }
 
-    /// What came of documents that nodes ask each other for.
+    /// The result of a document transfer between nodes.
     Fetch {
-        /// Given to a peer.
+        /// A document was sent to a peer.
         Sent = "given",
-        /// A peer was turned away, since the link was busy.
+        /// A peer's request was rejected because the link was busy.
         Rejected = "turned_away",
-        /// Taken from a peer.
+        /// A document was received from a peer.
         Received = "taken",
-        /// A peer that was asked was busy.
+        /// The requested peer was busy.
         Busy = "busy",
-        /// A peer gave no answer, or broke off.
+        /// The requested peer did not respond, or the transfer broke off.
         Failed = "failed",
     }
 
-    /// The way of a document's bytes.
+    /// The direction of a document transfer.
     TransferDirection {
         /// To a peer.
         Sent = "given",
@@ -165,17 +167,17 @@
         Received = "taken",
     }
 
-    /// The way of a token.
+    /// The direction of tokens.
     TokenDirection {
         /// Prompt tokens received.
         Prompt = "prompt",
-        /// Tokens of answers relayed.
+        /// Answer tokens relayed to callers.
         Answer = "answer",
     }
 }
 
 impl Length {
-    /// The class of a prompt.
+    /// Returns the length class of a prompt.
     pub fn of(prompt: size::Tokens) -> Self {
         match prompt.0 {
             0..=3_162 => Self::Thousand,
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines and metrics in the Prometheus text format.
+//! Structured logs as JSON lines, and metrics in the Prometheus text format.
 
 mod appender;
 pub mod label;
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines.
+//! The process's log as JSON lines.
 
 pub use crate::appender::FirstLine;
 use crate::appender::QueuedAppender;
@@ -11,14 +11,14 @@
 use log4rs::encode::json::JsonEncoder;
 use std::path::Path;
 
-/// The name of the only appender.
+/// The name of the root logger's only appender.
 const APPENDER_NAME: &str = "lines";
 
-/// Opens the process's log: JSON lines appended to `file`.
+/// Opens the process's log, which appends JSON lines to `file`.
 ///
 /// # Errors
 ///
-/// The file can't be opened, or a log is open already.
+/// Fails if the file can't be opened or a log is already open.
 pub fn open(level: LevelFilter, file: &Path) -> eyre::Result<log4rs::Handle> {
     let encoder = Box::new(JsonEncoder::new());
     init(level, Box::new(FileAppender::builder().encoder(encoder).build(file)?))
@@ -31,28 +31,28 @@
     Ok(log4rs::init_config(config)?)
 }
 
-/// Names the node in each line that the calling thread writes, under `mdc`.
+/// Adds the node's id to the `mdc` of each line that the calling thread writes.
 pub fn set_node(node: &id::Node) {
     log_mdc::insert("node", node.as_str());
 }
 
-/// Opens the process's log: JSON lines on standard output, which are written
-/// by a thread of their own and never waited for.
+/// Opens the process's log, which writes JSON lines to standard output from a
+/// dedicated thread and never blocks the caller.
 ///
 /// # Errors
 ///
-/// The thread can't be started, or a log is open already.
+/// Fails if the thread can't be started or a log is already open.
 pub fn open_stdout(level: LevelFilter) -> eyre::Result<log4rs::Handle> {
     init(level, Box::new(QueuedAppender::spawn(std::io::stdout())?))
 }
 
-/// Opens the process's log as [`open_stdout`] does, or appends it to `file`
-/// where one is given. Either way standard output begins with the line that
-/// [`FirstLine`] is given.
+/// Opens the process's log as [`open_stdout`] does, or as [`open`] does if there
+/// is a `file`. In both cases the first line on standard output is the one
+/// written through the returned [`FirstLine`].
 ///
 /// # Errors
 ///
-/// As of [`open`] and [`open_stdout`].
+/// Fails as [`open`] and [`open_stdout`] do.
 pub fn open_with_first_line(level: LevelFilter, file: Option<&Path>) -> eyre::Result<FirstLine> {
     let (first, appender) = QueuedAppender::spawn_with_first_line(std::io::stdout())?;
     match file {
@@ -62,12 +62,12 @@
     Ok(first)
 }
 
-/// What a log line is about; what is unknown is left out of the line.
+/// The attributes of a log line; those that are `None` are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subject {
     /// The request.
     pub request: Option<id::Request>,
-    /// The attempt within it.
+    /// The number of the attempt within the request.
     pub attempt: Option<u32>,
     /// The client account.
     pub account: Option<id::Account>,
@@ -78,7 +78,7 @@
 }
 
 impl Subject {
-    /// Writes a line; `module` names where it comes from, as in
+    /// Writes a log line with these attributes; `module` is the caller's
     /// `module_path!()`.
     pub fn log(&self, level: Level, module: &str, message: std::fmt::Arguments<'_>) {
         if level > log::max_level() {
--- a/crates/telemetry/src/metered.rs
+++ b/crates/telemetry/src/metered.rs
@@ -1,4 +1,4 @@
-//! The platform's ports with a count of each call.
+//! A wrapper of the platform's ports that measures each call.
 
 use crate::label::{Call, Outcome};
 use crate::metrics::Metrics;
@@ -9,7 +9,8 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// A port that counts its calls, and passes them on unchanged.
+/// A port that records the result and duration of each call and forwards the
+/// call unchanged.
 #[derive(Clone, Debug)]
 pub struct Metered<P, C> {
     port: P,
@@ -18,7 +19,7 @@
 }
 
 impl<P, C: Clock> Metered<P, C> {
-    /// Counts the calls of `port` into `metrics`.
+    /// Wraps `port` and records its calls in `metrics`.
     pub fn new(port: P, clock: C, metrics: Metrics) -> Self {
         Self { port, clock, metrics }
     }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics of a node.
 //!
-//! Every series is resolved once, when the metrics are opened: counting on
-//! the request path is one atomic addition, with no lock and no map.
+//! Every series is resolved once, when the metrics are created, so that an
+//! update on the request path is one atomic addition without a lock or a lookup.
 
 use crate::label::{
     Call, Claim, Decider, Fetch, Length, Order, Orphan, Outcome, Ownership, Permit, TokenDirection,
@@ -16,34 +16,34 @@
 };
 use std::time::Duration;
 
-/// Bounds in seconds of the time to first token and to the end of an answer: from
-/// a cached short prompt on loopback to a prompt of a million tokens on a busy
-/// fleet.
+/// Histogram buckets, in seconds, of the time to the first token and to the end
+/// of an answer. They range from a cached short prompt on loopback to a prompt of
+/// a million tokens on a busy fleet.
 const RESPONSE_TIME_BOUNDS: &[f64] = &[
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.71, 1.0, 1.5, 2.5, 5.0, 10.0, 20.0, 40.0,
     80.0, 160.0, 320.0, 640.0,
 ];
 
-/// Bounds in seconds of a wait for a permit.
+/// Histogram buckets, in seconds, of the wait for a permit.
 const PERMIT_WAIT_BOUNDS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 60.0];
 
-/// Bounds in seconds of a call to the platform, which answers in
-/// milliseconds and is given up on after a second by default.
+/// Histogram buckets, in seconds, of calls to the platform, which usually take
+/// milliseconds and time out after one second by default.
 const PLATFORM_CALL_BOUNDS: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5];
 
-/// Bounds in seconds of the time in which a node that heard of a new configuration
-/// has it in force; it should be seconds at the most.
+/// Histogram buckets, in seconds, of the delay between a node's first notice of a
+/// newer configuration and its activation. The delay should be at most seconds.
 const CONFIGURATION_DELAY_BOUNDS: &[f64] =
     &[0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 8.0, 15.0, 30.0];
 
-/// A registration that failed: a metric's name stands twice or is malformed.
+/// The error of registering a metric whose name is malformed or already registered.
 #[derive(Debug, Display, derive_more::Error, derive_more::From)]
 #[display("metrics: {_0}")]
 pub struct Error(prometheus::Error);
 
-/// The metrics of one node; a clone counts into the same series.
+/// The metrics of one node. Clones share the same series.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -78,45 +78,45 @@
 }
 
 impl Metrics {
-    /// Opens metrics with all series at zero.
+    /// Registers all metrics, with every series at zero.
     pub fn new() -> Result<Self, Error> {
         let registry = Registry::new_custom(Some("hickory".to_owned()), None)?;
         let r = &registry;
         Ok(Self {
             refusals: add_refusals(r)?,
-            retries: add_counters(r, "retries_total", "Attempts made again", "reason", Retry::ALL)?,
+            retries: add_counters(r, "retries_total", "Retries", "reason", Retry::ALL)?,
             requests: add_counters(r, "requests_total", "Requests admitted", "work", Work::ALL)?,
             in_flight: add_gauges(
                 r,
                 "requests_in_flight",
-                "Requests admitted and not yet ended",
+                "Admitted requests in flight",
                 "work",
                 Work::ALL,
             )?,
             first_token_time: add_histograms(
                 r,
-                ("first_token_seconds", "Time from a request to its first token"),
+                ("first_token_seconds", "Time from a request's arrival to its first token"),
                 "prompt",
                 Length::ALL,
                 RESPONSE_TIME_BOUNDS,
             )?,
             answer_time: add_histograms(
                 r,
-                ("answer_seconds", "Time from a request to the end of its whole answer"),
+                ("answer_seconds", "Time from a request's arrival to the end of its answer"),
                 "work",
                 Work::ALL,
                 RESPONSE_TIME_BOUNDS,
             )?,
             permit_wait: add_histogram(
                 r,
-                ("permit_wait_seconds", "Time from asking for a permit to having it"),
+                ("permit_wait_seconds", "Time from requesting a permit to receiving it"),
                 PERMIT_WAIT_BOUNDS,
             )?,
             tokens: add_counters(r, "tokens_total", "Tokens", "direction", TokenDirection::ALL)?,
             platform_calls: add_platform_calls(r)?,
             platform_call_time: add_histograms(
                 r,
-                ("platform_call_seconds", "Time that a call to the platform took"),
+                ("platform_call_seconds", "Duration of calls to the platform"),
                 "call",
                 Call::ALL,
                 PLATFORM_CALL_BOUNDS,
@@ -132,14 +132,14 @@
             permits: add_counters(
                 r,
                 "permits_total",
-                "Answers to asks for a permit, as owner",
+                "Answers to permit requests, as owner",
                 "answer",
                 Permit::ALL,
             )?,
             orphans: add_counters(
                 r,
                 "orphans_swept_total",
-                "What was released on targets because no caller was left",
+                "Resources on targets that were released because they had no caller",
                 "kind",
                 Orphan::ALL,
             )?,
@@ -159,55 +159,55 @@
             suspects: add_gauge(
                 r,
                 "suspects",
-                "Contents that ran on a target when it died, as known here",
+                "Request contents suspected because they ran on a target when it died",
             )?,
             target_restarts: add_counter(
                 r,
                 "target_restarts_total",
-                "Owned targets that came back as a new process",
+                "Owned targets that restarted as a new process",
             )?,
             target_silences: add_counter(
                 r,
                 "target_silences_total",
-                "Owned targets that ceased to answer and got no new work",
+                "Owned targets that stopped responding and got no new work",
             )?,
             configuration_version: add_gauge(
                 r,
                 "configuration_version",
-                "Version of the configuration in force",
+                "Version of the active configuration",
             )?,
             configuration_delay: add_histogram(
                 r,
                 (
                     "configuration_delay_seconds",
-                    "Time from the first word of newer operators' data to having it in force",
+                    "Time from the first notice of a newer configuration to its activation",
                 ),
                 CONFIGURATION_DELAY_BOUNDS,
             )?,
             placements: add_counters(
                 r,
                 "placements_total",
-                "Requests that were placed, by who decided",
+                "Placed requests, by the node that chose the targets",
                 "by",
                 Decider::ALL,
             )?,
             datagrams: add_counter(r, "datagrams_sent_total", "Datagrams sent to other nodes")?,
-            datagram_bytes: add_counter(r, "datagram_bytes_sent_total", "Their bytes")?,
+            datagram_bytes: add_counter(r, "datagram_bytes_sent_total", "Bytes of sent datagrams")?,
             fetches: add_counters(
                 r,
                 "peer_fetches_total",
-                "What nodes asked each other for, by what came of it",
+                "Document transfers between nodes, by result",
                 "result",
                 Fetch::ALL,
             )?,
             fetch_bytes: add_counters(
                 r,
                 "peer_fetch_bytes_total",
-                "Bytes of what nodes asked each other for",
+                "Bytes of documents transferred between nodes",
                 "way",
                 TransferDirection::ALL,
             )?,
-            connected_peers: add_gauge(r, "peers_connected", "Nodes that this node has a link to")?,
+            connected_peers: add_gauge(r, "peers_connected", "Peers that this node is linked to")?,
             registry,
         })
     }
@@ -217,12 +217,12 @@
         self.refusals[reason as usize][ran as usize].inc();
     }
 
-    /// Counts an attempt made again.
+    /// Counts a retry.
     pub fn count_retry(&self, reason: Retry) {
         self.retries[reason as usize].inc();
     }
 
-    /// Counts an admitted request, in flight until the guard is dropped.
+    /// Counts an admitted request, which is in flight until the guard is dropped.
     pub fn begin_request(&self, work: Work) -> InFlightGuard {
         self.requests[work as usize].inc();
         let gauge = self.in_flight[work as usize].clone();
@@ -230,17 +230,17 @@
         InFlightGuard(gauge)
     }
 
-    /// Notes the time to a first token.
+    /// Records the time to the first token of a stream.
     pub fn observe_first_token(&self, prompt: size::Tokens, time: Duration) {
         self.first_token_time[Length::of(prompt) as usize].observe(time.as_secs_f64());
     }
 
-    /// Notes the time to the end of a whole answer.
+    /// Records the time to the end of a complete answer.
     pub fn observe_answer(&self, work: Work, time: Duration) {
         self.answer_time[work as usize].observe(time.as_secs_f64());
     }
 
-    /// Notes the time from asking for a permit to having it.
+    /// Records the time between requesting a permit and receiving it.
     pub fn observe_permit_wait(&self, time: Duration) {
         self.permit_wait.observe(time.as_secs_f64());
     }
@@ -250,36 +250,36 @@
         self.tokens[direction as usize].inc_by(tokens.0);
     }
 
-    /// Counts a call to the platform.
+    /// Counts a call to the platform and records its duration.
     pub fn record_platform_call(&self, call: Call, result: Outcome, time: Duration) {
         self.platform_calls[call as usize][result as usize].inc();
-        // A watch lasts until something changes: its time says nothing.
+        // A watch blocks until something changes, so its duration is no latency.
         if call != Call::Watch {
             self.platform_call_time[call as usize].observe(time.as_secs_f64());
         }
     }
 
-    /// Counts a change of ownership.
+    /// Counts a change of a target's ownership.
     pub fn count_ownership_change(&self, change: Ownership) {
         self.ownership_changes[change as usize].inc();
     }
 
-    /// Sets how many targets this node owns.
+    /// Sets the number of targets that this node owns.
     pub fn set_owned_targets(&self, targets: usize) {
         self.owned_targets.set(targets as i64);
     }
 
-    /// Counts an answer to an ask for a permit.
+    /// Counts an answer to a permit request.
     pub fn count_permit(&self, answer: Permit) {
         self.permits[answer as usize].inc();
     }
 
-    /// Counts something released by a sweep.
+    /// Counts an orphaned resource that was released.
     pub fn count_orphan(&self, kind: Orphan) {
         self.orphans[kind as usize].inc();
     }
 
-    /// Counts a claim.
+    /// Counts a claim of a call that runs at most once.
     pub fn count_claim(&self, result: Claim) {
         self.claims[result as usize].inc();
     }
@@ -289,69 +289,70 @@
         self.orders[result as usize].inc();
     }
 
-    /// Counts a quarantine.
+    /// Counts a request that was quarantined.
     pub fn count_quarantine(&self) {
         self.quarantines.inc();
     }
 
-    /// Sets how many contents are under suspicion.
+    /// Sets the number of request contents under suspicion.
     pub fn set_suspects(&self, known: usize) {
         self.suspects.set(known as i64);
     }
 
-    /// Counts a target that came back as a new process.
+    /// Counts a target that restarted as a new process.
     pub fn count_target_restart(&self) {
         self.target_restarts.inc();
     }
 
-    /// Counts a target that ceased to answer.
+    /// Counts a target that stopped responding.
     pub fn count_target_silence(&self) {
         self.target_silences.inc();
     }
 
-    /// Sets the version of the configuration in force.
+    /// Sets the version of the active configuration.
     pub fn set_configuration_version(&self, version: id::Release) {
         self.configuration_version.set(version.0 as i64);
     }
 
-    /// Notes the time from the first word of newer data to having it in force.
+    /// Records the time between the first notice of a newer configuration and its
+    /// activation.
     pub fn observe_configuration_delay(&self, time: Duration) {
         self.configuration_delay.observe(time.as_secs_f64());
     }
 
-    /// Counts what came of a fetch between nodes.
+    /// Counts a document transfer between nodes, by its result.
     pub fn count_fetch(&self, result: Fetch) {
         self.fetches[result as usize].inc();
     }
 
-    /// Counts the bytes of a fetch between nodes.
+    /// Counts the bytes of a document transfer between nodes.
     pub fn count_fetch_bytes(&self, direction: TransferDirection, bytes: size::Bytes) {
         self.fetch_bytes[direction as usize].inc_by(bytes.0);
     }
 
-    /// Counts a request that was placed.
+    /// Counts a placed request, by the node that placed it.
     pub fn count_placement(&self, decider: Decider) {
         self.placements[decider as usize].inc();
     }
 
-    /// Counts a datagram that is sent to another node.
+    /// Counts a datagram sent to another node.
     pub fn count_datagram(&self, bytes: size::Bytes) {
         self.datagrams.inc();
         self.datagram_bytes.inc_by(bytes.0);
     }
 
-    /// Sets how many peers this node has a link to.
+    /// Sets the number of peers that this node is connected to.
     pub fn set_connected_peers(&self, connected: usize) {
         self.connected_peers.set(connected as i64);
     }
 
-    /// All series in the Prometheus text format.
+    /// Renders all series in the Prometheus text format.
     pub fn render(&self) -> String {
         TextEncoder::new().encode_to_string(&self.registry.gather()).unwrap_or_default()
     }
 }
 
-/// A request in flight; ends when dropped.
+/// A guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(IntGauge);
 
@@ -384,7 +385,7 @@
     Ok(histogram)
 }
 
-/// One counter for each value of a label, in the order of the values.
+/// Registers a counter for each value of a label, in the order of the values.
 fn add_counters<L: std::fmt::Display>(
     registry: &Registry,
     name: &str,
--- a/crates/telemetry/tests/docs.rs
+++ b/crates/telemetry/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' page names every metric and every reason.
+//! The operations page documents every metric and every refusal and retry reason.
 
 use hickory_policy::refuse::{Reason, Retry};
 use hickory_telemetry::metrics::Metrics;
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -1,10 +1,10 @@
-//! Lines as they reach the file: one JSON document each.
+//! Log lines in the file: one JSON document per line.
 
 use hickory_telemetry::logs::{self, Subject};
 use log::{Level, LevelFilter};
 use serde_json::Value;
 
-// Only one log can be open in a process, so all is looked at in one test.
+// A process can open only one log, so one test covers everything.
 #[test]
 fn lines_are_json_with_what_they_are_about() {
     let path = std::env::temp_dir().join(format!("hickory-logs-{}.jsonl", std::process::id()));
--- a/crates/telemetry/tests/metered.rs
+++ b/crates/telemetry/tests/metered.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform are counted by kind and result, and passed on.
+//! Calls to the platform are forwarded and counted by call and result.
 
 use hickory_store::host::{Host, List};
 use hickory_store::store::{Batch, Entry, Error, Expect, Lease, Revision, Store, Write};
@@ -9,7 +9,7 @@
 use hickory_unit::clock::Manual;
 use std::time::Duration;
 
-/// A platform whose every call takes 40 ms and ends with the same error.
+/// A platform on which every call takes 40 ms and fails with the same error.
 #[derive(Clone)]
 struct FailingPlatform(Manual, Error);
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Makes one call of a kind, and returns its error.
+/// Makes the given call and returns its error.
 async fn call_platform<P: Store + List + Weights>(platform: &P, call: Call) -> Error {
     let lease = Lease(1);
     let write = Write { key: "k".into(), value: None, expect: Expect::Any, lease: None };
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the metrics show, and to whom they cost what.
+//! The exported series: which exist from the start, and which an update changes.
 
 use hickory_policy::refuse::{Ran, Reason, Retry};
 use hickory_telemetry::label::{Call, Length, Outcome, Work};
