--- a/apps/hickory/tests/report.rs
+++ b/apps/hickory/tests/report.rs
@@ -51,7 +51,7 @@
     let told = format!("{page}: 158 lines read, 1 could not be read\n");
     assert_eq!((output.code, output.stdout), (Some(0), told), "{}", output.stderr);
     let text = fs::read_to_string(&page).unwrap();
-    for part in ["<!DOCTYPE html>", "Worst steps", "a1-209", "<svg", "entry.log:4: no JSON"] {
+    for part in ["<!DOCTYPE html>", "Worst steps", "a1-209", "<svg", "entry.log:4: not a JSON"] {
         assert!(text.contains(part), "{part}");
     }
     assert!(text.ends_with("</html>"));
@@ -95,11 +95,15 @@
         (&["report", ".", "--out", &page], 1, ".: Is a directory"),
         (&["report", "report.log", "--out", &nowhere], 1, "nowhere/page.html: No such file"),
         (&["report", "report.log", "--out", &directory], 1, &directory),
-        (&["report", "report.log", "--out", "/"], 1, "it names no file"),
+        (&["report", "report.log", "--out", "/"], 1, "the path has no file name"),
         (&["report", "report.log"], 2, "give --out FILE, --json, or both"),
         (&["report", "report.log", "--out", "report.log"], 2, "report.log: it is one of the logs"),
         (&["report", "report.log", "--out", "./report.log"], 2, "it is one of the logs"),
-        (&["report", "entry.log", "--strict", "--out", &page], 1, "entry.log:4: no JSON log line"),
+        (
+            &["report", "entry.log", "--strict", "--out", &page],
+            1,
+            "entry.log:4: not a JSON log line",
+        ),
         (&["report", odd_name, "--strict", "--out", &page], 1, ": unknown field colour"),
         (&["--json", "report", "nowhere.log"], 1, "nowhere.log: No such file"),
         (&["--json", "report", "report.log", "--out", &nowhere], 1, "nowhere/page.html"),
--- a/crates/report/src/atomic_file.rs
+++ b/crates/report/src/atomic_file.rs
@@ -1,21 +1,21 @@
-//! Puts a file down whole or not at all.
+//! Atomic writing of files.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Writes a file beside its place and moves it there once it is whole, so that
-/// a file that was there before stays until then.
+/// Writes a temporary file in the same directory and renames it to `path` once it
+/// is complete, so that an existing file is kept until then.
 ///
 /// # Errors
 ///
-/// The file can't be written or moved; nothing is left of it.
+/// Fails if the file can't be written or renamed; the temporary file is removed.
 pub fn write(path: &Path, text: &str) -> io::Result<()> {
     let temporary = temporary_path(path)?;
     let file = OpenOptions::new().write(true).create_new(true).open(&temporary)?;
     let result = write_all(file, text).and_then(|()| fs::rename(&temporary, path));
     if result.is_err() {
-        // The first error is the one to tell of.
+        // The caller gets the first error, not one of the cleanup.
         let _ = fs::remove_file(&temporary);
     }
     result
@@ -23,7 +23,7 @@
 
 fn temporary_path(path: &Path) -> io::Result<PathBuf> {
     let Some(name) = path.file_name() else {
-        return Err(io::Error::new(io::ErrorKind::InvalidInput, "it names no file"));
+        return Err(io::Error::new(io::ErrorKind::InvalidInput, "the path has no file name"));
     };
     let name = format!(".{}.{}.part", name.to_string_lossy(), std::process::id());
     Ok(path.with_file_name(name))
--- a/crates/report/src/bounded_counts.rs
+++ b/crates/report/src/bounded_counts.rs
@@ -1,9 +1,10 @@
-//! Counts by name, of a bounded number of names.
+//! Counts by name, for a bounded number of names.
 
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// Counts by name: the first names have their own, all further ones share one.
+/// Counts by name. Names up to the capacity have a count of their own; all further
+/// names share one.
 #[derive(Debug)]
 pub struct BoundedCounts<T> {
     capacity: usize,
@@ -13,12 +14,13 @@
 }
 
 impl<T: Default> BoundedCounts<T> {
-    /// A roll of at most so many names.
+    /// Creates empty counts for at most `capacity` names.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, indices: BTreeMap::new(), counts: Vec::new(), others: None }
     }
 
-    /// The number of a name; `None` where there is no room for it.
+    /// Returns the index of a name, which is added if it is new; `None` if the
+    /// capacity is exhausted.
     pub fn index_of(&mut self, name: &str) -> Option<usize> {
         if let Some(index) = self.indices.get(name) {
             return Some(*index);
@@ -31,7 +33,7 @@
         Some(self.counts.len() - 1)
     }
 
-    /// What is counted of a name, or of all that have no room.
+    /// Returns the count of a name, or the shared count if the capacity is exhausted.
     pub fn get(&mut self, name: &str) -> &mut T {
         match self.index_of(name) {
             Some(index) => &mut self.counts[index],
@@ -39,12 +41,12 @@
         }
     }
 
-    /// The names with their numbers and counts.
+    /// Returns the names with their indices and counts.
     pub fn named(&self) -> impl Iterator<Item = (&str, usize, &T)> {
         self.indices.iter().map(|(name, index)| (name.as_str(), *index, &self.counts[*index]))
     }
 
-    /// What is counted of all that had no room.
+    /// Returns the shared count of the names beyond the capacity.
     pub fn others(&self) -> Option<&T> {
         self.others.as_ref()
     }
--- a/crates/report/src/distribution.rs
+++ b/crates/report/src/distribution.rs
@@ -1,12 +1,13 @@
-//! How values are spread.
+//! Distributions of values.
 
 use crate::summary::Quantiles;
 use hdrhistogram::Histogram;
 
-/// The greatest value that is told apart.
+/// The greatest recorded value; greater ones count as this one.
 const MAX_VALUE: u64 = 10_000_000;
 
-/// How values are spread, to so many digits; takes memory from its first value on.
+/// A distribution of values with a precision of `DIGITS` significant digits. It
+/// allocates memory when the first value is added.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Distribution<const DIGITS: u8>(Option<Box<Histogram<u32>>>);
 
@@ -23,7 +24,7 @@
     pub(crate) fn merge(&mut self, other: Self) {
         match (&mut self.0, other.0) {
             (Some(own), Some(other)) => {
-                // Both have the same bounds, so that it can't fail.
+                // Both histograms have the same bounds, so this can't fail.
                 let _ = own.add(&*other);
             }
             (own, Some(other)) => *own = Some(other),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// `None` where there is no value.
+    /// Returns the quantiles, or `None` if the distribution is empty.
     pub(crate) fn quantiles(&self) -> Option<Quantiles> {
         let histogram = self.0.as_ref()?;
         Some(Quantiles {
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,9 +1,9 @@
-//! Sums up the nodes' log lines over time, as one page and as a document.
+//! Summarizes the nodes' logs over time, as an HTML page and as a JSON document.
 //!
-//! [`read::read_lines`] reads a log line by line into a [`tally::Tally`], which
-//! is bounded however long the logs are. [`summary::Summary`] is what it has
-//! counted; [`page::write_page`] draws it, and [`save::save`] puts the page down
-//! whole or not at all.
+//! [`read::read_lines`] reads a log line by line into a [`tally::Tally`], whose
+//! memory is bounded regardless of the size of the logs. [`summary::Summary`]
+//! holds the result, [`page::render_page`] renders it, and
+//! [`atomic_file::write()`] writes the page to a file atomically.
 
 pub mod atomic_file;
 pub mod bounded_counts;
--- a/crates/report/src/line.rs
+++ b/crates/report/src/line.rs
@@ -1,4 +1,4 @@
-//! What a log line tells.
+//! Parsing of log lines into events.
 
 use chrono::{DateTime, FixedOffset};
 use compact_str::CompactString;
@@ -7,13 +7,13 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The greatest number that a field may hold.
+/// The greatest accepted number in a field.
 const MAX_NUMBER: u64 = 1_000_000_000_000;
 
-/// Characters of a name that are kept.
+/// Maximum length of a name; longer names are truncated.
 const MAX_NAME_CHARS: usize = 64;
 
-/// The fields of the lines that are read, also those that aren't needed.
+/// All fields of the parsed lines, including those that are not evaluated.
 const KNOWN_FIELDS: &[&str] = &[
     "account",
     "age_ms",
@@ -56,7 +56,7 @@
     "zone",
 ];
 
-/// The fields that say what a decision knew.
+/// The fields of a refusal that describe the state its decision was based on.
 pub const DECISION_FIELDS: [&str; 11] = [
     "prompt",
     "goal_left_ms",
@@ -71,7 +71,7 @@
     "ahead_ms",
 ];
 
-/// What nodes came to believe or do, as far as it is counted.
+/// Messages about a node's own state or its view of the fleet that are counted.
 const NODE_EVENTS: &[&str] = &[
     "a target died under a request",
     "configuration taken over",
@@ -91,107 +91,108 @@
     "zone out of service",
 ];
 
-/// Why a line can't be read.
+/// The reason why a line can't be parsed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum LineError {
-    /// It is no JSON document of a log line.
-    #[display("no JSON log line: {_0}")]
+    /// The line is not a log line in JSON.
+    #[display("not a JSON log line: {_0}")]
     Malformed(#[error(not(source))] String),
-    /// It is longer than any line of a node.
+    /// The line exceeds the maximum length.
     #[display("longer than {_0} bytes")]
     TooLong(#[error(not(source))] usize),
-    /// A field that is needed is missing.
+    /// A required field is missing.
     #[display("field {_0} is missing")]
     MissingField(#[error(not(source))] &'static str),
-    /// A field holds no number that it may hold.
-    #[display("field {_0} holds no number within bounds")]
+    /// The value of a field is not a number or is out of range.
+    #[display("field {_0} is not a number within bounds")]
     InvalidNumber(#[error(not(source))] &'static str),
 }
 
-/// A log line, as far as it is read.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When it was written, in milliseconds of Unix time.
+    /// The time of the line, in milliseconds of Unix time.
     pub time_ms: i64,
-    /// The node that wrote it.
+    /// The node that wrote the line.
     pub node: CompactString,
-    /// The caller's id of its attempt.
+    /// The caller's id of the attempt.
     pub request: CompactString,
-    /// How old the request was.
+    /// The time since the request's arrival.
     pub age_ms: u64,
-    /// What it tells.
+    /// The event that the line reports.
     pub event: Event,
-    /// Fields that aren't known here.
+    /// Names of fields that are not known to this parser.
     pub unknown_fields: Vec<CompactString>,
 }
 
-/// What a line tells.
+/// The event that a line reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request was answered whole.
+    /// A request was answered completely.
     Answered(Answered),
     /// A request was refused.
     Refused(Refused),
-    /// A request of so many tokens ended without a whole answer.
+    /// A request ended without a complete answer; holds its prompt tokens.
     Failed(u64),
-    /// The caller of a request of so many tokens left.
+    /// The caller of a request disconnected; holds its prompt tokens.
     CallerGone(u64),
-    /// A long prompt was placed.
+    /// A long prompt was placed on engines.
     Placed(Placed),
-    /// A request begins to wait for engines.
+    /// A request started to wait for engines.
     WaitStarted,
     /// An attempt failed.
     AttemptFailed(FailedAttempt),
-    /// No repeat was left to spend.
+    /// The retry budget was exhausted.
     RetriesExhausted,
-    /// A node dropped so many of its lines.
+    /// A node dropped log lines; holds their number.
     Dropped(u64),
-    /// What a node came to believe or do.
+    /// A counted message about a node's state or view; holds the message.
     NodeEvent(&'static str),
-    /// A message that isn't counted.
+    /// A message that is not evaluated.
     Other,
 }
 
-/// A request that was answered whole.
+/// A request that was answered completely.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answered {
     /// The target that answered.
     pub target: CompactString,
-    /// The answer's status.
+    /// The HTTP status of the answer.
     pub status: u64,
-    /// Targets that it was sent to.
+    /// The number of targets that the request was sent to.
     pub sends: u64,
-    /// The size of its prompt, in tokens.
+    /// The prompt tokens.
     pub prompt: u64,
-    /// When its first token was expected, from its placing on.
+    /// The predicted time from the placement to the first token.
     pub expected_ms: u64,
-    /// When its first token came; 0 for an answer that is no stream.
+    /// The measured time from the arrival to the first token; 0 if the answer is not a
+    /// stream.
     pub first_ms: u64,
-    /// The time within which the first token, or the answer, is wanted.
+    /// The latency goal for the first token or for the whole answer.
     pub goal_ms: Option<u64>,
-    /// How long it waited for its turn.
+    /// The time that the request waited in the queue.
     pub wait_ms: u64,
-    /// The longest pause of its stream.
+    /// The longest pause of the stream.
     pub pause_ms: u64,
-    /// The longest wanted pause; 0 where none is.
+    /// The limit for pauses of the stream; 0 if there is none.
     pub pause_max_ms: u64,
-    /// Whether it was placed as a short one; unknown from nodes that don't say.
+    /// Whether the prompt was placed as a short one. Older nodes don't log this.
     pub short: Option<bool>,
-    /// What each of its engines read.
+    /// The prefill time of each of its engines.
     pub part_ms: u64,
-    /// From its arrival to its end.
+    /// The time from the arrival to the end.
     pub age_ms: u64,
 }
 
 impl Answered {
-    /// Whether it was a stream, as far as the line tells: one whose first event
-    /// came at once and of which no longest pause is wanted counts as none.
+    /// Whether the answer was a stream. The line does not state it: a stream whose
+    /// first event took 0 ms and that has no pause limit counts as no stream.
     pub fn is_stream(&self) -> bool {
         self.first_ms > 0 || self.pause_max_ms > 0
     }
 
-    /// What its route's goal is for: the time to the first token of a stream, or
-    /// to the end of another answer.
+    /// Returns the latency that the route's goal applies to: the time to the first
+    /// token of a stream, or to the end of another answer.
     pub fn latency_ms(&self) -> u64 {
         if self.is_stream() { self.first_ms } else { self.age_ms }
     }
@@ -200,36 +201,36 @@
 /// A request that was refused.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// The reason code.
     pub reason: CompactString,
-    /// The status it was answered with.
+    /// The HTTP status of the refusal.
     pub status: u64,
-    /// Whether it ran.
+    /// Whether the request may have run.
     pub ran: CompactString,
-    /// What was known, in the order of [`DECISION_FIELDS`]; all missing where it did not
-    /// matter.
+    /// The state that the decision was based on, in the order of [`DECISION_FIELDS`].
+    /// All values are `None` if the reason does not depend on it.
     pub known: [Option<u64>; DECISION_FIELDS.len()],
 }
 
 /// A long prompt that was placed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Placed {
-    /// Its engines.
+    /// The engines that the prompt was placed on.
     pub targets: Vec<CompactString>,
-    /// What each of them reads.
+    /// The prefill time of each engine.
     pub part_ms: u64,
 }
 
 /// An attempt that failed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FailedAttempt {
-    /// Its target, where the line names it.
+    /// The target, if the line names it.
     pub target: Option<CompactString>,
-    /// Why it failed.
+    /// The reason of the failure.
     pub reason: CompactString,
 }
 
-/// A line as the nodes write it.
+/// A log line as the nodes write it.
 #[derive(Deserialize)]
 struct Raw {
     time: Option<DateTime<FixedOffset>>,
@@ -240,7 +241,7 @@
     attributes: Fields,
 }
 
-/// What a line bears beside its message.
+/// The attributes of a log line.
 #[derive(Default, Deserialize)]
 struct Fields(BTreeMap<CompactString, Value>);
 
@@ -281,7 +282,7 @@
     }
 }
 
-/// Reads a line; it may stand behind columns of whatever gathered the logs.
+/// Parses a line. Log collectors may have put columns in front of the JSON document.
 pub fn parse_line(bytes: &[u8]) -> Result<Line, LineError> {
     let start = bytes.iter().position(|&byte| byte == b'{').unwrap_or(0);
     let raw: Raw = serde_json::from_slice(&bytes[start..])
@@ -359,7 +360,7 @@
     for (value, name) in known.iter_mut().zip(DECISION_FIELDS) {
         *value = fields.number(name)?;
     }
-    // A prompt of which nothing was read has no size.
+    // Nodes log 0 if the request was refused before its prompt was read.
     known[0] = known[0].filter(|prompt| *prompt > 0);
     Ok(Refused {
         reason: fields.require_text("reason")?,
--- a/crates/report/src/outcome.rs
+++ b/crates/report/src/outcome.rs
@@ -1,30 +1,30 @@
-//! How a request ended.
+//! The outcomes of requests.
 
 use crate::line::{Answered, Refused};
 use crate::size::{self, Class};
 use serde::Serialize;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// First token within the route's goal, and no pause above the wanted one.
+    /// Answered within the route's latency goal and without a pause above the limit.
     InTime,
-    /// Answered, but not in time.
+    /// Answered, but above the latency goal or with a pause above the limit.
     Late,
-    /// Refused for load or for the fleet's state; it has not run.
+    /// Refused because of the load or state of the fleet, without having run.
     Refused,
-    /// Ended without a whole answer, or by a target's failure.
+    /// Ended without a complete answer, or by a target's failure.
     Failed,
-    /// Refused for what the caller sent.
+    /// Refused because the caller's request was invalid.
     Invalid,
-    /// The caller left before the end.
+    /// The caller disconnected before the end.
     Gone,
-    /// Answered, by a line that does not bear the route's goal.
+    /// Answered, but the log line has no latency goal to compare with.
     Unjudged,
 }
 
-/// How many outcomes there are.
+/// The number of outcomes.
 pub const COUNT: usize = 7;
 
 impl Outcome {
@@ -39,7 +39,7 @@
         Self::Unjudged,
     ];
 
-    /// What a person reads.
+    /// Returns the name that is shown on the page.
     pub fn name(self) -> &'static str {
         match self {
             Self::InTime => "in time",
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Whether it speaks against the service.
+    /// Whether the service is to blame: late, refused or failed.
     pub fn is_bad(self) -> bool {
         matches!(self, Self::Late | Self::Refused | Self::Failed)
     }
 }
 
-/// Judges an answer.
+/// Returns the outcome of an answered request.
 pub fn classify_answer(answer: &Answered) -> Outcome {
     let Some(goal) = answer.goal_ms.filter(|_| answer.status < 500) else {
         return if answer.status < 500 { Outcome::Unjudged } else { Outcome::Failed };
@@ -70,7 +70,7 @@
     }
 }
 
-/// Judges a refusal.
+/// Returns the outcome of a refused request.
 pub fn classify_refusal(refusal: &Refused) -> Outcome {
     let invalid = (400..500).contains(&refusal.status) && !matches!(refusal.status, 408 | 429);
     match (refusal.ran.as_str(), invalid) {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Requests by size and outcome.
+/// Numbers of requests by size and outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts([[u64; COUNT]; size::COUNT]);
 
@@ -90,24 +90,24 @@
         self.0[class.index()][outcome as usize] += 1;
     }
 
-    /// Takes others in.
+    /// Adds the numbers of another instance.
     pub fn merge(&mut self, other: &Self) {
         for (own, other) in self.0.iter_mut().flatten().zip(other.0.iter().flatten()) {
             *own += other;
         }
     }
 
-    /// Requests of a size that ended in a way.
+    /// Returns the number of requests of a size with an outcome.
     pub fn get(&self, class: Class, outcome: Outcome) -> u64 {
         self.0[class.index()][outcome as usize]
     }
 
-    /// Requests of all sizes that ended in a way.
+    /// Returns the number of requests of all sizes with an outcome.
     pub fn total(&self, outcome: Outcome) -> u64 {
         Class::all().map(|class| self.get(class, outcome)).sum()
     }
 
-    /// Requests that ended in a way that speaks against the service.
+    /// Returns the number of requests that were late, refused or failed.
     pub fn count_bad(&self) -> u64 {
         Outcome::ALL.into_iter().filter(|o| o.is_bad()).map(|o| self.total(o)).sum()
     }
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -1,4 +1,4 @@
-//! The page.
+//! The HTML page of a report.
 
 use crate::plot::{self, Plot};
 use crate::summary::Summary;
@@ -11,11 +11,11 @@
 th,td{border:1px solid #ccc;padding:2px 8px;text-align:right;overflow-wrap:anywhere}\
 th:first-child,td:first-child{text-align:left}figure{margin:1em 0}.none{color:#777}";
 
-/// Writes the page: one document that needs nothing from elsewhere.
+/// Renders the page as one document without external resources.
 ///
 /// # Errors
 ///
-/// A plot can't be drawn.
+/// Fails if a plot can't be drawn.
 pub fn render_page(summary: &Summary) -> Result<String> {
     let outcomes = plot::draw_outcomes(summary)?;
     let occupancy = plot::draw_occupancy(summary)?;
@@ -51,7 +51,7 @@
                 h2 { "Refusals" }
                 (table::list_refusals(summary).render())
                 (table::list_refusal_values(summary).render())
-                h2 { "Sends again" }
+                h2 { "Retries" }
                 (table::list_sends(summary).render())
                 (table::list_attempts(summary).render())
                 @if let Some(plot) = &plot::draw_attempts(summary)? { (render_plot(plot)) }
@@ -72,17 +72,17 @@
     let lines = &summary.lines;
     html! {
         p {
-            (lines.read) " lines read, " (lines.other) " of them not counted here; "
-            (lines.skipped) " could not be read and were passed over; nodes say that they dropped "
+            (lines.read) " lines read, " (lines.other) " of them not evaluated here; "
+            (lines.skipped) " could not be read and were skipped; nodes reported that they dropped "
             (lines.dropped) "."
         }
         @match (&summary.from, &summary.to) {
             (Some(from), Some(to)) => p {
                 "From " (from) " to " (to) " in steps of " (summary.step_s)
-                " s. A request stands in the step in which it came; quantiles over time are to \
-                 one digit, others to two."
+                " s. A request counts in the step of its arrival; quantiles over time have one \
+                 significant digit, others two."
             },
-            _ => p { "Nothing to show: no line tells of a request." },
+            _ => p { "Nothing to show: no line reports a request." },
         }
     }
 }
@@ -90,5 +90,5 @@
 fn render_undrawn(summary: &Summary) -> Markup {
     let busy = summary.engines.iter().filter(|row| row.short_ms + row.long_ms > 0).count();
     let undrawn = busy.saturating_sub(plot::MAX_ENGINES_DRAWN);
-    html! { @if undrawn > 0 { p { "Not drawn: " (undrawn) " engines that read less." } } }
+    html! { @if undrawn > 0 { p { "Not drawn: " (undrawn) " engines with less prefill time." } } }
 }
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws what was counted over time, as SVG.
+//! Plots of a summary, as SVG.
 
 use crate::outcome::{self, Outcome};
 use crate::summary::{Cell, Point, Summary, format_time};
@@ -8,35 +8,38 @@
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 
-/// The width of a plot, in pixels.
+/// Width of a plot, in pixels.
 const WIDTH: u32 = 960;
 
-/// The height of a plot.
+/// Height of a plot, in pixels.
 const HEIGHT: u32 = 230;
 
-/// The height of the plot of predicted against real first tokens.
+/// Height of the plot of predicted against measured times to the first token.
 const PREDICTED_HEIGHT: u32 = 480;
 
-/// The height of an engine's row, and of what stands around the rows.
+/// Height of an engine's row in the occupancy plots.
 const ENGINE_ROW_HEIGHT: u32 = 14;
+
+/// Height of the title, the axis and the margins of an occupancy plot.
 const ENGINE_PLOT_PADDING: u32 = 70;
 
-/// Engines that are drawn, those that read the most.
+/// Maximum number of engines in the occupancy plots; those with the most prefill
+/// time are drawn.
 pub(crate) const MAX_ENGINES_DRAWN: usize = 40;
 
-/// The font; a browser takes its own of the kind.
+/// Generic font family; the browser selects the font.
 const FONT: &str = "sans-serif";
 
-/// The least time on axes of times by their logarithm.
+/// Lower end of logarithmic time axes.
 const MIN_LOG_AXIS_MS: f64 = 1.0;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A line of a plot: its name, its colour, and its value at a point.
+/// A series of a plot: its name, its colour, and its value in a step.
 type Series = (&'static str, RGBColor, fn(&Point) -> Option<f64>);
 
-/// The colour of an outcome.
+/// Returns the colour of an outcome.
 fn outcome_color(outcome: Outcome) -> RGBColor {
     match outcome {
         Outcome::InTime => RGBColor(90, 160, 90),
@@ -49,8 +52,8 @@
     }
 }
 
-/// Outcomes as they stand on each other: what is bad from the ground up, where it
-/// compares best.
+/// The stacking order of outcomes, from the bottom. Bad outcomes come first because
+/// bars that start on the axis are the easiest to compare.
 const STACKING_ORDER: [Outcome; outcome::COUNT] = [
     Outcome::Failed,
     Outcome::Refused,
@@ -64,7 +67,7 @@
 const FIRST_COLOR: RGBColor = RGBColor(30, 90, 180);
 const SECOND_COLOR: RGBColor = RGBColor(210, 100, 30);
 
-/// The span that plots are drawn over.
+/// The time span of the plots over time.
 #[derive(Clone, Copy)]
 struct TimeSpan {
     begin_ms: i64,
@@ -80,7 +83,7 @@
         Some(Self { begin_ms: first.time_ms, step_s, length_s })
     }
 
-    /// Where a step begins and ends.
+    /// Returns the start and the end of a step, in seconds from the start of the span.
     fn bounds(&self, point: &Point) -> (f64, f64) {
         let begin = (point.time_ms - self.begin_ms) as f64 / 1_000.0;
         (begin, begin + self.step_s)
@@ -92,13 +95,13 @@
     }
 }
 
-/// A plot with its name.
+/// A plot with its title.
 pub(crate) struct Plot {
     pub(crate) title: String,
     pub(crate) svg: String,
 }
 
-/// Draws requests by outcome over time, a plot for each size.
+/// Draws requests by outcome over time, with one plot per prompt size.
 pub(crate) fn draw_outcomes(summary: &Summary) -> Result<Vec<Plot>> {
     let Some(span) = TimeSpan::of(summary) else { return Ok(Vec::new()) };
     let sizes = summary.outcomes.iter().map(|row| row.size);
@@ -125,7 +128,8 @@
             }
             let fills = bars.iter().map(|corners| Rectangle::new(*corners, color.filled()));
             label_series(chart.draw_series(fills)?, outcome.name(), color);
-            // Few beside many have no height of their own.
+            // A few bad outcomes among many requests would be too low to see, so each
+            // bar gets a line of fixed width on top.
             let edges = bars.iter().filter(|_| outcome.is_bad()).map(|[(from, _), (to, above)]| {
                 PathElement::new(vec![(*from, *above), (*to, *above)], color.stroke_width(2))
             });
@@ -135,13 +139,13 @@
     })
 }
 
-/// Requests of a size that came in a step and ended in a way.
+/// Returns the number of requests of a size with an outcome that arrived in a step.
 fn count(point: &Point, size: &str, outcome: Outcome) -> f64 {
     let row = point.outcomes.iter().find(|row| row.size == size);
     row.map_or(0.0, |row| row.counts[outcome as usize] as f64)
 }
 
-/// Draws first tokens as they were expected and as they came, over time.
+/// Draws predicted and measured times to the first token over time.
 pub(crate) fn draw_first_tokens(summary: &Summary) -> Result<Option<Plot>> {
     draw_lines(
         summary,
@@ -153,7 +157,7 @@
     )
 }
 
-/// Draws how long requests waited, over time.
+/// Draws the queue wait of requests over time.
 pub(crate) fn draw_waits(summary: &Summary) -> Result<Option<Plot>> {
     draw_lines(
         summary,
@@ -165,11 +169,11 @@
     )
 }
 
-/// Draws by how much pauses were over the wanted one, over time.
+/// Draws the excess of pauses above their limit over time.
 pub(crate) fn draw_pauses(summary: &Summary) -> Result<Option<Plot>> {
     draw_lines(
         summary,
-        "Pauses over what is wanted",
+        "Pauses above the limit",
         &[
             ("over by, p50", FIRST_COLOR, |p| Some(p.over_ms?.p50 as f64)),
             ("over by, max", SECOND_COLOR, |p| Some(p.over_ms?.max as f64)),
@@ -177,7 +181,7 @@
     )
 }
 
-/// Draws values of each step that has them; `None` where none has.
+/// Draws the values of series over time; `None` if no step has a value.
 fn draw_lines(summary: &Summary, title: &str, series: &[Series]) -> Result<Option<Plot>> {
     let points = &summary.series;
     let values = series.iter().flat_map(|(_, _, value)| points.iter().filter_map(value));
@@ -198,7 +202,7 @@
     Ok(Some(plot))
 }
 
-/// Draws attempts that failed, over time.
+/// Draws failed attempts over time.
 pub(crate) fn draw_attempts(summary: &Summary) -> Result<Option<Plot>> {
     let points = summary.series.iter().filter(|point| point.failed_attempts > 0);
     let top = points.clone().map(|point| point.failed_attempts).max();
@@ -216,7 +220,8 @@
     Ok(Some(plot))
 }
 
-/// Draws how often a first token that was expected at a time came at another.
+/// Draws predicted against measured times to the first token. The opacity of a cell
+/// shows the number of streams.
 pub(crate) fn draw_predictions(summary: &Summary) -> Result<Option<Plot>> {
     let cells = &summary.predicted.cells;
     let max_count = cells.iter().map(|cell| cell.count).max().unwrap_or(0) as f64;
@@ -248,12 +253,12 @@
     Ok(Some(plot))
 }
 
-/// Draws the part of each step in which engines read: short prompts, and long
-/// ones, each in a plot.
+/// Draws the share of each step that engines spent on prefill, with one plot for
+/// short and one for long prompts.
 pub(crate) fn draw_occupancy(summary: &Summary) -> Result<Vec<Plot>> {
     let busy = summary.engines.iter().filter(|row| row.short_ms + row.long_ms > 0);
     let mut names: Vec<&str> = busy.map(|row| row.name.as_str()).take(MAX_ENGINES_DRAWN).collect();
-    // Rows are drawn from below.
+    // Rows are drawn from the bottom up.
     names.reverse();
     let Some(span) = TimeSpan::of(summary).filter(|_| !names.is_empty()) else {
         return Ok(Vec::new());
@@ -281,7 +286,7 @@
         .x_label_area_size(24)
         .y_label_area_size(130)
         .build_cartesian_2d(0.0..span.length_s, -0.5..count as f64 - 0.5)?;
-    // The axis may be marked between rows, too.
+    // The axis may also have tick marks between rows, which get no label.
     let label = |at: &f64| {
         let name = names.get(at.round() as usize).filter(|_| (at - at.round()).abs() < 1e-6);
         name.map_or_else(String::new, |name| name.chars().take(18).collect())
--- a/crates/report/src/read.rs
+++ b/crates/report/src/read.rs
@@ -1,18 +1,18 @@
-//! Reads logs line by line.
+//! Reads a log line by line.
 
 use crate::line::{LineError, parse_line};
 use crate::tally::Tally;
 use std::io::{self, BufRead};
 
-/// The longest line that is read: a node's lines are far shorter.
+/// Maximum length of a line. Lines of nodes are far shorter.
 pub const MAX_LINE_BYTES: usize = 65_536;
 
-/// Reads a log to its end; `name` is what its places are named by. Lines that
-/// can't be read are counted and passed over.
+/// Reads a log to its end and counts its lines in `tally`. Unreadable lines are
+/// counted and skipped; `name` identifies the log in their places.
 ///
 /// # Errors
 ///
-/// The log can't be read.
+/// Fails if the log can't be read.
 pub fn read_lines(mut log: impl BufRead, name: &str, tally: &mut Tally) -> io::Result<()> {
     let mut line = Vec::new();
     let mut number = 0u64;
@@ -32,8 +32,8 @@
     Ok(())
 }
 
-/// Takes a line, and says whether it is whole: of one that is too long, only the
-/// beginning is kept. `None` at the end.
+/// Reads the next line into `line` and returns whether it is complete. A line that
+/// is too long is truncated. Returns `None` at the end of the log.
 fn read_raw_line(log: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Option<bool>> {
     line.clear();
     let mut length = 0;
--- a/crates/report/src/size.rs
+++ b/crates/report/src/size.rs
@@ -1,6 +1,6 @@
-//! Classes of prompts by size.
+//! Size classes of prompts.
 
-/// The classes: the most tokens of each, and its name.
+/// The maximum number of tokens of each class, and its name.
 const CLASSES: [(u64, &str); COUNT] = [
     (0, "no size"),
     (1_024, "to 1 Ki"),
@@ -11,30 +11,30 @@
     (u64::MAX, "over 256 Ki"),
 ];
 
-/// How many classes there are.
+/// The number of classes.
 pub const COUNT: usize = 7;
 
-/// A class of prompts.
+/// A size class of prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Class(usize);
 
 impl Class {
-    /// The class of a prompt of so many tokens.
+    /// Returns the class of a prompt with the given number of tokens.
     pub fn of(tokens: u64) -> Self {
         Self(CLASSES.iter().position(|(max_tokens, _)| tokens <= *max_tokens).unwrap_or(COUNT - 1))
     }
 
-    /// All classes, from the smallest.
+    /// Returns all classes in ascending order.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..COUNT).map(Self)
     }
 
-    /// Its place among the classes.
+    /// Returns the index of the class in ascending order.
     pub fn index(self) -> usize {
         self.0
     }
 
-    /// Its name, in tokens.
+    /// Returns the name of the class, which states its size in tokens.
     pub fn name(self) -> &'static str {
         CLASSES[self.0].1
     }
--- a/crates/report/src/summary.rs
+++ b/crates/report/src/summary.rs
@@ -1,4 +1,4 @@
-//! What was counted, as a document.
+//! The summary of a tally, which is printed as JSON and rendered as a page.
 
 use crate::line::DECISION_FIELDS;
 use crate::outcome::{Counts, Outcome};
@@ -8,225 +8,226 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Steps that are named as the worst.
+/// Maximum number of steps listed as the worst.
 const MAX_WORST_STEPS: usize = 10;
 
-/// The name of what had no room of its own.
+/// The name of the row for all names beyond the capacity.
 pub(crate) const OTHERS_NAME: &str = "others";
 
-/// How values are spread.
+/// The quantiles of a distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Quantiles {
-    /// How many there are.
+    /// The number of values.
     pub count: u64,
     /// The median.
     pub p50: u64,
-    /// What 95 of 100 don't exceed.
+    /// The 95th percentile.
     pub p95: u64,
-    /// What 99 of 100 don't exceed.
+    /// The 99th percentile.
     pub p99: u64,
-    /// The greatest.
+    /// The maximum.
     pub max: u64,
 }
 
-/// What was counted.
+/// The summary of all logs.
 #[derive(Debug, Serialize)]
 pub struct Summary {
-    /// What became of the lines.
+    /// The numbers of lines by how they were processed.
     pub lines: Lines,
-    /// The first moment that something was counted for.
+    /// The start of the first step.
     pub from: Option<String>,
     /// The end of the last step.
     pub to: Option<String>,
-    /// The width of a step.
+    /// The step width.
     pub step_s: i64,
-    /// Requests by size, and of all sizes.
+    /// Outcomes by prompt size.
     pub outcomes: Vec<OutcomeRow>,
     /// The steps with the most requests that were late, refused or failed.
     pub worst: Vec<WorstStep>,
-    /// Predicted against real first tokens.
+    /// Predicted and measured times to the first token.
     pub predicted: Predicted,
-    /// How long requests waited, by size.
+    /// The queue wait of requests, by prompt size.
     pub waits: BTreeMap<&'static str, Quantiles>,
-    /// Requests that began to wait for engines.
+    /// Requests that started to wait for engines.
     pub began_to_wait: u64,
-    /// Pauses.
+    /// Pauses of streams above their limit.
     pub pauses: Pauses,
-    /// Engines, those that read the most first.
+    /// Engines, in descending order of prefill time.
     pub engines: Vec<EngineRow>,
-    /// Answers whose lines don't say whether they were short.
+    /// Answers whose lines don't state whether the prompt was placed as a short one.
     pub occupancy_unsaid: u64,
-    /// Refusals by reason, the most frequent first.
+    /// Refusals by reason, in descending order of frequency.
     pub refusals: Vec<Refusal>,
-    /// Sends again.
+    /// Retries.
     pub sends: Sends,
-    /// What nodes came to believe or do.
+    /// Messages about the nodes' state or view of the fleet.
     pub news: Vec<NodeEventRow>,
-    /// The steps in which something was counted.
+    /// The steps with counts.
     pub series: Vec<Point>,
 }
 
-/// What became of the lines.
+/// The numbers of lines by how they were processed.
 #[derive(Debug, Serialize)]
 pub struct Lines {
-    /// Lines that were read.
+    /// Parsed lines.
     pub read: u64,
-    /// Lines that could not be read.
+    /// Unreadable lines.
     pub skipped: u64,
-    /// The first of them, each with its place.
+    /// The first unreadable lines, with places and errors.
     pub faults: Vec<String>,
-    /// Lines that were read and are not counted here.
+    /// Parsed lines with messages that are not evaluated.
     pub other: u64,
-    /// Lines that the nodes say they dropped.
+    /// Lines that nodes reported as dropped.
     pub dropped: u64,
-    /// Fields that aren't known, with how often and where first.
+    /// Unknown fields, with the number of occurrences and the first place.
     pub unknown: BTreeMap<String, String>,
 }
 
-/// Requests by outcome.
+/// The outcomes of requests of one size.
 #[derive(Debug, Serialize)]
 pub struct OutcomeRow {
-    /// Their size.
+    /// The size class of the prompts.
     pub size: &'static str,
-    /// How many ended in which way, in the order of [`Outcome::ALL`].
+    /// The number of requests by outcome, in the order of [`Outcome::ALL`].
     #[serde(serialize_with = "name_outcomes")]
     pub counts: [u64; crate::outcome::COUNT],
 }
 
-/// A step that went badly.
+/// A step with requests that were late, refused or failed.
 #[derive(Debug, Serialize)]
 pub struct WorstStep {
-    /// Its beginning.
+    /// The start of the step.
     pub time: String,
-    /// Requests that came in it and were late.
+    /// Requests that arrived in the step and were late.
     pub late: u64,
-    /// Those that were refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests to go on with.
+    /// Requests to inspect further.
     pub examples: Vec<Example>,
 }
 
-/// A request to go on with.
+/// A request to inspect further.
 #[derive(Debug, Serialize)]
 pub struct Example {
-    /// The caller's id of its attempt.
+    /// The caller's id of the attempt.
     pub request: String,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The node it ended at.
+    /// The node that logged the outcome.
     pub node: String,
 }
 
-/// Predicted against real first tokens, of streams that were sent once; both from
-/// the placing on.
+/// Predicted and measured times from the placement to the first token, for streams
+/// that were sent to one target.
 #[derive(Debug, Serialize)]
 pub struct Predicted {
-    /// What was expected.
+    /// The predicted times.
     pub expected_ms: Option<Quantiles>,
-    /// What came.
+    /// The measured times.
     pub first_ms: Option<Quantiles>,
-    /// How often they came together.
+    /// The number of streams by predicted and measured time.
     pub cells: Vec<Cell>,
 }
 
-/// Streams of like expectation and like first token.
+/// Streams with similar predicted and similar measured times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Cell {
-    /// From when on the first token was expected.
+    /// The lower bound of the predicted times.
     pub expected_ms: f64,
-    /// From when on it came.
+    /// The lower bound of the measured times.
     pub first_ms: f64,
-    /// How many there are.
+    /// The number of streams.
     pub count: u64,
 }
 
-/// Pauses over what is wanted.
+/// Pauses of streams above their limit.
 #[derive(Debug, Serialize)]
 pub struct Pauses {
-    /// Streams of which a longest pause is wanted.
+    /// Streams with a limit for pauses.
     pub streams: u64,
-    /// By how much those over it were over it.
+    /// The excess of the longest pause, for streams that exceeded the limit.
     pub over_ms: Option<Quantiles>,
 }
 
-/// What was counted of an engine.
+/// The counts of an engine.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineRow {
-    /// The engine.
+    /// The target id of the engine.
     pub name: String,
     /// Answers of which it was the first engine.
     pub answered: u64,
-    /// Those that were late.
+    /// Answers that were late.
     pub late: u64,
-    /// Attempts at it that failed.
+    /// Failed attempts on the engine.
     pub failed: u64,
-    /// Long prompts that it read a part of.
+    /// Long prompts of which it prefilled a part.
     pub placed: u64,
-    /// How long it read short prompts.
+    /// Prefill time of short prompts.
     pub short_ms: u64,
-    /// How long it read long prompts.
+    /// Prefill time of long prompts.
     pub long_ms: u64,
 }
 
-/// Refusals of a reason.
+/// Refusals with the same reason.
 #[derive(Debug, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason code.
     pub reason: String,
-    /// How many there are.
+    /// The number of refusals.
     pub count: u64,
-    /// Those that may have run.
+    /// Refused requests that may have run.
     pub may_have_run: u64,
-    /// What was known when they were refused.
+    /// The state that the decisions were based on.
     pub known: BTreeMap<&'static str, Quantiles>,
 }
 
-/// Sends again.
+/// Retries.
 #[derive(Debug, Serialize)]
 pub struct Sends {
-    /// Answers by how many targets they were sent to; the last stands for more.
+    /// Answers by the number of targets that the request was sent to; the last value
+    /// also counts all greater numbers.
     pub answered: [u64; crate::tally::SENDS_BUCKETS],
-    /// Failed attempts by why.
+    /// Failed attempts by reason.
     pub failed: BTreeMap<String, u64>,
-    /// How often no repeat was left.
+    /// The number of times that the retry budget was exhausted.
     pub spent: u64,
 }
 
-/// How often nodes came to believe or did something.
+/// The occurrences of a message about a node's state or view.
 #[derive(Debug, Serialize)]
 pub struct NodeEventRow {
-    /// What.
+    /// The message.
     pub message: &'static str,
-    /// How often.
+    /// The number of occurrences.
     pub count: u64,
-    /// When first.
+    /// The time of the first occurrence.
     pub first: String,
-    /// When last.
+    /// The time of the last occurrence.
     pub last: String,
 }
 
-/// A step.
+/// The counts of one step.
 #[derive(Debug, Serialize)]
 pub struct Point {
-    /// Its beginning.
+    /// The start of the step.
     pub time: String,
     #[serde(skip)]
     pub(crate) time_ms: i64,
-    /// Requests by size; sizes without any are left out.
+    /// Outcomes by prompt size; sizes without requests are left out.
     pub outcomes: Vec<OutcomeRow>,
-    /// When first tokens were expected.
+    /// Predicted times to the first token.
     pub expected_ms: Option<Quantiles>,
-    /// When they came.
+    /// Measured times to the first token.
     pub first_ms: Option<Quantiles>,
-    /// How long requests waited.
+    /// Queue wait of requests.
     pub wait_ms: Option<Quantiles>,
-    /// Pauses over the wanted one.
+    /// Excess of pauses above their limit.
     pub over_ms: Option<Quantiles>,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failed_attempts: u64,
-    /// How long each engine read short and long prompts.
+    /// Prefill time of each engine, for short and for long prompts.
     pub engines: BTreeMap<String, [u64; 2]>,
 }
 
@@ -238,7 +239,7 @@
 }
 
 impl Summary {
-    /// What a tally holds.
+    /// Summarizes a tally.
     pub fn of(tally: &Tally) -> Self {
         let names: BTreeMap<usize, &str> =
             tally.engines.named().map(|(name, number, _)| (number, name)).collect();
@@ -278,7 +279,7 @@
     }
 }
 
-/// A moment as people read it, in UTC.
+/// Formats a time as RFC 3339, in UTC with seconds.
 pub(crate) fn format_time(ms: i64) -> String {
     let time = DateTime::from_timestamp_millis(ms).unwrap_or_default();
     time.to_rfc3339_opts(SecondsFormat::Secs, true)
@@ -301,7 +302,7 @@
     }
 }
 
-/// Requests by size; sizes without any are left out.
+/// Returns the outcomes by size, without sizes that have no requests.
 fn outcome_rows(counts: &Counts) -> Vec<OutcomeRow> {
     let row = |class: Class| OutcomeRow {
         size: class.name(),
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -1,10 +1,10 @@
-//! Tables of a page.
+//! Tables of the page.
 
 use crate::outcome::Outcome;
 use crate::summary::{Quantiles, Summary};
 use maud::{Markup, html};
 
-/// A table: its title, the names of its columns, and its rows.
+/// A table with a title, a note, column names and rows.
 pub(crate) struct Table {
     pub(crate) title: &'static str,
     pub(crate) note: String,
@@ -21,7 +21,7 @@
         Self { note: note.into(), ..self }
     }
 
-    /// The table as a part of the page; a table without rows says so.
+    /// Renders the table as HTML. A table without rows is rendered as "none".
     pub(crate) fn render(&self) -> Markup {
         html! {
             h3 { (self.title) }
@@ -55,9 +55,9 @@
     [&[first][..], &QUANTILE_COLUMNS].concat()
 }
 
-/// The steps that went worst, with requests to go on with.
+/// Lists the worst steps, with requests to inspect further.
 pub(crate) fn list_worst(summary: &Summary) -> Table {
-    let head = ["from", "late", "refused", "failed", "go on with hickory explain"];
+    let head = ["from", "late", "refused", "failed", "inspect with hickory explain"];
     let row = |worst: &crate::summary::WorstStep| {
         let examples = worst.examples.iter().map(|example| {
             format!("{} ({}, {})", example.request, example.outcome.name(), example.node)
@@ -69,7 +69,7 @@
     Table::new("Worst steps", &head, summary.worst.iter().map(row).collect())
 }
 
-/// Requests by size and outcome.
+/// Lists requests by size and outcome.
 pub(crate) fn list_outcomes(summary: &Summary) -> Table {
     let mut head = vec!["prompt, tokens"];
     head.extend(Outcome::ALL.map(Outcome::name));
@@ -80,7 +80,7 @@
     Table::new("Outcomes by size", &head, summary.outcomes.iter().map(row).collect())
 }
 
-/// Predicted and real first tokens.
+/// Lists predicted and measured times to the first token.
 pub(crate) fn list_first_tokens(summary: &Summary) -> Table {
     let predicted = &summary.predicted;
     let rows = vec![
@@ -88,25 +88,25 @@
         quantile_row("real", predicted.first_ms.as_ref()),
     ];
     Table::new("First tokens, ms", &quantile_head("first token"), rows)
-        .with_note("Streams that were sent once; both times count from the placing.")
+        .with_note("Streams that were sent to one target; both times count from the placement.")
 }
 
-/// Waits by size.
+/// Lists queue waits by prompt size.
 pub(crate) fn list_waits(summary: &Summary) -> Table {
     let rows =
         summary.waits.iter().map(|(size, distribution)| quantile_row(size, Some(distribution)));
     Table::new("Waits by size, ms", &quantile_head("prompt, tokens"), rows.collect())
-        .with_note(format!("{} requests began to wait for engines.", summary.began_to_wait))
+        .with_note(format!("{} requests started to wait for engines.", summary.began_to_wait))
 }
 
-/// Pauses over the wanted one.
+/// Lists the excess of pauses above their limit.
 pub(crate) fn list_pauses(summary: &Summary) -> Table {
     let rows = vec![quantile_row("over by", summary.pauses.over_ms.as_ref())];
-    Table::new("Pauses over what is wanted, ms", &quantile_head("longest pause"), rows)
-        .with_note(format!("Of {} streams of which one is wanted.", summary.pauses.streams))
+    Table::new("Pauses above the limit, ms", &quantile_head("longest pause"), rows)
+        .with_note(format!("Of {} streams with a limit.", summary.pauses.streams))
 }
 
-/// Engines by what they read.
+/// Lists engines by prefill time.
 pub(crate) fn list_engines(summary: &Summary) -> Table {
     let head =
         ["engine", "answered", "late", "failed attempts", "long parts", "short ms", "long ms"];
@@ -115,14 +115,14 @@
         [&[row.name.clone()][..], &counts.map(|n| n.to_string())].concat()
     };
     let note = format!(
-        "Reading time by the books: short prompts as they were answered, long ones as they \
-         were placed. {} answers don't say whether they were short.",
+        "Prefill time according to the log lines: of short prompts when they were answered, of \
+         long ones when they were placed. {} answers don't state whether they were short.",
         summary.occupancy_unsaid
     );
     Table::new("Engines", &head, summary.engines.iter().map(row).collect()).with_note(note)
 }
 
-/// Refusals by reason.
+/// Lists refusals by reason.
 pub(crate) fn list_refusals(summary: &Summary) -> Table {
     let row = |r: &crate::summary::Refusal| {
         vec![r.reason.clone(), r.count.to_string(), r.may_have_run.to_string()]
@@ -131,7 +131,7 @@
     Table::new("Refusals by reason", &["reason", "count", "may have run"], rows)
 }
 
-/// What was known at refusals.
+/// Lists the state that refusals were based on.
 pub(crate) fn list_refusal_values(summary: &Summary) -> Table {
     let head = [&["reason"][..], &quantile_head("known")].concat();
     let rows = summary.refusals.iter().flat_map(|refusal| {
@@ -140,10 +140,10 @@
             [vec![refusal.reason.clone()], quantile_row(name, Some(distribution))].concat()
         })
     });
-    Table::new("What refusals knew", &head, rows.collect())
+    Table::new("State at refusals", &head, rows.collect())
 }
 
-/// Answers by sendings.
+/// Lists answers by the number of targets that the request was sent to.
 pub(crate) fn list_sends(summary: &Summary) -> Table {
     let row = |(index, count): (usize, &u64)| {
         let more = if index + 1 == summary.sends.answered.len() { " or more" } else { "" };
@@ -151,29 +151,29 @@
     };
     let rows = summary.sends.answered.iter().enumerate().map(row).collect();
     Table::new("Answers by sends", &["targets sent to", "answers"], rows)
-        .with_note(format!("No repeat was left to spend: {} times.", summary.sends.spent))
+        .with_note(format!("The retry budget was exhausted {} times.", summary.sends.spent))
 }
 
-/// Failed attempts by why.
+/// Lists failed attempts by reason.
 pub(crate) fn list_attempts(summary: &Summary) -> Table {
     let rows = summary.sends.failed.iter().map(|(why, n)| vec![why.clone(), n.to_string()]);
-    Table::new("Failed attempts", &["why", "count"], rows.collect())
+    Table::new("Failed attempts", &["reason", "count"], rows.collect())
 }
 
-/// What nodes came to believe or do.
+/// Lists messages about the nodes' state or view of the fleet.
 pub(crate) fn list_node_events(summary: &Summary) -> Table {
     let row = |news: &crate::summary::NodeEventRow| {
         vec![news.message.into(), news.count.to_string(), news.first.clone(), news.last.clone()]
     };
     let head = ["message", "count", "first", "last"];
-    Table::new("What nodes came to believe", &head, summary.news.iter().map(row).collect())
+    Table::new("Node events", &head, summary.news.iter().map(row).collect())
 }
 
-/// Lines that could not be read, and fields that aren't known.
+/// Lists unreadable lines and unknown fields.
 pub(crate) fn list_faults(summary: &Summary) -> Table {
     let faults = summary.lines.faults.iter().map(|fault| vec![fault.clone()]);
     let unknown = summary.lines.unknown.iter();
     let unknown = unknown.map(|(name, met)| vec![format!("unknown field {name}: {met}")]);
     let rows = faults.chain(unknown).collect();
-    Table::new("Lines that could not be read whole", &["first of them"], rows)
+    Table::new("Unreadable lines and unknown fields", &["first ones"], rows)
 }
--- a/crates/report/src/tally.rs
+++ b/crates/report/src/tally.rs
@@ -1,4 +1,5 @@
-//! Counts what the lines tell; bounded however many there are.
+//! Counts the events of log lines, in memory that is bounded regardless of their
+//! number.
 
 use crate::bounded_counts::BoundedCounts;
 use crate::distribution::Distribution;
@@ -11,35 +12,37 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// Engines that are counted by name.
+/// Maximum number of engines that are counted by name.
 pub const MAX_ENGINES: usize = 256;
 
-/// Reasons of refusals and of failed attempts that are counted by name.
+/// Maximum number of reasons of refusals and of failed attempts that are counted
+/// by name.
 pub const MAX_REASONS: usize = 32;
 
-/// Fields that aren't known which are counted by name.
+/// Maximum number of unknown fields that are counted by name.
 pub const MAX_UNKNOWN_FIELDS: usize = 32;
 
-/// Bad lines whose places are kept.
+/// Maximum number of unreadable lines that are listed with their places.
 const MAX_REPORTED_FAULTS: usize = 8;
 
-/// Requests of a step that are named for `explain`.
+/// Maximum number of requests listed per step, to be inspected with `explain`.
 const MAX_EXAMPLES_PER_STEP: usize = 3;
 
-/// The longest reading that is spread over time.
+/// Maximum prefill time that is distributed over steps.
 const MAX_PREFILL_MS: u64 = 3_600_000;
 
-/// Sendings that are told apart; the last stands for more.
+/// Number of counters for the targets a request was sent to; the last one also
+/// counts all greater numbers.
 pub const SENDS_BUCKETS: usize = 4;
 
-/// What an engine read in a step.
+/// The time that an engine spent on prefill, by the length of the prompts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PrefillTime {
     pub(crate) short_ms: u64,
     pub(crate) long_ms: u64,
 }
 
-/// A request that `explain` tells more of.
+/// A request that is worth inspecting with `explain`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Example {
     pub(crate) request: CompactString,
@@ -47,18 +50,18 @@
     pub(crate) node: CompactString,
 }
 
-/// What is counted of a span of time.
+/// The counts of one step of the timeline.
 #[derive(Debug, Default)]
 pub(crate) struct Step {
     pub(crate) outcomes: Counts,
     pub(crate) expected_first_token: Distribution<1>,
     pub(crate) first_token: Distribution<1>,
     pub(crate) wait: Distribution<1>,
-    /// By how much pauses were over the wanted one.
+    /// The excess of pauses above their limit.
     pub(crate) excess_pause: Distribution<1>,
     /// Attempts that failed.
     pub(crate) failed_attempts: u64,
-    /// By the number of the engine.
+    /// By the index of the engine.
     pub(crate) prefill_times: Vec<PrefillTime>,
     pub(crate) examples: Vec<Example>,
 }
@@ -84,28 +87,28 @@
     }
 }
 
-/// What is counted of an engine.
+/// The counts of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EngineCounts {
     pub(crate) answered: u64,
     pub(crate) late: u64,
     pub(crate) failed: u64,
-    /// Long prompts that it read a part of.
+    /// Long prompts of which it prefilled a part.
     pub(crate) placed: u64,
     pub(crate) prefill: PrefillTime,
 }
 
-/// What is counted of a reason of refusals.
+/// The counts of refusals with the same reason.
 #[derive(Debug, Default)]
 pub(crate) struct RefusalCounts {
     pub(crate) count: u64,
-    /// Those that may have run.
+    /// Refused requests that may have run.
     pub(crate) may_have_run: u64,
-    /// What was known, in the order of [`DECISION_FIELDS`].
+    /// The state that decisions were based on, in the order of [`DECISION_FIELDS`].
     pub(crate) known: [Distribution<2>; DECISION_FIELDS.len()],
 }
 
-/// What is counted of a message.
+/// The counts of a message about a node's state or view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeEventCounts {
     pub(crate) count: u64,
@@ -113,26 +116,26 @@
     pub(crate) last_ms: i64,
 }
 
-/// A name's count, and where it was field first.
+/// The number of occurrences of a name, and the place of the first one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Occurrences {
     pub(crate) count: u64,
     pub(crate) first_place: String,
 }
 
-/// What became of the lines.
+/// The numbers of lines by how they were processed.
 #[derive(Debug)]
 pub(crate) struct Lines {
     pub(crate) read: u64,
     pub(crate) skipped: u64,
     pub(crate) other: u64,
     pub(crate) dropped: u64,
-    /// The first bad lines: their places, and what is wrong.
+    /// The first unreadable lines: place and error.
     pub(crate) faults: Vec<String>,
     pub(crate) unknown: BoundedCounts<Occurrences>,
 }
 
-/// What the lines tell, counted.
+/// The counts of all lines.
 #[derive(Debug)]
 pub struct Tally {
     pub(crate) lines: Lines,
@@ -140,15 +143,15 @@
     pub(crate) outcomes: Counts,
     pub(crate) waits: [Distribution<2>; size::COUNT],
     pub(crate) began_to_wait: u64,
-    /// First tokens by what was expected and what came, each in half octaves.
+    /// First tokens by predicted and measured time, both in half octaves.
     pub(crate) first_token_cells: BTreeMap<(u8, u8), u64>,
     pub(crate) expected_first_token: Distribution<2>,
     pub(crate) first_token: Distribution<2>,
-    /// Streams of which a longest pause is wanted.
+    /// Streams with a limit for pauses.
     pub(crate) paced_streams: u64,
     pub(crate) excess_pause: Distribution<2>,
     pub(crate) engines: BoundedCounts<EngineCounts>,
-    /// Answers whose lines don't say whether they were short.
+    /// Answers whose lines don't state whether the prompt was placed as a short one.
     pub(crate) unknown_length: u64,
     pub(crate) refusals: BoundedCounts<RefusalCounts>,
     pub(crate) sends: [u64; SENDS_BUCKETS],
@@ -184,7 +187,7 @@
 }
 
 impl Tally {
-    /// Counts a line that can't be read; `place` names the log and the line.
+    /// Counts an unreadable line; `place` identifies the log and the line.
     pub fn add_unreadable(&mut self, place: &str, fault: &LineError) {
         self.lines.skipped += 1;
         if self.lines.faults.len() < MAX_REPORTED_FAULTS {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Counts a line.
+    /// Counts a parsed line.
     pub fn add(&mut self, place: &str, line: &Line) {
         self.lines.read += 1;
         for name in &line.unknown_fields {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// The first place at which something could not be read or wasn't known.
+    /// Returns the first unreadable line or unknown field, with its place.
     pub fn first_problem(&self) -> Option<String> {
         let unknown = self.lines.unknown.named().next();
         let unknown = || {
@@ -226,7 +229,7 @@
         self.lines.faults.first().cloned().or_else(unknown)
     }
 
-    /// Counts the end of a request, by when it came.
+    /// Counts the end of a request, in the step of its arrival.
     fn add_end(&mut self, line: &Line, class: Class, outcome: Outcome) {
         self.outcomes.add(class, outcome);
         let step = self.timeline.step_at(arrival_ms(line));
@@ -280,7 +283,8 @@
         }
     }
 
-    /// Compares a first token with what was expected at its only placing.
+    /// Compares the time to the first token with the prediction. The prediction counts
+    /// from the placement, so only streams with a single placement are compared.
     fn add_first_token(&mut self, line: &Line, answer: &Answered) {
         if !answer.is_stream() || answer.sends != 1 || answer.status >= 300 {
             return;
@@ -336,7 +340,7 @@
         event.last_ms = event.last_ms.max(time);
     }
 
-    /// Counts what an engine reads over the steps in which it reads it.
+    /// Distributes the prefill time of an engine over the steps that it overlaps.
     fn add_prefill(
         &mut self,
         target: &str,
@@ -349,7 +353,7 @@
         let Some(index) = index else { return };
         let (mut at, end) = (begin_ms, begin_ms + part_ms.min(MAX_PREFILL_MS) as i64);
         while at < end {
-            // Looking a step up may widen all steps: the width is asked after it.
+            // Looking up a step may double the step width, so the width is read after.
             self.timeline.step_at(at);
             let step_ms = self.timeline.step_ms();
             let next = ((at.div_euclid(step_ms) + 1) * step_ms).min(end);
@@ -363,17 +367,17 @@
     }
 }
 
-/// When a line's request came.
+/// Returns the arrival time of a line's request.
 fn arrival_ms(line: &Line) -> i64 {
     line.time_ms - line.age_ms as i64
 }
 
-/// The half octave that a time lies in.
+/// Returns the half octave that a time lies in.
 fn half_octave(ms: u64) -> u8 {
     (((ms + 1) as f64).log2() * 2.0) as u8
 }
 
-/// The least time of a half octave.
+/// Returns the smallest time of a half octave.
 pub(crate) fn half_octave_start(cell: u8) -> f64 {
     (f64::from(cell) / 2.0).exp2() - 1.0
 }
--- a/crates/report/src/timeline.rs
+++ b/crates/report/src/timeline.rs
@@ -1,20 +1,21 @@
-//! Counts over time, in a bounded number of equal steps.
+//! Counts over time, in a bounded number of steps of equal width.
 
 use std::collections::BTreeMap;
 
-/// Steps that are kept; more are merged two by two.
+/// Bound of the number of steps; beyond it the step width is doubled and steps are
+/// merged in pairs.
 pub const MAX_STEPS: usize = 1_440;
 
-/// The width of a step before any were merged.
+/// The initial step width.
 const INITIAL_STEP_MS: i64 = 1_000;
 
-/// What can be counted together.
+/// Counts of a step that can be merged with those of another.
 pub trait Merge: Default {
-    /// Takes what another step counted in.
+    /// Adds the counts of another step.
     fn merge(&mut self, other: Self);
 }
 
-/// Counts over time; only steps in which something was counted are kept.
+/// Counts over time. Steps without counts are not stored.
 #[derive(Debug)]
 pub struct Timeline<T> {
     step_ms: i64,
@@ -28,7 +29,7 @@
 }
 
 impl<T: Merge> Timeline<T> {
-    /// The step that a moment lies in, in milliseconds of Unix time.
+    /// Returns the step of a point in time, given in milliseconds of Unix time.
     pub fn step_at(&mut self, time_ms: i64) -> &mut T {
         while self.steps.len() >= MAX_STEPS && !self.steps.contains_key(&self.index(time_ms)) {
             self.coarsen();
@@ -37,12 +38,12 @@
         self.steps.entry(index).or_default()
     }
 
-    /// The width of a step.
+    /// Returns the step width.
     pub fn step_ms(&self) -> i64 {
         self.step_ms
     }
 
-    /// The steps in which something was counted, with their beginnings.
+    /// Returns the stored steps with their start times.
     pub fn steps(&self) -> impl Iterator<Item = (i64, &T)> {
         self.steps.iter().map(|(index, step)| (index * self.step_ms, step))
     }
--- a/crates/report/tests/counting.rs
+++ b/crates/report/tests/counting.rs
@@ -1,4 +1,4 @@
-//! What is counted of lines.
+//! Counting of events in log lines.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
@@ -10,7 +10,7 @@
 use log::{answer, line, sum_up};
 use serde_json::json;
 
-/// How many requests ended in a way.
+/// Returns the number of requests with an outcome.
 fn count(summary: &Summary, outcome: Outcome) -> u64 {
     summary.outcomes.iter().map(|row| row.counts[outcome as usize]).sum()
 }
@@ -27,9 +27,10 @@
         (answer(0, json!({ "first_ms": 300, "pause_ms": 250 })), Outcome::InTime),
         (answer(0, json!({ "first_ms": 301 })), Outcome::Late),
         (answer(0, json!({ "pause_ms": 251 })), Outcome::Late),
-        // No longest pause is wanted.
+        // There is no limit for pauses.
         (answer(0, json!({ "pause_ms": 9_000, "pause_max_ms": 0 })), Outcome::InTime),
-        // No stream: the goal is for the whole answer, also where a size is known.
+        // Not a stream: the goal applies to the whole answer, even if the prompt size is
+        // known.
         (answer(0, json!({ "first_ms": 0, "pause_max_ms": 0, "age_ms": 300 })), Outcome::InTime),
         (answer(0, json!({ "first_ms": 0, "pause_max_ms": 0, "age_ms": 301 })), Outcome::Late),
         (answer(0, json!({ "status": 404 })), Outcome::InTime),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Lines of older nodes don't bear the goal: their answers are not judged.
+/// Older nodes don't log the goal, so their answers can't be judged.
 #[test]
 fn an_answer_without_a_goal_is_not_judged() {
     let text = answer(0, json!({})).replace(r#""goal_ms":"300","#, "");
@@ -70,8 +71,8 @@
     assert_eq!(summary.worst.len(), 1);
 }
 
-/// An engine reads a long prompt in several steps, and the short ones beside it
-/// just before their first tokens.
+/// The prefill time of a long prompt starts at its placement and spans several
+/// steps; that of a short prompt ends at its first token.
 #[test]
 fn reading_is_spread_over_the_steps_in_which_it_is_done() {
     let placed = json!({ "request": "l", "target_id": "i-1", "helpers": "i-2,i-3",
@@ -151,8 +152,8 @@
     assert_eq!(summary.series.last().unwrap().failed_attempts, 1);
 }
 
-/// Memory must not grow with the logs: steps widen, and names beyond those that
-/// have room count together. Nothing is lost from the sums.
+/// Memory must not grow with the logs: the step width doubles, and names beyond the
+/// capacity share a count. The sums must stay complete.
 #[test]
 fn what_is_kept_is_bounded() {
     let mut log = String::new();
@@ -184,7 +185,8 @@
     assert_eq!(attempts, count_all as u64);
 }
 
-/// One line with a wrong clock must not hide the others in a step of years.
+/// One line with a wrong clock must not widen the steps to years, which would hide all
+/// other lines in one step.
 #[test]
 fn a_far_time_leaves_the_steps_as_they_are() {
     let log = answer(0, json!({})) + &answer(-1_000_000_000_000, json!({}));
--- a/crates/report/tests/log/mod.rs
+++ b/crates/report/tests/log/mod.rs
@@ -1,14 +1,14 @@
-//! Log lines as nodes write them.
+//! Builds log lines in the format of the nodes.
 
 use hickory_report::read::read_lines;
 use hickory_report::summary::Summary;
 use hickory_report::tally::Tally;
 use serde_json::{Value, json};
 
-/// The noon that tests begin at, in seconds of Unix time.
+/// Start time of the tests, a day at noon, in seconds of Unix time.
 pub const NOON_S: i64 = 1_780_315_200;
 
-/// A line of a message with fields, so many milliseconds after noon.
+/// Returns a line with a message and fields, `ms` milliseconds after noon.
 pub fn line(ms: i64, message: &str, fields: Value) -> String {
     let time = chrono::DateTime::from_timestamp_millis(NOON_S * 1_000 + ms).unwrap();
     let mut line = json!({
@@ -18,7 +18,7 @@
         "mdc": { "node": "entry-1" },
         "attributes": fields,
     });
-    // Nodes write all values as texts.
+    // Nodes write all values as strings.
     for value in line["attributes"].as_object_mut().unwrap().values_mut() {
         if !value.is_string() {
             *value = value.to_string().into();
@@ -27,7 +27,7 @@
     format!("{line}\n")
 }
 
-/// A line of an answer in time, with other values for some of its fields.
+/// Returns the line of an answer in time, with some of its fields replaced.
 pub fn answer(ms: i64, fields: Value) -> String {
     let mut all = json!({
         "request": "r-1", "route": "say", "target_id": "i-1", "status": 200, "sends": 1,
@@ -41,7 +41,7 @@
     line(ms, "answered", all)
 }
 
-/// What is counted of a log.
+/// Summarizes a log.
 pub fn sum_up(log: impl AsRef<[u8]>) -> Summary {
     let mut tally = Tally::default();
     read_lines(log.as_ref(), "a.log", &mut tally).unwrap();
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page and how it is put down.
+//! The page and how it is written to a file.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
@@ -10,7 +10,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A log in which each plot has something to draw.
+/// Returns a log with data for each plot.
 fn write_log() -> String {
     let placed = json!({ "request": "l", "target_id": "i-1", "helpers": "i-2", "part_ms": 700,
         "prompt": 90_000, "age_ms": 20 });
@@ -35,14 +35,14 @@
         "Predicted against real first token",
         "First tokens over time",
         "Waits over time",
-        "Pauses over what is wanted",
+        "Pauses above the limit",
         "Occupancy of engines: short prompts",
         "Occupancy of engines: long prompts",
         "Refusals by reason",
-        "What refusals knew",
+        "State at refusals",
         "Answers by sends",
         "Failed attempts over time",
-        "What nodes came to believe",
+        "Node events",
     ] {
         assert!(page.contains(title), "{title}");
     }
@@ -58,8 +58,8 @@
     }
 }
 
-/// The page is opened where nothing else can be reached, and names in it come
-/// from callers.
+/// The page must work without network access, and it contains names that callers
+/// choose, which must not become markup.
 #[test]
 fn a_page_needs_nothing_else_and_escapes_names() {
     let page = render_page(&sum_up(write_log())).unwrap();
@@ -82,11 +82,11 @@
     let log: String =
         (0..45).map(|n| answer(0, json!({ "target_id": format!("i-{n}") }))).collect();
     let page = render_page(&sum_up(log)).unwrap();
-    assert!(page.contains("Not drawn: 5 engines that read less."));
+    assert!(page.contains("Not drawn: 5 engines with less prefill time."));
 }
 
-/// One late request is seen among a thousand in time: it has a line of its own
-/// where its bar has no height.
+/// One late request among a thousand in time is too few for a visible bar; it must
+/// be shown by a line of fixed width.
 #[test]
 fn few_beside_many_are_seen() {
     let log = answer(0, json!({})).repeat(1_000);
@@ -96,7 +96,7 @@
     assert!(render_page(&sum_up(&log)).unwrap().contains(line));
 }
 
-/// A directory of a test, removed with it.
+/// A temporary directory of a test, which is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -115,7 +115,7 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // What is left behind is the machine's to clean.
+        // An error leaves a directory in the system's temporary folder, which is fine.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/report/tests/reading.rs
+++ b/crates/report/tests/reading.rs
@@ -1,4 +1,4 @@
-//! What is read of a log, and what is passed over.
+//! Parsing of logs, and skipping of unreadable lines.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
@@ -14,25 +14,25 @@
     let good = answer(0, json!({}));
     let long = format!("{}{}", " ".repeat(MAX_LINE_BYTES), good);
     let cases = [
-        ("not a log line".to_owned(), "no JSON log line"),
-        ("{\"time\":".to_owned(), "no JSON log line"),
-        ("[]".to_owned(), "no JSON log line"),
+        ("not a log line".to_owned(), "not a JSON log line"),
+        ("{\"time\":".to_owned(), "not a JSON log line"),
+        ("[]".to_owned(), "not a JSON log line"),
         (good.replace("\"message\":\"answered\",", ""), "missing field `message`"),
-        (good.replace("2026-06-01T", "2026-06-41T"), "no JSON log line"),
+        (good.replace("2026-06-01T", "2026-06-41T"), "not a JSON log line"),
         (line(0, "refused: x", json!({ "status": 503, "ran": "no" })), "field reason is missing"),
         (good.replace("\"status\":\"200\",", ""), "field status is missing"),
-        (answer(0, json!({ "first_ms": "soon" })), "field first_ms holds no number"),
-        (answer(0, json!({ "age_ms": -1 })), "field age_ms holds no number"),
-        (answer(0, json!({ "wait_ms": 1.5 })), "field wait_ms holds no number"),
-        (answer(0, json!({ "part_ms": u64::MAX })), "field part_ms holds no number"),
+        (answer(0, json!({ "first_ms": "soon" })), "field first_ms is not a number"),
+        (answer(0, json!({ "age_ms": -1 })), "field age_ms is not a number"),
+        (answer(0, json!({ "wait_ms": 1.5 })), "field wait_ms is not a number"),
+        (answer(0, json!({ "part_ms": u64::MAX })), "field part_ms is not a number"),
         (good.replace("\"time\":", "\"when\":"), "field time is missing"),
         (long, "longer than 65536 bytes"),
     ];
     for (bad, fault) in cases {
         let summary = sum_up(format!("{good}\n{}\n{good}", bad.trim_end()));
         assert_eq!((summary.lines.read, summary.lines.skipped), (2, 1), "{bad:.200}");
-        let [told] = &summary.lines.faults[..] else { panic!("{:?}", summary.lines.faults) };
-        assert!(told.starts_with("a.log:3: ") && told.contains(fault), "{told}");
+        let [listed] = &summary.lines.faults[..] else { panic!("{:?}", summary.lines.faults) };
+        assert!(listed.starts_with("a.log:3: ") && listed.contains(fault), "{listed}");
     }
 }
 
@@ -79,7 +79,7 @@
     assert_eq!((summary.lines.dropped, summary.series.len()), (74, 1));
 }
 
-/// A log that breaks off while it is read.
+/// A log whose second read fails.
 struct Breaking(bool);
 
 impl Read for Breaking {
