--- a/apps/hickory/src/accept.rs
+++ b/apps/hickory/src/accept.rs
@@ -1,4 +1,4 @@
-//! Release notes: accept, find and compare.
+//! Release notes: accepting, finding and comparing them.
 
 use crate::client::{Client, NoAnswer, read_document};
 use crate::failure::{Failure, failure_of};
@@ -11,16 +11,16 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Rounds over all nodes before a command gives up.
+/// Maximum number of rounds over all nodes when sending a note.
 const MAX_ROUNDS: usize = 2;
 
-/// How long a node may take to have in force what another one accepted.
+/// Timeout until a version that one node accepted is in force at another.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Between two reads of the configuration while it is not there yet.
+/// Poll interval of the configuration while waiting for a version.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts the note in a file.
+/// Sends the note in a file to be accepted.
 pub(crate) fn run(client: &Client, file: &Path, json: bool) -> Result<(), Failure> {
     let text = print::read_input(file)?;
     let name = file.display().to_string();
@@ -36,14 +36,14 @@
     Ok(())
 }
 
-/// Says whether an operation was accepted.
+/// Shows whether an operation was accepted, and as which version.
 pub(crate) fn find(client: &Client, operation: &str, json: bool) -> Result<(), Failure> {
     let accepted: view::Accepted = client.get(&operation_path(operation))?;
     print::print_accepted(&accepted, json);
     Ok(())
 }
 
-/// Shows what the note in a file would change.
+/// Shows the changes that the note in a file would make.
 pub(crate) fn diff(client: &Client, file: &Path, json: bool) -> Result<(), Failure> {
     let text = print::read_input(file)?;
     let name = file.display().to_string();
@@ -51,8 +51,10 @@
     let Draft { note, places } = parse_draft(&text).map_err(invalid)?;
     let present = read_configuration(client)?;
     if note.against != present.version {
-        let detail =
-            format!("the note is against {}, present is {}", note.against, present.version);
+        let detail = format!(
+            "the note is against {}, the current version is {}",
+            note.against, present.version
+        );
         return Err(Failure::Conflict { present: Some(present.version), detail });
     }
     let next = apply_note(&present, &note).map_err(|mut findings| {
@@ -63,24 +65,24 @@
     Ok(())
 }
 
-/// The configuration in force.
+/// Reads the configuration in force.
 pub(crate) fn read_configuration(client: &Client) -> Result<Configuration, Failure> {
     client.get("/v1/admin/configuration")
 }
 
-/// Sends a note that was built here.
+/// Sends a note that was built by a command.
 pub(crate) fn send_note(client: &Client, note: &Note) -> Result<view::Accepted, Failure> {
     let text = serde_json::to_string(note).map_err(|error| Failure::Local(error.to_string()))?;
     send(client, &text, &note.operation, note.against, "note")
 }
 
-/// Sends a note to the first node that takes it.
+/// Sends a note to the first node that accepts it.
 ///
-/// A write may take effect though its answer is lost. Sent again blindly, the
-/// note would meet its own version and the operator would be told of a
-/// conflict with nobody. The operation's id is read back first; where it is
-/// not found the note goes to the next node under the same id, which the
-/// service's compare-and-swap lets in at most once.
+/// A write may take effect although its answer is lost. A plain retry would then
+/// conflict with the note's own version and report a conflict that no other
+/// operator caused. Therefore the operation's id is read back before a retry. If it
+/// is not found, the note is sent to the next node under the same id, and the
+/// compare-and-swap of the configuration accepts it at most once.
 fn send(
     client: &Client,
     text: &str,
@@ -93,8 +95,8 @@
     let mut unavailable = None;
     let nodes = client.nodes();
     for (index, node) in nodes.iter().cycle().take(nodes.len() * MAX_ROUNDS).enumerate() {
-        // Only a lost note needs a second round: all others are told at once
-        // that nothing was done.
+        // Only a note whose answer was lost needs a second round. In all other cases
+        // nothing was done, which is reported at once.
         if index >= nodes.len() && !lost {
             break;
         }
@@ -131,8 +133,8 @@
     Err(unavailable.unwrap_or(Failure::Unreachable(reasons)))
 }
 
-/// A conflict after a lost answer may be one with the very note that was
-/// lost: the configuration that the node met has its operation then.
+/// Resolves a conflict after a lost answer. The conflict may be with the same note;
+/// in that case the current configuration lists its operation as accepted.
 fn resolve_conflict(
     client: &Client,
     operation: &str,
@@ -148,14 +150,15 @@
     }
 }
 
-/// The version to wait for after a conflict: a node that lost a race may tell
-/// of the version that it had read before.
+/// Returns the version to wait for after a conflict. A node that lost a race may
+/// report the version that it had read before the race.
 pub(crate) fn version_to_await(reported: id::Release, against: id::Release) -> id::Release {
     if reported == against { id::Release(reported.0.saturating_add(1)) } else { reported }
 }
 
-/// The configuration once a node has `version` in force: the one that told of
-/// a conflict read it from the platform, and nodes follow within seconds.
+/// Waits until a node has `version` in force and returns its configuration. The node
+/// that reported the conflict read the version from the platform, and other nodes
+/// follow within seconds.
 pub(crate) fn await_version(
     client: &Client,
     version: id::Release,
@@ -186,7 +189,7 @@
     uuid::Uuid::now_v7().to_string()
 }
 
-/// A note that changes nothing yet.
+/// Returns a note without changes, with a new operation id.
 pub(crate) fn new_note(against: id::Release) -> Note {
     Note { against, operation: new_operation_id(), ..Note::default() }
 }
--- a/apps/hickory/src/args.rs
+++ b/apps/hickory/src/args.rs
@@ -1,20 +1,20 @@
-//! What the command line takes.
+//! Arguments of the command line.
 
 use clap::{Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What scripts need to know, below `--help`.
+/// Exit codes for scripts, shown below `--help`.
 const EXIT_CODES: &str = "\
 Exit codes:
   0  done
-  1  a local fault, as a file that can't be read
+  1  a local error, such as a file that can't be read
   2  wrong usage
-  3  conflict: the configuration has changed; look at it and write the note anew
+  3  conflict: the configuration has changed; inspect it and write a new note
   4  invalid: all findings are printed, each with file, line and field
   5  no node answered
-  6  no token, or one that is no operator's
-  7  unknown: the answer was lost and reading back did not settle it
+  6  no token, or not the token of an operator
+  7  unknown: the answer was lost and reading the operation back was inconclusive
   8  unavailable: the platform can't be reached, nothing was done
   9  the node refused for another reason, which is printed";
 
@@ -22,24 +22,24 @@
 #[derive(Debug, Parser)]
 #[command(name = "hickory", version, after_help = EXIT_CODES)]
 pub(crate) struct Args {
-    /// Which nodes to ask, and as whom.
+    /// The nodes to ask, and the operator's credentials.
     #[command(flatten)]
     pub(crate) fleet: Fleet,
 
-    /// Print JSON in place of text and tables.
+    /// Print JSON instead of text and tables.
     #[arg(long, global = true)]
     pub(crate) json: bool,
 
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub(crate) command: Command,
 }
 
-/// Which nodes to ask, and as whom.
+/// The nodes to ask, and the operator's credentials.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Fleet {
-    /// Administration address of a node. Give several: the next one is asked
-    /// when one does not answer.
+    /// Administration address of a node. If several are given, the next one is
+    /// asked when one does not answer.
     #[arg(
         long = "node",
         global = true,
@@ -49,57 +49,56 @@
     )]
     pub(crate) nodes: Vec<SocketAddr>,
 
-    /// File that holds the operator's token. Without it the token is taken
-    /// from the variable HICKORY_TOKEN; arguments can be read by all users of
-    /// a host, so that there is none for the token itself.
+    /// File that holds the operator's token. Without it the token is read from
+    /// the environment variable HICKORY_TOKEN. All users of a host can read
+    /// command-line arguments, so there is no argument for the token itself.
     #[arg(long, global = true, value_name = "FILE")]
     pub(crate) token_file: Option<PathBuf>,
 
-    /// Time that one node has to answer, in milliseconds. A node gives up on
-    /// the platform within some five seconds.
+    /// Timeout of a call to one node, in milliseconds. A node itself times out
+    /// calls to the platform within about five seconds.
     #[arg(long, global = true, value_name = "MS", default_value_t = 8_000,
           value_parser = clap::value_parser!(u64).range(1..=600_000))]
     pub(crate) timeout_ms: u64,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
     /// Accept, show and compare release notes.
     #[command(subcommand)]
     Release(Release),
-    /// Take an availability zone out of service, and bring it back.
+    /// Take an availability zone out of service, or bring it back.
     #[command(subcommand)]
     Zone(Zone),
-    /// List the nodes, as the asked node knows them.
+    /// List the nodes known to the asked node.
     Nodes,
-    /// List the targets, as the asked node knows them.
+    /// List the targets known to the asked node.
     Targets,
-    /// List which node owns which target.
+    /// List the owner node of each target.
     Owners,
-    /// Begin a planned stop of the one node that --node names.
+    /// Begin a planned stop of the node given by --node.
     Drain,
-    /// Check a file without a fleet; prints every finding.
+    /// Check a file without a fleet, and print every finding.
     #[command(subcommand)]
     Check(Check),
-    /// Print the course of a request over all nodes, from their logs: what each
-    /// decision knew, and what the nodes came to believe meanwhile. Lines that
-    /// can't be read are counted and passed over.
+    /// Print the history of a request across all nodes, from their logs: the state
+    /// that each decision was based on, and what the nodes learned about the fleet
+    /// meanwhile. Unreadable lines are counted and skipped.
     Explain {
-        /// The caller's id of its attempt.
+        /// The caller's id of the attempt.
         request: String,
-        /// Log files; `-` is standard input.
+        /// Log files; `-` reads standard input.
         #[arg(default_value = "-")]
         files: Vec<PathBuf>,
     },
-    /// Sum up the nodes' logs over time: write a page of tables and plots, or
-    /// print the same as JSON. Lines that can't be read are counted and passed
-    /// over.
+    /// Summarize the nodes' logs over time: write a page of tables and plots, or
+    /// print the same data as JSON. Unreadable lines are counted and skipped.
     Report(Report),
-    /// Make operator and account tokens.
+    /// Create operator and account tokens.
     #[command(subcommand)]
     Token(Token),
-    /// Run stand-ins and three nodes in this process, with a mixed load.
+    /// Run stand-ins and three nodes in this process under a mixed load.
     Demo(Demo),
 }
 
@@ -109,10 +108,10 @@
     /// Send a note. A lost answer is read back by the note's operation id
     /// before the note is sent again, so that it is accepted at most once.
     Accept {
-        /// The note, in JSON with comments; - reads standard input.
+        /// The note, in JSON with comments; `-` reads standard input.
         file: PathBuf,
     },
-    /// Say whether an operation was accepted, and as which version.
+    /// Show whether an operation was accepted, and as which version.
     Find {
         /// The operation's id.
         operation: String,
@@ -121,7 +120,7 @@
     Show,
     /// Show what a note would change.
     Diff {
-        /// The note, in JSON with comments; - reads standard input.
+        /// The note, in JSON with comments; `-` reads standard input.
         file: PathBuf,
     },
 }
@@ -129,7 +128,7 @@
 /// Availability zones.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Zone {
-    /// Take a zone out of service: it gets no new work.
+    /// Take a zone out of service; it gets no new work.
     Out {
         /// The zone.
         zone: String,
@@ -146,12 +145,12 @@
 pub(crate) enum Check {
     /// Check the settings of a node.
     Settings {
-        /// The settings, in JSON with comments; - reads standard input.
+        /// The settings, in JSON with comments; `-` reads standard input.
         file: PathBuf,
     },
     /// Check a release note.
     Release {
-        /// The note, in JSON with comments; - reads standard input.
+        /// The note, in JSON with comments; `-` reads standard input.
         file: PathBuf,
         /// A configuration to check it against, as `release show --json`
         /// prints it. Without one only the note itself is checked.
@@ -163,15 +162,15 @@
 /// Options of the report.
 #[derive(clap::Args, Debug)]
 pub(crate) struct Report {
-    /// Log files; `-` is standard input.
+    /// Log files; `-` reads standard input.
     #[arg(default_value = "-")]
     pub(crate) logs: Vec<PathBuf>,
 
-    /// Where the page goes. Needed unless --json is given.
+    /// File to write the page to. Required unless --json is given.
     #[arg(long, value_name = "FILE")]
     pub(crate) out: Option<PathBuf>,
 
-    /// End with a failure at a line that can't be read and at an unknown field.
+    /// Fail if there is an unreadable line or an unknown field.
     #[arg(long)]
     pub(crate) strict: bool,
 }
@@ -179,9 +178,9 @@
 /// Tokens.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Token {
-    /// Print a new token, and the digest that goes into notes and settings.
+    /// Print a new token, and its digest for release notes and settings.
     New,
-    /// Print the digest of the token that --token-file or HICKORY_TOKEN holds.
+    /// Print the digest of the token in --token-file or HICKORY_TOKEN.
     Digest,
 }
 
--- a/apps/hickory/src/check.rs
+++ b/apps/hickory/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of files, without a fleet.
+//! Checks of files without a fleet.
 
 use crate::failure::Failure;
 use crate::print::{print_json, read_input};
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use std::path::Path;
 
-/// A check that found nothing wrong.
+/// The result of a check without errors.
 #[derive(Serialize)]
 struct Passed {
     file: String,
@@ -29,7 +29,7 @@
     Ok(())
 }
 
-/// Checks a release note, against a configuration where one is given.
+/// Checks a release note, also against a configuration if one is given.
 pub(crate) fn check_release(
     file: &Path,
     configuration: Option<&Path>,
--- a/apps/hickory/src/demo.rs
+++ b/apps/hickory/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: stand-ins and three nodes in one process, real sockets, and a
-//! seeded load of mixed lengths.
+//! The demo: stand-ins and three nodes in one process with real sockets, under a
+//! seeded load of mixed prompt lengths.
 
 use crate::args::Demo;
 use crate::failure::Failure;
@@ -15,29 +15,28 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Nodes that are started.
+/// Number of nodes.
 const NODES: usize = 3;
 
 /// The model that the demo serves.
 const MODEL: &str = "oak";
 
-/// How long requests are sent; with the answers that are still under way
-/// then, the demo ends within half a minute.
+/// Duration of the load. Including the answers still in flight at its end, the demo
+/// takes at most half a minute.
 const SEND_DURATION: Duration = Duration::from_secs(12);
 
-/// When the long prompts begin: what short ones see before is what they are
-/// compared with.
+/// Start of the long prompts. The short prompts before it are the baseline of the
+/// comparison.
 const LONG_PROMPTS_START: Duration = Duration::from_secs(4);
 
-/// Time for the prompt of a million tokens. Engines report their rate as if
-/// they ran at real speed, at which its prefill takes 25 s; here it takes half
-/// of that or less.
+/// Deadline of the prompt of a million tokens. Engines report the rate of their real
+/// speed, at which its prefill takes 25 s; in the demo it takes half of that or less.
 const HUGE_PROMPT_DEADLINE: Duration = Duration::from_secs(26);
 
-/// How long the fleet may take to be ready.
+/// Timeout until the fleet is ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accounts, with the partner whose share pays.
+/// Client accounts, each with its partner.
 const ACCOUNTS: [(&str, &str); 4] = [
     ("mawe-shop", "mawe"),
     ("mawe-school", "mawe"),
@@ -51,7 +50,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(local_failure)?;
     let nodes = runtime.block_on(start_nodes(&standins))?;
-    println!("{NODES} nodes before {} engines, ready", standins.engines.len());
+    println!("{NODES} nodes in front of {} engines are ready", standins.engines.len());
     for node in &nodes {
         println!("  callers at {}, operators at {}", node.callers(), node.admin());
     }
@@ -61,10 +60,10 @@
         run::run(load_options(options.seed), entries, credentials()).map_err(local_failure)?;
     println!("{report}");
     runtime.block_on(stop_nodes(&nodes));
-    println!("planned stop of all nodes done");
+    println!("all nodes have stopped as planned");
     match report.lost() {
         0 => Ok(()),
-        lost => Err(Failure::Local(format!("{lost} requests got no whole answer"))),
+        lost => Err(Failure::Local(format!("{lost} requests got no complete answer"))),
     }
 }
 
@@ -74,7 +73,7 @@
 
 fn standin_options() -> fleet::Options {
     let mut options = fleet::Options { engines: 6, ..fleet::Options::default() };
-    // Fast enough for a million tokens within the demo's time.
+    // Fast enough to prefill a million tokens within the duration of the demo.
     options.engine.model.speed = 4.0;
     options.engine.loaded =
         vec![Weights { model: MODEL.into(), version: "1".into(), adapter: None }];
@@ -98,8 +97,8 @@
         if !matches!(part.length, Length::Short) {
             part.from = LONG_PROMPTS_START;
         }
-        // One prompt greater than two engines: more would still be prefilled
-        // when the demo is to end.
+        // Only one prompt that needs more than two engines: further ones would still be
+        // in prefill when the demo should end.
         if matches!(part.length, Length::Huge) {
             part.arrival = Arrival::Once(1);
             part.deadline = HUGE_PROMPT_DEADLINE;
--- a/apps/hickory/src/explain.rs
+++ b/apps/hickory/src/explain.rs
@@ -1,4 +1,5 @@
-//! The course of one request over all nodes, from their logs.
+//! The `explain` command: the history of one request across all nodes, from their
+//! logs.
 
 use crate::failure::Failure;
 use crate::print::{print_json, read_input};
@@ -7,14 +8,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// How long before the request's arrival changes of belief are shown: what was
-/// believed when it came was learnt in these seconds, or long before.
+/// Period before the request's arrival in which node events are also shown. Recent
+/// changes of a node's view are the ones that explain its decisions.
 const LOOKBACK: TimeDelta = TimeDelta::seconds(5);
 
-/// The message of a placement.
+/// The log message of a placement.
 const PLACED_MESSAGE: &str = "placed";
 
-/// A log line, as far as it is read.
+/// The parsed parts of a log line.
 #[derive(Deserialize)]
 struct Line {
     time: DateTime<FixedOffset>,
@@ -26,42 +27,42 @@
     attributes: BTreeMap<String, serde_json::Value>,
 }
 
-/// A step of the course.
+/// A step of the history.
 #[derive(Clone, Debug, Serialize)]
 struct Step {
     time: DateTime<FixedOffset>,
     node: String,
     level: String,
-    /// What it is about.
+    /// The subject of the step.
     about: About,
     message: String,
     known: BTreeMap<String, String>,
 }
 
-/// What a step is about.
+/// The subject of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum About {
-    /// The request.
+    /// The explained request.
     Request,
-    /// What a node that had the request came to believe.
+    /// A change in the view of a node that handled the request.
     Belief,
-    /// Long work that was placed on a target of the request.
+    /// A long prompt placed on a target of the request.
     Work,
     /// Another request.
     Other,
 }
 
-/// What the logs say.
+/// The history of a request.
 #[derive(Debug, Serialize)]
 struct RequestHistory {
     request: String,
     steps: Vec<Step>,
-    /// Lines that could not be read.
+    /// The number of unreadable lines.
     skipped: usize,
 }
 
-/// Prints the course of a request; `-` stands for standard input.
+/// Prints the history of a request; the file `-` is standard input.
 pub(crate) fn run(request: &str, files: &[PathBuf], json: bool) -> Result<(), Failure> {
     let mut steps = Vec::new();
     let mut skipped = 0;
@@ -87,7 +88,7 @@
     Ok(())
 }
 
-/// A line may stand behind columns of whatever gathered the logs.
+/// Parses a line. Log collectors may have put columns in front of the JSON document.
 fn parse_line(line: &str) -> Option<Line> {
     serde_json::from_str(&line[line.find('{')?..]).ok()
 }
@@ -121,8 +122,8 @@
     }
 }
 
-/// The steps of the request, what its nodes came to believe meanwhile, and the
-/// long work on its targets.
+/// Selects the steps of the request, the changes in the view of its nodes meanwhile,
+/// and the long prompts on its targets.
 fn select_steps(mut steps: Vec<Step>) -> Vec<Step> {
     steps.retain(|step| step.about != About::Other);
     steps.sort_by(|a, b| (a.time, &a.node).cmp(&(b.time, &b.node)));
@@ -143,13 +144,13 @@
     steps
 }
 
-/// The targets that a step names.
+/// Returns the targets that a step names.
 fn targets_of(step: &Step) -> impl Iterator<Item = &str> {
     let names = ["target_id", "helpers"].into_iter().filter_map(|name| step.known.get(name));
     names.flat_map(|names| names.split(',')).filter(|name| !name.is_empty())
 }
 
-/// When the request came, by the age that a line gives it.
+/// Returns the arrival time of the request, from the age in the line.
 fn arrival_time(step: &Step) -> DateTime<FixedOffset> {
     let age = step.known.get("age_ms").and_then(|age| age.parse().ok()).unwrap_or(0);
     step.time - TimeDelta::milliseconds(age)
@@ -178,7 +179,7 @@
         ));
     }
     text.push_str(
-        "(* the node came to believe this, + long work on a target; times since the arrival)\n",
+        "(* change in the node's view, + long prompt on a target; times since the arrival)\n",
     );
     if history.skipped > 0 {
         text.push_str(&format!("({} lines could not be read)\n", history.skipped));
--- a/apps/hickory/src/failure.rs
+++ b/apps/hickory/src/failure.rs
@@ -1,39 +1,39 @@
-//! Why a command failed, and the exit code that scripts see.
+//! Failures of commands, with the exit codes that scripts see.
 
 use hickory_admin::problem::{Code, Problem};
 use hickory_unit::finding::{self, Finding};
 use hickory_unit::id;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// A file can't be read, or an answer not understood.
+    /// A file can't be read, or an answer can't be parsed.
     Local(String),
-    /// Wrong usage that the parser of arguments does not see.
+    /// Wrong usage that the argument parser does not detect.
     Usage(String),
-    /// The configuration has changed since it was looked at.
+    /// The configuration has changed since the version that the note is against.
     Conflict {
-        /// The present version.
+        /// The current version.
         present: Option<id::Release>,
-        /// What a person reads.
+        /// A description for people.
         detail: String,
     },
     /// A document is invalid.
     Invalid {
         /// The file.
         file: String,
-        /// All that is wrong.
+        /// All findings.
         findings: Vec<Finding>,
     },
-    /// No node answered; each with the reason.
+    /// No node answered; holds the reason for each.
     Unreachable(Vec<String>),
-    /// No token, or one that is no operator's.
+    /// There is no token, or it is not the token of an operator.
     Unauthorized(String),
-    /// The answer was lost, and reading back did not settle it.
+    /// The answer was lost, and reading the operation back was inconclusive.
     Unknown {
         /// The operation's id.
         operation: String,
-        /// What a person reads.
+        /// A description for people.
         detail: String,
     },
     /// The platform can't be reached; nothing was done.
@@ -43,7 +43,7 @@
 }
 
 impl Failure {
-    /// The exit code.
+    /// Returns the exit code.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Self::Local(_) => 1,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The failure's name in JSON output.
+    /// Returns the failure's name in the output.
     pub(crate) fn name(&self) -> &'static str {
         match self {
             Self::Local(_) => "local",
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What a person reads; one line, except for findings.
+    /// Returns a description for people in one line; findings are printed separately.
     pub(crate) fn detail(&self) -> String {
         match self {
             Self::Local(detail)
@@ -93,7 +93,7 @@
     }
 }
 
-/// The failure that a problem document tells of; `file` names what was sent.
+/// Converts a problem document to a failure; `file` names the document that was sent.
 pub(crate) fn failure_of(problem: Problem, file: &str) -> Failure {
     let Problem { code, detail, present, operation, findings, .. } = problem;
     match code {
--- a/apps/hickory/src/print.rs
+++ b/apps/hickory/src/print.rs
@@ -1,4 +1,4 @@
-//! What goes to standard output and standard error.
+//! Output of results and failures, and input of files.
 
 use crate::failure::Failure;
 use hickory_admin::view;
@@ -27,7 +27,7 @@
     }
 }
 
-/// Prints what differs.
+/// Prints the changes between two configurations.
 pub(crate) fn print_changes(changes: &[Change], json: bool) {
     if json {
         print_json(&changes);
@@ -38,7 +38,7 @@
     }
 }
 
-/// What was done about a zone.
+/// The result of a zone command.
 #[derive(Serialize)]
 struct ZoneChange<'a> {
     zone: &'a str,
@@ -47,8 +47,8 @@
     conflicts: &'a [id::Release],
 }
 
-/// Prints what was done about a zone; `conflicts` are the versions that came
-/// in between.
+/// Prints the result of a zone command; `conflicts` holds the versions that were
+/// accepted meanwhile.
 pub(crate) fn print_zone(
     zone: &str,
     out: bool,
@@ -61,7 +61,9 @@
         return;
     }
     for conflict in conflicts {
-        println!("version {conflict} came in between and left zone {zone} alone; tried again");
+        println!(
+            "version {conflict} was accepted meanwhile and did not change zone {zone}; retried"
+        );
     }
     let state = if out { "out of service" } else { "in service" };
     println!("zone {zone} is {state} in version {version}");
@@ -106,7 +108,7 @@
     eprintln!("hickory: {}: {}", failure.name(), failure.detail());
 }
 
-/// Reads a file, or standard input where it is named `-`.
+/// Reads a file, or standard input if the path is `-`.
 pub(crate) fn read_input(file: &Path) -> Result<String, Failure> {
     let local = |error| Failure::Local(format!("{}: {error}", file.display()));
     if file != Path::new("-") {
--- a/apps/hickory/src/report.rs
+++ b/apps/hickory/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of nodes' logs: reading, the page and the document.
+//! The `report` command: summarizes the nodes' logs as a page and as JSON.
 
 use crate::args::Report;
 use crate::failure::Failure;
@@ -13,7 +13,7 @@
 use std::io::{self, BufReader};
 use std::path::Path;
 
-/// Writes the page, prints the document, or both.
+/// Writes the page, prints the summary as JSON, or both.
 pub(crate) fn run(options: &Report, json: bool) -> Result<(), Failure> {
     if options.out.is_none() && !json {
         return Err(Failure::Usage("nothing to do: give --out FILE, --json, or both".into()));
@@ -50,13 +50,15 @@
     Failure::Local(format!("{}: {error}", path.display()))
 }
 
-/// A page in the place of a log would end the log.
+/// Fails if the page would overwrite one of the logs.
 fn check_output_path(out: &Path, options: &Report) -> Result<(), Failure> {
-    // What isn't there is no log.
+    // A file that doesn't exist can't be one of the logs.
     let Ok(out_path) = fs::canonicalize(out) else { return Ok(()) };
     let is_log = |log: &&std::path::PathBuf| fs::canonicalize(log).is_ok_and(|log| log == out_path);
     match options.logs.iter().find(is_log) {
-        Some(_) => Err(Failure::Usage(format!("{}: it is one of the logs", out.display()))),
+        Some(_) => {
+            Err(Failure::Usage(format!("{}: the output file is one of the logs", out.display())))
+        }
         None => Ok(()),
     }
 }
--- a/apps/hickory/src/show.rs
+++ b/apps/hickory/src/show.rs
@@ -1,4 +1,4 @@
-//! What the fleet looks like.
+//! Commands that show the state of the fleet, and the planned stop of a node.
 
 use crate::accept::read_configuration;
 use crate::client::{Client, NoAnswer, read_document};
@@ -97,8 +97,8 @@
     Ok(())
 }
 
-/// Begins a planned stop. It is the one command that is about the asked node
-/// itself, so that no other may stand in for it.
+/// Begins a planned stop of a node. The command concerns the asked node itself, so
+/// it must not fall back to another node.
 pub(crate) fn drain(client: &Client, json: bool) -> Result<(), Failure> {
     let [node] = client.nodes() else {
         return Err(Failure::Usage("drain stops one node: give exactly one --node".to_owned()));
@@ -115,7 +115,7 @@
         }
         Ok(Err(problem)) => Err(failure_of(*problem, "drain")),
         Err(NoAnswer::NotSent(reason)) => Err(Failure::Unreachable(vec![reason])),
-        // A second order to drain does no harm; the operator may repeat it.
+        // Draining is idempotent, so the operator may simply repeat the command.
         Err(NoAnswer::Lost(reason)) => Err(Failure::Unreachable(vec![reason])),
     }
 }
--- a/apps/hickory/src/table.rs
+++ b/apps/hickory/src/table.rs
@@ -1,28 +1,28 @@
-//! Tables of text.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-/// Blanks between two columns.
+/// Number of spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
-/// Rows under a heading, in aligned columns.
+/// A table with a heading and rows.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with nothing but its heading.
+    /// Creates a table without rows.
     pub(crate) fn new(heading: &[&str]) -> Self {
         Self { rows: vec![heading.iter().map(|name| (*name).to_owned()).collect()] }
     }
 
-    /// Adds a row.
+    /// Adds a row; empty cells are shown as `-`.
     pub(crate) fn add_row<const N: usize>(&mut self, cells: [String; N]) {
         let cells = cells.map(|cell| if cell.is_empty() { "-".to_owned() } else { cell });
         self.rows.push(cells.into());
     }
 
-    /// Whether there is no row but the heading.
+    /// Whether the table has no rows apart from the heading.
     pub(crate) fn is_empty(&self) -> bool {
         self.rows.len() == 1
     }
--- a/apps/hickory/src/token.rs
+++ b/apps/hickory/src/token.rs
@@ -1,4 +1,4 @@
-//! New tokens.
+//! Creating tokens and their digests.
 
 use crate::args::Fleet;
 use crate::client::read_token;
@@ -9,7 +9,7 @@
 use rand::rngs::OsRng;
 use serde::Serialize;
 
-/// Random bytes in a token: beyond guessing.
+/// Number of random bytes in a token, enough that it can't be guessed.
 const TOKEN_BYTES: usize = 32;
 
 /// A token and its digest.
@@ -19,13 +19,13 @@
     digest: String,
 }
 
-/// A digest alone.
+/// The digest of an existing token.
 #[derive(Serialize)]
 struct Digest {
     digest: String,
 }
 
-/// Prints a new token. The fleet only ever has the digest.
+/// Prints a new token and its digest. The fleet stores only the digest.
 pub(crate) fn print_new(json: bool) -> Result<(), Failure> {
     let mut bytes = [0; TOKEN_BYTES];
     OsRng
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// Prints the digest of a token that is there already.
+/// Prints the digest of an existing token.
 pub(crate) fn print_digest(fleet: &Fleet, json: bool) -> Result<(), Failure> {
     let token = read_token(fleet.token_file.as_deref())?;
     let digest = digest_token(&token);
--- a/apps/hickory/src/zone.rs
+++ b/apps/hickory/src/zone.rs
@@ -1,4 +1,4 @@
-//! Zones out of service and back.
+//! Taking zones out of service and bringing them back.
 
 use crate::accept::{await_version, new_note, read_configuration, send_note, version_to_await};
 use crate::client::Client;
@@ -8,15 +8,15 @@
 use hickory_unit::finding::Finding;
 use hickory_unit::id;
 
-/// Conflicts that are met with another try. Operators race each other, but a
-/// zone's outage must not wait for the end of a long row of other notes.
+/// Maximum number of attempts to send the note. Several operators may race, and
+/// taking a zone out of service must succeed despite a series of other notes.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Takes a zone out, or brings it back.
+/// Takes a zone out of service or brings it back.
 ///
-/// A conflict is met with another try only while the notes in between have
-/// left the zone as it was when the operator asked: what another operator has
-/// decided about this zone since is for people to settle.
+/// After a conflict, the note is sent again only if the zone is still in the state
+/// that it was in when the command started. If another operator has changed the zone
+/// meanwhile, the operators have to decide.
 pub(crate) fn run(client: &Client, name: &str, out: bool, json: bool) -> Result<(), Failure> {
     let zone = id::Zone::from(name);
     let mut present = read_configuration(client)?;
@@ -68,7 +68,7 @@
     };
     let version = present.version;
     let detail = format!(
-        "another note has touched zone {zone}, which is {state} in version {version}; \
+        "another note has changed zone {zone}, which is {state} in version {version}; \
          nothing was done"
     );
     Err(Failure::Conflict { present: Some(version), detail })
--- a/apps/hickory/tests/fleet.rs
+++ b/apps/hickory/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Commands before nodes that answer, fail, fall silent and race.
+//! Commands against nodes that answer, fail, do not respond or race.
 
 #[path = "../../../crates/admin/tests/fake/mod.rs"]
 mod fake;
@@ -16,29 +16,30 @@
 
 const ACCEPT: &[&str] = &["release", "accept", "note.jsonc"];
 
-/// Another operator's note that leaves all zones alone.
+/// Another operator's note that does not change any zone.
 const OTHER_SHARE: &str =
     r#"{ "against": 1, "changed": { "partners": { "caucao": { "share": 5 } } } }"#;
-/// Another operator's note that takes the same zone out.
+/// Another operator's note that takes the same zone out of service.
 const SAME_ZONE: &str =
     r#"{ "against": 1, "changed": { "zones": { "nairobi-a": { "out": true } } } }"#;
-/// Another operator's note that withdraws it.
+/// Another operator's note that withdraws the zone.
 const NO_ZONE: &str = r#"{ "against": 1, "withdrawn": { "zones": ["nairobi-a"] } }"#;
 
-/// A node that the command line is told of.
+/// A node that is passed to the command line.
 #[derive(Clone)]
 enum Node {
-    /// Answers, with these faults at its next accepts.
+    /// Answers, with these faults at its next accept calls.
     Up(Vec<Fault>),
-    /// Nothing listens there.
+    /// Refuses connections.
     Dead,
-    /// Takes connections and never answers.
+    /// Accepts connections and never answers.
     Mute,
 }
 
-/// The time that a node has to answer where none falls silent: out of reach.
+/// Timeout in scenarios in which every node responds; it is never reached.
 const LONG_TIMEOUT_MS: &str = "60000";
-/// The same where one does; the others answer within it many times over.
+/// Timeout in scenarios with a node that does not respond. It is far longer than the
+/// other nodes need to answer.
 const SHORT_TIMEOUT_MS: &str = "2000";
 
 struct Scenario {
@@ -68,7 +69,7 @@
     Node::Up(faults.into_iter().collect())
 }
 
-/// What keeps a node's address as it is for the time of a scenario.
+/// A node of a running scenario, which keeps its address reserved.
 enum RunningNode {
     Up(Arc<Fake>, Handle<Fake>),
     Dead(Socket),
@@ -105,7 +106,7 @@
     }
 }
 
-/// An address that refuses connections for as long as the socket is held.
+/// Reserves an address that refuses connections as long as the socket is open.
 fn bind_without_listening() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     let address: SocketAddr = "127.0.0.1:0".parse().unwrap();
@@ -113,8 +114,8 @@
     socket
 }
 
-/// Runs one scenario on a platform of its own, and writes down what the
-/// operator sees, how many notes each node got, and what is in force.
+/// Runs one scenario on a platform of its own. Writes the command's output, the number
+/// of notes that each node received, and the configuration in force to the report.
 fn run_scenario(scenario: Scenario, report: &mut String) {
     let platform = Platform::open(FIRST);
     let nodes: Vec<RunningNode> =
@@ -143,7 +144,7 @@
     }
 }
 
-/// Operation ids that were drawn are UUIDs; their five groups are hidden.
+/// Replaces generated operation ids, which are UUIDs.
 fn hide_random_ids(text: &str) -> String {
     let is_random = |word: &str| word.len() == 36 && word.matches('-').count() == 4;
     let hide = |word: &str| if is_random(word) { "RANDOM".to_owned() } else { word.to_owned() };
@@ -195,9 +196,9 @@
     insta::assert_snapshot!(report);
 }
 
-// The operator sees that a note is accepted, once, whichever answer is lost.
-// Sent again without reading back, the note would meet its own version and be
-// told of as a conflict, or, under a new id, be accepted twice.
+// A note must be accepted exactly once, whichever answer is lost. If it were sent
+// again without reading its operation back, it would conflict with its own version,
+// or be accepted twice under a new id.
 #[test]
 fn a_note_whose_answer_is_lost_is_accepted_once() {
     let report = run_scenarios([
@@ -242,9 +243,9 @@
     insta::assert_snapshot!(report);
 }
 
-// Two operators race. One takes a zone out at short notice while another
-// changes something else: the zone's note must go through. Where the other
-// one changed this very zone, nobody's decision may be undone unseen.
+// One operator takes a zone out of service while another changes something else; the
+// zone's note must be accepted after a retry. If the other operator changed the same
+// zone, the retry would silently undo that decision, so the command must fail.
 #[test]
 fn a_zone_is_tried_again_only_while_others_leave_it_alone() {
     const OUT: &[&str] = &["zone", "out", "nairobi-a"];
@@ -269,9 +270,9 @@
     insta::assert_snapshot!(report);
 }
 
-// A node takes the connection and never says anything: it is frozen, or
-// something between the two ends has lost track of the connection. The
-// operator waits for no longer than the timeout and is served by the next.
+// A node accepts the connection and never answers, because it is frozen or a network
+// device has dropped the connection's state. The command must time out and use the
+// next node.
 #[test]
 fn a_node_that_never_answers_is_given_up_on() {
     let report = run_scenarios([
--- a/apps/hickory/tests/offline.rs
+++ b/apps/hickory/tests/offline.rs
@@ -1,4 +1,4 @@
-//! Commands that need no fleet.
+//! Commands that work without a fleet.
 
 mod run;
 
@@ -40,7 +40,7 @@
         (&[], &[]),
     ] {
         let output = run(args, env);
-        // The parser's texts are its own; only the exit code is ours.
+        // The texts of usage errors come from clap, so only the exit code is checked.
         let shown =
             if output.code == Some(2) { output.command_and_code() } else { output.to_string() };
         writeln!(report, "{shown}").unwrap();
@@ -87,9 +87,9 @@
     assert_eq!(output.code, Some(0), "{output}");
 }
 
-/// A caller complains, and all that is left are log lines: an advice that came
-/// late beside long work on its engine, an order that ended without an answer,
-/// a stream that its engine cut and another one took up. Each cause must show.
+/// The cause of a caller's complaint must be visible from log lines alone. The cases
+/// are a late answer beside long prompts on its engine, a call that ended without an
+/// answer, and a stream that its engine cut and another engine resumed.
 #[test]
 fn the_course_of_a_request_is_read_from_logs() {
     let mut report = String::new();
--- a/apps/hickory/tests/real.rs
+++ b/apps/hickory/tests/real.rs
@@ -1,7 +1,7 @@
-//! The command line before real nodes, over stand-ins of the platform.
+//! The command line against real nodes, with stand-ins of the platform.
 //!
-//! The contract tests of the administration API run over a control in memory;
-//! this one shows that the node's own control keeps the same contract.
+//! The contract tests of the administration API use an in-memory implementation; these
+//! tests show that the node's own implementation keeps the same contract.
 
 mod run;
 
@@ -15,10 +15,10 @@
 const TOKEN: &str = "operator-token";
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// How long a condition may take to come true before the test fails.
+/// Timeout of conditions that a test waits for.
 const PATIENCE: Duration = Duration::from_secs(15);
 
-/// Two nodes in zones `a` and `b`, stand-ins beside them.
+/// Two nodes in zones `a` and `b`, with stand-ins.
 struct Real {
     standins: Fleet,
     nodes: Vec<Node>,
@@ -36,7 +36,7 @@
         Self { standins, nodes, runtime }
     }
 
-    /// Runs a command that may ask the nodes of the given indices, in order.
+    /// Runs a command with the addresses of the given nodes, in order.
     fn run(&self, nodes: &[usize], command: &[&str]) -> Output {
         let addresses: Vec<String> =
             nodes.iter().map(|index| self.nodes[*index].admin().to_string()).collect();
@@ -45,7 +45,7 @@
         run(&args, &[("HICKORY_TOKEN", TOKEN)])
     }
 
-    /// Runs a command until its output holds a text.
+    /// Runs a command repeatedly until its output contains `text`.
     fn wait(&self, nodes: &[usize], command: &[&str], text: &str) -> Output {
         let start = Instant::now();
         loop {
@@ -87,7 +87,7 @@
     let real = Real::open();
     let first = ["release", "accept", "first.jsonc"];
 
-    // Before the first note only the settings' token is good.
+    // Before the first note only the token in the settings is valid.
     assert_eq!(
         run(
             &["nodes", "--node", &real.nodes[0].admin().to_string()],
@@ -116,14 +116,14 @@
     real.wait(&[0], &["release", "show"], "version 2");
     let back = real.run(&[0], &["zone", "back", "a"]);
     assert!(back.stdout.contains("zone a is in service in version 3"), "{back}");
-    // The first note's version stays known after others.
+    // The version of the first note is still found after later notes.
     let found = real.run(&[0], &["release", "find", "op-first"]);
     assert!(found.stdout.contains("as version 1"), "{found}");
 
     real.wait(&[0], &["owners"], "engine-1");
     real.wait(&[0], &["targets"], "engine-0");
     real.wait(&[1], &["nodes"], "entry-a");
-    // What operators look at without a token tells the same story.
+    // The metrics, which need no token, must agree.
     for node in &real.nodes {
         assert!(read_metric(node, "hickory_configuration_version") >= 2.0);
         assert!(
@@ -140,8 +140,8 @@
     real.runtime.block_on(real.nodes[0].closed());
 }
 
-// The operator's note goes out while the platform is down, and is told so at
-// once; while it loses the answer, the note is accepted all the same, once.
+// A note sent while the platform is down must fail at once. If the platform loses the
+// answer of the write, the note must still be accepted, exactly once.
 #[test]
 fn the_platform_fails_under_a_note() {
     let real = Real::open();
@@ -164,10 +164,10 @@
     assert!(shown.stdout.contains(r#""version": 2"#), "{shown}");
 }
 
-// Two operators change different zones at the same moment through different
-// nodes, again and again. One of them loses the race for the version each
-// time, or sees a node that does not have the other's note yet; both changes
-// must come into force, each as one version.
+// Two operators repeatedly change different zones at the same time through different
+// nodes. One of them loses the race for the version each time, or asks a node that
+// does not have the other's note yet. Both changes must come into force, each as one
+// version.
 #[test]
 fn racing_operators_both_get_their_zone() {
     let real = Real::open();
--- a/apps/hickory/tests/report.rs
+++ b/apps/hickory/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of nodes' logs.
+//! The `report` command.
 
 mod run;
 
@@ -6,7 +6,7 @@
 use std::fs::{self, File};
 use std::path::PathBuf;
 
-/// A directory of a test, removed with it.
+/// A temporary directory of a test, which is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -28,14 +28,13 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // What is left behind is the machine's to clean.
+        // An error leaves a directory in the system's temporary folder, which is fine.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// A node was started anew while another one stopped, and streams that came then
-/// were late. The lines are those of two seconds of three nodes, less most of the
-/// answers in time.
+/// The log covers two seconds of three nodes, without most of the answers in time.
+/// One node restarted while another stopped, and streams that arrived then were late.
 #[test]
 fn scripts_get_the_numbers_as_json() {
     let output = run(&["--json", "report", "report.log"], &[]);
@@ -48,8 +47,8 @@
     let scratch = Scratch::open("page");
     let page = scratch.place("page.html");
     let output = run(&["report", "report.log", "entry.log", "--out", &page], &[]);
-    let told = format!("{page}: 158 lines read, 1 could not be read\n");
-    assert_eq!((output.code, output.stdout), (Some(0), told), "{}", output.stderr);
+    let expected = format!("{page}: 158 lines read, 1 could not be read\n");
+    assert_eq!((output.code, output.stdout), (Some(0), expected), "{}", output.stderr);
     let text = fs::read_to_string(&page).unwrap();
     for part in ["<!DOCTYPE html>", "Worst steps", "a1-209", "<svg", "entry.log:4: not a JSON"] {
         assert!(text.contains(part), "{part}");
@@ -77,7 +76,8 @@
     assert!(fs::read_to_string(&page).unwrap().contains("Nothing to show"));
 }
 
-/// Whatever can't be read or written is named, and no page is begun.
+/// A path that can't be read or written is named in the error, and no page is
+/// written.
 #[test]
 fn bad_input_names_its_place_and_leaves_nothing_behind() {
     let scratch = Scratch::open("bad");
@@ -97,8 +97,16 @@
         (&["report", "report.log", "--out", &directory], 1, &directory),
         (&["report", "report.log", "--out", "/"], 1, "the path has no file name"),
         (&["report", "report.log"], 2, "give --out FILE, --json, or both"),
-        (&["report", "report.log", "--out", "report.log"], 2, "report.log: it is one of the logs"),
-        (&["report", "report.log", "--out", "./report.log"], 2, "it is one of the logs"),
+        (
+            &["report", "report.log", "--out", "report.log"],
+            2,
+            "report.log: the output file is one of the logs",
+        ),
+        (
+            &["report", "report.log", "--out", "./report.log"],
+            2,
+            "the output file is one of the logs",
+        ),
         (
             &["report", "entry.log", "--strict", "--out", &page],
             1,
--- a/apps/hickory/tests/run/mod.rs
+++ b/apps/hickory/tests/run/mod.rs
@@ -1,10 +1,10 @@
-//! Runs the command line as a process.
+//! Runs the command line as a child process.
 
 use std::fmt;
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// What a run left.
+/// The exit code and output of a run.
 #[derive(Debug)]
 pub struct Output {
     pub command: String,
@@ -14,7 +14,7 @@
 }
 
 impl Output {
-    /// The command and its exit code alone.
+    /// Formats only the command and its exit code.
     pub fn command_and_code(&self) -> String {
         format!("$ hickory {}\nexit {}\n", self.command, self.code.unwrap_or(-1))
     }
@@ -32,13 +32,13 @@
     }
 }
 
-/// Runs in the directory of the test data, with nothing of the environment
-/// but `env`.
+/// Runs the command line in the directory of the test data, with only `env` as its
+/// environment.
 pub fn run(args: &[&str], env: &[(&str, &str)]) -> Output {
     run_on(Stdio::null(), args, env)
 }
 
-/// Runs as [`run`] does, on an input.
+/// Runs the command line like [`run`], with the given standard input.
 pub fn run_on(input: Stdio, args: &[&str], env: &[(&str, &str)]) -> Output {
     let output = Command::new(env!("CARGO_BIN_EXE_hickory"))
         .args(args)
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -157,7 +157,7 @@
 /// Lists failed attempts by reason.
 pub(crate) fn list_attempts(summary: &Summary) -> Table {
     let rows = summary.sends.failed.iter().map(|(why, n)| vec![why.clone(), n.to_string()]);
-    Table::new("Failed attempts", &["reason", "count"], rows.collect())
+    Table::new("Failed attempts", &["why", "count"], rows.collect())
 }
 
 /// Lists messages about the nodes' state or view of the fleet.
