--- a/apps/hickory/tests/fleet.rs
+++ b/apps/hickory/tests/fleet.rs
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_is_shown() {
+fn show_commands_print_tables_and_json() {
     let report = run_scenarios([
         one_node("nodes", &["nodes"]),
         one_node("nodes as JSON", &["--json", "nodes"]),
@@ -247,7 +247,7 @@
 // zone's note must be accepted after a retry. If the other operator changed the same
 // zone, the retry would silently undo that decision, so the command must fail.
 #[test]
-fn a_zone_is_tried_again_only_while_others_leave_it_alone() {
+fn a_zone_change_is_retried_only_if_others_have_not_changed_the_zone() {
     const OUT: &[&str] = &["zone", "out", "nairobi-a"];
     let report = run_scenarios([
         one_node("out", OUT),
--- a/apps/hickory/tests/offline.rs
+++ b/apps/hickory/tests/offline.rs
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn help_tells_of_commands_and_exit_codes() {
+fn help_lists_commands_and_exit_codes() {
     let help = run(&["--help"], &[]).stdout;
     insta::assert_snapshot!(help);
 }
 
 #[test]
-fn a_new_token_goes_with_its_digest() {
+fn a_new_token_matches_its_digest() {
     let new = run(&["token", "new"], &[]);
     assert_eq!(new.code, Some(0));
     let mut words = new.stdout.split_whitespace();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_examples_of_the_operators_page_are_sound() {
+fn the_examples_of_the_operators_page_are_valid() {
     for (kind, file) in [("settings", "node.jsonc"), ("release", "first-note.jsonc")] {
         let path = format!("../../../../docs/examples/{file}");
         let output = run(&["check", kind, &path], &[]);
@@ -91,7 +91,7 @@
 /// are a late answer beside long prompts on its engine, a call that ended without an
 /// answer, and a stream that its engine cut and another engine resumed.
 #[test]
-fn the_course_of_a_request_is_read_from_logs() {
+fn the_history_of_a_request_is_read_from_logs() {
     let mut report = String::new();
     for args in [
         &["explain", "37d6693a9bed6092", "entry.log"][..],
--- a/apps/hickory/tests/real.rs
+++ b/apps/hickory/tests/real.rs
@@ -16,7 +16,7 @@
 const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
 /// Timeout of conditions that a test waits for.
-const PATIENCE: Duration = Duration::from_secs(15);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Two nodes in zones `a` and `b`, with stand-ins.
 struct Real {
@@ -53,7 +53,7 @@
             if output.stdout.contains(text) {
                 return output;
             }
-            assert!(start.elapsed() < PATIENCE, "never {text:?}: {output}");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "never {text:?}: {output}");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn operators_drive_real_nodes() {
+fn commands_work_on_real_nodes() {
     let real = Real::open();
     let first = ["release", "accept", "first.jsonc"];
 
@@ -133,7 +133,7 @@
     let owned = || real.nodes.iter().map(|n| read_metric(n, "hickory_targets_owned")).sum::<f64>();
     let start = Instant::now();
     while owned() != 3.0 {
-        assert!(start.elapsed() < PATIENCE, "{} targets are owned", owned());
+        assert!(start.elapsed() < WAIT_TIMEOUT, "{} targets are owned", owned());
     }
     let drain = real.run(&[0], &["drain"]);
     assert!(drain.stdout.contains("node entry-a is draining"), "{drain}");
@@ -143,7 +143,7 @@
 // A note sent while the platform is down must fail at once. If the platform loses the
 // answer of the write, the note must still be accepted, exactly once.
 #[test]
-fn the_platform_fails_under_a_note() {
+fn the_platform_fails_while_a_note_is_sent() {
     let real = Real::open();
     real.standins.store.faults().kill();
     let down = real.run(&[0], &["release", "accept", "first.jsonc"]);
@@ -151,7 +151,7 @@
     real.standins.store.faults().restart();
     let start = Instant::now();
     while real.run(&[0, 1], &["release", "accept", "first.jsonc"]).code != Some(0) {
-        assert!(start.elapsed() < PATIENCE);
+        assert!(start.elapsed() < WAIT_TIMEOUT);
     }
     real.wait(&[0, 1], &["release", "show"], "version 1");
 
@@ -169,7 +169,7 @@
 // does not have the other's note yet. Both changes must come into force, each as one
 // version.
 #[test]
-fn racing_operators_both_get_their_zone() {
+fn zone_changes_of_racing_operators_both_succeed() {
     let real = Real::open();
     assert_eq!(real.run(&[0, 1], &["release", "accept", "first.jsonc"]).code, Some(0));
     real.wait(&[1], &["release", "show"], "version 1");
--- a/apps/hickory/tests/report.rs
+++ b/apps/hickory/tests/report.rs
@@ -36,14 +36,14 @@
 /// The log covers two seconds of three nodes, without most of the answers in time.
 /// One node restarted while another stopped, and streams that arrived then were late.
 #[test]
-fn scripts_get_the_numbers_as_json() {
+fn the_summary_is_printed_as_json() {
     let output = run(&["--json", "report", "report.log"], &[]);
     assert_eq!((output.code, output.stderr.as_str()), (Some(0), ""));
     insta::assert_snapshot!(output.stdout);
 }
 
 #[test]
-fn the_page_is_written_beside_the_same_numbers() {
+fn the_page_and_the_json_show_the_same_numbers() {
     let scratch = Scratch::open("page");
     let page = scratch.place("page.html");
     let output = run(&["report", "report.log", "entry.log", "--out", &page], &[]);
@@ -79,7 +79,7 @@
 /// A path that can't be read or written is named in the error, and no page is
 /// written.
 #[test]
-fn bad_input_names_its_place_and_leaves_nothing_behind() {
+fn bad_input_names_its_path_and_leaves_no_file() {
     let scratch = Scratch::open("bad");
     let log = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/report.log"));
     let odd = std::env::temp_dir().join(format!("hickory-odd-{}.log", std::process::id()));
--- a/crates/report/tests/counting.rs
+++ b/crates/report/tests/counting.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn requests_are_judged_by_what_their_lines_bear() {
+fn requests_are_classified_by_the_fields_of_their_lines() {
     let refusal = |status: u32, ran: &str| {
         let fields = json!({ "request": "r", "reason": "some", "status": status, "ran": ran });
         line(0, "refused: for a reason", fields)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_request_stands_in_the_step_in_which_it_came() {
+fn a_request_counts_in_the_step_of_its_arrival() {
     let late = answer(61_500, json!({ "age_ms": 61_000, "first_ms": 60_000, "request": "slow" }));
     let summary = sum_up(late + &answer(61_500, json!({})));
     let worst = &summary.worst[0];
@@ -74,7 +74,7 @@
 /// The prefill time of a long prompt starts at its placement and spans several
 /// steps; that of a short prompt ends at its first token.
 #[test]
-fn reading_is_spread_over_the_steps_in_which_it_is_done() {
+fn prefill_time_is_distributed_over_the_steps_it_overlaps() {
     let placed = json!({ "request": "l", "target_id": "i-1", "helpers": "i-2,i-3",
         "part_ms": 1_500, "prompt": 90_000, "age_ms": 20 });
     let log = line(800, "placed", placed)
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn first_tokens_are_compared_from_the_placing_of_streams_sent_once() {
+fn first_tokens_are_compared_from_the_placement_of_streams_sent_once() {
     let log = answer(0, json!({ "first_ms": 180, "wait_ms": 100 }))
         + &answer(0, json!({ "sends": 2 }))
         + &answer(0, json!({ "first_ms": 0, "pause_max_ms": 0 }));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn pauses_count_by_how_much_they_are_over() {
+fn pauses_count_by_their_excess_above_the_limit() {
     let log = answer(0, json!({ "pause_ms": 350 }))
         + &answer(0, json!({}))
         + &answer(0, json!({ "pause_max_ms": 0, "pause_ms": 900 }));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn refusals_are_counted_by_reason_with_what_was_known() {
+fn refusals_are_counted_by_reason_with_their_state() {
     let known = json!({ "request": "r", "reason": "overloaded", "status": 503, "ran": "no",
         "prompt": 70_000, "goal_left_ms": 10, "limit_left_ms": 900, "wait_ms": 25,
         "engines_known": 12, "full": 3, "idle": 0, "clear": 1, "penalized": 2, "unread_ms": 50,
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn sends_again_are_counted() {
+fn retries_are_counted() {
     let failed = json!({ "request": "r", "target_id": "i-9", "sends": 1 });
     let log = answer(0, json!({ "sends": 2 }))
         + &answer(0, json!({ "sends": 9 }))
@@ -155,7 +155,7 @@
 /// Memory must not grow with the logs: the step width doubles, and names beyond the
 /// capacity share a count. The sums must stay complete.
 #[test]
-fn what_is_kept_is_bounded() {
+fn memory_is_bounded() {
     let mut log = String::new();
     let count_all = 2 * MAX_STEPS as i64 + 100;
     for number in 0..count_all {
@@ -188,7 +188,7 @@
 /// One line with a wrong clock must not widen the steps to years, which would hide all
 /// other lines in one step.
 #[test]
-fn a_far_time_leaves_the_steps_as_they_are() {
+fn a_wrong_clock_does_not_widen_the_steps() {
     let log = answer(0, json!({})) + &answer(-1_000_000_000_000, json!({}));
     let summary = sum_up(log);
     assert_eq!((summary.step_s, summary.series.len()), (1, 2));
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -61,7 +61,7 @@
 /// The page must work without network access, and it contains names that callers
 /// choose, which must not become markup.
 #[test]
-fn a_page_needs_nothing_else_and_escapes_names() {
+fn a_page_has_no_external_resources_and_escapes_names() {
     let page = render_page(&sum_up(write_log())).unwrap();
     for part in ["<script", "<link", "<img", "src=", "href=", "url(", "@import", "<late"] {
         assert!(!page.contains(part), "{part}");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_page_of_nothing_says_so() {
+fn an_empty_page_says_so() {
     let page = render_page(&sum_up("")).unwrap();
     assert!(page.contains("Nothing to show"));
     assert!(!page.contains("<svg"));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn more_engines_than_are_drawn_are_said() {
+fn engines_that_are_not_drawn_are_counted() {
     let log: String =
         (0..45).map(|n| answer(0, json!({ "target_id": format!("i-{n}") }))).collect();
     let page = render_page(&sum_up(log)).unwrap();
@@ -88,7 +88,7 @@
 /// One late request among a thousand in time is too few for a visible bar; it must
 /// be shown by a line of fixed width.
 #[test]
-fn few_beside_many_are_seen() {
+fn a_few_bad_outcomes_among_many_are_visible() {
     let log = answer(0, json!({})).repeat(1_000);
     let line = "<polyline fill=\"none\" opacity=\"1\" stroke=\"#E6AA28\" stroke-width=\"2\"";
     assert!(!render_page(&sum_up(&log)).unwrap().contains(line));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_file_is_put_down_whole_or_not_at_all() {
+fn a_file_is_written_atomically() {
     let scratch = Scratch::open("save");
     let page = scratch.0.join("page.html");
     atomic_file::write(&page, "first").unwrap();
--- a/crates/report/tests/reading.rs
+++ b/crates/report/tests/reading.rs
@@ -10,7 +10,7 @@
 use std::io::{self, BufReader, Read};
 
 #[test]
-fn bad_lines_are_counted_with_their_places_and_passed_over() {
+fn unreadable_lines_are_counted_with_their_places_and_skipped() {
     let good = answer(0, json!({}));
     let long = format!("{}{}", " ".repeat(MAX_LINE_BYTES), good);
     let cases = [
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn lines_are_read_whatever_stands_around_them() {
+fn lines_are_read_despite_surrounding_text() {
     let good = answer(0, json!({}));
     let longest = good.trim_end();
     let fill = " ".repeat(MAX_LINE_BYTES - longest.len());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_are_a_bad_line() {
+fn invalid_utf8_is_an_unreadable_line() {
     let log = [b"{\"message\":\"\xff\"}\n".as_slice(), answer(0, json!({})).as_bytes()].concat();
     let summary = sum_up(log);
     assert_eq!((summary.lines.read, summary.lines.skipped), (1, 1));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_nodes_dropped_is_told() {
+fn dropped_lines_are_reported() {
     let dropped = "{\"level\":\"WARN\",\"message\":\"37 log lines were dropped\"}\n";
     let summary = sum_up(dropped.repeat(2) + &answer(0, json!({})));
     assert_eq!((summary.lines.dropped, summary.series.len()), (74, 1));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_log_that_breaks_off_is_an_error() {
+fn a_read_error_is_returned() {
     let read = read_lines(BufReader::new(Breaking(false)), "a.log", &mut Tally::default());
     assert_eq!(read.unwrap_err().to_string(), "the disk is gone");
 }
--- a/crates/telemetry/tests/docs.rs
+++ b/crates/telemetry/tests/docs.rs
@@ -6,7 +6,7 @@
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
 #[test]
-fn every_metric_is_explained_and_none_is_made_up() {
+fn every_metric_is_documented_and_no_other() {
     let text = Metrics::new().unwrap().render();
     let mut metrics: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).collect();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_reason_is_explained() {
+fn every_reason_is_documented() {
     let reasons = Reason::ALL.iter().map(|reason| reason.to_string());
     let retries = Retry::ALL.iter().map(|reason| reason.to_string());
     for reason in reasons.chain(retries) {
--- a/crates/telemetry/tests/logs.rs
+++ b/crates/telemetry/tests/logs.rs
@@ -6,7 +6,7 @@
 
 // A process can open only one log, so one test covers everything.
 #[test]
-fn lines_are_json_with_what_they_are_about() {
+fn lines_are_json_with_their_attributes() {
     let path = std::env::temp_dir().join(format!("hickory-logs-{}.jsonl", std::process::id()));
     logs::open(LevelFilter::Info, &path).unwrap();
 
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn whole_answers_are_kept_apart_by_work() {
+fn answer_times_are_separated_by_work() {
     let metrics = Metrics::new().unwrap();
     for work in Work::ALL {
         metrics.observe_answer(*work, Duration::from_millis(250));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn first_tokens_are_kept_apart_by_prompt_length() {
+fn first_token_times_are_separated_by_prompt_length() {
     let metrics = Metrics::new().unwrap();
     let lengths = [1_000, 10_000, 100_000, 1_000_000];
     for (length, class) in lengths.into_iter().zip(Length::ALL) {
