--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -112,7 +112,7 @@
     let sum = |point: &Point| STACKING_ORDER.iter().map(|o| count(point, size, *o)).sum::<f64>();
     let top = summary.series.iter().map(sum).fold(1.0, f64::max);
     draw(format!("Outcomes: {size}"), HEIGHT, |area| {
-        let mut chart = open_chart(area, span, top, "requests a step")?;
+        let mut chart = open_chart(area, span, top, "requests per step")?;
         for (index, outcome) in STACKING_ORDER.into_iter().enumerate() {
             let color = outcome_color(outcome);
             let to_bar = |point: &Point| {
@@ -208,7 +208,7 @@
     let top = points.clone().map(|point| point.failed_attempts).max();
     let (Some(top), Some(span)) = (top, TimeSpan::of(summary)) else { return Ok(None) };
     let plot = draw("Failed attempts over time".to_owned(), HEIGHT, |area| {
-        let mut chart = open_chart(area, span, top as f64, "attempts a step")?;
+        let mut chart = open_chart(area, span, top as f64, "attempts per step")?;
         let color = outcome_color(Outcome::Failed);
         let bars = points.map(|point| {
             let (from, to) = span.bounds(point);
--- a/crates/report/src/read.rs
+++ b/crates/report/src/read.rs
@@ -43,12 +43,12 @@
             bytes => bytes?,
         };
         let end = bytes.iter().position(|&byte| byte == b'\n');
-        let segment = end.unwrap_or(bytes.len());
+        let segment_length = end.unwrap_or(bytes.len());
         let is_at_end = bytes.is_empty();
         let capacity = MAX_LINE_BYTES - line.len();
-        line.extend_from_slice(&bytes[..segment.min(capacity)]);
-        length += segment;
-        log.consume(segment + usize::from(end.is_some()));
+        line.extend_from_slice(&bytes[..segment_length.min(capacity)]);
+        length += segment_length;
+        log.consume(segment_length + usize::from(end.is_some()));
         if end.is_some() || (is_at_end && length > 0) {
             return Ok(Some(length <= MAX_LINE_BYTES));
         }
