--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -104,8 +104,8 @@
 
 fn label_claim(answer: &claim::Answer) -> label::Claim {
     match answer {
-        claim::Answer::Granted(_) => label::Claim::Won,
-        claim::Answer::Repeated { .. } | claim::Answer::Reused => label::Claim::Held,
+        claim::Answer::Granted(_) => label::Claim::Claimed,
+        claim::Answer::Repeated { .. } | claim::Answer::Reused => label::Claim::AlreadyClaimed,
         claim::Answer::NotDone(_) => label::Claim::NotDone,
         claim::Answer::TooOld | claim::Answer::Unknown(_) => label::Claim::Unknown,
     }
--- a/crates/telemetry/src/label.rs
+++ b/crates/telemetry/src/label.rs
@@ -126,9 +126,9 @@
     /// The result of claiming a call that must run at most once.
     Claim {
         /// The claim was written; the call may be sent.
-        Won = "won",
+        Claimed = "won",
         /// The call was already claimed.
-        Held = "held",
+        AlreadyClaimed = "held",
         /// The claim could not be written; the call never runs under this key.
         NotDone = "not_done",
         /// It is unknown whether the call already ran under this key.
