--- a/apps/hickory/src/accept.rs
+++ b/apps/hickory/src/accept.rs
@@ -1,7 +1,7 @@
-//! Release notes: accept, find and compare.
+//! Release notes: accepting, finding and comparing them.
 
-use crate::client::{Client, Silence, read_document};
-use crate::failure::{Failure, read_problem};
+use crate::client::{Client, NoAnswer, read_document};
+use crate::failure::{Failure, failure_of};
 use crate::print;
 use hickory_admin::view;
 use hickory_release::configuration::Configuration;
@@ -11,16 +11,16 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Rounds over all nodes before a command gives up.
-const ROUNDS: usize = 2;
+/// Maximum number of rounds over all nodes when sending a note.
+const MAX_ROUNDS: usize = 2;
 
-/// How long a node may take to have in force what another one accepted.
-const IN_FORCE: Duration = Duration::from_secs(8);
+/// Timeout until a version that one node accepted is in force at another.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Between two reads of the configuration while it is not there yet.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Poll interval of the configuration while waiting for a version.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Accepts the note in a file.
+/// Sends the note in a file to be accepted.
 pub(crate) fn run(client: &Client, file: &Path, json: bool) -> Result<(), Failure> {
     let text = print::read_input(file)?;
     let name = file.display().to_string();
@@ -28,7 +28,7 @@
         .map_err(|findings| Failure::Invalid { file: name.clone(), findings })?
         .note;
     let operation = match note.operation.is_empty() {
-        true => draw_operation(),
+        true => new_operation_id(),
         false => note.operation,
     };
     let accepted = send(client, &text, &operation, note.against, &name)?;
@@ -36,14 +36,14 @@
     Ok(())
 }
 
-/// Says whether an operation was accepted.
+/// Shows whether an operation was accepted, and as which version.
 pub(crate) fn find(client: &Client, operation: &str, json: bool) -> Result<(), Failure> {
     let accepted: view::Accepted = client.get(&operation_path(operation))?;
     print::print_accepted(&accepted, json);
     Ok(())
 }
 
-/// Shows what the note in a file would change.
+/// Shows the changes that the note in a file would make.
 pub(crate) fn diff(client: &Client, file: &Path, json: bool) -> Result<(), Failure> {
     let text = print::read_input(file)?;
     let name = file.display().to_string();
@@ -51,8 +51,10 @@
     let Draft { note, places } = parse_draft(&text).map_err(invalid)?;
     let present = read_configuration(client)?;
     if note.against != present.version {
-        let detail =
-            format!("the note is against {}, present is {}", note.against, present.version);
+        let detail = format!(
+            "the note is against {}, the current version is {}",
+            note.against, present.version
+        );
         return Err(Failure::Conflict { present: Some(present.version), detail });
     }
     let next = apply_note(&present, &note).map_err(|mut findings| {
@@ -63,24 +65,24 @@
     Ok(())
 }
 
-/// The configuration in force.
+/// Reads the configuration in force.
 pub(crate) fn read_configuration(client: &Client) -> Result<Configuration, Failure> {
     client.get("/v1/admin/configuration")
 }
 
-/// Sends a note that was built here.
+/// Sends a note that was built by a command.
 pub(crate) fn send_note(client: &Client, note: &Note) -> Result<view::Accepted, Failure> {
     let text = serde_json::to_string(note).map_err(|error| Failure::Local(error.to_string()))?;
     send(client, &text, &note.operation, note.against, "note")
 }
 
-/// Sends a note to the first node that takes it.
+/// Sends a note to the first node that accepts it.
 ///
-/// A write may take effect though its answer is lost. Sent again blindly, the
-/// note would meet its own version and the operator would be told of a
-/// conflict with nobody. The operation's id is read back first; where it is
-/// not found the note goes to the next node under the same id, which the
-/// service's compare-and-swap lets in at most once.
+/// A write may take effect although its answer is lost. A plain retry would then
+/// conflict with the note's own version and report a conflict that no other
+/// operator caused. Therefore the operation's id is read back before a retry. If it
+/// is not found, the note is sent to the next node under the same id, and the
+/// compare-and-swap of the configuration accepts it at most once.
 fn send(
     client: &Client,
     text: &str,
@@ -92,9 +94,9 @@
     let mut lost = false;
     let mut unavailable = None;
     let nodes = client.nodes();
-    for (index, node) in nodes.iter().cycle().take(nodes.len() * ROUNDS).enumerate() {
-        // Only a lost note needs a second round: all others are told at once
-        // that nothing was done.
+    for (index, node) in nodes.iter().cycle().take(nodes.len() * MAX_ROUNDS).enumerate() {
+        // Only a note whose answer was lost needs a second round. In all other cases
+        // nothing was done, which is reported at once.
         if index >= nodes.len() && !lost {
             break;
         }
@@ -103,20 +105,20 @@
         }
         match client.post(*node, "/v1/admin/releases", text, operation) {
             Ok(Ok(answer)) => return read_document(&answer),
-            Ok(Err(problem)) => match read_problem(*problem, file) {
+            Ok(Err(problem)) => match failure_of(*problem, file) {
                 Failure::Unknown { detail, .. } => {
                     lost = true;
                     reasons.push(format!("{node}: {detail}"));
                 }
                 failure @ Failure::Unavailable(_) => unavailable = Some(failure),
                 Failure::Conflict { present: Some(version), detail } if lost => {
-                    let version = later_version(version, against);
-                    return settle_conflict(client, operation, version, detail);
+                    let version = version_to_await(version, against);
+                    return resolve_conflict(client, operation, version, detail);
                 }
                 failure => return Err(failure),
             },
-            Err(Silence::NotSent(reason)) => reasons.push(format!("{node}: {reason}")),
-            Err(Silence::Lost(reason)) => {
+            Err(NoAnswer::NotSent(reason)) => reasons.push(format!("{node}: {reason}")),
+            Err(NoAnswer::Lost(reason)) => {
                 lost = true;
                 reasons.push(format!("{node}: {reason}"));
             }
@@ -131,9 +133,9 @@
     Err(unavailable.unwrap_or(Failure::Unreachable(reasons)))
 }
 
-/// A conflict after a lost answer may be one with the very note that was
-/// lost: the configuration that the node met has its operation then.
-fn settle_conflict(
+/// Resolves a conflict after a lost answer. The conflict may be with the same note;
+/// in that case the current configuration lists its operation as accepted.
+fn resolve_conflict(
     client: &Client,
     operation: &str,
     version: id::Release,
@@ -148,19 +150,20 @@
     }
 }
 
-/// The version to wait for after a conflict: a node that lost a race may tell
-/// of the version that it had read before.
-pub(crate) fn later_version(told: id::Release, against: id::Release) -> id::Release {
-    if told == against { id::Release(told.0.saturating_add(1)) } else { told }
+/// Returns the version to wait for after a conflict. A node that lost a race may
+/// report the version that it had read before the race.
+pub(crate) fn version_to_await(reported: id::Release, against: id::Release) -> id::Release {
+    if reported == against { id::Release(reported.0.saturating_add(1)) } else { reported }
 }
 
-/// The configuration once a node has `version` in force: the one that told of
-/// a conflict read it from the platform, and nodes follow within seconds.
+/// Waits until a node has `version` in force and returns its configuration. The node
+/// that reported the conflict read the version from the platform, and other nodes
+/// follow within seconds.
 pub(crate) fn await_version(
     client: &Client,
     version: id::Release,
 ) -> Result<Configuration, Failure> {
-    let end = Instant::now() + IN_FORCE;
+    let end = Instant::now() + IN_FORCE_TIMEOUT;
     loop {
         let present = read_configuration(client)?;
         if present.version >= version {
@@ -170,7 +173,7 @@
             let detail = format!("version {version} is not in force yet; nothing was done");
             return Err(Failure::Conflict { present: Some(version), detail });
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -182,11 +185,11 @@
     format!("/v1/admin/releases/{operation}")
 }
 
-fn draw_operation() -> String {
+fn new_operation_id() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// A note that changes nothing yet.
-pub(crate) fn draw_note(against: id::Release) -> Note {
-    Note { against, operation: draw_operation(), ..Note::default() }
+/// Returns a note without changes, with a new operation id.
+pub(crate) fn new_note(against: id::Release) -> Note {
+    Note { against, operation: new_operation_id(), ..Note::default() }
 }
--- a/apps/hickory/src/table.rs
+++ b/apps/hickory/src/table.rs
@@ -1,28 +1,28 @@
-//! Tables of text.
+//! Text tables with aligned columns.
 
 use std::fmt;
 
-/// Blanks between two columns.
-const GAP: usize = 2;
+/// Number of spaces between two columns.
+const COLUMN_GAP: usize = 2;
 
-/// Rows under a heading, in aligned columns.
+/// A table with a heading and rows.
 pub(crate) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with nothing but its heading.
+    /// Creates a table without rows.
     pub(crate) fn new(heading: &[&str]) -> Self {
         Self { rows: vec![heading.iter().map(|name| (*name).to_owned()).collect()] }
     }
 
-    /// Adds a row.
-    pub(crate) fn row<const N: usize>(&mut self, cells: [String; N]) {
-        let shown = cells.map(|cell| if cell.is_empty() { "-".to_owned() } else { cell });
-        self.rows.push(shown.into());
+    /// Adds a row; empty cells are shown as `-`.
+    pub(crate) fn add_row<const N: usize>(&mut self, cells: [String; N]) {
+        let cells = cells.map(|cell| if cell.is_empty() { "-".to_owned() } else { cell });
+        self.rows.push(cells.into());
     }
 
-    /// Whether there is no row but the heading.
+    /// Whether the table has no rows apart from the heading.
     pub(crate) fn is_empty(&self) -> bool {
         self.rows.len() == 1
     }
@@ -37,7 +37,7 @@
         for row in &self.rows {
             let last = row.len() - 1;
             for (column, cell) in row[..last].iter().enumerate() {
-                write!(f, "{cell:<width$}", width = self.width(column) + GAP)?;
+                write!(f, "{cell:<width$}", width = self.width(column) + COLUMN_GAP)?;
             }
             writeln!(f, "{}", row[last])?;
         }
--- a/apps/hickory/src/token.rs
+++ b/apps/hickory/src/token.rs
@@ -1,4 +1,4 @@
-//! New tokens.
+//! Creating tokens and their digests.
 
 use crate::args::Fleet;
 use crate::client::read_token;
@@ -9,30 +9,30 @@
 use rand::rngs::OsRng;
 use serde::Serialize;
 
-/// Random bytes in a token: beyond guessing.
-const BYTES: usize = 32;
+/// Number of random bytes in a token, enough that it can't be guessed.
+const TOKEN_BYTES: usize = 32;
 
 /// A token and its digest.
 #[derive(Serialize)]
-struct Pair {
+struct TokenAndDigest {
     token: String,
     digest: String,
 }
 
-/// A digest alone.
+/// The digest of an existing token.
 #[derive(Serialize)]
 struct Digest {
     digest: String,
 }
 
-/// Prints a new token. The fleet only ever has the digest.
+/// Prints a new token and its digest. The fleet stores only the digest.
 pub(crate) fn print_new(json: bool) -> Result<(), Failure> {
-    let mut bytes = [0; BYTES];
+    let mut bytes = [0; TOKEN_BYTES];
     OsRng
         .try_fill_bytes(&mut bytes)
         .map_err(|error| Failure::Local(format!("no random bytes: {error}")))?;
     let token: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    let pair = Pair { digest: digest_token(&token), token };
+    let pair = TokenAndDigest { digest: digest_token(&token), token };
     if json {
         print_json(&pair);
     } else {
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-/// Prints the digest of a token that is there already.
+/// Prints the digest of an existing token.
 pub(crate) fn print_digest(fleet: &Fleet, json: bool) -> Result<(), Failure> {
     let token = read_token(fleet.token_file.as_deref())?;
     let digest = digest_token(&token);
--- a/apps/hickory/tests/report.rs
+++ b/apps/hickory/tests/report.rs
@@ -1,4 +1,4 @@
-//! The report of nodes' logs.
+//! The `report` command.
 
 mod run;
 
@@ -6,7 +6,7 @@
 use std::fs::{self, File};
 use std::path::PathBuf;
 
-/// A directory of a test, removed with it.
+/// A temporary directory of a test, which is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -28,30 +28,29 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // What is left behind is the machine's to clean.
+        // An error leaves a directory in the system's temporary folder, which is fine.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// A node was started anew while another one stopped, and streams that came then
-/// were late. The lines are those of two seconds of three nodes, less most of the
-/// answers in time.
+/// The log covers two seconds of three nodes, without most of the answers in time.
+/// One node restarted while another stopped, and streams that arrived then were late.
 #[test]
-fn scripts_get_the_numbers_as_json() {
+fn the_summary_is_printed_as_json() {
     let output = run(&["--json", "report", "report.log"], &[]);
     assert_eq!((output.code, output.stderr.as_str()), (Some(0), ""));
     insta::assert_snapshot!(output.stdout);
 }
 
 #[test]
-fn the_page_is_written_beside_the_same_numbers() {
+fn the_page_and_the_json_show_the_same_numbers() {
     let scratch = Scratch::open("page");
     let page = scratch.place("page.html");
     let output = run(&["report", "report.log", "entry.log", "--out", &page], &[]);
-    let told = format!("{page}: 158 lines read, 1 could not be read\n");
-    assert_eq!((output.code, output.stdout), (Some(0), told), "{}", output.stderr);
+    let expected = format!("{page}: 158 lines read, 1 could not be read\n");
+    assert_eq!((output.code, output.stdout), (Some(0), expected), "{}", output.stderr);
     let text = fs::read_to_string(&page).unwrap();
-    for part in ["<!DOCTYPE html>", "Worst steps", "a1-209", "<svg", "entry.log:4: no JSON"] {
+    for part in ["<!DOCTYPE html>", "Worst steps", "a1-209", "<svg", "entry.log:4: not a JSON"] {
         assert!(text.contains(part), "{part}");
     }
     assert!(text.ends_with("</html>"));
@@ -77,9 +76,10 @@
     assert!(fs::read_to_string(&page).unwrap().contains("Nothing to show"));
 }
 
-/// Whatever can't be read or written is named, and no page is begun.
+/// A path that can't be read or written is named in the error, and no page is
+/// written.
 #[test]
-fn bad_input_names_its_place_and_leaves_nothing_behind() {
+fn bad_input_names_its_path_and_leaves_no_file() {
     let scratch = Scratch::open("bad");
     let log = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/report.log"));
     let odd = std::env::temp_dir().join(format!("hickory-odd-{}.log", std::process::id()));
@@ -95,11 +95,23 @@
         (&["report", ".", "--out", &page], 1, ".: Is a directory"),
         (&["report", "report.log", "--out", &nowhere], 1, "nowhere/page.html: No such file"),
         (&["report", "report.log", "--out", &directory], 1, &directory),
-        (&["report", "report.log", "--out", "/"], 1, "it names no file"),
+        (&["report", "report.log", "--out", "/"], 1, "the path has no file name"),
         (&["report", "report.log"], 2, "give --out FILE, --json, or both"),
-        (&["report", "report.log", "--out", "report.log"], 2, "report.log: it is one of the logs"),
-        (&["report", "report.log", "--out", "./report.log"], 2, "it is one of the logs"),
-        (&["report", "entry.log", "--strict", "--out", &page], 1, "entry.log:4: no JSON log line"),
+        (
+            &["report", "report.log", "--out", "report.log"],
+            2,
+            "report.log: the output file is one of the logs",
+        ),
+        (
+            &["report", "report.log", "--out", "./report.log"],
+            2,
+            "the output file is one of the logs",
+        ),
+        (
+            &["report", "entry.log", "--strict", "--out", &page],
+            1,
+            "entry.log:4: not a JSON log line",
+        ),
         (&["report", odd_name, "--strict", "--out", &page], 1, ": unknown field colour"),
         (&["--json", "report", "nowhere.log"], 1, "nowhere.log: No such file"),
         (&["--json", "report", "report.log", "--out", &nowhere], 1, "nowhere/page.html"),
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -137,16 +137,18 @@
 
     fn metrics(&self) -> String {
         let metrics = &self.core.metrics;
-        metrics.configuration(self.core.configuration().map_or(id::Release(0), |c| c.version));
-        metrics.owned(self.core.owners.owned().len());
+        metrics.set_configuration_version(
+            self.core.configuration().map_or(id::Release(0), |c| c.version),
+        );
+        metrics.set_owned_targets(self.core.owners.owned().len());
         let now = self.core.now();
         let is_reachable = |at| now.saturating_duration_since(at) < MAX_PEER_SILENCE;
         let others = self.core.view.peer_views();
         let others = others
             .iter()
             .filter(|(node, peer)| *node != self.core.node_id() && is_reachable(peer.last_heard));
-        metrics.peers(others.count());
-        metrics.suspects(self.core.retry_control.count_suspects(now));
+        metrics.set_connected_peers(others.count());
+        metrics.set_suspects(self.core.retry_control.count_suspects(now));
         metrics.render()
     }
 
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -50,7 +50,7 @@
     let core = core.clone();
     let task = tokio::spawn(async move {
         let _active = Active::begin(&core);
-        let _in_flight = core.metrics.begin(Work::Service);
+        let _in_flight = core.metrics.begin_request(Work::Service);
         match (call.at_most_once, call.key) {
             (true, Some(key)) => run_at_most_once(&core, &call, key).await,
             (true, None) => {
@@ -74,7 +74,7 @@
 /// Claims the call in the ledger before any byte is sent, and sends it at most once.
 async fn run_at_most_once(core: &Arc<Core>, call: &Call, key: Uuid) -> Result<Reply, Refusal> {
     let answer = core.ledger.claim(key, fingerprint(call), call.deadline).await;
-    core.metrics.claimed(label_claim(&answer));
+    core.metrics.count_claim(label_claim(&answer));
     let claim = match answer {
         claim::Answer::Granted(claim) => claim,
         other => return answer_unclaimed(other),
@@ -107,8 +107,8 @@
 
 fn label_claim(answer: &claim::Answer) -> label::Claim {
     match answer {
-        claim::Answer::Granted(_) => label::Claim::Won,
-        claim::Answer::Repeated { .. } | claim::Answer::Reused => label::Claim::Held,
+        claim::Answer::Granted(_) => label::Claim::Claimed,
+        claim::Answer::Repeated { .. } | claim::Answer::Reused => label::Claim::AlreadyClaimed,
         claim::Answer::NotDone(_) => label::Claim::NotDone,
         claim::Answer::TooOld | claim::Answer::Unknown(_) => label::Claim::Unknown,
     }
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -41,7 +41,7 @@
             let is_owned = owned.iter().any(|o| o.target == *target && o.epoch == *epoch);
             if !is_owned {
                 task.abort();
-                core.metrics.owner_changed(match core.stage() {
+                core.metrics.count_ownership_change(match core.stage() {
                     Stage::Serving => Ownership::Lost,
                     Stage::Draining | Stage::Closed => Ownership::Released,
                 });
@@ -55,7 +55,7 @@
                 continue;
             }
             core.table.open(&owned.target, owned.epoch);
-            core.metrics.owner_changed(Ownership::Gained);
+            core.metrics.count_ownership_change(Ownership::Gained);
             let task =
                 tokio::spawn(run_owned_target(core.clone(), owned.target.clone(), owned.epoch));
             running.insert(owned.target, (owned.epoch, task.abort_handle()));
@@ -76,7 +76,7 @@
             };
             missed = if has_report { 0 } else { missed + 1 };
             if missed == MAX_MISSED_REPORTS {
-                core.metrics.target_silent();
+                core.metrics.count_target_silence();
             }
             update_accepting(&core, host, missed < MAX_MISSED_REPORTS);
         }
@@ -153,7 +153,7 @@
     let context = SweepContext { now, wall_ms: core.clock.wall_ms(), resume_window, is_live };
     core.table.with(target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
-            core.metrics.target_restarted();
+            core.metrics.count_target_restart();
             owned.reset_after_restart(now);
         }
         owned.apply_report(report, &context);
@@ -172,7 +172,7 @@
             false => Err(Error::Unknown("the target did not answer the last cancel".into())),
         };
         if matches!(cancelled, Ok(Cancelled::Stopped)) {
-            core.metrics.swept(Orphan::Stream);
+            core.metrics.count_orphan(Orphan::Stream);
         }
         let now = core.now();
         core.table.with(&host.target, |owned| match cancelled {
@@ -187,7 +187,7 @@
     // KV caches that were not dropped are found again in the next report.
     for handle in drops {
         if core.targets.drop_handle(host.address, &handle).await.is_ok() {
-            core.metrics.swept(Orphan::Cache);
+            core.metrics.count_orphan(Orphan::Cache);
         }
     }
 }
@@ -211,7 +211,7 @@
     core.table.with(&host.target, |owned| {
         if owned.incarnation.is_some_and(|known| known != report.incarnation) {
             owned.reset_after_restart(now);
-            core.metrics.target_restarted();
+            core.metrics.count_target_restart();
         }
         owned.incarnation = Some(report.incarnation);
         // A call takes one slot and no KV cache.
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -194,7 +194,7 @@
                 return Ok(Placement { target, address, permit, stream, expected_first_token });
             }
             Err(Some(refused)) => {
-                core.metrics.retried(RetryReason::QueueLong);
+                core.metrics.count_retry(RetryReason::QueueLong);
                 let is_full = counts_as_ask(refused.reason);
                 counted_asks += usize::from(is_full);
                 if is_immediate && is_full {
@@ -246,22 +246,22 @@
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
-                core.metrics.retried(RetryReason::OwnerSilent);
+                core.metrics.count_retry(RetryReason::OwnerSilent);
                 return Err(None);
             }
         };
         match answer {
             Ok(permit) if core.now() < asked_at + permit.life => {
-                core.metrics.permit_waited(core.now() - asked_at);
+                core.metrics.observe_permit_wait(core.now() - asked_at);
                 return Ok(permit);
             }
             Ok(permit) => {
-                core.metrics.retried(RetryReason::StalePermit);
+                core.metrics.count_retry(RetryReason::StalePermit);
                 report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED_REASON => {}
             Err(refused) if refused.not_owner => {
-                core.metrics.retried(RetryReason::NotOwner);
+                core.metrics.count_retry(RetryReason::NotOwner);
                 return Err(None);
             }
             Err(refused) => {
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -147,7 +147,7 @@
     let now = core.now();
     let condemned = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
     lock(&core.retry_control.suspects).merge(now, [condemned]);
-    core.metrics.quarantined();
+    core.metrics.count_quarantine();
     peers::gossip_with_all_peers(core).await;
     refuse_quarantined()
 }
@@ -164,7 +164,7 @@
     account: &id::Account,
     reason: RetryReason,
 ) -> Result<(), Refusal> {
-    core.metrics.retried(reason);
+    core.metrics.count_retry(reason);
     match reason {
         RetryReason::NotSent | RetryReason::Refused => Ok(()),
         _ => core.retry_control.spend(account),
--- a/crates/report/src/spread.rs
+++ b/crates/report/src/distribution.rs
@@ -1,19 +1,20 @@
-//! How values are spread.
+//! Distributions of values.
 
 use crate::summary::Quantiles;
 use hdrhistogram::Histogram;
 
-/// The greatest value that is told apart.
-const VALUE_MAX: u64 = 10_000_000;
+/// The greatest recorded value; greater ones count as this one.
+const MAX_VALUE: u64 = 10_000_000;
 
-/// How values are spread, to so many digits; takes memory from its first value on.
+/// A distribution of values with a precision of `DIGITS` significant digits. It
+/// allocates memory when the first value is added.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Spread<const DIGITS: u8>(Option<Box<Histogram<u32>>>);
+pub(crate) struct Distribution<const DIGITS: u8>(Option<Box<Histogram<u32>>>);
 
-impl<const DIGITS: u8> Spread<DIGITS> {
+impl<const DIGITS: u8> Distribution<DIGITS> {
     pub(crate) fn add(&mut self, value: u64) {
         if self.0.is_none() {
-            self.0 = Histogram::new_with_bounds(1, VALUE_MAX, DIGITS).ok().map(Box::new);
+            self.0 = Histogram::new_with_bounds(1, MAX_VALUE, DIGITS).ok().map(Box::new);
         }
         if let Some(histogram) = &mut self.0 {
             histogram.saturating_record(value);
@@ -23,7 +24,7 @@
     pub(crate) fn merge(&mut self, other: Self) {
         match (&mut self.0, other.0) {
             (Some(own), Some(other)) => {
-                // Both have the same bounds, so that it can't fail.
+                // Both histograms have the same bounds, so this can't fail.
                 let _ = own.add(&*other);
             }
             (own, Some(other)) => *own = Some(other),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// `None` where there is no value.
+    /// Returns the quantiles, or `None` if the distribution is empty.
     pub(crate) fn quantiles(&self) -> Option<Quantiles> {
         let histogram = self.0.as_ref()?;
         Some(Quantiles {
--- a/crates/report/src/line.rs
+++ b/crates/report/src/line.rs
@@ -1,4 +1,4 @@
-//! What a log line tells.
+//! Parsing of log lines into events.
 
 use chrono::{DateTime, FixedOffset};
 use compact_str::CompactString;
@@ -7,14 +7,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The greatest number that a field may hold.
-const NUMBER_MAX: u64 = 1_000_000_000_000;
+/// The greatest accepted number in a field.
+const MAX_NUMBER: u64 = 1_000_000_000_000;
 
-/// Characters of a name that are kept.
-const NAME_MAX: usize = 64;
+/// Maximum length of a name; longer names are truncated.
+const MAX_NAME_CHARS: usize = 64;
 
-/// The fields of the lines that are read, also those that aren't needed.
-const FIELDS: &[&str] = &[
+/// All fields of the parsed lines, including those that are not evaluated.
+const KNOWN_FIELDS: &[&str] = &[
     "account",
     "age_ms",
     "ahead_ms",
@@ -56,8 +56,8 @@
     "zone",
 ];
 
-/// The fields that say what a decision knew.
-pub const KNOWN: [&str; 11] = [
+/// The fields of a refusal that describe the state its decision was based on.
+pub const DECISION_FIELDS: [&str; 11] = [
     "prompt",
     "goal_left_ms",
     "limit_left_ms",
@@ -71,8 +71,8 @@
     "ahead_ms",
 ];
 
-/// What nodes came to believe or do, as far as it is counted.
-const NEWS: &[&str] = &[
+/// Messages about a node's own state or its view of the fleet that are counted.
+const NODE_EVENTS: &[&str] = &[
     "a target died under a request",
     "configuration taken over",
     "peer gave no items",
@@ -91,107 +91,108 @@
     "zone out of service",
 ];
 
-/// Why a line can't be read.
+/// The reason why a line can't be parsed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum Fault {
-    /// It is no JSON document of a log line.
-    #[display("no JSON log line: {_0}")]
-    Shape(#[error(not(source))] String),
-    /// It is longer than any line of a node.
+pub enum LineError {
+    /// The line is not a log line in JSON.
+    #[display("not a JSON log line: {_0}")]
+    Malformed(#[error(not(source))] String),
+    /// The line exceeds the maximum length.
     #[display("longer than {_0} bytes")]
-    Length(#[error(not(source))] usize),
-    /// A field that is needed is missing.
+    TooLong(#[error(not(source))] usize),
+    /// A required field is missing.
     #[display("field {_0} is missing")]
-    Missing(#[error(not(source))] &'static str),
-    /// A field holds no number that it may hold.
-    #[display("field {_0} holds no number within bounds")]
-    Number(#[error(not(source))] &'static str),
+    MissingField(#[error(not(source))] &'static str),
+    /// The value of a field is not a number or is out of range.
+    #[display("field {_0} is not a number within bounds")]
+    InvalidNumber(#[error(not(source))] &'static str),
 }
 
-/// A log line, as far as it is read.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// When it was written, in milliseconds of Unix time.
+    /// The time of the line, in milliseconds of Unix time.
     pub time_ms: i64,
-    /// The node that wrote it.
+    /// The node that wrote the line.
     pub node: CompactString,
-    /// The caller's id of its attempt.
+    /// The caller's id of the attempt.
     pub request: CompactString,
-    /// How old the request was.
+    /// The time since the request's arrival.
     pub age_ms: u64,
-    /// What it tells.
+    /// The event that the line reports.
     pub event: Event,
-    /// Fields that aren't known here.
-    pub unknown: Vec<CompactString>,
+    /// Names of fields that are not known to this parser.
+    pub unknown_fields: Vec<CompactString>,
 }
 
-/// What a line tells.
+/// The event that a line reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request was answered whole.
+    /// A request was answered completely.
     Answered(Answered),
     /// A request was refused.
     Refused(Refused),
-    /// A request of so many tokens ended without a whole answer.
-    Broken(u64),
-    /// The caller of a request of so many tokens left.
-    Gone(u64),
-    /// A long prompt was placed.
+    /// A request ended without a complete answer; holds its prompt tokens.
+    Failed(u64),
+    /// The caller of a request disconnected; holds its prompt tokens.
+    CallerGone(u64),
+    /// A long prompt was placed on engines.
     Placed(Placed),
-    /// A request begins to wait for engines.
-    Waits,
+    /// A request started to wait for engines.
+    WaitStarted,
     /// An attempt failed.
-    Attempt(Attempt),
-    /// No repeat was left to spend.
-    Spent,
-    /// A node dropped so many of its lines.
+    AttemptFailed(FailedAttempt),
+    /// The retry budget was exhausted.
+    RetriesExhausted,
+    /// A node dropped log lines; holds their number.
     Dropped(u64),
-    /// What a node came to believe or do.
-    News(&'static str),
-    /// A message that isn't counted.
+    /// A counted message about a node's state or view; holds the message.
+    NodeEvent(&'static str),
+    /// A message that is not evaluated.
     Other,
 }
 
-/// A request that was answered whole.
+/// A request that was answered completely.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answered {
     /// The target that answered.
     pub target: CompactString,
-    /// The answer's status.
+    /// The HTTP status of the answer.
     pub status: u64,
-    /// Targets that it was sent to.
+    /// The number of targets that the request was sent to.
     pub sends: u64,
-    /// The size of its prompt, in tokens.
+    /// The prompt tokens.
     pub prompt: u64,
-    /// When its first token was expected, from its placing on.
+    /// The predicted time from the placement to the first token.
     pub expected_ms: u64,
-    /// When its first token came; 0 for an answer that is no stream.
+    /// The measured time from the arrival to the first token; 0 if the answer is not a
+    /// stream.
     pub first_ms: u64,
-    /// The time within which the first token, or the answer, is wanted.
+    /// The latency goal for the first token or for the whole answer.
     pub goal_ms: Option<u64>,
-    /// How long it waited for its turn.
+    /// The time that the request waited in the queue.
     pub wait_ms: u64,
-    /// The longest pause of its stream.
+    /// The longest pause of the stream.
     pub pause_ms: u64,
-    /// The longest wanted pause; 0 where none is.
+    /// The limit for pauses of the stream; 0 if there is none.
     pub pause_max_ms: u64,
-    /// Whether it was placed as a short one; unknown from nodes that don't say.
+    /// Whether the prompt was placed as a short one. Older nodes don't log this.
     pub short: Option<bool>,
-    /// What each of its engines read.
+    /// The prefill time of each of its engines.
     pub part_ms: u64,
-    /// From its arrival to its end.
+    /// The time from the arrival to the end.
     pub age_ms: u64,
 }
 
 impl Answered {
-    /// Whether it was a stream, as far as the line tells: one whose first event
-    /// came at once and of which no longest pause is wanted counts as none.
+    /// Whether the answer was a stream. The line does not state it: a stream whose
+    /// first event took 0 ms and that has no pause limit counts as no stream.
     pub fn is_stream(&self) -> bool {
         self.first_ms > 0 || self.pause_max_ms > 0
     }
 
-    /// What its route's goal is for: the time to the first token of a stream, or
-    /// to the end of another answer.
+    /// Returns the latency that the route's goal applies to: the time to the first
+    /// token of a stream, or to the end of another answer.
     pub fn latency_ms(&self) -> u64 {
         if self.is_stream() { self.first_ms } else { self.age_ms }
     }
@@ -200,36 +201,36 @@
 /// A request that was refused.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// The reason code.
     pub reason: CompactString,
-    /// The status it was answered with.
+    /// The HTTP status of the refusal.
     pub status: u64,
-    /// Whether it ran.
+    /// Whether the request may have run.
     pub ran: CompactString,
-    /// What was known, in the order of [`KNOWN`]; all missing where it did not
-    /// matter.
-    pub known: [Option<u64>; KNOWN.len()],
+    /// The state that the decision was based on, in the order of [`DECISION_FIELDS`].
+    /// All values are `None` if the reason does not depend on it.
+    pub known: [Option<u64>; DECISION_FIELDS.len()],
 }
 
 /// A long prompt that was placed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Placed {
-    /// Its engines.
+    /// The engines that the prompt was placed on.
     pub targets: Vec<CompactString>,
-    /// What each of them reads.
+    /// The prefill time of each engine.
     pub part_ms: u64,
 }
 
 /// An attempt that failed.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Attempt {
-    /// Its target, where the line names it.
+pub struct FailedAttempt {
+    /// The target, if the line names it.
     pub target: Option<CompactString>,
-    /// Why it failed.
-    pub why: CompactString,
+    /// The reason of the failure.
+    pub reason: CompactString,
 }
 
-/// A line as the nodes write it.
+/// A log line as the nodes write it.
 #[derive(Deserialize)]
 struct Raw {
     time: Option<DateTime<FixedOffset>>,
@@ -240,37 +241,40 @@
     attributes: Fields,
 }
 
-/// What a line bears beside its message.
+/// The attributes of a log line.
 #[derive(Default, Deserialize)]
 struct Fields(BTreeMap<CompactString, Value>);
 
 impl Fields {
-    fn number(&self, name: &'static str) -> Result<Option<u64>, Fault> {
+    fn number(&self, name: &'static str) -> Result<Option<u64>, LineError> {
         let Some(value) = self.0.get(name) else { return Ok(None) };
         let number = match value {
             Value::String(text) => text.parse().ok(),
             other => other.as_u64(),
         };
-        number.filter(|number| *number <= NUMBER_MAX).map(Some).ok_or(Fault::Number(name))
+        number
+            .filter(|number| *number <= MAX_NUMBER)
+            .map(Some)
+            .ok_or(LineError::InvalidNumber(name))
     }
 
-    fn need(&self, name: &'static str) -> Result<u64, Fault> {
-        self.number(name)?.ok_or(Fault::Missing(name))
+    fn require(&self, name: &'static str) -> Result<u64, LineError> {
+        self.number(name)?.ok_or(LineError::MissingField(name))
     }
 
-    fn number_or_0(&self, name: &'static str) -> Result<u64, Fault> {
+    fn number_or_0(&self, name: &'static str) -> Result<u64, LineError> {
         Ok(self.number(name)?.unwrap_or(0))
     }
 
     fn text(&self, name: &str) -> CompactString {
-        self.0.get(name).and_then(Value::as_str).map(shorten).unwrap_or_default()
+        self.0.get(name).and_then(Value::as_str).map(truncate_name).unwrap_or_default()
     }
 
-    fn need_text(&self, name: &'static str) -> Result<CompactString, Fault> {
-        Some(self.text(name)).filter(|text| !text.is_empty()).ok_or(Fault::Missing(name))
+    fn require_text(&self, name: &'static str) -> Result<CompactString, LineError> {
+        Some(self.text(name)).filter(|text| !text.is_empty()).ok_or(LineError::MissingField(name))
     }
 
-    fn flag(&self, name: &str) -> Option<bool> {
+    fn boolean(&self, name: &str) -> Option<bool> {
         match self.0.get(name)? {
             Value::String(text) => text.parse().ok(),
             other => other.as_bool(),
@@ -278,100 +282,102 @@
     }
 }
 
-/// Reads a line; it may stand behind columns of whatever gathered the logs.
-pub fn read_line(bytes: &[u8]) -> Result<Line, Fault> {
-    let begin = bytes.iter().position(|&byte| byte == b'{').unwrap_or(0);
-    let raw: Raw =
-        serde_json::from_slice(&bytes[begin..]).map_err(|error| Fault::Shape(error.to_string()))?;
+/// Parses a line. Log collectors may have put columns in front of the JSON document.
+pub fn parse_line(bytes: &[u8]) -> Result<Line, LineError> {
+    let start = bytes.iter().position(|&byte| byte == b'{').unwrap_or(0);
+    let raw: Raw = serde_json::from_slice(&bytes[start..])
+        .map_err(|error| LineError::Malformed(error.to_string()))?;
     let fields = &raw.attributes;
-    let event = read_event(&raw.message, fields)?;
+    let event = parse_event(&raw.message, fields)?;
     let time = match (raw.time, &event) {
         (Some(time), _) => time.timestamp_millis(),
         (None, Event::Dropped(_)) => 0,
-        (None, _) => return Err(Fault::Missing("time")),
+        (None, _) => return Err(LineError::MissingField("time")),
     };
-    let unknown = match event {
-        Event::News(_) | Event::Other => Vec::new(),
-        _ => fields.0.keys().filter(|name| !FIELDS.contains(&name.as_str())).cloned().collect(),
+    let unknown_fields = match event {
+        Event::NodeEvent(_) | Event::Other => Vec::new(),
+        _ => {
+            fields.0.keys().filter(|name| !KNOWN_FIELDS.contains(&name.as_str())).cloned().collect()
+        }
     };
     Ok(Line {
         time_ms: time,
-        node: raw.mdc.get("node").map(|node| shorten(node)).unwrap_or_default(),
+        node: raw.mdc.get("node").map(|node| truncate_name(node)).unwrap_or_default(),
         request: fields.text("request"),
         age_ms: fields.number_or_0("age_ms")?,
         event,
-        unknown,
+        unknown_fields,
     })
 }
 
-fn read_event(message: &str, fields: &Fields) -> Result<Event, Fault> {
+fn parse_event(message: &str, fields: &Fields) -> Result<Event, LineError> {
     let name = message.split_once(": ").map_or(message, |(name, _)| name);
-    if let Some(name) = NEWS.iter().find(|known| **known == name) {
-        return Ok(Event::News(name));
+    if let Some(name) = NODE_EVENTS.iter().find(|message| **message == name) {
+        return Ok(Event::NodeEvent(name));
     }
-    if let Some(why) = message.strip_prefix("attempt failed: ") {
+    if let Some(reason) = message.strip_prefix("attempt failed: ") {
         let target = Some(fields.text("target_id")).filter(|target| !target.is_empty());
-        return Ok(Event::Attempt(Attempt { target, why: shorten(why) }));
+        return Ok(Event::AttemptFailed(FailedAttempt { target, reason: truncate_name(reason) }));
     }
     if let Some(count) = message.strip_suffix(" log lines were dropped") {
         return Ok(count.parse().map_or(Event::Other, |count: u32| Event::Dropped(count.into())));
     }
     match message {
-        "answered" => read_answered(fields).map(Event::Answered),
-        "placed" => read_placed(fields).map(Event::Placed),
-        "waits for engines" => Ok(Event::Waits),
-        "no repeat left to spend" => Ok(Event::Spent),
-        "the caller is gone" => fields.number_or_0("prompt").map(Event::Gone),
-        "the deadline passed within the stream" => fields.number_or_0("prompt").map(Event::Broken),
+        "answered" => parse_answered(fields).map(Event::Answered),
+        "placed" => parse_placed(fields).map(Event::Placed),
+        "waits for engines" => Ok(Event::WaitStarted),
+        "no repeat left to spend" => Ok(Event::RetriesExhausted),
+        "the caller is gone" => fields.number_or_0("prompt").map(Event::CallerGone),
+        "the deadline passed within the stream" => fields.number_or_0("prompt").map(Event::Failed),
         _ if message.starts_with("given up on: ") => {
-            fields.number_or_0("prompt").map(Event::Broken)
+            fields.number_or_0("prompt").map(Event::Failed)
         }
-        _ if message.starts_with("refused: ") => read_refused(fields).map(Event::Refused),
+        _ if message.starts_with("refused: ") => parse_refused(fields).map(Event::Refused),
         _ => Ok(Event::Other),
     }
 }
 
-fn read_answered(fields: &Fields) -> Result<Answered, Fault> {
+fn parse_answered(fields: &Fields) -> Result<Answered, LineError> {
     Ok(Answered {
-        target: fields.need_text("target_id")?,
-        status: fields.need("status")?,
-        sends: fields.need("sends")?,
-        prompt: fields.need("prompt")?,
-        expected_ms: fields.need("expected_ms")?,
-        first_ms: fields.need("first_ms")?,
+        target: fields.require_text("target_id")?,
+        status: fields.require("status")?,
+        sends: fields.require("sends")?,
+        prompt: fields.require("prompt")?,
+        expected_ms: fields.require("expected_ms")?,
+        first_ms: fields.require("first_ms")?,
         goal_ms: fields.number("goal_ms")?,
-        wait_ms: fields.need("wait_ms")?,
-        pause_ms: fields.need("pause_ms")?,
+        wait_ms: fields.require("wait_ms")?,
+        pause_ms: fields.require("pause_ms")?,
         pause_max_ms: fields.number_or_0("pause_max_ms")?,
-        short: fields.flag("short"),
+        short: fields.boolean("short"),
         part_ms: fields.number_or_0("part_ms")?,
-        age_ms: fields.need("age_ms")?,
+        age_ms: fields.require("age_ms")?,
     })
 }
 
-fn read_refused(fields: &Fields) -> Result<Refused, Fault> {
-    let mut known = [None; KNOWN.len()];
-    for (value, name) in known.iter_mut().zip(KNOWN) {
+fn parse_refused(fields: &Fields) -> Result<Refused, LineError> {
+    let mut known = [None; DECISION_FIELDS.len()];
+    for (value, name) in known.iter_mut().zip(DECISION_FIELDS) {
         *value = fields.number(name)?;
     }
-    // A prompt of which nothing was read has no size.
+    // Nodes log 0 if the request was refused before its prompt was read.
     known[0] = known[0].filter(|prompt| *prompt > 0);
     Ok(Refused {
-        reason: fields.need_text("reason")?,
-        status: fields.need("status")?,
-        ran: fields.need_text("ran")?,
+        reason: fields.require_text("reason")?,
+        status: fields.require("status")?,
+        ran: fields.require_text("ran")?,
         known,
     })
 }
 
-fn read_placed(fields: &Fields) -> Result<Placed, Fault> {
-    let first = fields.need_text("target_id")?;
+fn parse_placed(fields: &Fields) -> Result<Placed, LineError> {
+    let first = fields.require_text("target_id")?;
     let helpers = fields.0.get("helpers").and_then(Value::as_str).unwrap_or_default();
-    let helpers = helpers.split(',').filter(|name| !name.is_empty()).map(shorten);
+    let helpers = helpers.split(',').filter(|name| !name.is_empty()).map(truncate_name);
     let targets = std::iter::once(first).chain(helpers).collect();
-    Ok(Placed { targets, part_ms: fields.need("part_ms")? })
+    Ok(Placed { targets, part_ms: fields.require("part_ms")? })
 }
 
-fn shorten(name: &str) -> CompactString {
-    name.chars().take(NAME_MAX).collect()
+fn truncate_name(name: &str) -> CompactString {
+    name.chars().take(MAX_NAME_CHARS).collect()
 }
--- a/crates/report/src/summary.rs
+++ b/crates/report/src/summary.rs
@@ -1,232 +1,233 @@
-//! What was counted, as a document.
+//! The summary of a tally, which is printed as JSON and rendered as a page.
 
-use crate::line::KNOWN;
+use crate::line::DECISION_FIELDS;
 use crate::outcome::{Counts, Outcome};
 use crate::size::Class;
-use crate::tally::{Engine, News, Reason, Step, Tally, cell_begin};
+use crate::tally::{EngineCounts, NodeEventCounts, RefusalCounts, Step, Tally, half_octave_start};
 use chrono::{DateTime, SecondsFormat};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Steps that are named as the worst.
-const WORST_MAX: usize = 10;
+/// Maximum number of steps listed as the worst.
+const MAX_WORST_STEPS: usize = 10;
 
-/// The name of what had no room of its own.
-pub(crate) const OTHERS: &str = "others";
+/// The name of the row for all names beyond the capacity.
+pub(crate) const OTHERS_NAME: &str = "others";
 
-/// How values are spread.
+/// The quantiles of a distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Quantiles {
-    /// How many there are.
+    /// The number of values.
     pub count: u64,
     /// The median.
     pub p50: u64,
-    /// What 95 of 100 don't exceed.
+    /// The 95th percentile.
     pub p95: u64,
-    /// What 99 of 100 don't exceed.
+    /// The 99th percentile.
     pub p99: u64,
-    /// The greatest.
+    /// The maximum.
     pub max: u64,
 }
 
-/// What was counted.
+/// The summary of all logs.
 #[derive(Debug, Serialize)]
 pub struct Summary {
-    /// What became of the lines.
+    /// The numbers of lines by how they were processed.
     pub lines: Lines,
-    /// The first moment that something was counted for.
+    /// The start of the first step.
     pub from: Option<String>,
     /// The end of the last step.
     pub to: Option<String>,
-    /// The width of a step.
+    /// The step width.
     pub step_s: i64,
-    /// Requests by size, and of all sizes.
-    pub outcomes: Vec<Row>,
+    /// Outcomes by prompt size.
+    pub outcomes: Vec<OutcomeRow>,
     /// The steps with the most requests that were late, refused or failed.
-    pub worst: Vec<Worst>,
-    /// Predicted against real first tokens.
+    pub worst: Vec<WorstStep>,
+    /// Predicted and measured times to the first token.
     pub predicted: Predicted,
-    /// How long requests waited, by size.
+    /// The queue wait of requests, by prompt size.
     pub waits: BTreeMap<&'static str, Quantiles>,
-    /// Requests that began to wait for engines.
+    /// Requests that started to wait for engines.
     pub began_to_wait: u64,
-    /// Pauses.
+    /// Pauses of streams above their limit.
     pub pauses: Pauses,
-    /// Engines, those that read the most first.
+    /// Engines, in descending order of prefill time.
     pub engines: Vec<EngineRow>,
-    /// Answers whose lines don't say whether they were short.
+    /// Answers whose lines don't state whether the prompt was placed as a short one.
     pub occupancy_unsaid: u64,
-    /// Refusals by reason, the most frequent first.
+    /// Refusals by reason, in descending order of frequency.
     pub refusals: Vec<Refusal>,
-    /// Sends again.
+    /// Retries.
     pub sends: Sends,
-    /// What nodes came to believe or do.
-    pub news: Vec<NewsRow>,
-    /// The steps in which something was counted.
+    /// Messages about the nodes' state or view of the fleet.
+    pub news: Vec<NodeEventRow>,
+    /// The steps with counts.
     pub series: Vec<Point>,
 }
 
-/// What became of the lines.
+/// The numbers of lines by how they were processed.
 #[derive(Debug, Serialize)]
 pub struct Lines {
-    /// Lines that were read.
+    /// Parsed lines.
     pub read: u64,
-    /// Lines that could not be read.
+    /// Unreadable lines.
     pub skipped: u64,
-    /// The first of them, each with its place.
+    /// The first unreadable lines, with places and errors.
     pub faults: Vec<String>,
-    /// Lines that were read and are not counted here.
+    /// Parsed lines with messages that are not evaluated.
     pub other: u64,
-    /// Lines that the nodes say they dropped.
+    /// Lines that nodes reported as dropped.
     pub dropped: u64,
-    /// Fields that aren't known, with how often and where first.
+    /// Unknown fields, with the number of occurrences and the first place.
     pub unknown: BTreeMap<String, String>,
 }
 
-/// Requests by outcome.
+/// The outcomes of requests of one size.
 #[derive(Debug, Serialize)]
-pub struct Row {
-    /// Their size.
+pub struct OutcomeRow {
+    /// The size class of the prompts.
     pub size: &'static str,
-    /// How many ended in which way, in the order of [`Outcome::ALL`].
+    /// The number of requests by outcome, in the order of [`Outcome::ALL`].
     #[serde(serialize_with = "name_outcomes")]
     pub counts: [u64; crate::outcome::COUNT],
 }
 
-/// A step that went badly.
+/// A step with requests that were late, refused or failed.
 #[derive(Debug, Serialize)]
-pub struct Worst {
-    /// Its beginning.
+pub struct WorstStep {
+    /// The start of the step.
     pub time: String,
-    /// Requests that came in it and were late.
+    /// Requests that arrived in the step and were late.
     pub late: u64,
-    /// Those that were refused.
+    /// Requests that were refused.
     pub refused: u64,
-    /// Those that failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Requests to go on with.
+    /// Requests to inspect further.
     pub examples: Vec<Example>,
 }
 
-/// A request to go on with.
+/// A request to inspect further.
 #[derive(Debug, Serialize)]
 pub struct Example {
-    /// The caller's id of its attempt.
+    /// The caller's id of the attempt.
     pub request: String,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The node it ended at.
+    /// The node that logged the outcome.
     pub node: String,
 }
 
-/// Predicted against real first tokens, of streams that were sent once; both from
-/// the placing on.
+/// Predicted and measured times from the placement to the first token, for streams
+/// that were sent to one target.
 #[derive(Debug, Serialize)]
 pub struct Predicted {
-    /// What was expected.
+    /// The predicted times.
     pub expected_ms: Option<Quantiles>,
-    /// What came.
+    /// The measured times.
     pub first_ms: Option<Quantiles>,
-    /// How often they came together.
+    /// The number of streams by predicted and measured time.
     pub cells: Vec<Cell>,
 }
 
-/// Streams of like expectation and like first token.
+/// Streams with similar predicted and similar measured times.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Cell {
-    /// From when on the first token was expected.
+    /// The lower bound of the predicted times.
     pub expected_ms: f64,
-    /// From when on it came.
+    /// The lower bound of the measured times.
     pub first_ms: f64,
-    /// How many there are.
+    /// The number of streams.
     pub count: u64,
 }
 
-/// Pauses over what is wanted.
+/// Pauses of streams above their limit.
 #[derive(Debug, Serialize)]
 pub struct Pauses {
-    /// Streams of which a longest pause is wanted.
+    /// Streams with a limit for pauses.
     pub streams: u64,
-    /// By how much those over it were over it.
+    /// The excess of the longest pause, for streams that exceeded the limit.
     pub over_ms: Option<Quantiles>,
 }
 
-/// What was counted of an engine.
+/// The counts of an engine.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineRow {
-    /// The engine.
+    /// The target id of the engine.
     pub name: String,
     /// Answers of which it was the first engine.
     pub answered: u64,
-    /// Those that were late.
+    /// Answers that were late.
     pub late: u64,
-    /// Attempts at it that failed.
+    /// Failed attempts on the engine.
     pub failed: u64,
-    /// Long prompts that it read a part of.
+    /// Long prompts of which it prefilled a part.
     pub placed: u64,
-    /// How long it read short prompts.
+    /// Prefill time of short prompts.
     pub short_ms: u64,
-    /// How long it read long prompts.
+    /// Prefill time of long prompts.
     pub long_ms: u64,
 }
 
-/// Refusals of a reason.
+/// Refusals with the same reason.
 #[derive(Debug, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason code.
     pub reason: String,
-    /// How many there are.
+    /// The number of refusals.
     pub count: u64,
-    /// Those that may have run.
+    /// Refused requests that may have run.
     pub may_have_run: u64,
-    /// What was known when they were refused.
+    /// The state that the decisions were based on.
     pub known: BTreeMap<&'static str, Quantiles>,
 }
 
-/// Sends again.
+/// Retries.
 #[derive(Debug, Serialize)]
 pub struct Sends {
-    /// Answers by how many targets they were sent to; the last stands for more.
-    pub answered: [u64; crate::tally::SENDS_MAX],
-    /// Failed attempts by why.
+    /// Answers by the number of targets that the request was sent to; the last value
+    /// also counts all greater numbers.
+    pub answered: [u64; crate::tally::SENDS_BUCKETS],
+    /// Failed attempts by reason.
     pub failed: BTreeMap<String, u64>,
-    /// How often no repeat was left.
+    /// The number of times that the retry budget was exhausted.
     pub spent: u64,
 }
 
-/// How often nodes came to believe or did something.
+/// The occurrences of a message about a node's state or view.
 #[derive(Debug, Serialize)]
-pub struct NewsRow {
-    /// What.
+pub struct NodeEventRow {
+    /// The message.
     pub message: &'static str,
-    /// How often.
+    /// The number of occurrences.
     pub count: u64,
-    /// When first.
+    /// The time of the first occurrence.
     pub first: String,
-    /// When last.
+    /// The time of the last occurrence.
     pub last: String,
 }
 
-/// A step.
+/// The counts of one step.
 #[derive(Debug, Serialize)]
 pub struct Point {
-    /// Its beginning.
+    /// The start of the step.
     pub time: String,
     #[serde(skip)]
     pub(crate) time_ms: i64,
-    /// Requests by size; sizes without any are left out.
-    pub outcomes: Vec<Row>,
-    /// When first tokens were expected.
+    /// Outcomes by prompt size; sizes without requests are left out.
+    pub outcomes: Vec<OutcomeRow>,
+    /// Predicted times to the first token.
     pub expected_ms: Option<Quantiles>,
-    /// When they came.
+    /// Measured times to the first token.
     pub first_ms: Option<Quantiles>,
-    /// How long requests waited.
+    /// Queue wait of requests.
     pub wait_ms: Option<Quantiles>,
-    /// Pauses over the wanted one.
+    /// Excess of pauses above their limit.
     pub over_ms: Option<Quantiles>,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failed_attempts: u64,
-    /// How long each engine read short and long prompts.
+    /// Prefill time of each engine, for short and for long prompts.
     pub engines: BTreeMap<String, [u64; 2]>,
 }
 
@@ -238,51 +239,58 @@
 }
 
 impl Summary {
-    /// What a tally holds.
+    /// Summarizes a tally.
     pub fn of(tally: &Tally) -> Self {
         let names: BTreeMap<usize, &str> =
-            tally.engines.names().map(|(name, number, _)| (number, name)).collect();
+            tally.engines.named().map(|(name, number, _)| (number, name)).collect();
         let step_ms = tally.timeline.step_ms();
         let last = tally.timeline.steps().last().map(|(time, _)| time + step_ms);
         Self {
-            lines: read_state(tally),
-            from: tally.timeline.steps().next().map(|(time, _)| show_time(time)),
-            to: last.map(show_time),
+            lines: summarize_lines(tally),
+            from: tally.timeline.steps().next().map(|(time, _)| format_time(time)),
+            to: last.map(format_time),
             step_s: step_ms / 1_000,
-            outcomes: list_rows(&tally.outcomes),
+            outcomes: outcome_rows(&tally.outcomes),
             worst: list_worst(tally),
-            predicted: read_predicted(tally),
+            predicted: summarize_predictions(tally),
             waits: Class::all()
                 .filter_map(|c| Some((c.name(), tally.waits[c.index()].quantiles()?)))
                 .collect(),
             began_to_wait: tally.began_to_wait,
-            pauses: Pauses { streams: tally.paced, over_ms: tally.over.quantiles() },
+            pauses: Pauses {
+                streams: tally.paced_streams,
+                over_ms: tally.excess_pause.quantiles(),
+            },
             engines: list_engines(tally),
-            occupancy_unsaid: tally.unsaid,
+            occupancy_unsaid: tally.unknown_length,
             refusals: list_refusals(tally),
-            sends: read_sends(tally),
-            news: tally.news.iter().map(|(message, news)| show_news(message, news)).collect(),
+            sends: summarize_sends(tally),
+            news: tally
+                .node_events
+                .iter()
+                .map(|(message, event)| summarize_node_event(message, event))
+                .collect(),
             series: tally
                 .timeline
                 .steps()
-                .map(|(time, step)| read_point(time, step, &names))
+                .map(|(time, step)| summarize_step(time, step, &names))
                 .collect(),
         }
     }
 }
 
-/// A moment as people read it, in UTC.
-pub(crate) fn show_time(ms: i64) -> String {
+/// Formats a time as RFC 3339, in UTC with seconds.
+pub(crate) fn format_time(ms: i64) -> String {
     let time = DateTime::from_timestamp_millis(ms).unwrap_or_default();
     time.to_rfc3339_opts(SecondsFormat::Secs, true)
 }
 
-fn read_state(tally: &Tally) -> Lines {
+fn summarize_lines(tally: &Tally) -> Lines {
     let lines = &tally.lines;
-    let known = lines.unknown.names().map(|(name, _, met)| (name, met));
-    let others = lines.unknown.others().map(|met| (OTHERS, met));
-    let show = |(name, met): (&str, &crate::tally::Met)| {
-        (name.to_owned(), format!("{} times, first at {}", met.count, met.first))
+    let known = lines.unknown.named().map(|(name, _, field)| (name, field));
+    let others = lines.unknown.others().map(|field| (OTHERS_NAME, field));
+    let show = |(name, field): (&str, &crate::tally::Occurrences)| {
+        (name.to_owned(), format!("{} times, first at {}", field.count, field.first_place))
     };
     Lines {
         read: lines.read,
@@ -294,31 +302,31 @@
     }
 }
 
-/// Requests by size; sizes without any are left out.
-fn list_rows(counts: &Counts) -> Vec<Row> {
-    let row = |class: Class| Row {
+/// Returns the outcomes by size, without sizes that have no requests.
+fn outcome_rows(counts: &Counts) -> Vec<OutcomeRow> {
+    let row = |class: Class| OutcomeRow {
         size: class.name(),
         counts: Outcome::ALL.map(|outcome| counts.get(class, outcome)),
     };
     Class::all().map(row).filter(|row| row.counts.iter().any(|count| *count > 0)).collect()
 }
 
-fn list_worst(tally: &Tally) -> Vec<Worst> {
+fn list_worst(tally: &Tally) -> Vec<WorstStep> {
     let mut steps: Vec<(i64, &Step)> =
-        tally.timeline.steps().filter(|(_, step)| step.outcomes.bad() > 0).collect();
-    steps.sort_by_key(|(time, step)| (std::cmp::Reverse(step.outcomes.bad()), *time));
-    steps.truncate(WORST_MAX);
-    let show = |(time, step): (i64, &Step)| Worst {
-        time: show_time(time),
+        tally.timeline.steps().filter(|(_, step)| step.outcomes.count_bad() > 0).collect();
+    steps.sort_by_key(|(time, step)| (std::cmp::Reverse(step.outcomes.count_bad()), *time));
+    steps.truncate(MAX_WORST_STEPS);
+    let show = |(time, step): (i64, &Step)| WorstStep {
+        time: format_time(time),
         late: step.outcomes.total(Outcome::Late),
         refused: step.outcomes.total(Outcome::Refused),
         failed: step.outcomes.total(Outcome::Failed),
-        examples: step.examples.iter().map(show_example).collect(),
+        examples: step.examples.iter().map(summarize_example).collect(),
     };
     steps.into_iter().map(show).collect()
 }
 
-fn show_example(example: &crate::tally::Example) -> Example {
+fn summarize_example(example: &crate::tally::Example) -> Example {
     Example {
         request: example.request.to_string(),
         outcome: example.outcome,
@@ -326,76 +334,80 @@
     }
 }
 
-fn read_predicted(tally: &Tally) -> Predicted {
+fn summarize_predictions(tally: &Tally) -> Predicted {
     let cell = |(&(expected, first), &count): (&(u8, u8), &u64)| Cell {
-        expected_ms: cell_begin(expected).round(),
-        first_ms: cell_begin(first).round(),
+        expected_ms: half_octave_start(expected).round(),
+        first_ms: half_octave_start(first).round(),
         count,
     };
     Predicted {
-        expected_ms: tally.expected.quantiles(),
-        first_ms: tally.first.quantiles(),
-        cells: tally.predicted.iter().map(cell).collect(),
+        expected_ms: tally.expected_first_token.quantiles(),
+        first_ms: tally.first_token.quantiles(),
+        cells: tally.first_token_cells.iter().map(cell).collect(),
     }
 }
 
 fn list_engines(tally: &Tally) -> Vec<EngineRow> {
-    let show = |name: &str, engine: &Engine| EngineRow {
+    let show = |name: &str, engine: &EngineCounts| EngineRow {
         name: name.to_owned(),
         answered: engine.answered,
         late: engine.late,
         failed: engine.failed,
         placed: engine.placed,
-        short_ms: engine.reading.short_ms,
-        long_ms: engine.reading.long_ms,
+        short_ms: engine.prefill.short_ms,
+        long_ms: engine.prefill.long_ms,
     };
     let mut rows: Vec<EngineRow> =
-        tally.engines.names().map(|(name, _, engine)| show(name, engine)).collect();
+        tally.engines.named().map(|(name, _, engine)| show(name, engine)).collect();
     rows.sort_by_key(|row| std::cmp::Reverse((row.short_ms + row.long_ms, row.answered)));
-    rows.extend(tally.engines.others().map(|engine| show(OTHERS, engine)));
+    rows.extend(tally.engines.others().map(|engine| show(OTHERS_NAME, engine)));
     rows
 }
 
 fn list_refusals(tally: &Tally) -> Vec<Refusal> {
-    let show = |name: &str, reason: &Reason| Refusal {
+    let show = |name: &str, reason: &RefusalCounts| Refusal {
         reason: name.to_owned(),
         count: reason.count,
-        may_have_run: reason.ran,
-        known: KNOWN
+        may_have_run: reason.may_have_run,
+        known: DECISION_FIELDS
             .iter()
             .zip(&reason.known)
-            .filter_map(|(name, spread)| Some((*name, spread.quantiles()?)))
+            .filter_map(|(name, distribution)| Some((*name, distribution.quantiles()?)))
             .collect(),
     };
     let mut rows: Vec<Refusal> =
-        tally.reasons.names().map(|(name, _, reason)| show(name, reason)).collect();
+        tally.refusals.named().map(|(name, _, reason)| show(name, reason)).collect();
     rows.sort_by_key(|row| std::cmp::Reverse(row.count));
-    rows.extend(tally.reasons.others().map(|reason| show(OTHERS, reason)));
+    rows.extend(tally.refusals.others().map(|reason| show(OTHERS_NAME, reason)));
     rows
 }
 
-fn read_sends(tally: &Tally) -> Sends {
-    let named = tally.attempts.names().map(|(why, _, count)| (why.to_owned(), *count));
-    let others = tally.attempts.others().map(|count| (OTHERS.to_owned(), *count));
-    Sends { answered: tally.sends, failed: named.chain(others).collect(), spent: tally.spent }
+fn summarize_sends(tally: &Tally) -> Sends {
+    let named = tally.failed_attempts.named().map(|(why, _, count)| (why.to_owned(), *count));
+    let others = tally.failed_attempts.others().map(|count| (OTHERS_NAME.to_owned(), *count));
+    Sends {
+        answered: tally.sends,
+        failed: named.chain(others).collect(),
+        spent: tally.retries_exhausted,
+    }
 }
 
-fn show_news(message: &'static str, news: &News) -> NewsRow {
-    let (first, last) = (show_time(news.first_ms), show_time(news.last_ms));
-    NewsRow { message, count: news.count, first, last }
+fn summarize_node_event(message: &'static str, event: &NodeEventCounts) -> NodeEventRow {
+    let (first, last) = (format_time(event.first_ms), format_time(event.last_ms));
+    NodeEventRow { message, count: event.count, first, last }
 }
 
-fn read_point(time_ms: i64, step: &Step, names: &BTreeMap<usize, &str>) -> Point {
-    let engines = step.engines.iter().enumerate().filter(|(_, r)| r.short_ms + r.long_ms > 0);
+fn summarize_step(time_ms: i64, step: &Step, names: &BTreeMap<usize, &str>) -> Point {
+    let engines = step.prefill_times.iter().enumerate().filter(|(_, r)| r.short_ms + r.long_ms > 0);
     Point {
-        time: show_time(time_ms),
+        time: format_time(time_ms),
         time_ms,
-        outcomes: list_rows(&step.outcomes),
-        expected_ms: step.expected.quantiles(),
-        first_ms: step.first.quantiles(),
+        outcomes: outcome_rows(&step.outcomes),
+        expected_ms: step.expected_first_token.quantiles(),
+        first_ms: step.first_token.quantiles(),
         wait_ms: step.wait.quantiles(),
-        over_ms: step.over.quantiles(),
-        failed_attempts: step.attempts,
+        over_ms: step.excess_pause.quantiles(),
+        failed_attempts: step.failed_attempts,
         engines: engines
             .filter_map(|(number, r)| {
                 Some(((*names.get(&number)?).to_owned(), [r.short_ms, r.long_ms]))
--- a/crates/report/tests/counting.rs
+++ b/crates/report/tests/counting.rs
@@ -1,22 +1,22 @@
-//! What is counted of lines.
+//! Counting of events in log lines.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
 
 use hickory_report::outcome::Outcome;
 use hickory_report::summary::Summary;
-use hickory_report::tally::{ENGINES_MAX, REASONS_MAX};
-use hickory_report::timeline::STEPS_MAX;
+use hickory_report::tally::{MAX_ENGINES, MAX_REASONS};
+use hickory_report::timeline::MAX_STEPS;
 use log::{answer, line, sum_up};
 use serde_json::json;
 
-/// How many requests ended in a way.
+/// Returns the number of requests with an outcome.
 fn count(summary: &Summary, outcome: Outcome) -> u64 {
     summary.outcomes.iter().map(|row| row.counts[outcome as usize]).sum()
 }
 
 #[test]
-fn requests_are_judged_by_what_their_lines_bear() {
+fn requests_are_classified_by_the_fields_of_their_lines() {
     let refusal = |status: u32, ran: &str| {
         let fields = json!({ "request": "r", "reason": "some", "status": status, "ran": ran });
         line(0, "refused: for a reason", fields)
@@ -27,9 +27,10 @@
         (answer(0, json!({ "first_ms": 300, "pause_ms": 250 })), Outcome::InTime),
         (answer(0, json!({ "first_ms": 301 })), Outcome::Late),
         (answer(0, json!({ "pause_ms": 251 })), Outcome::Late),
-        // No longest pause is wanted.
+        // There is no limit for pauses.
         (answer(0, json!({ "pause_ms": 9_000, "pause_max_ms": 0 })), Outcome::InTime),
-        // No stream: the goal is for the whole answer, also where a size is known.
+        // Not a stream: the goal applies to the whole answer, even if the prompt size is
+        // known.
         (answer(0, json!({ "first_ms": 0, "pause_max_ms": 0, "age_ms": 300 })), Outcome::InTime),
         (answer(0, json!({ "first_ms": 0, "pause_max_ms": 0, "age_ms": 301 })), Outcome::Late),
         (answer(0, json!({ "status": 404 })), Outcome::InTime),
@@ -51,7 +52,7 @@
     }
 }
 
-/// Lines of older nodes don't bear the goal: their answers are not judged.
+/// Older nodes don't log the goal, so their answers can't be judged.
 #[test]
 fn an_answer_without_a_goal_is_not_judged() {
     let text = answer(0, json!({})).replace(r#""goal_ms":"300","#, "");
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_request_stands_in_the_step_in_which_it_came() {
+fn a_request_counts_in_the_step_of_its_arrival() {
     let late = answer(61_500, json!({ "age_ms": 61_000, "first_ms": 60_000, "request": "slow" }));
     let summary = sum_up(late + &answer(61_500, json!({})));
     let worst = &summary.worst[0];
@@ -70,10 +71,10 @@
     assert_eq!(summary.worst.len(), 1);
 }
 
-/// An engine reads a long prompt in several steps, and the short ones beside it
-/// just before their first tokens.
+/// The prefill time of a long prompt starts at its placement and spans several
+/// steps; that of a short prompt ends at its first token.
 #[test]
-fn reading_is_spread_over_the_steps_in_which_it_is_done() {
+fn prefill_time_is_distributed_over_the_steps_it_overlaps() {
     let placed = json!({ "request": "l", "target_id": "i-1", "helpers": "i-2,i-3",
         "part_ms": 1_500, "prompt": 90_000, "age_ms": 20 });
     let log = line(800, "placed", placed)
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn first_tokens_are_compared_from_the_placing_of_streams_sent_once() {
+fn first_tokens_are_compared_from_the_placement_of_streams_sent_once() {
     let log = answer(0, json!({ "first_ms": 180, "wait_ms": 100 }))
         + &answer(0, json!({ "sends": 2 }))
         + &answer(0, json!({ "first_ms": 0, "pause_max_ms": 0 }));
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn pauses_count_by_how_much_they_are_over() {
+fn pauses_count_by_their_excess_above_the_limit() {
     let log = answer(0, json!({ "pause_ms": 350 }))
         + &answer(0, json!({}))
         + &answer(0, json!({ "pause_max_ms": 0, "pause_ms": 900 }));
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn refusals_are_counted_by_reason_with_what_was_known() {
+fn refusals_are_counted_by_reason_with_their_state() {
     let known = json!({ "request": "r", "reason": "overloaded", "status": 503, "ran": "no",
         "prompt": 70_000, "goal_left_ms": 10, "limit_left_ms": 900, "wait_ms": 25,
         "engines_known": 12, "full": 3, "idle": 0, "clear": 1, "penalized": 2, "unread_ms": 50,
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn sends_again_are_counted() {
+fn retries_are_counted() {
     let failed = json!({ "request": "r", "target_id": "i-9", "sends": 1 });
     let log = answer(0, json!({ "sends": 2 }))
         + &answer(0, json!({ "sends": 9 }))
@@ -151,25 +152,25 @@
     assert_eq!(summary.series.last().unwrap().failed_attempts, 1);
 }
 
-/// Memory must not grow with the logs: steps widen, and names beyond those that
-/// have room count together. Nothing is lost from the sums.
+/// Memory must not grow with the logs: the step width doubles, and names beyond the
+/// capacity share a count. The sums must stay complete.
 #[test]
-fn what_is_kept_is_bounded() {
+fn memory_is_bounded() {
     let mut log = String::new();
-    let count_all = 2 * STEPS_MAX as i64 + 100;
+    let count_all = 2 * MAX_STEPS as i64 + 100;
     for number in 0..count_all {
-        let target = format!("i-{}", number % (ENGINES_MAX as i64 + 20));
+        let target = format!("i-{}", number % (MAX_ENGINES as i64 + 20));
         let first_ms = if number % 2 == 0 { 100 } else { 400 };
         log += &answer(number * 1_000, json!({ "target_id": target, "first_ms": first_ms }));
-        let why = format!("attempt failed: cause {}", number % (REASONS_MAX as i64 + 5));
+        let why = format!("attempt failed: cause {}", number % (MAX_REASONS as i64 + 5));
         log += &line(number * 1_000, &why, json!({ "target_id": target }));
     }
     let summary = sum_up(&log);
     assert_eq!(summary.step_s, 4);
-    assert!(summary.series.len() <= STEPS_MAX, "{}", summary.series.len());
-    assert_eq!(summary.engines.len(), ENGINES_MAX + 1);
+    assert!(summary.series.len() <= MAX_STEPS, "{}", summary.series.len());
+    assert_eq!(summary.engines.len(), MAX_ENGINES + 1);
     assert_eq!(summary.engines.last().unwrap().name, "others");
-    assert_eq!(summary.sends.failed.len(), REASONS_MAX + 1);
+    assert_eq!(summary.sends.failed.len(), MAX_REASONS + 1);
     assert!(summary.worst.iter().all(|worst| worst.examples.len() <= 3));
     let rows = || summary.series.iter().flat_map(|point| &point.outcomes);
     let late: u64 = rows().map(|row| row.counts[Outcome::Late as usize]).sum();
@@ -184,9 +185,10 @@
     assert_eq!(attempts, count_all as u64);
 }
 
-/// One line with a wrong clock must not hide the others in a step of years.
+/// One line with a wrong clock must not widen the steps to years, which would hide all
+/// other lines in one step.
 #[test]
-fn a_far_time_leaves_the_steps_as_they_are() {
+fn a_wrong_clock_does_not_widen_the_steps() {
     let log = answer(0, json!({})) + &answer(-1_000_000_000_000, json!({}));
     let summary = sum_up(log);
     assert_eq!((summary.step_s, summary.series.len()), (1, 2));
--- a/crates/report/tests/page.rs
+++ b/crates/report/tests/page.rs
@@ -1,16 +1,16 @@
-//! The page and how it is put down.
+//! The page and how it is written to a file.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod log;
 
-use hickory_report::page::write_page;
-use hickory_report::save::save;
+use hickory_report::atomic_file;
+use hickory_report::page::render_page;
 use log::{answer, line, sum_up};
 use serde_json::json;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A log in which each plot has something to draw.
+/// Returns a log with data for each plot.
 fn write_log() -> String {
     let placed = json!({ "request": "l", "target_id": "i-1", "helpers": "i-2", "part_ms": 700,
         "prompt": 90_000, "age_ms": 20 });
@@ -26,7 +26,7 @@
 
 #[test]
 fn a_page_has_its_tables_and_plots() {
-    let page = write_page(&sum_up(write_log())).unwrap();
+    let page = render_page(&sum_up(write_log())).unwrap();
     for title in [
         "Worst steps",
         "Outcomes by size",
@@ -35,14 +35,14 @@
         "Predicted against real first token",
         "First tokens over time",
         "Waits over time",
-        "Pauses over what is wanted",
+        "Pauses above the limit",
         "Occupancy of engines: short prompts",
         "Occupancy of engines: long prompts",
         "Refusals by reason",
-        "What refusals knew",
+        "State at refusals",
         "Answers by sends",
         "Failed attempts over time",
-        "What nodes came to believe",
+        "Node events",
     ] {
         assert!(page.contains(title), "{title}");
     }
@@ -58,11 +58,11 @@
     }
 }
 
-/// The page is opened where nothing else can be reached, and names in it come
-/// from callers.
+/// The page must work without network access, and it contains names that callers
+/// choose, which must not become markup.
 #[test]
-fn a_page_needs_nothing_else_and_escapes_names() {
-    let page = write_page(&sum_up(write_log())).unwrap();
+fn a_page_has_no_external_resources_and_escapes_names() {
+    let page = render_page(&sum_up(write_log())).unwrap();
     for part in ["<script", "<link", "<img", "src=", "href=", "url(", "@import", "<late"] {
         assert!(!page.contains(part), "{part}");
     }
@@ -70,33 +70,33 @@
 }
 
 #[test]
-fn a_page_of_nothing_says_so() {
-    let page = write_page(&sum_up("")).unwrap();
+fn an_empty_page_says_so() {
+    let page = render_page(&sum_up("")).unwrap();
     assert!(page.contains("Nothing to show"));
     assert!(!page.contains("<svg"));
     assert!(page.ends_with("</html>"));
 }
 
 #[test]
-fn more_engines_than_are_drawn_are_said() {
+fn engines_that_are_not_drawn_are_counted() {
     let log: String =
         (0..45).map(|n| answer(0, json!({ "target_id": format!("i-{n}") }))).collect();
-    let page = write_page(&sum_up(log)).unwrap();
-    assert!(page.contains("Not drawn: 5 engines that read less."));
+    let page = render_page(&sum_up(log)).unwrap();
+    assert!(page.contains("Not drawn: 5 engines with less prefill time."));
 }
 
-/// One late request is seen among a thousand in time: it has a line of its own
-/// where its bar has no height.
+/// One late request among a thousand in time is too few for a visible bar; it must
+/// be shown by a line of fixed width.
 #[test]
-fn few_beside_many_are_seen() {
+fn a_few_bad_outcomes_among_many_are_visible() {
     let log = answer(0, json!({})).repeat(1_000);
     let line = "<polyline fill=\"none\" opacity=\"1\" stroke=\"#E6AA28\" stroke-width=\"2\"";
-    assert!(!write_page(&sum_up(&log)).unwrap().contains(line));
+    assert!(!render_page(&sum_up(&log)).unwrap().contains(line));
     let log = log + &answer(0, json!({ "first_ms": 301 }));
-    assert!(write_page(&sum_up(&log)).unwrap().contains(line));
+    assert!(render_page(&sum_up(&log)).unwrap().contains(line));
 }
 
-/// A directory of a test, removed with it.
+/// A temporary directory of a test, which is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -115,26 +115,26 @@
 
 impl Drop for Scratch {
     fn drop(&mut self) {
-        // What is left behind is the machine's to clean.
+        // An error leaves a directory in the system's temporary folder, which is fine.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn a_file_is_put_down_whole_or_not_at_all() {
+fn a_file_is_written_atomically() {
     let scratch = Scratch::open("save");
     let page = scratch.0.join("page.html");
-    save(&page, "first").unwrap();
-    save(&page, "second").unwrap();
+    atomic_file::write(&page, "first").unwrap();
+    atomic_file::write(&page, "second").unwrap();
     assert_eq!(fs::read_to_string(&page).unwrap(), "second");
     assert_eq!(scratch.names(), ["page.html"]);
 
     let taken = scratch.0.join("taken");
     fs::create_dir(&taken).unwrap();
-    save(&taken, "third").unwrap_err();
-    save(&scratch.0.join("nowhere/page.html"), "third").unwrap_err();
-    save(&page.join("below"), "third").unwrap_err();
-    save(Path::new("/"), "third").unwrap_err();
+    atomic_file::write(&taken, "third").unwrap_err();
+    atomic_file::write(&scratch.0.join("nowhere/page.html"), "third").unwrap_err();
+    atomic_file::write(&page.join("below"), "third").unwrap_err();
+    atomic_file::write(Path::new("/"), "third").unwrap_err();
     let mut names = scratch.names();
     names.sort();
     assert_eq!(names, ["page.html", "taken"]);
--- a/crates/telemetry/tests/docs.rs
+++ b/crates/telemetry/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The operators' page names every metric and every reason.
+//! The operations page documents every metric and every refusal and retry reason.
 
 use hickory_policy::refuse::{Reason, RetryReason};
 use hickory_telemetry::metrics::Metrics;
@@ -6,8 +6,8 @@
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
 #[test]
-fn every_metric_is_explained_and_none_is_made_up() {
-    let text = Metrics::open().unwrap().render();
+fn every_metric_is_documented_and_no_other() {
+    let text = Metrics::new().unwrap().render();
     let mut metrics: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix("# TYPE ")?.split(' ').next()).collect();
     let rows = PAGE.lines().filter_map(|line| line.strip_prefix("| `hickory_"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_reason_is_explained() {
+fn every_reason_is_documented() {
     let reasons = Reason::ALL.iter().map(|reason| reason.to_string());
     let retries = RetryReason::ALL.iter().map(|reason| reason.to_string());
     for reason in reasons.chain(retries) {
