--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use serde::Deserialize;
 
-/// The answer of a stand-in service: what it was called with.
+/// The answer of a stand-in service, which echoes the request.
 #[derive(Debug, Deserialize)]
 struct Echo {
     key: Option<String>,
@@ -15,7 +15,7 @@
 }
 
 impl Caller {
-    /// Makes one attempt; every attempt carries the same key.
+    /// Makes one attempt at a call. All attempts send the same idempotency key.
     pub(crate) async fn try_call(&self, call: &Call, progress: &mut Progress) -> Attempt {
         let Some(at) = self.finder.find_address(&self.http).await else {
             return Attempt::Unreachable;
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,5 +1,6 @@
-//! A caller: sends requests to the node it found, takes streams up again
-//! elsewhere, honours what refusals say, and checks what it gets.
+//! A client of the fleet. It sends requests to the node that service discovery
+//! returned, resumes interrupted streams on other nodes, retries refused requests
+//! after the delay that the refusal states, and validates the answers.
 
 use crate::content::Check;
 use crate::entry::Finder;
@@ -15,35 +16,35 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long after the deadline a caller waits to learn whether a final answer
-/// comes at all.
+/// Time after the deadline that a caller keeps waiting, to distinguish a late
+/// answer from a missing one.
 const LATE_ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// Pause before a broken exchange is sent again, so that a dead node's callers
-/// don't all come back at once.
+/// Delay before a request is retried after a broken connection, so that the
+/// callers of a dead node don't all reconnect at the same moment.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A completion to ask for, with its body made beforehand.
+/// A completion request with its serialized body.
 #[derive(Clone, Debug)]
 pub struct Completion {
     /// The account's token.
     pub token: String,
-    /// The body.
+    /// The serialized request body.
     pub body: Bytes,
-    /// What the answer must be.
+    /// The expected answer.
     pub answer: Answer,
-    /// Tokens of the answer.
+    /// Number of tokens in the answer.
     pub max_tokens: u64,
-    /// Time that it may take.
+    /// Time until the request must be answered.
     pub deadline: Duration,
-    /// Hang up after this many tokens.
+    /// Disconnect after this many tokens.
     pub hang_up: Option<u64>,
-    /// Times it may be sent again.
+    /// Maximum number of retries.
     pub resends: u32,
 }
 
 impl Completion {
-    /// Makes the body of a streamed completion of `prompt`.
+    /// Creates a streamed completion request for `prompt`.
     pub fn for_prompt(
         token: &str,
         model: &str,
@@ -69,51 +70,51 @@
 pub struct Call {
     /// The account's token.
     pub token: String,
-    /// The service and the path within it, as in `/orders/place`.
+    /// The service and the path within it, for example `/orders/place`.
     pub path: String,
     /// The body.
     pub body: String,
-    /// The UUIDv7 of a call that must not be repeated.
+    /// The UUIDv7 idempotency key of a call that must not be executed twice.
     pub key: Option<String>,
-    /// Time that it may take.
+    /// Time until the call must be answered.
     pub deadline: Duration,
-    /// Times it may be sent again.
+    /// Maximum number of retries.
     pub resends: u32,
 }
 
-/// A caller with the address it keeps.
+/// A client with a cached entry address.
 #[derive(Debug)]
 pub struct Caller {
     pub(crate) http: Http,
     pub(crate) finder: Finder,
 }
 
-/// Pause before nodes are asked again when none answered.
+/// Delay before the nodes are queried again for an entry address when none answered.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Times that one stream is taken up again: more than there are entry hosts
-/// that could be lost while it runs.
+/// Maximum number of resumptions of one stream. It exceeds the number of entry
+/// hosts that could fail while the stream runs.
 const MAX_RESUMES: u32 = 8;
 
-/// What an attempt came to.
+/// The result of one attempt.
 pub(crate) enum Attempt {
-    /// This is the end.
+    /// The request has ended.
     End(End),
-    /// No node says which address to use.
+    /// No node returned an entry address.
     Unreachable,
-    /// No connection: try the next address.
+    /// The connection could not be opened; the next address is tried.
     NotConnected,
-    /// It broke, and may be sent again.
+    /// The connection broke; the request may be retried.
     Broken,
 }
 
 impl Caller {
-    /// A caller that knows `seeds` and asks the one at `first` first.
+    /// Creates a caller that queries `seeds` for its entry address, starting at index `first`.
     pub fn open(seeds: Vec<SocketAddr>, first: usize) -> Self {
         Self { http: Http::open(), finder: Finder::open(seeds, first) }
     }
 
-    /// Asks for a completion; times count from `intended`.
+    /// Requests a completion. Latencies are measured from `intended`.
     pub async fn complete(&self, completion: &Completion, intended: Instant) -> Outcome {
         let mut progress = Progress::start(intended, completion.deadline, completion.resends);
         let mut check = Check::open(completion.max_tokens, |seq| completion.answer.token(seq));
@@ -129,7 +130,7 @@
         progress.into_outcome(end, check.seen())
     }
 
-    /// Calls a plain service; times count from `intended`.
+    /// Calls a plain service. Latencies are measured from `intended`.
     pub async fn call(&self, call: &Call, intended: Instant) -> Outcome {
         let mut progress = Progress::start(intended, call.deadline, call.resends);
         let attempts = async {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Takes a cut stream up through other nodes, at most [`MAX_RESUMES`] times.
+    /// Resumes an interrupted stream on other nodes, at most [`MAX_RESUMES`] times.
     async fn resume<F: Fn(u64) -> CompactString>(
         &self,
         completion: &Completion,
@@ -235,7 +236,7 @@
     }
 }
 
-/// The headers that every request carries.
+/// Returns the headers of every request.
 pub(crate) fn request_headers(token: &str, left: Duration) -> Vec<(&'static str, String)> {
     vec![
         ("authorization", format!("Bearer {token}")),
@@ -244,7 +245,8 @@
     ]
 }
 
-/// Ends what takes longer than the deadline, and tells late from never.
+/// Limits the time of `attempts` and classifies answers after the deadline as
+/// late and missing answers as unanswered.
 async fn enforce_deadline(deadline: Instant, attempts: impl Future<Output = End>) -> End {
     let limit = tokio::time::Instant::from_std(deadline + LATE_ANSWER_GRACE);
     match tokio::time::timeout_at(limit, attempts).await {
@@ -256,7 +258,7 @@
     }
 }
 
-/// What has come of a request so far.
+/// The state of a request across its attempts.
 #[derive(Debug)]
 pub(crate) struct Progress {
     intended: Instant,
@@ -271,7 +273,7 @@
     resends: u32,
 }
 
-/// Addresses that one request tries before it counts as unreachable.
+/// Maximum number of failed connections before a request ends as unreachable.
 const MAX_ADDRESS_ATTEMPTS: u32 = 32;
 
 impl Progress {
@@ -294,7 +296,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Notes that a token came.
+    /// Records the arrival of a token.
     pub(crate) fn record_token(&mut self, now: Instant) {
         match self.last_token.replace(now) {
             Some(last) => self.gaps.push(now - last),
@@ -302,7 +304,8 @@
         }
     }
 
-    /// The end, or `None` after the pause to be made before the next attempt.
+    /// Returns how the request ended, or `None` if it is to be retried, after waiting for the
+    /// retry delay.
     async fn end_or_retry(&mut self, result: Attempt) -> Option<End> {
         let (end, pause) = match result {
             Attempt::NotConnected if self.addresses_left > 0 => {
@@ -344,11 +347,13 @@
     }
 }
 
-/// When a refused request may be sent again; `None` for never.
+/// Returns the delay before a refused request may be retried, or `None` if it
+/// must not be.
 ///
-/// Only what certainly did not run is sent again. A node that drains or has
-/// no configuration yet says nothing of the others, so those are asked at
-/// once; any other refusal is honoured as it stands.
+/// Only requests that certainly did not run are retried. If the node is draining
+/// or has no configuration yet, other nodes may still accept the request, so it is
+/// retried there almost immediately. Other refusals are retried only after the
+/// delay that they state.
 fn retry_delay(refused: Refused) -> Option<Duration> {
     match (refused.ran, refused.reason) {
         (Ran::Unknown, _) => None,
--- a/crates/load/src/configuration.rs
+++ b/crates/load/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Time until a note is in force on nine nodes.
+//! Measures the time until a release note has taken effect on nine nodes.
 
 use crate::fleet::{self, Fleet};
 use crate::sheet::{Goal, Sheet};
@@ -9,19 +9,19 @@
 use hickory_unit::id;
 use std::time::{Duration, Instant};
 
-/// Notes accepted one after the other.
+/// Number of release notes, submitted one after the other.
 const NOTES: u32 = 30;
 
-/// Pause between two notes.
+/// Pause between two release notes.
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// Between two looks at a node.
+/// Interval between two reads of a node's configuration version.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How long a note may take at most.
+/// Maximum time until a release note has taken effect on all nodes.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Measures nine nodes.
+/// Runs the experiment with nine nodes.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { nodes: 9, engines: 3, ..fleet::Options::default() };
     let fleet = Fleet::open(options).await?;
@@ -53,7 +53,10 @@
     let start = Instant::now();
     for node in 0..fleet.nodes.len() {
         while fleet.version(node).await? < version {
-            ensure!(start.elapsed() < TIMEOUT, "node {node} lacks version {version}");
+            ensure!(
+                start.elapsed() < TIMEOUT,
+                "node {node} has not applied version {version} within {TIMEOUT:?}"
+            );
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
--- a/crates/load/src/content.rs
+++ b/crates/load/src/content.rs
@@ -1,70 +1,70 @@
-//! Whether an answer is the whole answer to its own request.
+//! Validates that an answer is complete and belongs to its request.
 //!
-//! Stand-in engines derive each token from the prompt and its index, so a
-//! caller can tell a lost, doubled or foreign token from a right one.
+//! Stand-in engines derive each token from the prompt and the token's index, so a
+//! caller can detect lost and repeated tokens and those of another answer.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// How far around the expected token a wrong one is looked for, to tell a gap
-/// or a repetition from foreign text.
+/// Number of tokens before and after the expected one that are compared with an
+/// unexpected token, to distinguish a gap or a repetition from foreign text.
 const SEARCH_WINDOW: u64 = 16;
 
-/// What is wrong with an answer.
+/// An error in an answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Error, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// Tokens before this one are missing.
     #[display("tokens {expected} to {got} are missing")]
     Gap {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
-        /// The index that came.
+        /// The received index.
         got: u64,
     },
-    /// A token came again.
+    /// A token was repeated.
     #[display("token {got} came again, {expected} was due")]
     Repeated {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
-        /// The index that came.
+        /// The received index.
         got: u64,
     },
-    /// The text belongs to no nearby token of this answer.
+    /// The text matches no nearby token of this answer.
     #[display("token {expected} is not of this answer")]
     Foreign {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
     },
-    /// More tokens than were asked for.
+    /// The answer has more tokens than requested.
     #[display("more tokens than the {count} asked for")]
     Surplus {
-        /// Tokens asked for.
+        /// Number of tokens requested.
         count: u64,
     },
-    /// The explicit end came before the last token.
+    /// The end marker arrived before the last token.
     #[display("ended after {got} of {count} tokens")]
     Short {
-        /// Tokens asked for.
+        /// Number of tokens requested.
         count: u64,
-        /// Tokens that came.
+        /// Number of tokens received.
         got: u64,
     },
-    /// The server counts other tokens than came.
+    /// The server's token count differs from the number of tokens received.
     #[display("the server counts {told} tokens, {got} came")]
     Miscounted {
-        /// Tokens by the server's count.
+        /// The server's token count.
         told: u64,
-        /// Tokens that came.
+        /// Number of tokens received.
         got: u64,
     },
-    /// Something came after the explicit end.
+    /// More data arrived after the end marker.
     #[display("text after the end")]
     AfterEnd,
 }
 
-/// Checks the tokens of one answer in the order they arrive.
+/// Validates the tokens of one answer in the order of arrival.
 #[derive(Clone, Debug)]
 pub struct Check<F> {
     token_at: F,
@@ -74,23 +74,23 @@
 }
 
 impl<F: Fn(u64) -> CompactString> Check<F> {
-    /// A check of an answer of `count` tokens, where `derive` gives the text
-    /// of the token with an index.
+    /// Creates a check for an answer of `count` tokens. `token_at` returns the
+    /// expected text of the token with the given index.
     pub fn open(count: u64, token_at: F) -> Self {
         Self { token_at, count, seen: 0, ended: false }
     }
 
-    /// Tokens that came and were right.
+    /// Returns the number of correct tokens received.
     pub fn seen(&self) -> u64 {
         self.seen
     }
 
-    /// Whether the explicit end came.
+    /// Returns whether the end marker has arrived.
     pub fn ended(&self) -> bool {
         self.ended
     }
 
-    /// Takes one token in.
+    /// Validates the next token.
     pub fn token(&mut self, text: &str) -> Result<(), Fault> {
         if self.ended {
             return Err(Fault::AfterEnd);
@@ -105,7 +105,7 @@
         Ok(())
     }
 
-    /// Takes the text of a whole answer in.
+    /// Validates the text of a complete answer token by token.
     pub fn text(&mut self, text: &str) -> Result<(), Fault> {
         let mut rest = text;
         while !rest.is_empty() {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Takes the explicit end in, with the server's count if it gives one.
+    /// Validates the end marker and the server's token count, if it sends one.
     pub fn end(&mut self, told: Option<u64>) -> Result<(), Fault> {
         if std::mem::replace(&mut self.ended, true) {
             return Err(Fault::AfterEnd);
--- a/crates/load/src/control_cost.rs
+++ b/crates/load/src/control_cost.rs
@@ -1,4 +1,5 @@
-//! What control costs a node, at 3, 6 and 9 nodes, idle and under load.
+//! Measures the cost of control traffic per node with 3, 6 and 9 nodes, idle and
+//! under load.
 
 use crate::experiment::send;
 use crate::fleet::{self, Fleet, Policy};
@@ -9,21 +10,22 @@
 use eyre::Result;
 use std::time::{Duration, Instant};
 
-/// How long each state is measured.
+/// Duration of each measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(8);
 
-/// Time for the ownership of targets to settle.
+/// Time until the ownership of targets has stabilized.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// The letter's budget for control: share of a core, memory, bytes a second.
+/// Budget per node for control: percentage of a core, memory, network traffic.
 const MAX_CORE_PERCENT: f64 = 2.1;
 const MAX_MEMORY_MB: f64 = 32.0;
 const MAX_BYTES_PER_SECOND: f64 = 5_000.0;
 
-/// Targets a node, so that only the number of nodes changes.
+/// Engines per node. The ratio is constant, so that the load on a node doesn't
+/// change with the number of nodes.
 const ENGINES_PER_NODE: usize = 2;
 
-/// Requests a second a node, as the letter has them.
+/// Request rate per node under load, for which the budget is specified.
 const REQUESTS_PER_SECOND_PER_NODE: f64 = 34.0;
 
 #[derive(Clone, Debug)]
@@ -34,7 +36,7 @@
     calls: f64,
 }
 
-/// Measures all sizes.
+/// Runs the experiment for all fleet sizes.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     for nodes in [3, 6, 9] {
         let engines = nodes * ENGINES_PER_NODE;
@@ -84,7 +86,7 @@
     Ok(Reading { at: Instant::now(), usage, connections, calls })
 }
 
-/// Adds means over the nodes, and the greatest where it matters.
+/// Adds the means over all nodes, and for memory the maximum.
 fn add_cost(
     sheet: &mut Sheet,
     fleet: &Fleet,
--- a/crates/load/src/credential.rs
+++ b/crates/load/src/credential.rs
@@ -1,8 +1,8 @@
-//! What callers prove their account with.
+//! The credentials of client accounts.
 
 use hickory_unit::id;
 
-/// An account with its token.
+/// A client account with its token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Credential {
     /// The account.
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -1,8 +1,9 @@
-//! The baselines: requests go straight to the engines, without the layer.
+//! The baseline policies, which send requests to the engines directly, without
+//! the serving layer.
 //!
-//! An engine takes what it is sent into its own first-in, first-out queue.
-//! What the baselines differ in is the choice of the engine: each in turn, or
-//! the one with the least load by a report that lags.
+//! Each engine has its own first-in, first-out queue. The baselines differ in how
+//! they choose an engine: round robin, or the least loaded one by its last
+//! report, which may be out of date.
 
 use crate::caller::Completion;
 use crate::content::Check;
@@ -21,26 +22,27 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Between two reads of an engine's report: a node's default.
+/// Poll interval for the engines' reports, the same as a node's default.
 const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a short call to an engine may take.
+/// Timeout of calls to an engine other than streams.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends straight to engines.
+/// A client that sends requests directly to the engines.
 #[derive(Debug)]
 pub struct Direct {
     policy: Policy,
     engines: Vec<SocketAddr>,
     targets: Targets,
     next: AtomicUsize,
-    /// Load of each engine by its last report: prompt tokens to prefill, then
-    /// KV cache in use.
+    /// The load of each engine by its last report: prompt tokens left to prefill,
+    /// then KV cache in use.
     loads: Mutex<Vec<(u64, u64)>>,
 }
 
 impl Direct {
-    /// Opens a baseline over `engines`; reports are read as long as it lives.
+    /// Creates a baseline client of `engines`. The least-loaded policy polls their
+    /// reports until the client is dropped.
     pub fn spawn(policy: Policy, engines: Vec<SocketAddr>) -> Arc<Self> {
         let loads = Mutex::new(vec![(0, 0); engines.len()]);
         let targets = Targets::open(CALL_TIMEOUT);
@@ -51,7 +53,7 @@
         direct
     }
 
-    /// Asks an engine for a completion; times count from `intended`.
+    /// Requests a completion from an engine. Latencies are measured from `intended`.
     pub async fn complete(
         &self,
         completion: &Completion,
@@ -66,7 +68,7 @@
         let end = tokio::time::timeout_at(limit, read).await;
         outcome.end = end.unwrap_or_else(|_| deadline_passed());
         if outcome.end != End::Whole {
-            // What nobody waits for must not take the engine's time.
+            // The engine must not spend time on a request that has no caller any more.
             self.targets.cancel(engine, &generate.stream).await.ok();
         }
         outcome.time = intended.elapsed();
@@ -85,14 +87,15 @@
         self.engines[index]
     }
 
-    /// The engine with the least load; among equal ones, in turn.
+    /// Returns the index of the least loaded engine. Ties are broken round robin.
     fn least_loaded_engine(&self, next: usize) -> usize {
         let loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         let order = (0..loads.len()).map(|step| (next + step) % loads.len());
         order.min_by_key(|index| loads[*index]).unwrap_or(next)
     }
 
-    /// An engine that does not answer keeps its last load.
+    /// Updates the loads from the reports. An engine that didn't answer keeps its
+    /// previous load.
     fn update_loads(&self, reports: &[Result<Report, Error>]) {
         let mut loads = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
         for (load, report) in loads.iter_mut().zip(reports) {
--- a/crates/load/src/entry.rs
+++ b/crates/load/src/entry.rs
@@ -1,9 +1,9 @@
-//! Which node a caller connects to.
+//! Service discovery of callers: which node to connect to.
 //!
-//! A caller asks any node, keeps the answer for the time that the answer
-//! states, and connects there. An address that takes no connection is avoided
-//! until the next answer; alternates come first, then the nodes known from
-//! the start.
+//! A caller queries any node and caches the answer for the time that the answer
+//! states. An address that refuses connections is avoided until the next query;
+//! the caller falls back to the alternates of the answer first, then to the seed
+//! nodes.
 
 use crate::http::Http;
 use serde::Deserialize;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Mutex;
 
-/// How long a node may take to say which address to use.
+/// Timeout of a query for the entry address.
 const ENTRY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The answer of `GET /v1/entry`.
@@ -20,9 +20,9 @@
 pub struct Entry {
     /// The address to use.
     pub address: SocketAddr,
-    /// Others, should it be dead.
+    /// Fallback addresses, in case the node is down.
     pub alternates: Vec<SocketAddr>,
-    /// How long the answer may be kept, in milliseconds.
+    /// Time that the answer may be cached, in milliseconds.
     pub keep_ms: u64,
 }
 
@@ -33,7 +33,7 @@
     avoided: BTreeSet<SocketAddr>,
 }
 
-/// Finds and keeps the address of one caller.
+/// Queries and caches the entry address of one caller.
 #[derive(Debug)]
 pub struct Finder {
     seeds: Vec<SocketAddr>,
@@ -41,14 +41,14 @@
 }
 
 impl Finder {
-    /// A finder that asks `seeds` from the one at `first` on.
+    /// Creates a finder that queries `seeds` in order, starting at index `first`.
     pub fn open(mut seeds: Vec<SocketAddr>, first: usize) -> Self {
         let start = first % seeds.len().max(1);
         seeds.rotate_left(start);
         Self { seeds, cached: Mutex::default() }
     }
 
-    /// The address to use now; `None` where no node answers.
+    /// Returns the address to connect to, or `None` if no node answers.
     pub async fn find_address(&self, http: &Http) -> Option<SocketAddr> {
         let mut cached = self.cached.lock().await;
         let stale = cached.expires_at.is_none_or(|expires_at| expires_at <= Instant::now());
@@ -58,7 +58,7 @@
         self.usable_addresses(&cached).first().copied()
     }
 
-    /// Avoids an address that took no connection or said that it leaves.
+    /// Avoids an address that refused a connection or whose node is draining.
     pub async fn avoid(&self, address: SocketAddr) {
         self.cached.lock().await.avoided.insert(address);
     }
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -1,4 +1,4 @@
-//! The experiments by name, and what they share.
+//! The experiments by name, and their common functions.
 
 use crate::direct::Direct;
 use crate::fleet::{Fleet, Options, Policy};
@@ -17,37 +17,37 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long an experiment may take: all its processes are ended then.
+/// Maximum duration of an experiment. Its processes are killed when it expires.
 const TIMEOUT: Duration = Duration::from_secs(240);
 
 /// An experiment.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Name {
-    /// A stream of 100 tokens over 2 s through oxhttp's and hyper's servers.
+    /// A stream of 100 tokens over 2 s from the servers of oxhttp and hyper.
     #[display("stream-server")]
     StreamServer,
-    /// Short requests alone and beside a burst of long ones.
+    /// Short requests alone and during a burst of long ones.
     #[display("short-beside-long")]
     ShortBesideLong,
-    /// Time to first token by prompt length in a mixed load.
+    /// Time to first token by prompt length under a mixed load.
     #[display("first-token")]
     FirstToken,
-    /// A zone leaves and returns under load.
+    /// A zone is taken out of service and back under load.
     #[display("zone")]
     Zone,
-    /// What each partner gets under saturation.
+    /// The share of each partner under saturation.
     #[display("shares")]
     Shares,
-    /// Goodput at twice the capacity.
+    /// Goodput at twice the capacity of the fleet.
     #[display("overload")]
     Overload,
-    /// What the layer adds to the first token, and tokens relayed by a core.
+    /// Time to first token that the serving layer adds, and tokens relayed per core.
     #[display("relay")]
     Relay,
-    /// Control traffic, processor time and memory at 3, 6 and 9 nodes.
+    /// Control traffic, processor time and memory with 3, 6 and 9 nodes.
     #[display("control-cost")]
     ControlCost,
-    /// Time until a note is in force on nine nodes.
+    /// Time until a release note has taken effect on nine nodes.
     #[display("config")]
     Configuration,
 }
@@ -66,13 +66,13 @@
         Self::Configuration,
     ];
 
-    /// The experiment with the given name.
+    /// Returns the experiment with the given name.
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|name| name.to_string() == text)
     }
 }
 
-/// Runs an experiment; ends every process it started, whatever happens.
+/// Runs an experiment and kills every process that it started, also if it fails.
 pub fn run_experiment(name: Name, seed: u64) -> Result<Sheet> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let measured = runtime.block_on(async {
@@ -82,7 +82,7 @@
             _ = tokio::signal::ctrl_c() => bail!("interrupted"),
             _ = terminate.recv() => bail!("terminated"),
         }
-        .unwrap_or_else(|_| bail!("not done within {} s", TIMEOUT.as_secs()))
+        .unwrap_or_else(|_| bail!("the experiment did not finish within {} s", TIMEOUT.as_secs()))
     });
     process::kill_all();
     measured
@@ -119,10 +119,10 @@
     Ok(())
 }
 
-/// The policies that experiments compare: the product's first.
+/// The policies that experiments compare, with the product's own first.
 pub(crate) const POLICIES: [Policy; 3] = [Policy::Fair, Policy::Fifo, Policy::LeastLoaded];
 
-/// Opens a fleet with a policy; a baseline has stand-ins but no nodes.
+/// Starts a fleet for a policy. Baselines have stand-ins but no nodes.
 pub(crate) async fn open_fleet(options: Options, policy: Policy) -> Result<Fleet> {
     match policy {
         Policy::Fair => Fleet::open(options).await,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Says what the baselines are.
+/// Adds a note that describes the baselines.
 pub(crate) fn note_baselines(sheet: &mut Sheet) {
     sheet.note(
         "baselines: straight to the engines, first in, first out there; fifo: each engine in \
@@ -138,7 +138,8 @@
     );
 }
 
-/// Sends a workload through a fleet's nodes, or straight to its engines.
+/// Sends a workload through the nodes of a fleet, or directly to its engines for a
+/// baseline.
 pub(crate) async fn send(fleet: &Fleet, policy: Policy, options: &mix::Options) -> Vec<Sample> {
     let route = match policy {
         Policy::Fair => Route::nodes(options.callers, &fleet.entry_addresses()),
@@ -149,7 +150,8 @@
     run::send_workload(options.clone(), route, fleet.credentials.clone()).await
 }
 
-/// First tokens of the samples of one kind that were due within a time.
+/// Returns the times to first token of samples of the given kind whose intended
+/// send time is in `due`.
 pub(crate) fn first_token_spread(
     samples: &[Sample],
     kind: Kind,
@@ -159,7 +161,8 @@
     chosen.filter_map(|sample| sample.outcome.first_token).collect()
 }
 
-/// Adds what did not end whole, so that no figure hides a lost request.
+/// Adds the number of requests by outcome, so that lost requests remain visible
+/// beside the other figures.
 pub(crate) fn add_ends(sheet: &mut Sheet, label: &str, options: &mix::Options, samples: &[Sample]) {
     let report = Report::from_samples(options, &[], samples);
     sheet.add(format!("{label}: requests"), report.sent as f64, "");
@@ -175,7 +178,8 @@
     }
 }
 
-/// Whether a request neither got its answer nor a refusal.
+/// Returns whether a request got neither a complete answer nor a refusal, although
+/// its caller didn't hang up.
 pub(crate) fn is_lost(sample: &Sample) -> bool {
     !matches!(sample.outcome.end, End::Whole | End::Refused(_) | End::HungUp)
 }
--- a/crates/load/src/first_token.rs
+++ b/crates/load/src/first_token.rs
@@ -1,4 +1,4 @@
-//! Time to first token by prompt length in a mixed load.
+//! Measures the time to first token by prompt length under a mixed load.
 
 use crate::experiment::{POLICIES, add_ends, first_token_spread, note_baselines, open_fleet, send};
 use crate::fleet;
@@ -9,16 +9,16 @@
 use hickory_model::engine::Options as Engine;
 use std::time::Duration;
 
-/// How long requests are sent.
+/// Duration of the workload.
 const DURATION: Duration = Duration::from_secs(20);
 
-/// Engines run this much faster than the model's clock, so that a million
-/// tokens pass within the run.
+/// Speedup of the simulated engines, so that prompts of a million tokens are
+/// processed within the run.
 const ENGINE_SPEED: f64 = 4.0;
 
 const QUANTILES: [(&str, f64); 3] = [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)];
 
-/// Measures all policies.
+/// Runs the experiment for all policies.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let mut fair = Vec::new();
     for policy in POLICIES {
@@ -52,7 +52,8 @@
     Ok(())
 }
 
-/// About half of what six engines prefill, and two prompts of a million.
+/// Returns a load of about half of the prefill capacity of six engines, and two
+/// prompts of a million tokens.
 fn plan(seed: u64) -> Options {
     let part = Part::new;
     let mut huge = part(Length::Huge, Class::Batch, 0.0);
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -1,8 +1,8 @@
-//! A small fleet for an experiment: node processes over stand-ins.
+//! A small fleet for an experiment: node processes with stand-ins for the rest.
 //!
-//! The nodes are real processes on loopback with ports of their own choice.
+//! The nodes are real processes on loopback with ports assigned by the system.
 //! The platform and the targets are stand-ins on threads of this process, so
-//! that an experiment can look into them without a lag.
+//! that an experiment can read their state without delay.
 
 use crate::credential::Credential;
 use crate::http::{self, Http};
@@ -29,41 +29,41 @@
 /// The operator's token.
 const OPERATOR_TOKEN: &str = "operator-of-the-experiment";
 
-/// The key by which the nodes know each other.
+/// The shared key with which the nodes authenticate each other.
 const FLEET_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// How long a fleet may take until it serves.
+/// Maximum time until a started fleet is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Between two looks at whether a condition holds.
+/// Interval between two checks of a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What decides where requests go and in which order.
+/// The policy that chooses the target of each request and the order of requests.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum Policy {
-    /// The nodes of the product.
+    /// The product's own policy, run by its nodes.
     #[display("fair")]
     Fair,
-    /// First in, first out, targets in turn: a baseline.
+    /// Baseline: first in, first out, with round-robin choice of the target.
     #[display("fifo")]
     Fifo,
-    /// The target with the least load by its lagging report: a baseline.
+    /// Baseline: the least loaded target by its last report, which may be out of date.
     #[display("least_loaded")]
     LeastLoaded,
 }
 
-/// What to start.
+/// The size and configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Nodes, spread over the zones in turn; at most 9.
+    /// Number of nodes, distributed over the zones round robin; at most 9.
     pub nodes: usize,
-    /// Engines, spread over the zones in turn.
+    /// Number of engines, distributed over the zones round robin.
     pub engines: usize,
-    /// How each engine behaves.
+    /// The simulation parameters of each engine.
     pub engine: Engine,
-    /// Replicas of the plain service `orders`.
+    /// Number of replicas of the plain service `orders`.
     pub replicas: usize,
-    /// The partners with their shares and their number of accounts.
+    /// The partners, each with its share and its number of accounts.
     pub partners: Vec<(&'static str, f64, usize)>,
 }
 
@@ -84,11 +84,11 @@
 pub struct Node {
     /// The process.
     pub process: Process,
-    /// Where it listens.
+    /// Its listen addresses.
     pub address: Address,
 }
 
-/// Where a node listens, as it prints when it is ready.
+/// The listen addresses of a node, which it prints when it is ready.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Address {
     /// For callers.
@@ -99,22 +99,22 @@
     pub peers: SocketAddr,
 }
 
-/// A running fleet; ended when dropped.
+/// A running fleet, which is stopped when dropped.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The nodes; ended before the stand-ins.
+    /// The nodes, which are stopped before the stand-ins.
     pub nodes: Vec<Node>,
     /// The platform and the targets.
     pub standins: Standins,
-    /// The accounts, those of the first partner first.
+    /// The credentials of the accounts, in the order of their partners.
     pub credentials: Vec<Credential>,
     http: Http,
     folder: PathBuf,
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until each node has the first note and every
-    /// target takes work.
+    /// Starts a fleet and waits until each node has applied the first release note
+    /// and sees every target accept work.
     pub async fn open(options: Options) -> Result<Self> {
         ensure!(options.nodes <= 9, "an experiment starts at most nine nodes");
         let mut fleet = Self::open_standins(&options)?;
@@ -128,37 +128,37 @@
         Ok(fleet)
     }
 
-    /// Starts the stand-ins of a fleet, and no nodes.
+    /// Starts the stand-ins of a fleet without any nodes.
     pub fn open_standins(options: &Options) -> Result<Self> {
         let standins = spawn_standins(options)?;
         let (folder, credentials) = (create_folder()?, make_credentials(options));
         Ok(Self { nodes: Vec::new(), standins, credentials, http: Http::open(), folder })
     }
 
-    /// The addresses of the engines.
+    /// Returns the addresses of the engines.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         self.standins.engines.iter().map(|engine| engine.address()).collect()
     }
 
-    /// The addresses of the nodes for callers.
+    /// Returns the addresses of the nodes for callers.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.address.callers).collect()
     }
 
-    /// The address of one node for operators.
+    /// Returns the address of the first node for operators.
     pub fn admin_address(&self) -> SocketAddr {
         self.nodes[0].address.admin
     }
 
-    /// Sends a note that changes entries of the present configuration, and
-    /// returns its version.
+    /// Submits a release note that changes entries of the current configuration,
+    /// and returns the new version.
     pub async fn change_configuration(&self, changed: Entries) -> Result<id::Release> {
         let current = self.read_json::<Configuration>(0, "/v1/admin/configuration").await?;
         let note = Note { against: current.version, changed, ..Note::default() };
         self.submit_note(&note).await
     }
 
-    /// Takes a zone out of service, or back in.
+    /// Takes a zone out of service or puts it back in service.
     pub async fn set_zone(&self, zone: &str, out: bool) -> Result<id::Release> {
         let zones = [(zone.into(), Zone { out })].into();
         self.change_configuration(Entries { zones, ..Entries::default() }).await
@@ -174,7 +174,7 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// The sum of a node's counters whose name and labels begin with `prefix`.
+    /// Returns the sum of a node's counters whose name and labels start with `prefix`.
     pub async fn read_metric(&self, node: usize, prefix: &str) -> Result<f64> {
         let body = self.call_admin(node, "GET", "/metrics", Bytes::new()).await?;
         let text = String::from_utf8_lossy(&body);
@@ -182,7 +182,7 @@
         Ok(lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum())
     }
 
-    /// The version in force on a node.
+    /// Returns the configuration version that a node has applied.
     pub async fn version(&self, node: usize) -> Result<id::Release> {
         #[derive(Deserialize)]
         struct Health {
@@ -193,7 +193,7 @@
         Ok(serde_json::from_slice::<Health>(&body)?.version)
     }
 
-    /// Accepts a note through the first node.
+    /// Submits a release note to the first node and returns its version.
     pub async fn submit_note(&self, note: &Note) -> Result<id::Release> {
         #[derive(Deserialize)]
         struct Accepted {
@@ -231,11 +231,14 @@
         let binary = crate::process::find_binary("hickory-node")?;
         let started = Process::spawn(&binary, &[&path, "--log", "warn"], &errors);
         let (process, line) = started.with_context(|| read_first_lines(&errors))?;
-        let address = serde_json::from_str(&line).with_context(|| format!("node says {line:?}"))?;
+        let address = serde_json::from_str(&line).with_context(|| {
+            format!("expected the listen addresses of the node as JSON, got {line:?}")
+        })?;
         Ok(Node { process, address })
     }
 
-    /// The key-value service may not be reached yet when nodes start.
+    /// Submits the first release note. Failed attempts are repeated, since the nodes may
+    /// not have connected to the key-value service yet.
     async fn submit_first_note(&self, note: &Note) -> Result<()> {
         let start = Instant::now();
         loop {
@@ -262,7 +265,9 @@
                     break;
                 }
                 if start.elapsed() > READY_TIMEOUT {
-                    bail!("node {node} sees {accepting} of {targets} targets take work");
+                    bail!(
+                        "node {node}: {accepting} of {targets} targets accept work after {READY_TIMEOUT:?}"
+                    );
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client under the callers.
+//! The HTTP client that callers use.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -10,32 +10,32 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a node may take to accept a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why an exchange gave no response.
+/// Why a request received no response.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Error)]
 pub enum Error {
-    /// No connection could be made: nothing was sent.
-    #[display("not connected")]
+    /// The connection could not be opened; no data was sent.
+    #[display("the connection could not be opened")]
     NotConnected,
-    /// The connection broke after something may have been sent.
-    #[display("broken: {_0}")]
+    /// The connection broke after data may have been sent.
+    #[display("the connection broke: {_0}")]
     Broken(#[error(not(source))] String),
 }
 
-/// A client with a pool of connections; an exchange that is dropped before
-/// its end closes its connection.
+/// A client with a connection pool. Dropping a request before its response is
+/// complete closes its connection.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Http {
-    /// Opens the client.
+    /// Creates a client.
     pub fn open() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -47,7 +47,7 @@
         Self { client }
     }
 
-    /// Sends a request and returns the response with its body still to come.
+    /// Sends a request and returns the response as soon as its head has arrived.
     pub async fn send(
         &self,
         at: SocketAddr,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Reads a whole document.
+    /// Requests a document and returns its status and body.
     pub async fn get_text(&self, at: SocketAddr, path: &str) -> Result<(u16, Bytes), Error> {
         let response = self.send(at, "GET", path, &[], Bytes::new()).await?;
         let status = response.status().as_u16();
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
 //! Seeded callers and the experiments that measure a fleet.
 //!
-//! [`mix::plan_requests`] makes the workload, [`run::run()`] sends it in an
-//! open loop and [`report::Report`] sums up what the callers saw.
-//! [`experiment`] starts small fleets of processes and measures them.
+//! [`mix::plan_requests`] generates the workload, [`run::run()`] sends it in an
+//! open loop and [`report::Report`] summarizes the results as the callers saw
+//! them. [`experiment`] starts small fleets of processes and measures them.
 
 pub mod call;
 pub mod caller;
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -1,7 +1,7 @@
-//! The seeded workload: which requests are sent, when, by whom.
+//! The seeded workload: which requests are sent, when, and by which account.
 //!
-//! The whole plan is made before the first request is sent, from the seed
-//! alone, so that two policies can be put under exactly the same load.
+//! The whole plan is generated from the seed before the first request is sent, so
+//! that policies can be compared under exactly the same load.
 
 use derive_more::Display;
 use hickory_unit::size;
@@ -15,29 +15,29 @@
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum Length {
-    /// A thousand tokens: advice at a counter, a deposit check.
+    /// A thousand tokens, for example a question of a customer.
     #[display("1k")]
     #[serde(rename = "1k")]
     Short,
-    /// Ten thousand tokens: a catalogue page.
+    /// Ten thousand tokens, for example a catalogue page.
     #[display("10k")]
     #[serde(rename = "10k")]
     Middle,
-    /// A hundred thousand tokens: a season's report.
+    /// A hundred thousand tokens, for example the report of a season.
     #[display("100k")]
     #[serde(rename = "100k")]
     Long,
-    /// A million tokens: a whole archive, greater than one engine's memory.
+    /// A million tokens, for example an archive; exceeds the memory of one engine.
     #[display("1M")]
     #[serde(rename = "1M")]
     Huge,
 }
 
 impl Length {
-    /// All classes, the shortest first.
+    /// All classes, in ascending order.
     pub const ALL: &[Self] = &[Self::Short, Self::Middle, Self::Long, Self::Huge];
 
-    /// Tokens of a prompt of the class.
+    /// Returns the number of tokens of a prompt of the class.
     pub fn tokens(self) -> size::Tokens {
         size::Tokens(match self {
             Self::Short => 1_000,
@@ -48,58 +48,58 @@
     }
 }
 
-/// Who waits for an answer.
+/// The service class of a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// A person.
+    /// A person is waiting for the answer.
     #[display("interactive")]
     Interactive,
-    /// Nobody at once, but it must arrive.
+    /// The answer is needed, but no person is waiting for it.
     #[display("batch")]
     Batch,
 }
 
-/// When requests arrive.
+/// The arrival process of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Arrival {
-    /// Independently of each other, at the mean rate.
+    /// A Poisson process with the mean rate.
     Poisson,
-    /// In bursts of this many at once, the bursts independently of each
-    /// other, at the same mean rate.
+    /// Bursts of this many simultaneous requests. The bursts are a Poisson process
+    /// with the same mean rate of requests.
     Bursts(u32),
-    /// This many at once when the part begins, and none after; the rate plays
-    /// no role.
+    /// This many simultaneous requests at the start of the part and none later. The
+    /// rate is ignored.
     Once(u32),
 }
 
-/// A part of the workload: one kind of completion with its own arrivals.
+/// A part of the workload: one kind of completion with its own arrival process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Part {
-    /// The prompts' length.
+    /// The length class of the prompts.
     pub length: Length,
-    /// Who waits.
+    /// The service class.
     pub class: Class,
-    /// Mean requests a second.
+    /// Mean rate, in requests per second.
     pub rate: f64,
-    /// How they arrive.
+    /// The arrival process.
     pub arrival: Arrival,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: u64,
-    /// Time that each request may take.
+    /// Time from the intended send time until the answer must be complete.
     pub deadline: Duration,
-    /// When the part begins, from the start of the run.
+    /// Start of the part, relative to the start of the run.
     pub from: Duration,
-    /// The accounts that send it, the first and the one after the last, drawn
-    /// by the skew; `None` for all.
+    /// The accounts that send its requests, as a half-open range of indexes; `None` for
+    /// all. The skew applies within the range.
     pub accounts: Option<(usize, usize)>,
 }
 
 impl Part {
-    /// A part with `rate` requests a second that begins with the run; an
-    /// answer of 32 tokens in 20 s where a person waits, of 64 in 120 s
-    /// otherwise.
+    /// Creates a part with `rate` requests per second from the start of the run.
+    /// Interactive answers have 32 tokens and a deadline of 20 s, batch answers 64
+    /// tokens and a deadline of 120 s.
     pub fn new(length: Length, class: Class, rate: f64) -> Self {
         let (max_tokens, seconds) = match class {
             Class::Interactive => (32, 20),
@@ -118,11 +118,12 @@
     pub service: String,
     /// The path within it, with its leading slash.
     pub path: String,
-    /// Mean calls a second.
+    /// Mean rate, in calls per second.
     pub rate: f64,
-    /// Whether a call must not be repeated: each gets its own UUIDv7 key.
+    /// Whether a call must not be executed twice; each call then has its own UUIDv7
+    /// idempotency key.
     pub once: bool,
-    /// Time that each call may take.
+    /// Time from the intended send time until the call must be answered.
     pub deadline: Duration,
 }
 
@@ -131,28 +132,28 @@
 pub struct Options {
     /// The seed.
     pub seed: u64,
-    /// How long requests are sent.
+    /// Duration of the workload.
     pub duration: Duration,
-    /// The model asked for.
+    /// The model of the completions.
     pub model: String,
     /// The completions.
     pub parts: Vec<Part>,
     /// The calls of plain services.
     pub calls: Vec<Calls>,
-    /// Skew over the accounts: account `i` is drawn with weight
-    /// `1 / (i + 1)^skew`; zero is even.
+    /// Skew of the load over the accounts: account `i` is drawn with weight
+    /// `1 / (i + 1)^skew`; zero means a uniform distribution.
     pub skew: f64,
-    /// Share of the streamed callers that hang up in mid-stream, 0 to 1.
+    /// Fraction of the streamed requests whose caller disconnects mid-stream, 0 to 1.
     pub hang_up: f64,
-    /// Times that a refused or broken request is sent again.
+    /// Maximum number of retries of a refused or broken request.
     pub resends: u32,
-    /// Caller processes to imitate: each keeps its own entry address.
+    /// Number of caller processes to simulate. Each caches its own entry address.
     pub callers: u32,
 }
 
 impl Options {
-    /// A mixed workload of all lengths for `duration`, `rate` requests a
-    /// second in all, of which one in fifty is over a hundred thousand tokens.
+    /// Creates a mixed workload of all lengths with `rate` requests per second in
+    /// total. 3% of the prompts have 100,000 tokens and 1% a million.
     pub fn mixed(seed: u64, duration: Duration, rate: f64) -> Self {
         use Class::{Batch, Interactive};
         let parts = vec![
@@ -164,7 +165,7 @@
         Self { parts, ..Self::empty(seed, duration) }
     }
 
-    /// A workload without requests, for parts to be added.
+    /// Creates a workload without requests, to which parts can be added.
     pub fn empty(seed: u64, duration: Duration) -> Self {
         Self {
             seed,
@@ -180,39 +181,39 @@
     }
 }
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Work {
     /// A completion.
     Completion {
-        /// The part of the workload it belongs to.
+        /// The part of the workload that it belongs to.
         part: Part,
-        /// Makes the prompt differ from all others.
+        /// A random value that makes the prompt unique.
         salt: u64,
-        /// The caller hangs up after this many tokens.
+        /// The caller disconnects after this many tokens.
         hang_up: Option<u64>,
     },
     /// A call of a plain service, by its index in [`Options::calls`].
     Call(usize),
 }
 
-/// A request of the plan.
+/// A planned request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
-    /// When it is to be sent, from the start of the run.
+    /// Intended send time, relative to the start of the run.
     pub at: Duration,
     /// The account that sends it, by index.
     pub account: usize,
     /// The caller that sends it, by index.
     pub caller: u32,
-    /// What it asks for.
+    /// The requested operation.
     pub work: Work,
 }
 
-/// All requests of the workload for `accounts` accounts, sorted by time.
+/// Returns all requests of the workload for `accounts` accounts, sorted by time.
 ///
-/// Each part draws from a generator of its own, so that adding a part leaves
-/// the others' requests as they were.
+/// Each part has its own random generator, so that adding a part doesn't change
+/// the requests of the other parts.
 pub fn plan_requests(options: &Options, accounts: usize) -> Vec<Request> {
     let weights: Vec<f64> =
         (0..accounts).map(|i| ((i + 1) as f64).powf(options.skew).recip()).collect();
@@ -301,8 +302,8 @@
     weights.len().saturating_sub(1)
 }
 
-/// A prompt of exactly `tokens` tokens that no other salt gives; it differs
-/// from others in its first block, so that no prefix cache helps.
+/// Returns a prompt of exactly `tokens` tokens that is unique to `salt`. Prompts
+/// differ in their first block, so that prefix caches have no effect.
 pub fn make_prompt(salt: u64, tokens: size::Tokens) -> String {
     const FILLER: &str = "lime plaster wants a breathing primer and two thin coats of paint; ";
     let bytes = (tokens.0 * size::BYTES_PER_TOKEN) as usize;
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, as its caller saw it.
+//! The outcome of a request, as its caller saw it.
 
 use crate::content::Fault;
 use crate::mix::{Class, Length};
@@ -7,34 +7,34 @@
 use hickory_policy::refuse::{Ran, Reason};
 use std::time::Duration;
 
-/// How long after the deadline a final answer still counts as in time: the
-/// way back over loopback and the wake-up of a busy caller.
+/// Time after the deadline within which an answer still counts as in time. It
+/// covers the transfer over loopback and the scheduling delay of a busy caller.
 pub const LATE_TOLERANCE: Duration = Duration::from_millis(250);
 
 /// A refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Whether the request ran.
+    /// Whether the request may have run.
     pub ran: Ran,
-    /// When to come back.
+    /// The delay before a retry, if the refusal states one.
     pub retry_after: Option<Duration>,
 }
 
-/// Why an answer is not whole, beside a refusal.
+/// Why a request failed without a refusal.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Failure {
-    /// No node took a connection.
+    /// No node accepted a connection.
     #[display("unreachable")]
     Unreachable,
-    /// The connection broke and the request could not be taken up again.
+    /// The connection broke and the request could be neither resumed nor retried.
     #[display("broken")]
     Broken,
-    /// The system said, after the answer had begun, that it failed.
+    /// The system reported a failure after the answer had started.
     #[display("told-{}", _0.reason)]
     Reported(Refused),
-    /// The answer breaks the interface.
+    /// The answer violates the protocol.
     #[display("protocol: {_0}")]
     Protocol(CompactString),
 }
@@ -42,30 +42,30 @@
 /// How a request ended.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum End {
-    /// The whole right answer came in time.
+    /// The complete and correct answer arrived in time.
     #[display("whole")]
     Whole,
-    /// It was refused, and the last refusal stands.
+    /// The request was refused; holds the last refusal.
     #[display("refused")]
     Refused(Refused),
-    /// It failed, and the caller was told or could tell.
+    /// The request failed, and the caller could detect that it did.
     #[display("failed")]
     Failed(Failure),
-    /// A final answer came after the deadline.
+    /// The final answer arrived after the deadline.
     #[display("late")]
     Late,
-    /// No final answer came, even after the deadline.
+    /// No final answer arrived, even after the deadline.
     #[display("unanswered")]
     Unanswered,
-    /// Something that is not the answer came.
+    /// The answer has wrong content.
     #[display("wrong")]
     Wrong(Fault),
-    /// The caller hung up on purpose.
+    /// The caller disconnected on purpose.
     #[display("hung-up")]
     HungUp,
 }
 
-/// What kind of request it was.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// A completion with a prompt of this length.
@@ -76,30 +76,30 @@
     Call,
 }
 
-/// What a caller saw of one exchange.
+/// The outcome of one request, with its latencies and retries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// The end.
+    /// How the request ended.
     pub end: End,
-    /// From the intended send time to the first token.
+    /// Time from the intended send time to the first token.
     pub first_token: Option<Duration>,
-    /// Between each two tokens.
+    /// The inter-token latencies.
     pub gaps: Vec<Duration>,
-    /// From the intended send time to the end.
+    /// Time from the intended send time to the end.
     pub time: Duration,
-    /// Tokens that came and were right.
+    /// Number of correct tokens received.
     pub tokens: u64,
-    /// Every refusal, also those after which it was sent again.
+    /// All refusals, including those after which the request was retried.
     pub refusals: Vec<Refused>,
-    /// Times that the stream was taken up again.
+    /// Number of times that the stream was resumed.
     pub resumes: u32,
-    /// Times that the request was sent again.
+    /// Number of retries of the request.
     pub resends: u32,
 }
 
 impl Outcome {
-    /// An exchange of which nothing has come yet, with the end that it has if
-    /// nothing does.
+    /// Creates the outcome of a request that has received no data. `end` applies if
+    /// none arrives.
     pub fn open(end: End) -> Self {
         Self {
             end,
@@ -117,14 +117,14 @@
 /// One request of a run with its outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// When it was to be sent, from the start of the run.
+    /// Intended send time, relative to the start of the run.
     pub at: Duration,
-    /// What kind it was.
+    /// The kind of request.
     pub kind: Kind,
-    /// Who waited.
+    /// The service class.
     pub class: Class,
     /// The account, by index.
     pub account: usize,
-    /// What came of it.
+    /// The outcome.
     pub outcome: Outcome,
 }
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -1,4 +1,4 @@
-//! Goodput at twice the capacity.
+//! Measures the goodput at twice the capacity of the fleet.
 
 use crate::experiment::{POLICIES, add_ends, note_baselines, open_fleet, send};
 use crate::fleet::{self, Policy};
@@ -9,19 +9,19 @@
 use eyre::Result;
 use std::time::Duration;
 
-/// How long requests are sent.
+/// Duration of the workload.
 const DURATION: Duration = Duration::from_secs(16);
 
-/// Before this, queues fill and nothing is counted.
+/// Time for queues to fill, which is excluded from the figures.
 const WARM_UP_TIME: Duration = Duration::from_secs(4);
 
-/// Requests that measure the capacity, all at once.
+/// Number of simultaneous requests for measuring the capacity.
 const CAPACITY_BURST: u32 = 240;
 
-/// Time that each request may take.
+/// Deadline of each request.
 const DEADLINE: Duration = Duration::from_secs(4);
 
-/// Measures all policies.
+/// Runs the experiment for all policies.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let capacity = measure_capacity(sheet).await?;
     sheet.add("capacity", capacity, "requests/s");
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -1,8 +1,8 @@
-//! Processes that an experiment starts, and their end.
+//! Child processes of an experiment.
 //!
-//! Every child is ended by its own handle: when its [`Process`] is dropped,
-//! or all at once by [`kill_all`] when the experiment is interrupted or takes
-//! too long. Nothing is ever ended by name.
+//! Every child is killed through its own handle: when its [`Process`] is dropped,
+//! or together with all others by [`kill_all`] when the experiment is interrupted
+//! or times out. No process is killed by name.
 
 use eyre::{Context, ContextCompat, Result};
 use std::io::{BufRead, BufReader};
@@ -14,14 +14,14 @@
 
 static RUNNING_CHILDREN: Mutex<Vec<SharedChild>> = Mutex::new(Vec::new());
 
-/// A running child process; ended when dropped.
+/// A running child process, which is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: SharedChild,
     pid: u32,
 }
 
-/// What a process has used so far.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Processor time, in seconds.
@@ -31,9 +31,9 @@
 }
 
 impl Process {
-    /// Starts `binary` and returns it with the first line it prints, which
-    /// says that it is ready. What it prints behind that goes to the file
-    /// `log`, with its errors.
+    /// Starts `binary`, waits until it prints the line that reports that it is ready, and
+    /// returns the process with that line. All later output is written to the file
+    /// `log`, as is standard error.
     pub fn spawn(binary: &Path, arguments: &[&str], log: &Path) -> Result<(Self, String)> {
         let errors = std::fs::File::create(log)?;
         let mut log_file = errors.try_clone()?;
@@ -44,7 +44,8 @@
             .stderr(errors)
             .spawn()
             .with_context(|| format!("{}: build all programs first", binary.display()))?;
-        let output = child.stdout.take().context("no standard output")?;
+        let output =
+            child.stdout.take().context("the child process has no standard output pipe")?;
         let pid = child.id();
         let child = Arc::new(Mutex::new(child));
         lock(&RUNNING_CHILDREN).push(child.clone());
@@ -52,28 +53,32 @@
         let mut line = String::new();
         let mut output = BufReader::new(output);
         output.read_line(&mut line)?;
-        eyre::ensure!(!line.is_empty(), "{} ended before it was ready", binary.display());
-        // It ends with the process, or where the file can't be written any more.
+        eyre::ensure!(
+            !line.is_empty(),
+            "{} closed its standard output before it printed that it is ready",
+            binary.display()
+        );
+        // The thread ends when the process exits or the file can no longer be written.
         std::thread::spawn(move || std::io::copy(&mut output, &mut log_file));
         Ok((process, line))
     }
 
-    /// Its id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.pid
     }
 
-    /// What it has used so far.
+    /// Returns the resource usage so far.
     pub fn usage(&self) -> Result<Usage> {
         read_usage(self.pid)
     }
 
-    /// Whether it has ended by itself, and with which status.
+    /// Returns the exit status, or `None` while the process is running.
     pub fn exit_status(&self) -> Option<std::process::ExitStatus> {
         lock(&self.child).try_wait().ok().flatten()
     }
 
-    /// Kills it at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&self) {
         kill_and_wait(&self.child);
     }
@@ -86,22 +91,22 @@
     }
 }
 
-/// Ends every process that is still running.
+/// Kills every child process that is still running.
 pub fn kill_all() {
     lock(&RUNNING_CHILDREN).iter().for_each(kill_and_wait);
 }
 
-/// The program `name` beside the running one.
+/// Returns the path of the program `name` in the folder of the running program.
 pub fn find_binary(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let folder = own.parent().context("a program lies in a folder")?;
+    let folder = own.parent().context("the path of the running program has no parent folder")?;
     let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
     Ok(folder.join(name))
 }
 
 fn kill_and_wait(child: &SharedChild) {
     let mut child = lock(child);
-    // An error means that it has ended already.
+    // An error means that the process has already exited.
     child.kill().ok();
     child.wait().ok();
 }
@@ -110,20 +115,22 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Ticks a second of the times in `/proc`; 100 on all common machines.
+/// Clock ticks per second of the times in `/proc`; 100 on all common machines.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// Bytes of a page.
+/// Size of a memory page.
 const PAGE_BYTES: u64 = 4096;
 
 fn read_usage(pid: u32) -> Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    // The name in brackets may hold spaces: fields count from after it.
-    let (_, fields) = stat.rsplit_once(") ").context("malformed stat")?;
+    // The process name in parentheses may contain spaces, so fields are counted after it.
+    let (_, fields) =
+        stat.rsplit_once(") ").context("/proc/<pid>/stat has no process name in parentheses")?;
     let fields: Vec<_> = fields.split(' ').collect();
     let field = |index: usize| fields.get(index).and_then(|text| text.parse::<u64>().ok());
     let ticks = field(11).zip(field(12)).map(|(user, system)| user + system);
-    let cpu_seconds = ticks.context("malformed stat")? as f64 / TICKS_PER_SECOND;
-    let resident = field(21).context("malformed stat")? * PAGE_BYTES;
+    let cpu_seconds =
+        ticks.context("/proc/<pid>/stat has no processor times")? as f64 / TICKS_PER_SECOND;
+    let resident = field(21).context("/proc/<pid>/stat has no resident memory size")? * PAGE_BYTES;
     Ok(Usage { cpu_seconds, resident })
 }
