--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -265,9 +265,7 @@
                     break;
                 }
                 if start.elapsed() > READY_TIMEOUT {
-                    bail!(
-                        "node {node}: {accepting} of {targets} targets accept work after {READY_TIMEOUT:?}"
-                    );
+                    bail!("node {node}: {accepting} of {targets} targets accept work, timed out");
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -1,5 +1,5 @@
-//! What the layer costs: time added to the first token, and tokens that one
-//! core relays.
+//! Measures the overhead of the serving layer: the time that it adds to the first
+//! token, and the token throughput of one core.
 
 use crate::caller::{Caller, Completion};
 use crate::experiment::send;
@@ -18,25 +18,26 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Pairs of requests, one straight to an engine and one through a node.
+/// Number of request pairs, one directly to an engine and one through a node.
 const PAIRS: u64 = 300;
 
-/// Tokens of each answer in the pairs.
+/// Number of tokens in each answer of the pairs.
 const PAIR_TOKENS: u64 = 4;
 
-/// How long streams are relayed to find what a core can do.
+/// Duration of the workload that measures the throughput of a core.
 const RELAY_TIME: Duration = Duration::from_secs(10);
 
-/// Tokens of each relayed answer.
+/// Number of tokens in each relayed answer.
 const RELAY_TOKENS: u64 = 400;
 
-/// Measures both.
+/// Runs both measurements.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     measure_added_latency(sheet).await?;
     measure_relay_rate(sheet).await
 }
 
-/// Both kinds alternate, so that what else runs on the machine meets both.
+/// Measures the latency that the layer adds to the first token. Direct and relayed
+/// requests alternate, so that other load on the machine affects both equally.
 async fn measure_added_latency(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { nodes: 3, engines: 3, ..fleet::Options::default() };
     let fleet = Fleet::open(options).await?;
@@ -51,8 +52,13 @@
         let completion =
             Completion::for_prompt(token, fleet::MODEL, &prompt, PAIR_TOKENS, Class::Interactive);
         let outcome = caller.complete(&completion, Instant::now()).await;
-        ensure!(outcome.end == End::Whole, "through a node: {:?}", outcome.end);
-        via_node.record(outcome.first_token.context("no first token")?);
+        ensure!(
+            outcome.end == End::Whole,
+            "through a node: expected a complete answer, got {:?}",
+            outcome.end
+        );
+        via_node
+            .record(outcome.first_token.context("through a node: the answer has no first token")?);
     }
     for (quantile, at) in [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)] {
         let (direct, via_node) = (direct.quantile_ms(at), via_node.quantile_ms(at));
@@ -89,16 +95,21 @@
     };
     let start = Instant::now();
     let mut tokens = targets.generate(engine.address(), &generate).await?;
-    let first = tokens.next().await.context("an empty answer")??;
+    let first =
+        tokens.next().await.context("direct: the stream ended before the first token")??;
     let time = start.elapsed();
-    ensure!(matches!(first, Event::Token { .. }), "direct: {first:?}");
+    ensure!(
+        matches!(first, Event::Token { .. }),
+        "direct: expected a token as the first event, got {first:?}"
+    );
     while let Some(event) = tokens.next().await {
-        event.context("direct")?;
+        event.context("direct: reading the stream")?;
     }
     Ok(time)
 }
 
-/// One node relays many streams; its processor time is divided by the tokens.
+/// Measures the relay throughput of one node, and the tokens relayed per second of
+/// its processor time.
 async fn measure_relay_rate(sheet: &mut Sheet) -> Result<()> {
     let engine = Engine { speed: 4.0, ..Engine::default() };
     let options = fleet::Options { nodes: 1, engines: 8, engine, ..fleet::Options::default() };
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What the callers of a run saw, as a table and as JSON.
+//! The report of a run from the callers' view, as a table and as JSON.
 
 use crate::mix::{Length, Options};
 use crate::outcome::{End, Kind, Sample};
@@ -10,50 +10,50 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What came of the requests of one kind.
+/// Summary of the requests of one kind.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct KindSummary {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers in time.
+    /// Complete answers in time.
     pub whole: u64,
-    /// From the intended send time to the first token.
+    /// Time from the intended send time to the first token.
     pub first_token: Spread,
-    /// Between two tokens.
+    /// Inter-token latency.
     pub between_tokens: Spread,
-    /// From the intended send time to the end of whole answers.
+    /// Time from the intended send time to the end, for complete answers.
     pub whole_answer: Spread,
 }
 
-/// Refusals for one reason.
+/// Number of refusals for one reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Refusals {
-    /// That said the request did not run.
+    /// Refusals that stated that the request did not run.
     pub not_run: u64,
-    /// That did not know.
+    /// Refusals that stated that the request may have run.
     pub unknown: u64,
 }
 
-/// Time to first token of short requests beside long ones, divided by the
-/// same while none were sent.
+/// Slowdown of short requests: their time to first token while long requests are
+/// sent, divided by that before.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Slowdown {
-    /// Of the medians.
+    /// Ratio of the medians.
     pub p50: f64,
-    /// Of the 95th percentiles.
+    /// Ratio of the 95th percentiles.
     pub p95: f64,
 }
 
-/// What one account got.
+/// Summary of the requests of one account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct AccountSummary {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers in time.
+    /// Complete answers in time.
     pub whole: u64,
-    /// Prompt tokens of whole answers.
+    /// Prompt tokens of complete answers.
     pub prompt_tokens: u64,
-    /// Tokens of answers.
+    /// Answer tokens received, also those of incomplete answers.
     pub answer_tokens: u64,
 }
 
@@ -62,31 +62,31 @@
 pub struct Report {
     /// The seed of the workload.
     pub seed: u64,
-    /// How long requests were sent, in seconds.
+    /// Duration of the workload, in seconds.
     pub seconds: f64,
     /// Requests sent.
     pub sent: u64,
-    /// Requests by kind: prompt length, or `call`.
+    /// Summary by kind: the length class of the prompt, or `call`.
     pub kinds: BTreeMap<String, KindSummary>,
-    /// Requests by end.
+    /// Number of requests by how they ended.
     pub ends: BTreeMap<String, u64>,
-    /// Refusals by reason, also those after which a request was sent again.
+    /// Refusals by reason, including those after which the request was retried.
     pub refusals: BTreeMap<String, Refusals>,
-    /// Failures and wrong answers by cause.
+    /// Number of failures and wrong answers by cause.
     pub failures: BTreeMap<String, u64>,
-    /// What each account got.
+    /// Summary by account.
     pub accounts: BTreeMap<id::Account, AccountSummary>,
-    /// The slowdown of short requests, where the workload has a time without
+    /// The slowdown of short requests, if the workload starts with a phase without
     /// long ones.
     pub slowdown: Option<Slowdown>,
-    /// Times that a stream was taken up again.
+    /// Number of stream resumptions.
     pub resumes: u64,
-    /// Times that a request was sent again.
+    /// Number of retries.
     pub resends: u64,
 }
 
 impl Report {
-    /// Sums samples up; `accounts` names the accounts by index.
+    /// Summarizes the samples. `accounts` are the account names by index.
     pub fn from_samples(options: &Options, accounts: &[id::Account], samples: &[Sample]) -> Self {
         let mut report = Self {
             seed: options.seed,
@@ -111,18 +111,18 @@
         report
     }
 
-    /// Requests that ended as `end` is displayed.
+    /// Returns the number of requests whose end is displayed as `end`.
     pub fn count_ended(&self, end: &str) -> u64 {
         self.ends.get(end).copied().unwrap_or(0)
     }
 
-    /// Requests that neither got their whole answer, nor a refusal, nor were
-    /// given up by their caller.
+    /// Returns the number of requests that got neither a complete answer nor a
+    /// refusal, although their caller didn't hang up.
     pub fn lost(&self) -> u64 {
         ["failed", "late", "unanswered", "wrong"].iter().map(|end| self.count_ended(end)).sum()
     }
 
-    /// What came of the completions of one length.
+    /// Returns the summary of the completions of one length class.
     pub fn for_length(&self, length: Length) -> Option<&KindSummary> {
         self.kinds.get(&length.to_string())
     }
@@ -171,7 +171,8 @@
     }
 }
 
-/// Short requests before the first long one may be sent against those after.
+/// Compares the short requests before and after the start of the first part with
+/// long prompts.
 fn measure_slowdown(options: &Options, samples: &[Sample]) -> Option<Slowdown> {
     let long = options.parts.iter().filter(|part| part.length >= Length::Long && part.rate > 0.0);
     let from = long.map(|part| part.from).min().filter(|from| *from > Duration::ZERO)?;
@@ -227,7 +228,7 @@
     writeln!(f, "{name:<6} {:>6} {:>6}  {first:>30}  {between:>19}", kind.sent, kind.whole)
 }
 
-/// The quantiles in milliseconds; dashes where nothing was measured.
+/// Formats the quantiles in milliseconds, or dashes if there are no measurements.
 fn format_quantiles(spread: &Spread, quantiles: &[f64]) -> String {
     let show = |quantile: &f64| match spread.count() {
         0 => "-".to_owned(),
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,8 +1,8 @@
 //! Sends a workload in an open loop.
 //!
-//! A request is sent when the plan says so, whether earlier ones are answered
-//! or not, and its times count from that moment: a fleet that falls behind
-//! can't slow its own measurement down.
+//! Each request is sent at its planned time, whether earlier ones have been
+//! answered or not, and its latency is measured from that time. An overloaded fleet
+//! therefore can't reduce the load and make its latencies look better.
 
 use crate::caller::{Call, Caller, Completion};
 pub use crate::credential::Credential;
@@ -18,15 +18,15 @@
 use tokio::task::JoinSet;
 use uuid::Uuid;
 
-/// How long before its time the body of a request is made, so that making a
-/// body of four megabytes doesn't count as waiting.
+/// Time before the intended send time at which the body of a request is built, so
+/// that building a body of four megabytes doesn't count as latency.
 const BODY_LEAD: Duration = Duration::from_millis(200);
 
-/// Sends the workload to the fleet that any of `entries` belongs to, and sums
-/// up what the callers saw.
+/// Sends the workload to the fleet of the nodes at `entries` and returns the report of
+/// the callers.
 ///
-/// Blocks until every request has ended; may be called with or without an
-/// executor around.
+/// Blocks until every request has ended. May be called from inside or outside of
+/// an async runtime.
 pub fn run(
     options: Options,
     entries: Vec<SocketAddr>,
@@ -38,14 +38,14 @@
     Ok(Report::from_samples(&options, &accounts, &samples))
 }
 
-/// As [`run()`], but gives every single outcome.
+/// Does the same as [`run()`], but returns the individual samples.
 pub fn collect_samples(
     options: &Options,
     entries: Vec<SocketAddr>,
     credentials: Vec<Credential>,
 ) -> std::io::Result<Vec<Sample>> {
     let options = options.clone();
-    // A thread of its own: a runtime can't be entered from within another.
+    // A separate thread, since a runtime can't be started inside another one.
     let driver = std::thread::spawn(move || -> std::io::Result<Vec<Sample>> {
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
         let route = Route::nodes(options.callers, &entries);
@@ -54,24 +54,24 @@
     driver.join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
 }
 
-/// The way that requests take.
+/// The route of requests to the engines.
 #[derive(Clone, Debug)]
 pub enum Route {
-    /// Through nodes, by callers that each keep an address.
+    /// Through the nodes, by callers that each cache an entry address.
     Nodes(Vec<Arc<Caller>>),
-    /// Straight to the engines: a baseline, completions only.
+    /// Directly to the engines, as a baseline. Supports only completions.
     Direct(Arc<Direct>),
 }
 
 impl Route {
-    /// A route through the nodes that any of `entries` belongs to.
+    /// Creates a route through the fleet of the nodes at `entries`.
     pub fn nodes(callers: u32, entries: &[SocketAddr]) -> Self {
         let open = |index: u32| Arc::new(Caller::open(entries.to_vec(), index as usize));
         Self::Nodes((0..callers.max(1)).map(open).collect())
     }
 }
 
-/// As [`collect`], on the current executor.
+/// Does the same as [`collect_samples`], on the current async runtime.
 pub async fn send_workload(
     options: Options,
     route: Route,
@@ -142,7 +142,8 @@
     &callers[request.caller as usize % callers.len()]
 }
 
-/// A baseline has no way for calls of plain services.
+/// Returns the outcome of a call of a plain service on a baseline route, which
+/// doesn't support calls.
 fn unsupported_call() -> Outcome {
     Outcome::open(End::Failed(Failure::Unreachable))
 }
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -1,4 +1,4 @@
-//! What each partner gets of a saturated fleet.
+//! Measures the share of each partner in a saturated fleet.
 
 use crate::experiment::{POLICIES, add_ends, note_baselines, open_fleet, send};
 use crate::fleet::{self, Fleet, Policy};
@@ -10,26 +10,26 @@
 use hickory_release::note::Entries;
 use std::time::Duration;
 
-/// Shares at first; each partner has [`ACCOUNTS_PER_PARTNER`] accounts and asks for as
-/// much as the whole fleet can do.
+/// The initial shares. Each partner has [`ACCOUNTS_PER_PARTNER`] accounts and
+/// demands the capacity of the whole fleet.
 const INITIAL_PARTNERS: [(&str, f64, usize); 2] =
     [("mawe", 0.7, ACCOUNTS_PER_PARTNER), ("caucao", 0.3, ACCOUNTS_PER_PARTNER)];
 
 const ACCOUNTS_PER_PARTNER: usize = 3;
 
-/// When a note turns the shares round.
+/// When a release note swaps the shares of the two partners.
 const SWAP_AT: Duration = Duration::from_secs(16);
 
-/// How long requests are sent.
+/// Duration of the workload.
 const DURATION: Duration = Duration::from_secs(30);
 
-/// What is measured with the first shares: after the queues have filled.
+/// Measurement window for the initial shares, after the queues have filled.
 const INITIAL_WINDOW_SECONDS: (f64, f64) = (5.0, 15.0);
 
-/// What is measured with the turned shares.
+/// Measurement window for the swapped shares.
 const SWAPPED_WINDOW_SECONDS: (f64, f64) = (19.0, 29.0);
 
-/// Measures all policies.
+/// Runs the experiment for all policies.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     for policy in POLICIES {
         let options =
@@ -71,8 +71,8 @@
     }
 }
 
-/// Tokens served within the window: the prompt when the first token comes,
-/// the answer spread evenly up to its end.
+/// Returns the tokens served within the window. Prompt tokens count at the time of
+/// the first token; answer tokens are distributed evenly from there to the end.
 fn measure_service(
     samples: &[Sample],
     (from, to): (f64, f64),
@@ -92,7 +92,8 @@
         .sum()
 }
 
-/// Each partner asks for 10k prompts at the rate of the whole fleet.
+/// Returns a workload in which each partner sends 10k prompts at a rate that uses
+/// the capacity of the whole fleet.
 fn plan(seed: u64) -> Options {
     let part = |first: usize| {
         let mut part = Part::new(Length::Middle, Class::Interactive, 24.0);
--- a/crates/load/src/sheet.rs
+++ b/crates/load/src/sheet.rs
@@ -4,18 +4,18 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What a figure is to reach.
+/// The goal of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Goal {
-    /// This or less.
+    /// The value must be at most this.
     AtMost(f64),
-    /// This or more.
+    /// The value must be at least this.
     AtLeast(f64),
 }
 
 impl Goal {
-    /// Whether `value` reaches the goal.
+    /// Returns whether `value` meets the goal; NaN never does.
     pub fn met(self, value: f64) -> bool {
         match self {
             Self::AtMost(most) => value <= most,
@@ -27,16 +27,16 @@
 /// One figure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Figure {
-    /// What was measured.
+    /// What the figure measures.
     pub name: CompactString,
     /// Its value.
     pub value: f64,
     /// The unit of the value.
     pub unit: &'static str,
-    /// What it is to reach, if anything.
+    /// Its goal, if it has one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub goal: Option<Goal>,
-    /// Whether it does.
+    /// Whether it meets its goal.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub met: Option<bool>,
 }
@@ -44,20 +44,20 @@
 /// The figures of one experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Sheet {
-    /// The experiment.
+    /// The name of the experiment.
     pub experiment: CompactString,
-    /// The seed of its workload.
+    /// The seed of the workload.
     pub seed: u64,
-    /// Load average of the machine over the last minute, before and after.
+    /// One-minute load average of the machine, before and after the experiment.
     pub load_average: [f64; 2],
-    /// The figures, in the order measured.
+    /// The figures, in the order of measurement.
     pub figures: Vec<Figure>,
-    /// What a reader must know to judge them.
+    /// Notes for the interpretation of the figures.
     pub notes: Vec<String>,
 }
 
 impl Sheet {
-    /// An empty sheet; reads the machine's load average.
+    /// Creates an empty sheet and records the load average of the machine.
     pub fn open(experiment: &str, seed: u64) -> Self {
         let load = read_load_average();
         Self {
@@ -74,7 +74,7 @@
         self.figures.push(Figure { name: name.into(), value, unit, goal: None, met: None });
     }
 
-    /// Adds a figure that has a goal.
+    /// Adds a figure with a goal.
     pub fn judge(
         &mut self,
         name: impl Into<CompactString>,
@@ -91,7 +91,7 @@
         self.notes.push(note.into());
     }
 
-    /// Reads the load average again, at the end of the experiment.
+    /// Records the load average at the end of the experiment.
     pub fn close(mut self) -> Self {
         self.load_average[1] = read_load_average();
         self
@@ -104,7 +104,8 @@
         writeln!(f, "{}, seed {}, load average {before} to {after}", self.experiment, self.seed)?;
         let width = self.figures.iter().map(|figure| figure.name.len()).max().unwrap_or(0);
         for Figure { name, value, unit, goal, met } in &self.figures {
-            // Nothing was there to measure, as the waits of no refusals.
+            // NaN means that there were no measurements, such as the latency of
+            // refusals in a run without refusals.
             match value.is_nan() {
                 true => write!(f, "  {name:width$}  {:>12} {unit}", "-")?,
                 false => write!(f, "  {name:width$}  {value:>12.3} {unit}")?,
--- a/crates/load/src/short_beside_long.rs
+++ b/crates/load/src/short_beside_long.rs
@@ -1,8 +1,8 @@
-//! Short requests alone, then beside a burst of long ones.
+//! Measures short requests alone, then during a burst of long ones.
 //!
-//! The long burst is more than the fleet can prefill while it is measured, so
-//! what the short requests gain is taken from the long ones, and shows in the
-//! time the last long answer takes.
+//! The fleet can't prefill the whole burst within the measurement. Any capacity
+//! that the short requests gain is therefore lost by the long ones and shows in the
+//! latency of the last long answer.
 
 use crate::experiment::{POLICIES, add_ends, first_token_spread, note_baselines, open_fleet, send};
 use crate::fleet::{self, Policy};
@@ -12,16 +12,18 @@
 use eyre::Result;
 use std::time::Duration;
 
-/// When the long requests are sent.
+/// Time of the burst of long requests.
 const BURST_AT: Duration = Duration::from_secs(8);
 
-/// How many: 32 of 100k tokens take six engines 13 s at 40k tokens a second.
+/// Number of long requests. Six engines prefill 32 prompts of 100k tokens in 13 s
+/// at 40k tokens per second each.
 const BURST_SIZE: u32 = 32;
 
-/// How long short requests are sent.
+/// Duration of the workload of short requests.
 const DURATION: Duration = Duration::from_secs(20);
 
-/// Short requests a second: an eighth of what six engines prefill.
+/// Rate of short requests per second, an eighth of the prefill capacity of six
+/// engines.
 const SHORT_RATE: f64 = 30.0;
 
 #[derive(Clone, Copy)]
@@ -31,7 +33,7 @@
     long_rate: f64,
 }
 
-/// Measures all policies.
+/// Runs the experiment for all policies.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let mut fair = None;
     for policy in POLICIES {
--- a/crates/load/src/socket.rs
+++ b/crates/load/src/socket.rs
@@ -1,6 +1,6 @@
-//! Bytes on the sockets of the node processes, by what they lead to.
+//! Network traffic of the node processes by kind of peer.
 //!
-//! The kernel counts them for each connection; `ss` prints the counts.
+//! The kernel counts the bytes of each connection, and `ss` prints the counts.
 
 use crate::fleet::Fleet;
 use eyre::{Context, Result, ensure};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Bytes sent and received by one node.
+/// Bytes sent and received by one node, by kind of peer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// With other nodes.
@@ -24,25 +24,28 @@
 pub struct Connection {
     /// The process.
     pub pid: u32,
-    /// Its end.
+    /// The local address.
     pub local: SocketAddr,
-    /// The other end.
+    /// The remote address.
     pub remote: SocketAddr,
     /// Bytes sent and received.
     pub bytes: u64,
 }
 
-/// Reads all connections of the machine.
+/// Returns all TCP connections of the machine.
 pub fn read_connections() -> Result<Vec<Connection>> {
-    let output = Command::new("ss").args(["-tinpH"]).output().context("ss, of iproute2")?;
-    ensure!(output.status.success(), "ss: {}", String::from_utf8_lossy(&output.stderr));
+    let output = Command::new("ss")
+        .args(["-tinpH"])
+        .output()
+        .context("running ss, of the package iproute2")?;
+    ensure!(output.status.success(), "ss failed: {}", String::from_utf8_lossy(&output.stderr));
     Ok(parse_connections(&String::from_utf8_lossy(&output.stdout)))
 }
 
-/// The traffic of each node between two readings.
+/// Returns the traffic of each node between two readings.
 ///
-/// What went over connections that were closed in between is not known: a
-/// lower bound, and close to the truth only where connections last.
+/// The traffic of connections that were closed in between is unknown. The result is
+/// a lower bound, which is accurate only if connections are long-lived.
 pub fn measure_traffic(fleet: &Fleet, before: &[Connection], after: &[Connection]) -> Vec<Traffic> {
     let standins = &fleet.standins;
     let peers: HashSet<_> = fleet.nodes.iter().map(|node| node.address.peers).collect();
@@ -65,22 +68,22 @@
     .collect()
 }
 
-/// The connections of `after` with the bytes that passed since `before`; a
-/// new connection counts whole.
+/// Returns the connections of `after` with the bytes transferred since `before`.
+/// All bytes of a new connection count.
 pub fn subtract_bytes(before: &[Connection], after: &[Connection]) -> Vec<Connection> {
     let known: HashMap<_, _> =
         before.iter().map(|c| ((c.pid, c.local, c.remote), c.bytes)).collect();
     let transferred = after.iter().map(|connection| {
         let key = (connection.pid, connection.local, connection.remote);
-        // Fewer bytes than before: the same ports, but a new connection.
+        // A lower count than before means a new connection between the same ports.
         let earlier = known.get(&key).copied().filter(|bytes| *bytes <= connection.bytes);
         Connection { bytes: connection.bytes - earlier.unwrap_or(0), ..*connection }
     });
     transferred.collect()
 }
 
-/// Reads what `ss -tinpH` prints: a line with the ends and the process, and
-/// an indented one with the counts.
+/// Parses the output of `ss -tinpH`: for each connection, a line with the addresses
+/// and the process, followed by an indented line with the counts.
 pub fn parse_connections(text: &str) -> Vec<Connection> {
     let mut lines = text.lines().peekable();
     let mut connections = Vec::new();
--- a/crates/load/src/spread.rs
+++ b/crates/load/src/spread.rs
@@ -1,18 +1,18 @@
-//! The spread of a measured time.
+//! The distribution of measured times.
 
 use hdrhistogram::Histogram;
 use serde::ser::SerializeStruct;
 use serde::{Serialize, Serializer};
 use std::time::Duration;
 
-/// The longest time told apart, in microseconds: an hour, the greatest
-/// deadline a request may have.
+/// The longest time that the histogram distinguishes: one hour, the maximum
+/// deadline of a request.
 const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// Significant digits kept.
+/// Precision of the histogram, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of times with microsecond steps.
+/// A histogram of times in microseconds.
 #[derive(Clone, Debug)]
 pub struct Spread(Histogram<u64>);
 
@@ -31,13 +31,12 @@
         self.0.saturating_record((time.as_micros() as u64).max(1));
     }
 
-    /// Times added.
+    /// Returns the number of recorded times.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The time in milliseconds that the share `quantile` of all is at most;
-    /// NaN where there is none.
+    /// Returns the given quantile in milliseconds, or NaN if no times are recorded.
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         match self.0.is_empty() {
             true => f64::NAN,
@@ -45,7 +44,7 @@
         }
     }
 
-    /// The longest time in milliseconds.
+    /// Returns the longest time in milliseconds.
     pub fn max_ms(&self) -> f64 {
         self.0.max() as f64 / 1e3
     }
--- a/crates/load/src/sse.rs
+++ b/crates/load/src/sse.rs
@@ -1,29 +1,29 @@
-//! Server-sent events, as the WHATWG HTML standard has them.
+//! A parser of server-sent events, as specified in the WHATWG HTML standard.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 
-/// Bytes that one event may have: a token is far below, and a server that
-/// never ends an event must not take the caller's memory.
+/// Maximum size of an event. Tokens are far smaller; the limit keeps a server that
+/// never ends an event from exhausting the caller's memory.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last id that the stream has set.
+    /// The last event id that the stream has set.
     pub id: Option<CompactString>,
-    /// The type; empty where the stream sets none.
+    /// The event type; empty if the stream sets none.
     pub kind: CompactString,
-    /// The data, its lines joined by a line feed.
+    /// The data lines, joined by line feeds.
     pub data: String,
 }
 
-/// An event is longer than [`MAX_EVENT_BYTES`].
+/// The error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Error)]
 #[display("an event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Splits a byte stream into events, whatever the chunks it comes in.
+/// Splits a byte stream into events, independently of how it is chunked.
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
@@ -33,7 +33,7 @@
 }
 
 impl Parser {
-    /// Takes a chunk in and returns the events that it completes.
+    /// Parses a chunk and returns the events that it completes.
     pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         let mut events = Vec::new();
         for byte in chunk {
@@ -72,7 +72,8 @@
         None
     }
 
-    /// An event without data is none, but its id stays in force.
+    /// Ends the current event. An event without data is discarded, but its id applies
+    /// to the events that follow.
     fn end_event(&mut self) -> Option<Event> {
         let next = Event { id: self.event.id.clone(), ..Event::default() };
         let event = std::mem::replace(&mut self.event, next);
--- a/crates/load/src/stream.rs
+++ b/crates/load/src/stream.rs
@@ -1,4 +1,4 @@
-//! The reader of a streamed completion.
+//! Reads a streamed completion.
 
 use crate::caller::Progress;
 use crate::content::Check;
@@ -10,25 +10,26 @@
 use hyper::body::Incoming;
 use std::time::{Duration, Instant};
 
-/// How long a stream that has begun may stand still before the caller takes
-/// it up over a new connection: an open connection can go silent for good
-/// while new ones work, and only the caller can tell.
+/// Time without data after which a started stream is resumed over a new
+/// connection. An open connection can stop delivering data while new ones work, and
+/// only the caller can detect that.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Why reading stopped.
 pub(crate) enum StopReason {
-    /// This is the end.
+    /// The request has ended.
     End(End),
-    /// The stream was cut or fell silent before its end.
+    /// The connection broke or the silence timeout expired before the end of the
+    /// stream.
     Interrupted,
 }
 
-/// A streamed answer, over all connections it takes.
+/// Reads a streamed answer, which may span several connections.
 #[derive(Debug)]
 pub(crate) struct Reader {
-    /// The id of the request, by which another node takes it up.
+    /// The id of the request, with which another node can resume it.
     pub(crate) request: Option<CompactString>,
-    /// The id of the last event taken in.
+    /// The id of the last event received.
     pub(crate) last_id: Option<CompactString>,
     body: Incoming,
     parser: Parser,
@@ -41,13 +42,13 @@
         Self { request, last_id: None, body: response.into_body(), parser: Parser::default() }
     }
 
-    /// Goes on over a new connection.
+    /// Continues with the response of a new connection.
     pub(crate) fn continue_with(&mut self, response: http::Response<Incoming>) {
         self.body = response.into_body();
         self.parser = Parser::default();
     }
 
-    /// Reads until the end, a cut, or `hang_up` tokens.
+    /// Reads until the end of the answer, an interruption, or `hang_up` tokens.
     pub(crate) async fn read<F: Fn(u64) -> CompactString>(
         &mut self,
         check: &mut Check<F>,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Takes one event in; `Some` at the end of the answer.
+    /// Processes one event. Returns how the request ended, or `None` if the answer
+    /// continues.
     fn handle_event<F: Fn(u64) -> CompactString>(
         &mut self,
         event: Event,
--- a/crates/load/src/stream_server.rs
+++ b/crates/load/src/stream_server.rs
@@ -1,7 +1,8 @@
-//! How soon a streamed answer leaves an HTTP server: oxhttp's beside hyper's.
+//! Compares the latency of streamed answers from the HTTP servers of oxhttp and
+//! hyper.
 //!
-//! Both serve the same token source on loopback, and the same plain socket
-//! reads them, so that what differs is the server alone.
+//! Both serve the same token source on loopback and are read through a plain
+//! socket, so that only the server differs.
 
 use bytes::Bytes;
 use eyre::{Context, ContextCompat, Result, bail};
@@ -17,21 +18,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Ports tried for a server that binds by itself and can't tell its port.
+/// Number of ports tried for oxhttp's server, which binds the port itself and can't
+/// report one that the system has assigned.
 const BIND_ATTEMPTS: u32 = 8;
 
-/// Makes the tokens of one answer; called on a thread of its own, may block.
+/// Generates the tokens of one answer. It is called on a dedicated thread and may
+/// block.
 pub trait Source: Send + 'static {
-    /// The next token; `None` at the end.
+    /// Returns the next token, or `None` at the end.
     fn next_token(&mut self) -> Option<Bytes>;
 }
 
-/// A source that makes `count` tokens, one each `gap`.
+/// A source that generates `count` tokens at intervals of `gap`.
 #[derive(Clone, Copy, Debug)]
 pub struct Ticker {
-    /// Tokens left.
+    /// Number of tokens left.
     pub count: u32,
-    /// Time before each token.
+    /// Delay before each token.
     pub gap: Duration,
 }
 
@@ -53,23 +56,22 @@
     Hyper,
 }
 
-/// When the bytes of one answer arrived, counted from the request.
+/// When the bytes of one answer arrived, relative to the time of the request.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Arrival {
     /// The server.
     pub server: Server,
-    /// The first byte of all, which opens the response's head, in
-    /// milliseconds.
+    /// The first byte of the response head, in milliseconds.
     pub first_byte_ms: f64,
     /// The first byte of the body, in milliseconds.
     pub first_token_ms: f64,
     /// The end of the body, in milliseconds.
     pub end_ms: f64,
-    /// Reads that brought bytes.
+    /// Number of socket reads that returned data.
     pub reads: usize,
 }
 
-/// Measures both servers with `count` tokens, one each `gap`.
+/// Measures both servers with `count` tokens at intervals of `gap`.
 pub fn measure_servers(count: u32, gap: Duration) -> Result<Vec<Arrival>> {
     [Server::Oxhttp, Server::Hyper]
         .into_iter()
@@ -80,10 +82,10 @@
         .collect()
 }
 
-/// Starts a server whose one answer comes from `source`.
+/// Starts a server that answers one request from `source`.
 ///
-/// oxhttp's server can't stop listening, so its listener lasts as long as the
-/// process; hyper's ends with its connection.
+/// oxhttp's server can't be stopped, so its listener stays open as long as the
+/// process runs; hyper's server ends with its connection.
 pub fn spawn_server(server: Server, source: impl Source) -> Result<SocketAddr> {
     match server {
         Server::Oxhttp => spawn_oxhttp(source),
@@ -91,8 +93,8 @@
     }
 }
 
-/// Sends the request and calls `on_body` with the bytes of the body so far,
-/// each time some arrive, until the server ends the answer.
+/// Sends a request and reads until the server closes the connection. After each read,
+/// calls `on_read` with all bytes of the response so far, including its head.
 pub fn read_answer(address: SocketAddr, mut on_read: impl FnMut(&[u8])) -> Result<()> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
@@ -108,7 +110,7 @@
     }
 }
 
-/// The bytes after the head of an HTTP response.
+/// Returns the bytes after the head of an HTTP response.
 pub fn split_body(answer: &[u8]) -> &[u8] {
     let head = answer.windows(4).position(|four| four == b"\r\n\r\n");
     head.map_or(&[], |head| &answer[head + 4..])
@@ -127,8 +129,9 @@
             first_token_ms.get_or_insert_with(passed);
         }
     })?;
-    let first_byte_ms = first_byte_ms.context("the server sent nothing")?;
-    let first_token_ms = first_token_ms.context("the server sent no body")?;
+    let first_byte_ms =
+        first_byte_ms.context("the server closed the connection without sending a response")?;
+    let first_token_ms = first_token_ms.context("the server sent a response without a body")?;
     Ok(Arrival { server, first_byte_ms, first_token_ms, end_ms: passed(), reads })
 }
 
@@ -154,10 +157,10 @@
         match server.spawn() {
             Ok(_) => return Ok(address),
             Err(error) if error.kind() == std::io::ErrorKind::AddrInUse => {}
-            Err(error) => return Err(error).context("oxhttp's server"),
+            Err(error) => return Err(error).context("starting oxhttp's server"),
         }
     }
-    bail!("no free port in {BIND_ATTEMPTS} attempts")
+    bail!("oxhttp's server found no free port in {BIND_ATTEMPTS} attempts")
 }
 
 fn answer_oxhttp<S: Source>(
--- a/crates/load/src/wire.rs
+++ b/crates/load/src/wire.rs
@@ -1,4 +1,4 @@
-//! The documents of the callers' interface.
+//! The JSON documents of the callers' API.
 
 use crate::mix::Class;
 use crate::outcome::Refused;
@@ -14,37 +14,37 @@
     pub model: &'a str,
     /// The prompt.
     pub prompt: &'a str,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: u64,
-    /// Whether tokens are sent as they come.
+    /// Whether the answer is streamed.
     pub stream: bool,
-    /// Who waits.
+    /// The service class.
     pub class: Class,
 }
 
-/// A chunk of a completion.
+/// A chunk of a streamed completion.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
-    /// The answers; always one.
+    /// The answers; always exactly one.
     pub choices: Vec<Choice>,
-    /// The counts, at the end.
+    /// The token counts, in the last chunk.
     pub usage: Option<Usage>,
 }
 
 /// One answer of a chunk.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Choice {
-    /// The text.
+    /// The text of the chunk.
     #[serde(default)]
     pub text: CompactString,
-    /// Why the answer ended; `None` before its end.
+    /// Why the answer ended; `None` before the end.
     pub finish_reason: Option<CompactString>,
 }
 
-/// The server's counts.
+/// The server's token counts.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Usage {
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: u64,
 }
 
@@ -55,7 +55,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// Reads a refusal; `None` where it is none by the interface.
+/// Parses a refusal. Returns `None` if the document is not a valid one.
 pub fn parse_problem(text: &[u8]) -> Option<Refused> {
     let problem: Problem = serde_json::from_slice(text).ok()?;
     let ran = match problem.ran.as_str() {
--- a/crates/load/src/zone_change.rs
+++ b/crates/load/src/zone_change.rs
@@ -1,4 +1,4 @@
-//! A zone leaves and returns under load.
+//! Measures the effect of taking a zone out of service and back under load.
 
 use crate::experiment::{add_ends, first_token_spread, is_lost, open_fleet, send};
 use crate::fleet::{self, Fleet, Policy};
@@ -13,22 +13,23 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// When the zone is taken out.
+/// When the zone is taken out of service.
 const OUT_AT: Duration = Duration::from_secs(7);
 
-/// When it is taken back in.
+/// When the zone is put back in service.
 const BACK_AT: Duration = Duration::from_secs(14);
 
-/// How long requests are sent.
+/// Duration of the workload.
 const DURATION: Duration = Duration::from_secs(21);
 
-/// The zone.
+/// The zone that is taken out of service.
 const ZONE: &str = "a";
 
-/// Between two looks at the engines of the zone.
+/// Interval between two reads of the reports of the zone's engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Measures the product's policy; the baselines differ in placement only.
+/// Runs the experiment with the product's policy only. The baselines differ from it
+/// just in placement.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { engines: 9, ..fleet::Options::default() };
     let fleet = open_fleet(options, Policy::Fair).await?;
@@ -114,11 +115,12 @@
 
 fn list_engines(fleet: &Fleet) -> Vec<SocketAddr> {
     let engines = fleet.standins.engines.iter().map(|engine| engine.address());
-    // Targets are spread over three zones in turn: every third is in the first.
+    // Targets are distributed over three zones round robin, so every third one is in the
+    // first zone.
     engines.step_by(3).collect()
 }
 
-/// Counts the streams on the engines that were not seen before.
+/// Adds the streams on the engines to `seen` and returns how many are new.
 async fn count_new_streams(
     targets: &Targets,
     engines: &[SocketAddr],
