--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The caller against scripted nodes.
+//! The caller, tested against scripted nodes.
 
 mod fake;
 
@@ -51,7 +51,8 @@
     block(Caller::open(seeds, 0).complete(ask, Instant::now()))
 }
 
-/// A node that names itself and answers all else with `answer`.
+/// Starts a node that returns its own address as the entry address and answers all
+/// other requests with `answer`.
 fn node(answer: impl Fn(usize) -> String + Send + 'static) -> Node {
     Node::spawn(move |seen, number| match seen.line.as_str() {
         "GET /v1/entry" => entry(seen.header("host").expect("host").parse().expect("address"), &[]),
@@ -87,8 +88,8 @@
     assert_eq!((node.entries_asked(), node.seen().len()), (1, 3));
 }
 
-/// The caller keeps an address whose node is gone. Its connect fails, so
-/// nothing was sent; it must go to an alternate and get its answer.
+/// The cached address belongs to a node that is down. The connection fails before
+/// anything is sent, so the caller must use an alternate address.
 #[test]
 fn caller_falls_back_to_an_alternate_address() {
     let alive = node(|_| respond(200, STREAM, &(tokens(0..4) + &end(4))));
@@ -104,8 +105,8 @@
     assert_eq!(outcome.end, End::Failed(Failure::Unreachable));
 }
 
-/// The stream is cut after two tokens. The caller asks for the rest by the
-/// request's id and the last event's, and sees each token once.
+/// The connection breaks after two tokens. The caller resumes the stream with the
+/// request id and the last event id, and receives each token once.
 #[test]
 fn interrupted_stream_resumes_after_its_last_event() {
     let node = node(|number| match number {
@@ -119,7 +120,7 @@
     assert_eq!(seen[1].header("last-event-id"), Some("1"));
 }
 
-/// Each row: what follows two right tokens, and how the caller ends.
+/// Each row: the data after two correct tokens, and the expected end.
 #[test]
 fn each_wrong_answer_is_detected() {
     let error_event = "event: error\ndata: {\"reason\":\"target-failed\",\"ran\":\"unknown\"}\n\n";
@@ -158,7 +159,8 @@
     assert_eq!((outcome.end, outcome.resends, outcome.refusals.len()), (End::Whole, 1, 1));
 }
 
-/// Each row: a refusal after which the request must not be sent again.
+/// Each row: an answer after which the request must not be retried, and whether it
+/// is a valid refusal.
 #[test]
 fn other_refusals_are_not_retried() {
     let rows = [
@@ -185,9 +187,9 @@
     assert_eq!((outcome.end, outcome.tokens), (End::HungUp, 2));
 }
 
-/// The answer to an order is lost on the way. The caller can't know whether
-/// the order was taken and sends it again: with the same key, or it could be
-/// taken twice.
+/// The answer to a call is lost, so the caller doesn't know whether the call was
+/// executed. It must retry with the same idempotency key, or the call could be
+/// executed twice.
 #[test]
 fn retried_call_keeps_its_idempotency_key() {
     let node = node(|number| match number {
--- a/crates/load/tests/content.rs
+++ b/crates/load/tests/content.rs
@@ -1,4 +1,4 @@
-//! The content check finds each kind of corruption.
+//! The content check detects each kind of corruption.
 
 use compact_str::{CompactString, format_compact};
 use hickory_load::content::{Check, Fault};
@@ -15,7 +15,7 @@
     check.end(told)
 }
 
-/// Each row: what came, the server's count, and the verdict.
+/// Each row: name, received tokens, the server's count, and the expected result.
 #[test]
 fn each_kind_of_corruption_is_found() {
     type Row<'a> = (&'a str, &'a [&'a str], Option<u64>, Result<(), Fault>);
@@ -58,7 +58,7 @@
     assert_eq!(check.end(None), Err(Fault::AfterEnd));
 }
 
-/// An answer that is not streamed is one text, checked token by token.
+/// An answer that isn't streamed arrives as one text.
 #[test]
 fn unstreamed_text_is_checked_token_by_token() {
     let verdict = |text: &str| {
--- a/crates/load/tests/direct.rs
+++ b/crates/load/tests/direct.rs
@@ -1,4 +1,4 @@
-//! The baselines: what they choose, and what they leave behind.
+//! The baselines: choice of the engine, and cancellation after the deadline.
 
 use hickory_load::caller::Completion;
 use hickory_load::direct::Direct;
@@ -22,7 +22,7 @@
     direct.complete(&completion, prompt, Instant::now()).await
 }
 
-/// Prompt tokens that each engine has taken in.
+/// Returns the prompt tokens that each engine has prefilled.
 fn prefilled_tokens(fleet: &Fleet) -> Vec<u64> {
     let engines = fleet.standins.engines.iter();
     engines.map(|engine| engine.service().with_engine(|e| e.counts()).cache_misses).collect()
@@ -39,9 +39,9 @@
     assert_eq!(prefilled_tokens(&fleet), [2_000; ENGINES]);
 }
 
-/// A request outlives its deadline on an engine that has more to do. Its
-/// caller gives up; were the stream left there, the engine would go on with
-/// work nobody waits for, and the baseline would look worse than it is.
+/// The deadline of a request passes during prefill. Unless the stream is cancelled,
+/// the engine continues to work on an answer that is no longer needed, and the
+/// baseline performs worse than it should.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_past_its_deadline_is_cancelled() {
     let fleet = open_fleet();
--- a/crates/load/tests/fake/mod.rs
+++ b/crates/load/tests/fake/mod.rs
@@ -1,22 +1,22 @@
-//! A scripted node: answers each request with raw bytes and closes.
+//! A scripted node that answers each request with raw bytes and closes the connection.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// A request as the node saw it.
+/// A request that the node has received.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Method and path.
     pub line: String,
-    /// The head in lower case.
+    /// The request head in lower case.
     pub head: String,
     /// The body.
     pub body: String,
 }
 
 impl Request {
-    /// The value of a header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines();
         lines.filter_map(|line| line.split_once(": ")).find(|(key, _)| *key == name).map(|it| it.1)
@@ -31,8 +31,8 @@
 }
 
 impl Node {
-    /// Serves with `answer`, which gets the request and its number from 0,
-    /// counted without those for the entry.
+    /// Starts a node that answers with `answer`. Its arguments are the request and the
+    /// number of earlier requests, not counting queries for the entry address.
     pub fn spawn(answer: impl Fn(&Request, usize) -> String + Send + 'static) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
         let address = listener.local_addr().expect("address");
@@ -52,13 +52,13 @@
         node
     }
 
-    /// The requests so far, without those for the entry.
+    /// Returns the requests so far, without queries for the entry address.
     pub fn seen(&self) -> Vec<Request> {
         let seen = self.seen.lock().expect("lock");
         seen.iter().filter(|seen| seen.line != "GET /v1/entry").cloned().collect()
     }
 
-    /// Times that the entry was asked for.
+    /// Returns the number of queries for the entry address.
     pub fn entries_asked(&self) -> usize {
         let seen = self.seen.lock().expect("lock");
         seen.iter().filter(|seen| seen.line == "GET /v1/entry").count()
@@ -77,12 +77,12 @@
     seen
 }
 
-/// A response that ends with its connection.
+/// Returns a response whose body ends when the connection closes.
 pub fn respond(status: u16, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status} X\r\nconnection: close\r\n{headers}\r\n{body}")
 }
 
-/// The answer to which address to use.
+/// Returns an answer to a query for the entry address.
 pub fn entry(address: SocketAddr, alternates: &[SocketAddr]) -> String {
     let alternates: Vec<_> = alternates.iter().map(|at| format!("{:?}", at.to_string())).collect();
     let alternates = alternates.join(",");
@@ -91,12 +91,12 @@
     respond(200, "content-type: application/json\r\n", &body)
 }
 
-/// An event with one token.
+/// Returns an event with one token.
 pub fn token(seq: u64, text: &str) -> String {
     format!("id: {seq}\ndata: {{\"choices\":[{{\"text\":{text:?},\"finish_reason\":null}}]}}\n\n")
 }
 
-/// The explicit end of a stream.
+/// Returns the end marker of a stream.
 pub fn end(count: u64) -> String {
     format!(
         "data: {{\"choices\":[{{\"text\":\"\",\"finish_reason\":\"length\"}}],\
@@ -104,7 +104,7 @@
     )
 }
 
-/// A refusal.
+/// Returns a refusal.
 pub fn problem(status: u16, reason: &str, ran: &str, retry_after_ms: Option<u64>) -> String {
     let retry = retry_after_ms.map(|ms| format!(",\"retry_after_ms\":{ms}")).unwrap_or_default();
     let body = format!("{{\"reason\":\"{reason}\",\"ran\":\"{ran}\"{retry}}}");
--- a/crates/load/tests/mix.rs
+++ b/crates/load/tests/mix.rs
@@ -1,4 +1,4 @@
-//! The workload is a function of its seed.
+//! The workload is determined by its seed and options.
 
 use hickory_load::mix::{self, Arrival, Class, Length, Options, Part, Work};
 use hickory_unit::size;
--- a/crates/load/tests/process.rs
+++ b/crates/load/tests/process.rs
@@ -1,16 +1,16 @@
-//! What a started process prints behind its first line.
+//! The output of a child process after its first line.
 
 use hickory_load::process::Process;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The bound of the wait; it only ends a test that has failed.
+/// Maximum wait, which is reached only if the test fails.
 const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A daemon says that it is ready and then writes its log to standard output,
-/// more than a pipe holds. Whoever started it had its first line and was done:
-/// the log was lost, and the process met a closed pipe. The rest must be read
-/// on and kept, in the file that has its errors too.
+/// A daemon prints that it is ready and then logs more to standard output than a pipe
+/// buffers. If the parent closes the pipe after the first line, the log is lost and
+/// the daemon's writes fail. The rest must be written to the file that also receives
+/// standard error.
 #[test]
 fn output_after_the_first_line_is_kept() {
     let file = std::env::temp_dir().join(format!("hickory-process-{}.log", std::process::id()));
--- a/crates/load/tests/run.rs
+++ b/crates/load/tests/run.rs
@@ -1,4 +1,4 @@
-//! A run counts each request once, from its intended send time.
+//! A run counts each request once and measures latency from the intended send time.
 
 mod fake;
 
@@ -11,7 +11,7 @@
 use hickory_unit::id;
 use std::time::Duration;
 
-/// What the scripted node takes for each request; it takes one at a time.
+/// Service time of the scripted node, which processes one request at a time.
 const SERVICE_TIME: Duration = Duration::from_millis(40);
 
 fn credentials() -> Vec<Credential> {
@@ -25,7 +25,8 @@
     Options { parts: vec![part], resends: 0, ..Options::empty(11, Duration::from_secs(2)) }
 }
 
-/// Answers completions one after the other, as the prompt in the body demands.
+/// Starts a node that processes requests sequentially. It refuses the first one and
+/// answers the others correctly for their prompts.
 fn slow_node() -> Node {
     Node::spawn(|seen, number| {
         if seen.line == "GET /v1/entry" {
@@ -42,9 +43,9 @@
     })
 }
 
-/// Eight requests are due at once before a node that takes them one by one.
-/// The last one waits for all others: were it timed from when the node gets
-/// to it, it would look as fast as the first.
+/// Eight requests are sent at once to a node that processes them sequentially. The
+/// latency of the last one must include its time in the queue; measured from the
+/// start of processing, it would look as fast as the first.
 #[test]
 fn latency_counts_from_the_intended_send_time() {
     let options = burst(8);
--- a/crates/load/tests/sheet.rs
+++ b/crates/load/tests/sheet.rs
@@ -1,4 +1,4 @@
-//! A missed goal can't be overlooked.
+//! Missed goals are marked in the printed sheet.
 
 use hickory_load::sheet::{Goal, Sheet};
 
--- a/crates/load/tests/socket.rs
+++ b/crates/load/tests/socket.rs
@@ -1,9 +1,9 @@
-//! Reading the kernel's byte counts of connections.
+//! Parsing the kernel's byte counts of connections.
 
 use hickory_load::socket::{Connection, parse_connections, subtract_bytes};
 
-/// Two connections of `ss -tinpH`: one that has sent nothing yet prints no
-/// count of sent bytes, one of another user's process names no process.
+/// Output of `ss -tinpH` for three connections. The second has sent no data, so it has no
+/// count of sent bytes; the third belongs to another user, so it has no process.
 const SS_OUTPUT: &str = "\
 ESTAB 0      284    127.0.0.1:40267 127.0.0.1:55506 users:((\"hickory-node\",pid=28755,fd=25))
 \t bbr wscale:10,10 rto:212 bytes_sent:383620 bytes_acked:383336 bytes_received:326688 segs_out:1330
@@ -32,8 +32,8 @@
     assert_eq!(parse_connections(SS_OUTPUT), expected);
 }
 
-/// Each row: bytes of a connection before, after, and what passed. A count
-/// that has fallen is that of a new connection between the same ports.
+/// A count that is lower than before belongs to a new connection between the same
+/// ports, so all of its bytes are counted.
 #[test]
 fn traffic_is_the_difference_per_connection() {
     let at = |port: u16| std::net::SocketAddr::from(([127, 0, 0, 1], port));
--- a/crates/load/tests/sse.rs
+++ b/crates/load/tests/sse.rs
@@ -6,7 +6,7 @@
     Event { id: id.map(Into::into), kind: kind.into(), data: data.into() }
 }
 
-/// Each row: a stream, and the events in it.
+/// Each row: a stream, and its events.
 fn rows() -> Vec<(&'static str, Vec<Event>)> {
     vec![
         ("data: a\n\n", vec![event(None, "", "a")]),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A server that never ends its line would take the caller's memory.
+/// A server that never ends a line would exhaust the caller's memory.
 #[test]
 fn overlong_event_is_rejected() {
     let mut parser = Parser::default();
--- a/crates/load/tests/stream_server.rs
+++ b/crates/load/tests/stream_server.rs
@@ -1,4 +1,4 @@
-//! Which HTTP server lets a streamed token out before the next one is made.
+//! Which HTTP server sends a streamed token before the next one is generated.
 
 use bytes::Bytes;
 use crossbeam::channel::{Receiver, Sender, unbounded};
@@ -12,7 +12,8 @@
     TimedOut,
 }
 
-/// Makes the second token only after the reader has seen the first.
+/// Generates the second token only after the reader has received the first, or after
+/// a timeout.
 struct AcknowledgedSource {
     made: u32,
     steps: Sender<Step>,
@@ -44,7 +45,7 @@
         if first && !stream_server::split_body(answer).is_empty() {
             first = false;
             steps.send(Step::Seen).expect("step");
-            // The source may have given up and gone.
+            // The source may have timed out and ended already.
             ack.send(()).ok();
         }
     })
@@ -53,19 +54,18 @@
     recorded.try_iter().collect()
 }
 
-/// The caller sees nothing of a streamed answer until its end. The source
-/// makes a token and waits until the reader has it; oxhttp's server keeps it
-/// in a chunk of at least 1,024 bytes within a 16 KiB buffer that it flushes
-/// only at the end, so the source waits in vain, however long: the patience
-/// only bounds the test, a longer one changes nothing.
+/// With oxhttp the caller receives nothing of a streamed answer until its end. The
+/// server collects chunks of at least 1,024 bytes in a 16 KiB buffer that it flushes
+/// only at the end, so the source times out waiting for the first token to be
+/// received. The timeout only limits the test; a longer one has the same result.
 #[test]
 fn oxhttp_delays_the_first_token_until_the_answer_ends() {
     let steps = record_steps(Server::Oxhttp, Duration::from_millis(500));
     assert_eq!(steps, [Step::Made(0), Step::TimedOut, Step::Made(1), Step::Seen]);
 }
 
-/// With hyper the caller sees the first token while the answer is still being
-/// made: the source gets its acknowledgement and never gives up.
+/// With hyper the caller receives the first token while the answer is still being
+/// generated, so the source is acknowledged before its timeout.
 #[test]
 fn hyper_sends_each_token_immediately() {
     let steps = record_steps(Server::Hyper, Duration::from_secs(15));
