--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -17,19 +17,19 @@
 impl Caller {
     /// Makes one attempt at a call. All attempts send the same idempotency key.
     pub(crate) async fn try_call(&self, call: &Call, progress: &mut Progress) -> Attempt {
-        let Some(at) = self.finder.find_address(&self.http).await else {
+        let Some(address) = self.finder.find_address(&self.http).await else {
             return Attempt::Unreachable;
         };
         let path = format!("/v1/services{}", call.path);
         let mut headers = caller::request_headers(&call.token, progress.time_left());
         headers.extend(call.key.iter().map(|key| ("idempotency-key", key.clone())));
         let body = Bytes::from(call.body.clone());
-        let response = match self.http.send(at, "POST", &path, &headers, body).await {
+        let response = match self.http.send(address, "POST", &path, &headers, body).await {
             Ok(response) => response,
-            Err(error) => return self.handle_error(at, error).await,
+            Err(error) => return self.handle_error(address, error).await,
         };
         if response.status() != 200 {
-            return self.handle_refusal(at, response, progress).await;
+            return self.handle_refusal(address, response, progress).await;
         }
         match http::read_body(response.into_body()).await {
             Ok(answer) => Attempt::End(check_echo(call, &answer)),
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -127,7 +127,7 @@
             }
         };
         let end = enforce_deadline(intended + completion.deadline, attempts).await;
-        progress.into_outcome(end, check.seen())
+        progress.into_outcome(end, check.received())
     }
 
     /// Calls a plain service. Latencies are measured from `intended`.
@@ -151,22 +151,25 @@
         progress: &mut Progress,
         check: &mut Check<F>,
     ) -> Attempt {
-        let Some(at) = self.finder.find_address(&self.http).await else {
+        let Some(address) = self.finder.find_address(&self.http).await else {
             return Attempt::Unreachable;
         };
         let headers = request_headers(&completion.token, progress.time_left());
-        let sent = self.http.send(at, "POST", "/v1/completions", &headers, completion.body.clone());
+        let sent =
+            self.http.send(address, "POST", "/v1/completions", &headers, completion.body.clone());
         let response = match sent.await {
             Ok(response) => response,
-            Err(error) => return self.handle_error(at, error).await,
+            Err(error) => return self.handle_error(address, error).await,
         };
         if response.status() != 200 {
-            return self.handle_refusal(at, response, progress).await;
+            return self.handle_refusal(address, response, progress).await;
         }
         let mut stream = stream::Reader::open(response);
         match stream.read(check, completion.hang_up, progress).await {
             StopReason::End(end) => Attempt::End(end),
-            StopReason::Interrupted => self.resume(completion, at, stream, check, progress).await,
+            StopReason::Interrupted => {
+                self.resume(completion, address, stream, check, progress).await
+            }
         }
     }
 
@@ -174,7 +177,7 @@
     async fn resume<F: Fn(u64) -> CompactString>(
         &self,
         completion: &Completion,
-        mut at: SocketAddr,
+        mut address: SocketAddr,
         mut stream: stream::Reader,
         check: &mut Check<F>,
         progress: &mut Progress,
@@ -183,20 +186,21 @@
         let path = format!("/v1/requests/{request}");
         while progress.resumes < MAX_RESUMES {
             progress.resumes += 1;
-            self.finder.avoid(at).await;
+            self.finder.avoid(address).await;
             let Some(next) = self.finder.find_address(&self.http).await else {
                 tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
-            at = next;
+            address = next;
             let mut headers = request_headers(&completion.token, progress.time_left());
             headers.extend(stream.last_id.iter().map(|id| ("last-event-id", id.to_string())));
-            let response = match self.http.send(at, "GET", &path, &headers, Bytes::new()).await {
+            let response = match self.http.send(address, "GET", &path, &headers, Bytes::new()).await
+            {
                 Ok(response) => response,
                 Err(_) => continue,
             };
             if response.status() != 200 {
-                return self.handle_refusal(at, response, progress).await;
+                return self.handle_refusal(address, response, progress).await;
             }
             stream.continue_with(response);
             if let StopReason::End(end) = stream.read(check, completion.hang_up, progress).await {
@@ -206,8 +210,8 @@
         Attempt::End(End::Failed(Failure::Broken))
     }
 
-    pub(crate) async fn handle_error(&self, at: SocketAddr, error: http::Error) -> Attempt {
-        self.finder.avoid(at).await;
+    pub(crate) async fn handle_error(&self, address: SocketAddr, error: http::Error) -> Attempt {
+        self.finder.avoid(address).await;
         match error {
             http::Error::NotConnected => Attempt::NotConnected,
             http::Error::Broken(_) => Attempt::Broken,
@@ -216,7 +220,7 @@
 
     pub(crate) async fn handle_refusal(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         response: ::http::Response<hyper::body::Incoming>,
         progress: &mut Progress,
     ) -> Attempt {
@@ -229,7 +233,7 @@
             return Attempt::End(End::Failed(Failure::Protocol(detail)));
         };
         if matches!(refused.reason, Reason::Draining | Reason::NotReady) {
-            self.finder.avoid(at).await;
+            self.finder.avoid(address).await;
         }
         progress.refusals.push(refused);
         Attempt::End(End::Refused(refused))
@@ -338,7 +342,7 @@
             end,
             first_token: self.first_token,
             gaps: self.gaps,
-            time: self.intended.elapsed(),
+            latency: self.intended.elapsed(),
             tokens,
             refusals: self.refusals,
             resumes: self.resumes,
--- a/crates/load/src/configuration.rs
+++ b/crates/load/src/configuration.rs
@@ -24,7 +24,7 @@
 /// Runs the experiment with nine nodes.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { nodes: 9, engines: 3, ..fleet::Options::default() };
-    let fleet = Fleet::open(options).await?;
+    let fleet = Fleet::start(options).await?;
     let (mut answered, mut everywhere) = (Spread::default(), Spread::default());
     for number in 0..NOTES {
         let share = 0.4 + 0.005 * f64::from(number);
--- a/crates/load/src/content.rs
+++ b/crates/load/src/content.rs
@@ -69,7 +69,7 @@
 pub struct Check<F> {
     token_at: F,
     count: u64,
-    seen: u64,
+    received: u64,
     ended: bool,
 }
 
@@ -77,12 +77,12 @@
     /// Creates a check for an answer of `count` tokens. `token_at` returns the
     /// expected text of the token with the given index.
     pub fn open(count: u64, token_at: F) -> Self {
-        Self { token_at, count, seen: 0, ended: false }
+        Self { token_at, count, received: 0, ended: false }
     }
 
     /// Returns the number of correct tokens received.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    pub fn received(&self) -> u64 {
+        self.received
     }
 
     /// Returns whether the end marker has arrived.
@@ -95,13 +95,13 @@
         if self.ended {
             return Err(Fault::AfterEnd);
         }
-        if self.seen == self.count {
+        if self.received == self.count {
             return Err(Fault::Surplus { count: self.count });
         }
-        if (self.token_at)(self.seen) != text {
+        if (self.token_at)(self.received) != text {
             return Err(self.classify_mismatch(text));
         }
-        self.seen += 1;
+        self.received += 1;
         Ok(())
     }
 
@@ -109,7 +109,7 @@
     pub fn text(&mut self, text: &str) -> Result<(), Fault> {
         let mut rest = text;
         while !rest.is_empty() {
-            let length = (self.token_at)(self.seen).len().min(rest.len());
+            let length = (self.token_at)(self.received).len().min(rest.len());
             let cut = (length..=rest.len()).find(|cut| rest.is_char_boundary(*cut));
             let (token, tail) = rest.split_at(cut.unwrap_or(rest.len()));
             self.token(token)?;
@@ -124,14 +124,18 @@
             return Err(Fault::AfterEnd);
         }
         match told {
-            _ if self.seen < self.count => Err(Fault::Short { count: self.count, got: self.seen }),
-            Some(told) if told != self.seen => Err(Fault::Miscounted { told, got: self.seen }),
+            _ if self.received < self.count => {
+                Err(Fault::Short { count: self.count, got: self.received })
+            }
+            Some(told) if told != self.received => {
+                Err(Fault::Miscounted { told, got: self.received })
+            }
             _ => Ok(()),
         }
     }
 
     fn classify_mismatch(&self, text: &str) -> Fault {
-        let expected = self.seen;
+        let expected = self.received;
         let matches = |seq: &u64| (self.token_at)(*seq) == text;
         let ahead = (expected + 1..expected + SEARCH_WINDOW).find(matches);
         let behind = (expected.saturating_sub(SEARCH_WINDOW)..expected).rev().find(matches);
--- a/crates/load/src/control_cost.rs
+++ b/crates/load/src/control_cost.rs
@@ -41,7 +41,7 @@
     for nodes in [3, 6, 9] {
         let engines = nodes * ENGINES_PER_NODE;
         let options = fleet::Options { nodes, engines, ..fleet::Options::default() };
-        let fleet = Fleet::open(options).await?;
+        let fleet = Fleet::start(options).await?;
         tokio::time::sleep(SETTLE_TIME).await;
         let before = read_counters(&fleet).await?;
         tokio::time::sleep(MEASURED_TIME).await;
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -71,8 +71,8 @@
             // The engine must not spend time on a request that has no caller any more.
             self.targets.cancel(engine, &generate.stream).await.ok();
         }
-        outcome.time = intended.elapsed();
-        if outcome.end == End::Whole && outcome.time > completion.deadline + LATE_TOLERANCE {
+        outcome.latency = intended.elapsed();
+        if outcome.end == End::Whole && outcome.latency > completion.deadline + LATE_TOLERANCE {
             outcome.end = End::Late;
         }
         outcome
@@ -150,7 +150,7 @@
                 Some(last) => outcome.gaps.push(now - last),
                 None => outcome.first_token = Some(now - intended),
             }
-            outcome.tokens = check.seen();
+            outcome.tokens = check.received();
         }
     }
 }
--- a/crates/load/src/entry.rs
+++ b/crates/load/src/entry.rs
@@ -64,8 +64,8 @@
     }
 
     async fn query_nodes(&self, http: &Http, cached: &mut Cached) -> Option<()> {
-        for at in self.known_addresses(cached) {
-            if let Some(entry) = query_node(http, at).await {
+        for address in self.known_addresses(cached) {
+            if let Some(entry) = query_node(http, address).await {
                 let expires_at = Some(Instant::now() + Duration::from_millis(entry.keep_ms));
                 *cached = Cached { entry: Some(entry), expires_at, avoided: BTreeSet::new() };
                 return Some(());
@@ -76,7 +76,7 @@
 
     fn usable_addresses(&self, cached: &Cached) -> Vec<SocketAddr> {
         let known = self.known_addresses(cached).into_iter();
-        known.filter(|at| !cached.avoided.contains(at)).collect()
+        known.filter(|address| !cached.avoided.contains(address)).collect()
     }
 
     fn known_addresses(&self, cached: &Cached) -> Vec<SocketAddr> {
@@ -87,8 +87,8 @@
     }
 }
 
-async fn query_node(http: &Http, at: SocketAddr) -> Option<Entry> {
-    let request = http.get_text(at, "/v1/entry");
+async fn query_node(http: &Http, address: SocketAddr) -> Option<Entry> {
+    let request = http.get_text(address, "/v1/entry");
     let (status, body) = tokio::time::timeout(ENTRY_TIMEOUT, request).await.ok()?.ok()?;
     (status == 200).then(|| serde_json::from_slice(&body).ok())?
 }
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -123,10 +123,10 @@
 pub(crate) const POLICIES: [Policy; 3] = [Policy::Fair, Policy::Fifo, Policy::LeastLoaded];
 
 /// Starts a fleet for a policy. Baselines have stand-ins but no nodes.
-pub(crate) async fn open_fleet(options: Options, policy: Policy) -> Result<Fleet> {
+pub(crate) async fn start_fleet(options: Options, policy: Policy) -> Result<Fleet> {
     match policy {
-        Policy::Fair => Fleet::open(options).await,
-        Policy::Fifo | Policy::LeastLoaded => Fleet::open_standins(&options),
+        Policy::Fair => Fleet::start(options).await,
+        Policy::Fifo | Policy::LeastLoaded => Fleet::start_standins(&options),
     }
 }
 
@@ -157,13 +157,18 @@
     kind: Kind,
     due: std::ops::Range<Duration>,
 ) -> Spread {
-    let chosen = samples.iter().filter(|s| s.kind == kind && due.contains(&s.at));
+    let chosen = samples.iter().filter(|s| s.kind == kind && due.contains(&s.send_at));
     chosen.filter_map(|sample| sample.outcome.first_token).collect()
 }
 
 /// Adds the number of requests by outcome, so that lost requests remain visible
 /// beside the other figures.
-pub(crate) fn add_ends(sheet: &mut Sheet, label: &str, options: &mix::Options, samples: &[Sample]) {
+pub(crate) fn add_outcomes(
+    sheet: &mut Sheet,
+    label: &str,
+    options: &mix::Options,
+    samples: &[Sample],
+) {
     let report = Report::from_samples(options, &[], samples);
     sheet.add(format!("{label}: requests"), report.sent as f64, "");
     for (end, count) in &report.ends {
--- a/crates/load/src/first_token.rs
+++ b/crates/load/src/first_token.rs
@@ -1,6 +1,8 @@
 //! Measures the time to first token by prompt length under a mixed load.
 
-use crate::experiment::{POLICIES, add_ends, first_token_spread, note_baselines, open_fleet, send};
+use crate::experiment::{
+    POLICIES, add_outcomes, first_token_spread, note_baselines, send, start_fleet,
+};
 use crate::fleet;
 use crate::mix::{Arrival, Class, Length, Options, Part};
 use crate::outcome::Kind;
@@ -24,16 +26,16 @@
     for policy in POLICIES {
         let engine = Engine { speed: ENGINE_SPEED, ..Engine::default() };
         let options = fleet::Options { engine, ..fleet::Options::default() };
-        let fleet = open_fleet(options, policy).await?;
+        let fleet = start_fleet(options, policy).await?;
         let options = plan(sheet.seed);
         let samples = send(&fleet, policy, &options).await;
         drop(fleet);
         for length in Length::ALL {
             let kind = Kind::Completion(*length);
             let spread = first_token_spread(&samples, kind, Duration::ZERO..DURATION);
-            for (quantile, at) in QUANTILES {
+            for (quantile, fraction) in QUANTILES {
                 let name = format!("first token {length} {quantile}");
-                let value = spread.quantile_ms(at);
+                let value = spread.quantile_ms(fraction);
                 sheet.add(format!("{policy}: {name}"), value, "ms");
                 let baseline =
                     fair.iter().find(|(known, _)| *known == name).map(|(_, value)| *value);
@@ -45,7 +47,7 @@
                 }
             }
         }
-        add_ends(sheet, &policy.to_string(), &options, &samples);
+        add_outcomes(sheet, &policy.to_string(), &options, &samples);
     }
     sheet.note(format!("6 engines, each at {ENGINE_SPEED} times 40k prompt tokens a second"));
     note_baselines(sheet);
@@ -61,7 +63,7 @@
     huge.from = Duration::from_secs(2);
     let parts = vec![
         part(Length::Short, Class::Interactive, 60.0),
-        part(Length::Middle, Class::Interactive, 8.0),
+        part(Length::Medium, Class::Interactive, 8.0),
         part(Length::Long, Class::Batch, 2.0),
         huge,
     ];
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -115,9 +115,9 @@
 impl Fleet {
     /// Starts a fleet and waits until each node has applied the first release note
     /// and sees every target accept work.
-    pub async fn open(options: Options) -> Result<Self> {
+    pub async fn start(options: Options) -> Result<Self> {
         ensure!(options.nodes <= 9, "an experiment starts at most nine nodes");
-        let mut fleet = Self::open_standins(&options)?;
+        let mut fleet = Self::start_standins(&options)?;
         for index in 0..options.nodes {
             let node = fleet.start_node(index)?;
             fleet.nodes.push(node);
@@ -129,7 +129,7 @@
     }
 
     /// Starts the stand-ins of a fleet without any nodes.
-    pub fn open_standins(options: &Options) -> Result<Self> {
+    pub fn start_standins(options: &Options) -> Result<Self> {
         let standins = spawn_standins(options)?;
         let (folder, credentials) = (create_folder()?, make_credentials(options));
         Ok(Self { nodes: Vec::new(), standins, credentials, http: Http::open(), folder })
@@ -188,8 +188,8 @@
         struct Health {
             version: id::Release,
         }
-        let at = self.nodes[node].address.admin;
-        let (_, body) = self.http.get_text(at, "/health").await?;
+        let address = self.nodes[node].address.admin;
+        let (_, body) = self.http.get_text(address, "/health").await?;
         Ok(serde_json::from_slice::<Health>(&body)?.version)
     }
 
@@ -211,12 +211,12 @@
         path: &str,
         body: Bytes,
     ) -> Result<Bytes> {
-        let at = self.nodes[node].address.admin;
+        let address = self.nodes[node].address.admin;
         let headers = [
             ("authorization", format!("Bearer {OPERATOR_TOKEN}")),
             ("content-type", "application/json".to_owned()),
         ];
-        let response = self.http.send(at, method, path, &headers, body).await?;
+        let response = self.http.send(address, method, path, &headers, body).await?;
         let status = response.status();
         let body = http::read_body(response.into_body()).await?;
         ensure!(status == 200, "{method} {path}: {status} {}", String::from_utf8_lossy(&body));
--- a/crates/load/src/http.rs
+++ b/crates/load/src/http.rs
@@ -50,13 +50,14 @@
     /// Sends a request and returns the response as soon as its head has arrived.
     pub async fn send(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         method: &str,
         path: &str,
         headers: &[(&str, String)],
         body: Bytes,
     ) -> Result<http::Response<Incoming>, Error> {
-        let mut request = http::Request::builder().method(method).uri(format!("http://{at}{path}"));
+        let mut request =
+            http::Request::builder().method(method).uri(format!("http://{address}{path}"));
         for (name, value) in headers {
             request = request.header(*name, value);
         }
@@ -68,8 +69,8 @@
     }
 
     /// Requests a document and returns its status and body.
-    pub async fn get_text(&self, at: SocketAddr, path: &str) -> Result<(u16, Bytes), Error> {
-        let response = self.send(at, "GET", path, &[], Bytes::new()).await?;
+    pub async fn get_text(&self, address: SocketAddr, path: &str) -> Result<(u16, Bytes), Error> {
+        let response = self.send(address, "GET", path, &[], Bytes::new()).await?;
         let status = response.status().as_u16();
         Ok((status, read_body(response.into_body()).await?))
     }
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -22,7 +22,7 @@
     /// Ten thousand tokens, for example a catalogue page.
     #[display("10k")]
     #[serde(rename = "10k")]
-    Middle,
+    Medium,
     /// A hundred thousand tokens, for example the report of a season.
     #[display("100k")]
     #[serde(rename = "100k")]
@@ -35,13 +35,13 @@
 
 impl Length {
     /// All classes, in ascending order.
-    pub const ALL: &[Self] = &[Self::Short, Self::Middle, Self::Long, Self::Huge];
+    pub const ALL: &[Self] = &[Self::Short, Self::Medium, Self::Long, Self::Huge];
 
     /// Returns the number of tokens of a prompt of the class.
     pub fn tokens(self) -> size::Tokens {
         size::Tokens(match self {
             Self::Short => 1_000,
-            Self::Middle => 10_000,
+            Self::Medium => 10_000,
             Self::Long => 100_000,
             Self::Huge => 1_000_000,
         })
@@ -158,7 +158,7 @@
         use Class::{Batch, Interactive};
         let parts = vec![
             Part::new(Length::Short, Interactive, rate * 0.85),
-            Part::new(Length::Middle, Interactive, rate * 0.11),
+            Part::new(Length::Medium, Interactive, rate * 0.11),
             Part::new(Length::Long, Batch, rate * 0.03),
             Part::new(Length::Huge, Batch, rate * 0.01),
         ];
@@ -201,7 +201,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
     /// Intended send time, relative to the start of the run.
-    pub at: Duration,
+    pub send_at: Duration,
     /// The account that sends it, by index.
     pub account: usize,
     /// The caller that sends it, by index.
@@ -219,30 +219,30 @@
         (0..accounts).map(|i| ((i + 1) as f64).powf(options.skew).recip()).collect();
     let mut plan = Vec::new();
     for (index, part) in options.parts.iter().enumerate() {
-        let mut random = seed_stream(options.seed, index as u64);
+        let mut random = seed_generator(options.seed, index as u64);
         for at in plan_arrivals(options, part.arrival, part.rate, part.from, &mut random) {
             let work = draw_completion(options, *part, &mut random);
             plan.push(draw_request(options, at, work, &weights, &mut random));
         }
     }
     for (index, calls) in options.calls.iter().enumerate() {
-        let mut random = seed_stream(options.seed, 1_000 + index as u64);
+        let mut random = seed_generator(options.seed, 1_000 + index as u64);
         for at in plan_arrivals(options, Arrival::Poisson, calls.rate, Duration::ZERO, &mut random)
         {
             plan.push(draw_request(options, at, Work::Call(index), &weights, &mut random));
         }
     }
-    plan.sort_by_key(|request| request.at);
+    plan.sort_by_key(|request| request.send_at);
     plan
 }
 
-fn seed_stream(seed: u64, stream: u64) -> StdRng {
+fn seed_generator(seed: u64, stream: u64) -> StdRng {
     StdRng::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(stream))
 }
 
 fn draw_request(
     options: &Options,
-    at: Duration,
+    send_at: Duration,
     work: Work,
     weights: &[f64],
     random: &mut StdRng,
@@ -252,7 +252,7 @@
         Work::Call(_) => (0, weights.len()),
     };
     let account = first + draw_index(&weights[first..end], random);
-    Request { at, account, caller: random.random_range(0..options.callers.max(1)), work }
+    Request { send_at, account, caller: random.random_range(0..options.callers.max(1)), work }
 }
 
 fn draw_completion(options: &Options, part: Part, random: &mut StdRng) -> Work {
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -86,7 +86,7 @@
     /// The inter-token latencies.
     pub gaps: Vec<Duration>,
     /// Time from the intended send time to the end.
-    pub time: Duration,
+    pub latency: Duration,
     /// Number of correct tokens received.
     pub tokens: u64,
     /// All refusals, including those after which the request was retried.
@@ -105,7 +105,7 @@
             end,
             first_token: None,
             gaps: Vec::new(),
-            time: Duration::ZERO,
+            latency: Duration::ZERO,
             tokens: 0,
             refusals: Vec::new(),
             resumes: 0,
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sample {
     /// Intended send time, relative to the start of the run.
-    pub at: Duration,
+    pub send_at: Duration,
     /// The kind of request.
     pub kind: Kind,
     /// The service class.
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -1,6 +1,6 @@
 //! Measures the goodput at twice the capacity of the fleet.
 
-use crate::experiment::{POLICIES, add_ends, note_baselines, open_fleet, send};
+use crate::experiment::{POLICIES, add_outcomes, note_baselines, send, start_fleet};
 use crate::fleet::{self, Policy};
 use crate::mix::{Arrival, Class, Length, Options, Part};
 use crate::outcome::{End, Sample};
@@ -27,12 +27,12 @@
     sheet.add("capacity", capacity, "requests/s");
     for policy in POLICIES {
         let options = fleet::Options::default();
-        let fleet = open_fleet(options, policy).await?;
+        let fleet = start_fleet(options, policy).await?;
         let options = plan(sheet.seed, 2.0 * capacity);
         let samples = send(&fleet, policy, &options).await;
         drop(fleet);
-        judge(sheet, policy, &samples, capacity);
-        add_ends(sheet, &policy.to_string(), &options, &samples);
+        add_figures(sheet, policy, &samples, capacity);
+        add_outcomes(sheet, &policy.to_string(), &options, &samples);
     }
     sheet.note("prompts of 10k tokens, answers of 16; capacity: a burst with a long deadline");
     sheet.note("goodput: whole answers that ended in time, by when they ended");
@@ -40,12 +40,12 @@
     Ok(())
 }
 
-fn judge(sheet: &mut Sheet, policy: Policy, samples: &[Sample], capacity: f64) {
-    let ended = |s: &&Sample| (WARM_UP_TIME..DURATION).contains(&(s.at + s.outcome.time));
+fn add_figures(sheet: &mut Sheet, policy: Policy, samples: &[Sample], capacity: f64) {
+    let ended = |s: &&Sample| (WARM_UP_TIME..DURATION).contains(&(s.send_at + s.outcome.latency));
     let whole = samples.iter().filter(ended).filter(|s| s.outcome.end == End::Whole).count();
     let goodput = whole as f64 / (DURATION - WARM_UP_TIME).as_secs_f64();
     let refused = samples.iter().filter(|s| matches!(s.outcome.end, End::Refused(_)));
-    let refusal: Spread = refused.map(|sample| sample.outcome.time).collect();
+    let refusal: Spread = refused.map(|sample| sample.outcome.latency).collect();
     let name = |what: &str| format!("{policy}: {what}");
     sheet.add(name("goodput"), goodput, "requests/s");
     let ratio = goodput / capacity;
@@ -59,7 +59,7 @@
 }
 
 async fn measure_capacity(sheet: &mut Sheet) -> Result<f64> {
-    let fleet = fleet::Fleet::open(fleet::Options::default()).await?;
+    let fleet = fleet::Fleet::start(fleet::Options::default()).await?;
     let mut part = completion_part();
     part.arrival = Arrival::Once(CAPACITY_BURST);
     part.deadline = Duration::from_secs(60);
@@ -67,15 +67,15 @@
     let options = Options { parts, ..Options::empty(sheet.seed, Duration::from_secs(1)) };
     let samples = send(&fleet, Policy::Fair, &options).await;
     let whole: Vec<_> = samples.iter().filter(|s| s.outcome.end == End::Whole).collect();
-    let last = whole.iter().map(|s| s.outcome.time).max().unwrap_or(Duration::MAX);
+    let last = whole.iter().map(|s| s.outcome.latency).max().unwrap_or(Duration::MAX);
     if whole.len() < samples.len() {
-        add_ends(sheet, "capacity", &options, &samples);
+        add_outcomes(sheet, "capacity", &options, &samples);
     }
     Ok(whole.len() as f64 / last.as_secs_f64())
 }
 
 fn completion_part() -> Part {
-    let mut part = Part::new(Length::Middle, Class::Interactive, 0.0);
+    let mut part = Part::new(Length::Medium, Class::Interactive, 0.0);
     part.max_tokens = 16;
     part.deadline = DEADLINE;
     part
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -87,7 +87,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         kill_and_wait(&self.child);
-        lock(&RUNNING_CHILDREN).retain(|slot| !Arc::ptr_eq(slot, &self.child));
+        lock(&RUNNING_CHILDREN).retain(|child| !Arc::ptr_eq(child, &self.child));
     }
 }
 
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -40,7 +40,7 @@
 /// requests alternate, so that other load on the machine affects both equally.
 async fn measure_added_latency(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { nodes: 3, engines: 3, ..fleet::Options::default() };
-    let fleet = Fleet::open(options).await?;
+    let fleet = Fleet::start(options).await?;
     let caller = Caller::open(fleet.entry_addresses(), 0);
     let targets = Targets::open(Duration::from_secs(5));
     let (mut direct, mut via_node) = (Spread::default(), Spread::default());
@@ -60,8 +60,8 @@
         via_node
             .record(outcome.first_token.context("through a node: the answer has no first token")?);
     }
-    for (quantile, at) in [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)] {
-        let (direct, via_node) = (direct.quantile_ms(at), via_node.quantile_ms(at));
+    for (quantile, fraction) in [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)] {
+        let (direct, via_node) = (direct.quantile_ms(fraction), via_node.quantile_ms(fraction));
         sheet.add(format!("first token direct {quantile}"), direct, "ms");
         sheet.add(format!("first token through a node {quantile}"), via_node, "ms");
         let added = via_node - direct;
@@ -113,7 +113,7 @@
 async fn measure_relay_rate(sheet: &mut Sheet) -> Result<()> {
     let engine = Engine { speed: 4.0, ..Engine::default() };
     let options = fleet::Options { nodes: 1, engines: 8, engine, ..fleet::Options::default() };
-    let fleet = Fleet::open(options).await?;
+    let fleet = Fleet::start(options).await?;
     let mut part = Part::new(Length::Short, Class::Interactive, 120.0);
     part.max_tokens = RELAY_TOKENS;
     let options =
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -135,7 +135,7 @@
         outcome.gaps.iter().for_each(|gap| kind.between_tokens.record(*gap));
         if outcome.end == End::Whole {
             kind.whole += 1;
-            kind.whole_answer.record(outcome.time);
+            kind.whole_answer.record(outcome.latency);
         }
     }
 
@@ -178,7 +178,7 @@
     let from = long.map(|part| part.from).min().filter(|from| *from > Duration::ZERO)?;
     let spread = |beside: bool| -> Spread {
         let short = samples.iter().filter(|s| s.kind == Kind::Completion(Length::Short));
-        let phase = short.filter(|sample| (sample.at >= from) == beside);
+        let phase = short.filter(|sample| (sample.send_at >= from) == beside);
         phase.filter_map(|sample| sample.outcome.first_token).collect()
     };
     let (alone, beside) = (spread(false), spread(true));
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -84,7 +84,7 @@
     let mut sent = JoinSet::new();
     let mut samples = Vec::with_capacity(plan.len());
     for request in plan {
-        sleep_until(start + request.at - BODY_LEAD).await;
+        sleep_until(start + request.send_at - BODY_LEAD).await;
         while let Some(sample) = sent.try_join_next() {
             samples.extend(sample.ok());
         }
@@ -94,7 +94,7 @@
         );
     }
     samples.extend(sent.join_all().await);
-    samples.sort_by_key(|sample| sample.at);
+    samples.sort_by_key(|sample| sample.send_at);
     samples
 }
 
@@ -106,7 +106,7 @@
     start: Instant,
 ) -> Sample {
     let token = credentials.get(request.account).map_or("", |credential| &credential.token);
-    let intended = start + request.at;
+    let intended = start + request.send_at;
     let (kind, class, outcome) = match request.work {
         Work::Completion { part, salt, hang_up } => {
             let prompt = mix::make_prompt(salt, part.length.tokens());
@@ -135,7 +135,7 @@
             (Kind::Call, Class::Interactive, outcome)
         }
     };
-    Sample { at: request.at, kind, class, account: request.account, outcome }
+    Sample { send_at: request.send_at, kind, class, account: request.account, outcome }
 }
 
 fn pick_caller(callers: &[Arc<Caller>], request: Request) -> &Caller {
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -1,6 +1,6 @@
 //! Measures the share of each partner in a saturated fleet.
 
-use crate::experiment::{POLICIES, add_ends, note_baselines, open_fleet, send};
+use crate::experiment::{POLICIES, add_outcomes, note_baselines, send, start_fleet};
 use crate::fleet::{self, Fleet, Policy};
 use crate::mix::{Class, Length, Options, Part};
 use crate::outcome::{Kind, Sample};
@@ -34,22 +34,22 @@
     for policy in POLICIES {
         let options =
             fleet::Options { partners: INITIAL_PARTNERS.to_vec(), ..fleet::Options::default() };
-        let fleet = open_fleet(options, policy).await?;
+        let fleet = start_fleet(options, policy).await?;
         let options = plan(sheet.seed);
         let (samples, swapped) =
             tokio::join!(send(&fleet, policy, &options), swap_shares(&fleet, policy));
         swapped?;
         drop(fleet);
-        judge(sheet, policy, "first shares", &samples, INITIAL_WINDOW_SECONDS, 0.7);
-        judge(sheet, policy, "turned shares", &samples, SWAPPED_WINDOW_SECONDS, 0.3);
-        add_ends(sheet, &policy.to_string(), &options, &samples);
+        add_figures(sheet, policy, "first shares", &samples, INITIAL_WINDOW_SECONDS, 0.7);
+        add_figures(sheet, policy, "turned shares", &samples, SWAPPED_WINDOW_SECONDS, 0.3);
+        add_outcomes(sheet, &policy.to_string(), &options, &samples);
     }
     sheet.note("service: prompt and answer tokens of answers, spread from first token to end");
     note_baselines(sheet);
     Ok(())
 }
 
-fn judge(
+fn add_figures(
     sheet: &mut Sheet,
     policy: Policy,
     phase: &str,
@@ -83,8 +83,8 @@
         .map(|sample| {
             let Kind::Completion(length) = sample.kind else { return 0.0 };
             let Some(first) = sample.outcome.first_token else { return 0.0 };
-            let first = (sample.at + first).as_secs_f64();
-            let end = (sample.at + sample.outcome.time).as_secs_f64();
+            let first = (sample.send_at + first).as_secs_f64();
+            let end = (sample.send_at + sample.outcome.latency).as_secs_f64();
             let within = (end.min(to) - first.max(from)).max(0.0) / (end - first).max(1e-9);
             let prompt = if (from..to).contains(&first) { length.tokens().0 as f64 } else { 0.0 };
             prompt + sample.outcome.tokens as f64 * within
@@ -96,7 +96,7 @@
 /// the capacity of the whole fleet.
 fn plan(seed: u64) -> Options {
     let part = |first: usize| {
-        let mut part = Part::new(Length::Middle, Class::Interactive, 24.0);
+        let mut part = Part::new(Length::Medium, Class::Interactive, 24.0);
         part.accounts = Some((first, first + ACCOUNTS_PER_PARTNER));
         part.max_tokens = 16;
         part.deadline = Duration::from_secs(4);
--- a/crates/load/src/short_beside_long.rs
+++ b/crates/load/src/short_beside_long.rs
@@ -4,7 +4,9 @@
 //! that the short requests gain is therefore lost by the long ones and shows in the
 //! latency of the last long answer.
 
-use crate::experiment::{POLICIES, add_ends, first_token_spread, note_baselines, open_fleet, send};
+use crate::experiment::{
+    POLICIES, add_outcomes, first_token_spread, note_baselines, send, start_fleet,
+};
 use crate::fleet::{self, Policy};
 use crate::mix::{Arrival, Class, Length, Options, Part};
 use crate::outcome::{End, Kind, Sample};
@@ -57,7 +59,7 @@
 }
 
 async fn measure_policy(sheet: &mut Sheet, policy: Policy) -> Result<Measurement> {
-    let fleet = open_fleet(fleet::Options::default(), policy).await?;
+    let fleet = start_fleet(fleet::Options::default(), policy).await?;
     let options = plan(sheet.seed);
     let samples = send(&fleet, policy, &options).await;
     drop(fleet);
@@ -76,7 +78,7 @@
         _ => sheet.add(name("slowdown p95"), slowdown, "x"),
     }
     sheet.add(name("long throughput"), long_rate, "tokens/s");
-    add_ends(sheet, &policy.to_string(), &options, &samples);
+    add_outcomes(sheet, &policy.to_string(), &options, &samples);
     Ok(Measurement { slowdown, beside: beside.quantile_ms(0.95), long_rate })
 }
 
@@ -91,6 +93,6 @@
 fn measure_long(samples: &[Sample]) -> f64 {
     let long = samples.iter().filter(|s| s.kind == Kind::Completion(Length::Long));
     let whole: Vec<_> = long.filter(|s| s.outcome.end == End::Whole).collect();
-    let last = whole.iter().map(|s| s.outcome.time).max().unwrap_or(Duration::MAX);
+    let last = whole.iter().map(|s| s.outcome.latency).max().unwrap_or(Duration::MAX);
     whole.len() as f64 * Length::Long.tokens().0 as f64 / last.as_secs_f64()
 }
--- a/crates/load/src/stream.rs
+++ b/crates/load/src/stream.rs
@@ -70,14 +70,14 @@
             };
             let now = Instant::now();
             for event in events {
-                let before = check.seen();
+                let before = check.received();
                 if let Some(end) = self.handle_event(event, check) {
                     return StopReason::End(end);
                 }
-                if check.seen() > before {
+                if check.received() > before {
                     progress.record_token(now);
                 }
-                if hang_up.is_some_and(|after| check.seen() >= after) {
+                if hang_up.is_some_and(|after| check.received() >= after) {
                     return StopReason::End(End::HungUp);
                 }
             }
--- a/crates/load/src/zone_change.rs
+++ b/crates/load/src/zone_change.rs
@@ -1,6 +1,6 @@
 //! Measures the effect of taking a zone out of service and back under load.
 
-use crate::experiment::{add_ends, first_token_spread, is_lost, open_fleet, send};
+use crate::experiment::{add_outcomes, first_token_spread, is_lost, send, start_fleet};
 use crate::fleet::{self, Fleet, Policy};
 use crate::mix::{Calls, Class, Length, Options, Part};
 use crate::outcome::{End, Kind};
@@ -32,7 +32,7 @@
 /// just in placement.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { engines: 9, ..fleet::Options::default() };
-    let fleet = open_fleet(options, Policy::Fair).await?;
+    let fleet = start_fleet(options, Policy::Fair).await?;
     let options = plan(sheet.seed);
     let (samples, changed) =
         tokio::join!(send(&fleet, Policy::Fair, &options), change_zone(&fleet));
@@ -57,7 +57,7 @@
     sheet.judge("last new work in the zone after the note", last, "s", Goal::AtMost(3.0));
     sheet.add("streams begun in the zone after the note", changed.started as f64, "");
     sheet.add("first new work in the zone after its return", changed.first_after_return, "s");
-    add_ends(sheet, "all", &options, &samples);
+    add_outcomes(sheet, "all", &options, &samples);
     sheet.note("9 engines in 3 zones at a third of their rate; orders run beside");
     Ok(())
 }
@@ -65,7 +65,7 @@
 fn plan(seed: u64) -> Options {
     let parts = vec![
         Part::new(Length::Short, Class::Interactive, 60.0),
-        Part::new(Length::Middle, Class::Interactive, 6.0),
+        Part::new(Length::Medium, Class::Interactive, 6.0),
     ];
     let order = Calls {
         service: "orders".into(),
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -2,7 +2,7 @@
 
 mod fake;
 
-use fake::{Node, STREAM, end, entry, problem, respond, token};
+use fake::{Node, STREAM, end, entry, refusal, respond, token};
 use hickory_load::caller::{Call, Caller, Completion};
 use hickory_load::content::Fault;
 use hickory_load::mix::Class;
@@ -22,13 +22,13 @@
     range.map(|seq| token(seq, &text(seq))).collect()
 }
 
-fn ask(resends: u32) -> Completion {
+fn completion(resends: u32) -> Completion {
     let deadline = Duration::from_secs(10);
-    let ask = Completion::for_prompt("secret", "oak", PROMPT, 4, Class::Interactive);
-    Completion { deadline, resends, ..ask }
+    let completion = Completion::for_prompt("secret", "oak", PROMPT, 4, Class::Interactive);
+    Completion { deadline, resends, ..completion }
 }
 
-fn order() -> Call {
+fn once_call() -> Call {
     Call {
         token: "secret".into(),
         path: "/orders/place".into(),
@@ -39,7 +39,7 @@
     }
 }
 
-fn block<T>(future: impl Future<Output = T>) -> T {
+fn block_on<T>(future: impl Future<Output = T>) -> T {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -47,8 +47,8 @@
         .block_on(future)
 }
 
-fn complete(seeds: Vec<SocketAddr>, ask: &Completion) -> Outcome {
-    block(Caller::open(seeds, 0).complete(ask, Instant::now()))
+fn complete(seeds: Vec<SocketAddr>, completion: &Completion) -> Outcome {
+    block_on(Caller::open(seeds, 0).complete(completion, Instant::now()))
 }
 
 /// Starts a node that returns its own address as the entry address and answers all
@@ -67,10 +67,10 @@
 #[test]
 fn complete_answer_is_accepted() {
     let node = node(|_| respond(200, STREAM, &(tokens(0..4) + &end(4))));
-    let outcome = complete(vec![node.address], &ask(0));
+    let outcome = complete(vec![node.address], &completion(0));
     assert_eq!(outcome.end, End::Whole);
     assert_eq!((outcome.tokens, outcome.gaps.len()), (4, 3));
-    let seen = node.seen();
+    let seen = node.requests();
     assert_eq!(seen[0].line, "POST /v1/completions");
     assert_eq!(seen[0].header("authorization"), Some("bearer secret"));
     assert!(seen[0].header("x-time-left-ms").is_some());
@@ -79,13 +79,13 @@
 #[test]
 fn entry_answer_is_cached() {
     let node = node(|_| respond(200, STREAM, &(tokens(0..4) + &end(4))));
-    block(async {
+    block_on(async {
         let caller = Caller::open(vec![node.address], 0);
         for _ in 0..3 {
-            caller.complete(&ask(0), Instant::now()).await;
+            caller.complete(&completion(0), Instant::now()).await;
         }
     });
-    assert_eq!((node.entries_asked(), node.seen().len()), (1, 3));
+    assert_eq!((node.entry_queries(), node.requests().len()), (1, 3));
 }
 
 /// The cached address belongs to a node that is down. The connection fails before
@@ -95,13 +95,13 @@
     let alive = node(|_| respond(200, STREAM, &(tokens(0..4) + &end(4))));
     let (dead, alternate) = (dead_address(), alive.address);
     let asked = Node::spawn(move |_, _| entry(dead, &[alternate]));
-    assert_eq!(complete(vec![asked.address], &ask(0)).end, End::Whole);
-    assert_eq!(alive.seen().len(), 1);
+    assert_eq!(complete(vec![asked.address], &completion(0)).end, End::Whole);
+    assert_eq!(alive.requests().len(), 1);
 }
 
 #[test]
 fn caller_without_a_reachable_node_fails_as_unreachable() {
-    let outcome = complete(vec![dead_address()], &ask(0));
+    let outcome = complete(vec![dead_address()], &completion(0));
     assert_eq!(outcome.end, End::Failed(Failure::Unreachable));
 }
 
@@ -113,9 +113,9 @@
         0 => respond(200, STREAM, &tokens(0..2)),
         _ => respond(200, STREAM, &(tokens(2..4) + &end(4))),
     });
-    let outcome = complete(vec![node.address], &ask(0));
+    let outcome = complete(vec![node.address], &completion(0));
     assert_eq!((outcome.end, outcome.resumes, outcome.tokens), (End::Whole, 1, 4));
-    let seen = node.seen();
+    let seen = node.requests();
     assert_eq!(seen[1].line, "GET /v1/requests/r1");
     assert_eq!(seen[1].header("last-event-id"), Some("1"));
 }
@@ -142,7 +142,7 @@
     for (rest, right) in rows {
         let body = tokens(0..2) + &rest;
         let node = node(move |_| respond(200, STREAM, &body));
-        let outcome = complete(vec![node.address], &ask(0));
+        let outcome = complete(vec![node.address], &completion(0));
         assert!(right(&outcome.end), "{rest:?}: {:?}", outcome.end);
     }
 }
@@ -150,11 +150,11 @@
 #[test]
 fn refused_request_is_retried_after_the_stated_delay() {
     let node = node(|number| match number {
-        0 => problem(429, "overloaded", "no", Some(150)),
+        0 => refusal(429, "overloaded", "no", Some(150)),
         _ => respond(200, STREAM, &(tokens(0..4) + &end(4))),
     });
     let start = Instant::now();
-    let outcome = complete(vec![node.address], &ask(1));
+    let outcome = complete(vec![node.address], &completion(1));
     assert!(start.elapsed() >= Duration::from_millis(150));
     assert_eq!((outcome.end, outcome.resends, outcome.refusals.len()), (End::Whole, 1, 1));
 }
@@ -164,26 +164,26 @@
 #[test]
 fn other_refusals_are_not_retried() {
     let rows = [
-        (problem(429, "overloaded", "no", None), true),
-        (problem(502, "target-failed", "unknown", Some(1)), true),
-        (problem(429, "overloaded", "no", Some(3_600_000)), true),
-        (problem(503, "overloaded", "no", Some(1)), false),
-        (problem(429, "unheard-of", "no", Some(1)), false),
+        (refusal(429, "overloaded", "no", None), true),
+        (refusal(502, "target-failed", "unknown", Some(1)), true),
+        (refusal(429, "overloaded", "no", Some(3_600_000)), true),
+        (refusal(503, "overloaded", "no", Some(1)), false),
+        (refusal(429, "unheard-of", "no", Some(1)), false),
         (respond(500, "", "oops"), false),
     ];
     for (answer, is_valid_refusal) in rows {
         let text = answer.clone();
         let node = node(move |_| text.clone());
-        let outcome = complete(vec![node.address], &ask(3));
+        let outcome = complete(vec![node.address], &completion(3));
         assert_eq!(matches!(outcome.end, End::Refused(_)), is_valid_refusal, "{answer}");
-        assert_eq!(node.seen().len(), 1, "{answer}");
+        assert_eq!(node.requests().len(), 1, "{answer}");
     }
 }
 
 #[test]
 fn caller_hangs_up_after_the_given_token_count() {
     let node = node(|_| respond(200, STREAM, &(tokens(0..4) + &end(4))));
-    let outcome = complete(vec![node.address], &Completion { hang_up: Some(2), ..ask(0) });
+    let outcome = complete(vec![node.address], &Completion { hang_up: Some(2), ..completion(0) });
     assert_eq!((outcome.end, outcome.tokens), (End::HungUp, 2));
 }
 
@@ -196,16 +196,16 @@
         0 => String::new(),
         _ => respond(200, "", "{\"key\":\"k\",\"body\":\"{}\"}"),
     });
-    let outcome = block(Caller::open(vec![node.address], 0).call(&order(), Instant::now()));
+    let outcome = block_on(Caller::open(vec![node.address], 0).call(&once_call(), Instant::now()));
     assert_eq!((outcome.end, outcome.resends), (End::Whole, 1));
     let keys: Vec<_> =
-        node.seen().iter().map(|s| s.header("idempotency-key").map(str::to_owned)).collect();
+        node.requests().iter().map(|s| s.header("idempotency-key").map(str::to_owned)).collect();
     assert_eq!(keys, [Some("k".to_owned()), Some("k".to_owned())]);
 }
 
 #[test]
 fn answer_to_another_call_is_wrong() {
     let node = node(|_| respond(200, "", "{\"key\":\"other\",\"body\":\"{}\"}"));
-    let outcome = block(Caller::open(vec![node.address], 0).call(&order(), Instant::now()));
+    let outcome = block_on(Caller::open(vec![node.address], 0).call(&once_call(), Instant::now()));
     assert!(matches!(outcome.end, End::Wrong(_)));
 }
--- a/crates/load/tests/direct.rs
+++ b/crates/load/tests/direct.rs
@@ -10,9 +10,9 @@
 
 const ENGINES: usize = 3;
 
-fn open_fleet() -> Fleet {
+fn start_fleet() -> Fleet {
     let options = fleet::Options { engines: ENGINES, ..fleet::Options::default() };
-    Fleet::open_standins(&options).expect("stand-ins")
+    Fleet::start_standins(&options).expect("stand-ins")
 }
 
 async fn complete(direct: Arc<Direct>, salt: u64, length: Length, deadline: Duration) -> Outcome {
@@ -30,7 +30,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn fifo_uses_the_engines_round_robin() {
-    let fleet = open_fleet();
+    let fleet = start_fleet();
     let direct = Direct::spawn(Policy::Fifo, fleet.engine_addresses());
     for salt in 0..2 * ENGINES as u64 {
         let outcome = complete(direct.clone(), salt, Length::Short, Duration::from_secs(10)).await;
@@ -44,7 +44,7 @@
 /// baseline performs worse than it should.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_past_its_deadline_is_cancelled() {
-    let fleet = open_fleet();
+    let fleet = start_fleet();
     let direct = Direct::spawn(Policy::Fifo, fleet.engine_addresses());
     let outcome = complete(direct, 1, Length::Long, Duration::from_millis(300)).await;
     assert!(matches!(outcome.end, End::Failed(Failure::Reported(_))), "{:?}", outcome.end);
--- a/crates/load/tests/fake/mod.rs
+++ b/crates/load/tests/fake/mod.rs
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 pub struct Node {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<Request>>>,
+    requests: Arc<Mutex<Vec<Request>>>,
 }
 
 impl Node {
@@ -36,15 +36,16 @@
     pub fn spawn(answer: impl Fn(&Request, usize) -> String + Send + 'static) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
         let address = listener.local_addr().expect("address");
-        let node = Self { address, seen: Arc::default() };
-        let seen = node.seen.clone();
+        let node = Self { address, requests: Arc::default() };
+        let requests = node.requests.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let request = read_request(&stream);
-                let mut seen = seen.lock().expect("lock");
-                let number = seen.iter().filter(|seen| seen.line != "GET /v1/entry").count();
-                seen.push(request.clone());
-                drop(seen);
+                let mut requests = requests.lock().expect("lock");
+                let number =
+                    requests.iter().filter(|request| request.line != "GET /v1/entry").count();
+                requests.push(request.clone());
+                drop(requests);
                 let text = answer(&request, number);
                 (&stream).write_all(text.as_bytes()).ok();
             }
@@ -53,15 +54,15 @@
     }
 
     /// Returns the requests so far, without queries for the entry address.
-    pub fn seen(&self) -> Vec<Request> {
-        let seen = self.seen.lock().expect("lock");
-        seen.iter().filter(|seen| seen.line != "GET /v1/entry").cloned().collect()
+    pub fn requests(&self) -> Vec<Request> {
+        let requests = self.requests.lock().expect("lock");
+        requests.iter().filter(|request| request.line != "GET /v1/entry").cloned().collect()
     }
 
     /// Returns the number of queries for the entry address.
-    pub fn entries_asked(&self) -> usize {
-        let seen = self.seen.lock().expect("lock");
-        seen.iter().filter(|seen| seen.line == "GET /v1/entry").count()
+    pub fn entry_queries(&self) -> usize {
+        let requests = self.requests.lock().expect("lock");
+        requests.iter().filter(|request| request.line == "GET /v1/entry").count()
     }
 }
 
@@ -71,10 +72,10 @@
     while reader.read_line(&mut head).unwrap_or(0) > 2 {}
     let line = head.lines().next().unwrap_or_default();
     let line = line.trim_end_matches(" HTTP/1.1").to_owned();
-    let mut seen = Request { line, head: head.to_lowercase(), body: String::new() };
-    let length = seen.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
-    reader.take(length).read_to_string(&mut seen.body).ok();
-    seen
+    let mut request = Request { line, head: head.to_lowercase(), body: String::new() };
+    let length = request.header("content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+    reader.take(length).read_to_string(&mut request.body).ok();
+    request
 }
 
 /// Returns a response whose body ends when the connection closes.
@@ -105,7 +106,7 @@
 }
 
 /// Returns a refusal.
-pub fn problem(status: u16, reason: &str, ran: &str, retry_after_ms: Option<u64>) -> String {
+pub fn refusal(status: u16, reason: &str, ran: &str, retry_after_ms: Option<u64>) -> String {
     let retry = retry_after_ms.map(|ms| format!(",\"retry_after_ms\":{ms}")).unwrap_or_default();
     let body = format!("{{\"reason\":\"{reason}\",\"ran\":\"{ran}\"{retry}}}");
     respond(status, "content-type: application/problem+json\r\n", &body)
--- a/crates/load/tests/mix.rs
+++ b/crates/load/tests/mix.rs
@@ -45,8 +45,8 @@
     for arrival in [Arrival::Poisson, Arrival::Bursts(10)] {
         let plan = mix::plan_requests(&with_arrival(arrival), ACCOUNTS);
         assert!((2_500..3_500).contains(&plan.len()), "{arrival:?}: {}", plan.len());
-        assert!(plan.is_sorted_by_key(|request| request.at));
-        assert!(plan.iter().all(|request| request.at < Duration::from_secs(60)));
+        assert!(plan.is_sorted_by_key(|request| request.send_at));
+        assert!(plan.iter().all(|request| request.send_at < Duration::from_secs(60)));
     }
 }
 
@@ -54,7 +54,7 @@
 fn requests_of_a_burst_arrive_together() {
     let plan = mix::plan_requests(&with_arrival(Arrival::Bursts(10)), ACCOUNTS);
     let mut together = BTreeMap::<Duration, usize>::new();
-    plan.iter().for_each(|request| *together.entry(request.at).or_default() += 1);
+    plan.iter().for_each(|request| *together.entry(request.send_at).or_default() += 1);
     assert!(together.values().all(|count| count % 10 == 0));
 }
 
@@ -89,5 +89,7 @@
     let options = Options { parts: vec![part], ..Options::empty(1, Duration::from_secs(9)) };
     let plan = mix::plan_requests(&options, ACCOUNTS);
     assert_eq!(plan.len(), 40);
-    assert!(plan.iter().all(|request| request.at == from && (3..5).contains(&request.account)));
+    assert!(
+        plan.iter().all(|request| request.send_at == from && (3..5).contains(&request.account))
+    );
 }
--- a/crates/load/tests/run.rs
+++ b/crates/load/tests/run.rs
@@ -2,7 +2,7 @@
 
 mod fake;
 
-use fake::{Node, STREAM, end, entry, problem, respond, token};
+use fake::{Node, STREAM, end, entry, refusal, respond, token};
 use hickory_load::mix::{Arrival, Class, Length, Options, Part};
 use hickory_load::outcome::{End, Kind, Outcome, Sample};
 use hickory_load::report::Report;
@@ -34,7 +34,7 @@
         }
         std::thread::sleep(SERVICE_TIME);
         if number == 0 {
-            return problem(429, "overloaded", "no", None);
+            return refusal(429, "overloaded", "no", None);
         }
         let (_, rest) = seen.body.split_once("\"prompt\":\"").expect("prompt");
         let answer = Answer::of(rest.split_once('"').expect("prompt").0);
@@ -51,9 +51,10 @@
     let options = burst(8);
     let node = slow_node();
     let samples = run::collect_samples(&options, vec![node.address], credentials()).expect("run");
-    let burst: Vec<_> = samples.iter().filter(|sample| sample.at == samples[0].at).collect();
+    let burst: Vec<_> =
+        samples.iter().filter(|sample| sample.send_at == samples[0].send_at).collect();
     assert!(burst.len() >= 8);
-    let slowest = burst.iter().map(|sample| sample.outcome.time).max().expect("samples");
+    let slowest = burst.iter().map(|sample| sample.outcome.latency).max().expect("samples");
     assert!(slowest >= SERVICE_TIME * 8, "{slowest:?}");
 }
 
@@ -62,9 +63,9 @@
     let options = burst(4);
     let node = slow_node();
     let report = run::run(options, vec![node.address], credentials()).expect("run");
-    let sent = node.seen().len() as u64;
+    let sent = node.requests().len() as u64;
     assert_eq!(report.sent, sent);
-    assert!(node.entries_asked() >= 1);
+    assert!(node.entry_queries() >= 1);
     assert_eq!(report.ends.values().sum::<u64>(), sent);
     assert_eq!((report.count_ended("refused"), report.count_ended("whole")), (1, sent - 1));
     assert_eq!(report.refusals["overloaded"].not_run, 1);
@@ -81,14 +82,20 @@
         end: End::Whole,
         first_token,
         gaps: Vec::new(),
-        time: Duration::from_millis(first_token_ms),
+        latency: Duration::from_millis(first_token_ms),
         tokens: 1,
         refusals: Vec::new(),
         resumes: 0,
         resends: 0,
     };
-    let at = Duration::from_millis(at_ms);
-    Sample { at, kind: Kind::Completion(length), class: Class::Interactive, account: 0, outcome }
+    let send_at = Duration::from_millis(at_ms);
+    Sample {
+        send_at,
+        kind: Kind::Completion(length),
+        class: Class::Interactive,
+        account: 0,
+        outcome,
+    }
 }
 
 #[test]
