--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -79,8 +79,8 @@
         let mut terminate = signal(SignalKind::terminate())?;
         tokio::select! {
             measured = tokio::time::timeout(TIMEOUT, measure(name, seed)) => measured,
-            _ = tokio::signal::ctrl_c() => bail!("interrupted"),
-            _ = terminate.recv() => bail!("terminated"),
+            _ = tokio::signal::ctrl_c() => bail!("the experiment was interrupted"),
+            _ = terminate.recv() => bail!("the experiment was terminated by a signal"),
         }
         .unwrap_or_else(|_| bail!("the experiment did not finish within {} s", TIMEOUT.as_secs()))
     });
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -43,7 +43,9 @@
             .stdout(Stdio::piped())
             .stderr(errors)
             .spawn()
-            .with_context(|| format!("{}: build all programs first", binary.display()))?;
+            .with_context(|| {
+                format!("cannot start {}; build all programs first", binary.display())
+            })?;
         let output =
             child.stdout.take().context("the child process has no standard output pipe")?;
         let pid = child.id();
