--- a/crates/load/src/content.rs
+++ b/crates/load/src/content.rs
@@ -1,115 +1,115 @@
-//! Whether an answer is the whole answer to its own request.
+//! Validates that an answer is complete and belongs to its request.
 //!
-//! Stand-in engines derive each token from the prompt and its index, so a
-//! caller can tell a lost, doubled or foreign token from a right one.
+//! Stand-in engines derive each token from the prompt and the token's index, so a
+//! caller can detect lost and repeated tokens and those of another answer.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// How far around the expected token a wrong one is looked for, to tell a gap
-/// or a repetition from foreign text.
-const LOOK_AROUND: u64 = 16;
+/// Number of tokens before and after the expected one that are compared with an
+/// unexpected token, to distinguish a gap or a repetition from foreign text.
+const SEARCH_WINDOW: u64 = 16;
 
-/// What is wrong with an answer.
+/// An error in an answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Error, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
     /// Tokens before this one are missing.
     #[display("tokens {expected} to {got} are missing")]
     Gap {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
-        /// The index that came.
+        /// The received index.
         got: u64,
     },
-    /// A token came again.
+    /// A token was repeated.
     #[display("token {got} came again, {expected} was due")]
     Repeated {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
-        /// The index that came.
+        /// The received index.
         got: u64,
     },
-    /// The text belongs to no nearby token of this answer.
+    /// The text matches no nearby token of this answer.
     #[display("token {expected} is not of this answer")]
     Foreign {
-        /// The index that was due.
+        /// The expected index.
         expected: u64,
     },
-    /// More tokens than were asked for.
+    /// The answer has more tokens than requested.
     #[display("more tokens than the {count} asked for")]
     Surplus {
-        /// Tokens asked for.
+        /// Number of tokens requested.
         count: u64,
     },
-    /// The explicit end came before the last token.
+    /// The end marker arrived before the last token.
     #[display("ended after {got} of {count} tokens")]
     Short {
-        /// Tokens asked for.
+        /// Number of tokens requested.
         count: u64,
-        /// Tokens that came.
+        /// Number of tokens received.
         got: u64,
     },
-    /// The server counts other tokens than came.
+    /// The server's token count differs from the number of tokens received.
     #[display("the server counts {told} tokens, {got} came")]
     Miscounted {
-        /// Tokens by the server's count.
+        /// The server's token count.
         told: u64,
-        /// Tokens that came.
+        /// Number of tokens received.
         got: u64,
     },
-    /// Something came after the explicit end.
+    /// More data arrived after the end marker.
     #[display("text after the end")]
     AfterEnd,
 }
 
-/// Checks the tokens of one answer in the order they arrive.
+/// Validates the tokens of one answer in the order of arrival.
 #[derive(Clone, Debug)]
 pub struct Check<F> {
-    derive: F,
+    token_at: F,
     count: u64,
-    seen: u64,
+    received: u64,
     ended: bool,
 }
 
 impl<F: Fn(u64) -> CompactString> Check<F> {
-    /// A check of an answer of `count` tokens, where `derive` gives the text
-    /// of the token with an index.
-    pub fn open(count: u64, derive: F) -> Self {
-        Self { derive, count, seen: 0, ended: false }
+    /// Creates a check for an answer of `count` tokens. `token_at` returns the
+    /// expected text of the token with the given index.
+    pub fn open(count: u64, token_at: F) -> Self {
+        Self { token_at, count, received: 0, ended: false }
     }
 
-    /// Tokens that came and were right.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// Returns the number of correct tokens received.
+    pub fn received(&self) -> u64 {
+        self.received
     }
 
-    /// Whether the explicit end came.
+    /// Returns whether the end marker has arrived.
     pub fn ended(&self) -> bool {
         self.ended
     }
 
-    /// Takes one token in.
+    /// Validates the next token.
     pub fn token(&mut self, text: &str) -> Result<(), Fault> {
         if self.ended {
             return Err(Fault::AfterEnd);
         }
-        if self.seen == self.count {
+        if self.received == self.count {
             return Err(Fault::Surplus { count: self.count });
         }
-        if (self.derive)(self.seen) != text {
-            return Err(self.explain(text));
+        if (self.token_at)(self.received) != text {
+            return Err(self.classify_mismatch(text));
         }
-        self.seen += 1;
+        self.received += 1;
         Ok(())
     }
 
-    /// Takes the text of a whole answer in.
+    /// Validates the text of a complete answer token by token.
     pub fn text(&mut self, text: &str) -> Result<(), Fault> {
         let mut rest = text;
         while !rest.is_empty() {
-            let length = (self.derive)(self.seen).len().min(rest.len());
+            let length = (self.token_at)(self.received).len().min(rest.len());
             let cut = (length..=rest.len()).find(|cut| rest.is_char_boundary(*cut));
             let (token, tail) = rest.split_at(cut.unwrap_or(rest.len()));
             self.token(token)?;
@@ -118,23 +118,27 @@
         Ok(())
     }
 
-    /// Takes the explicit end in, with the server's count if it gives one.
+    /// Validates the end marker and the server's token count, if it sends one.
     pub fn end(&mut self, told: Option<u64>) -> Result<(), Fault> {
         if std::mem::replace(&mut self.ended, true) {
             return Err(Fault::AfterEnd);
         }
         match told {
-            _ if self.seen < self.count => Err(Fault::Short { count: self.count, got: self.seen }),
-            Some(told) if told != self.seen => Err(Fault::Miscounted { told, got: self.seen }),
+            _ if self.received < self.count => {
+                Err(Fault::Short { count: self.count, got: self.received })
+            }
+            Some(told) if told != self.received => {
+                Err(Fault::Miscounted { told, got: self.received })
+            }
             _ => Ok(()),
         }
     }
 
-    fn explain(&self, text: &str) -> Fault {
-        let expected = self.seen;
-        let is = |seq: &u64| (self.derive)(*seq) == text;
-        let ahead = (expected + 1..expected + LOOK_AROUND).find(is);
-        let behind = (expected.saturating_sub(LOOK_AROUND)..expected).rev().find(is);
+    fn classify_mismatch(&self, text: &str) -> Fault {
+        let expected = self.received;
+        let matches = |seq: &u64| (self.token_at)(*seq) == text;
+        let ahead = (expected + 1..expected + SEARCH_WINDOW).find(matches);
+        let behind = (expected.saturating_sub(SEARCH_WINDOW)..expected).rev().find(matches);
         match (ahead, behind) {
             (Some(got), _) => Fault::Gap { expected, got },
             (None, Some(got)) => Fault::Repeated { expected, got },
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -1,5 +1,5 @@
-//! What the layer costs: time added to the first token, and tokens that one
-//! core relays.
+//! Measures the overhead of the serving layer: the time that it adds to the first
+//! token, and the token throughput of one core.
 
 use crate::caller::{Caller, Completion};
 use crate::experiment::send;
@@ -18,47 +18,53 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-/// Pairs of requests, one straight to an engine and one through a node.
+/// Number of request pairs, one directly to an engine and one through a node.
 const PAIRS: u64 = 300;
 
-/// Tokens of each answer in the pairs.
+/// Number of tokens in each answer of the pairs.
 const PAIR_TOKENS: u64 = 4;
 
-/// How long streams are relayed to find what a core can do.
-const RELAY_FOR: Duration = Duration::from_secs(10);
+/// Duration of the workload that measures the throughput of a core.
+const RELAY_TIME: Duration = Duration::from_secs(10);
 
-/// Tokens of each relayed answer.
+/// Number of tokens in each relayed answer.
 const RELAY_TOKENS: u64 = 400;
 
-/// Measures both.
+/// Runs both measurements.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
-    measure_added(sheet).await?;
-    measure_core(sheet).await
+    measure_added_latency(sheet).await?;
+    measure_relay_rate(sheet).await
 }
 
-/// Both kinds alternate, so that what else runs on the machine meets both.
-async fn measure_added(sheet: &mut Sheet) -> Result<()> {
+/// Measures the latency that the layer adds to the first token. Direct and relayed
+/// requests alternate, so that other load on the machine affects both equally.
+async fn measure_added_latency(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { nodes: 3, engines: 3, ..fleet::Options::default() };
-    let fleet = Fleet::open(options).await?;
-    let caller = Caller::open(fleet.entries(), 0);
+    let fleet = Fleet::start(options).await?;
+    let caller = Caller::open(fleet.entry_addresses(), 0);
     let targets = Targets::open(Duration::from_secs(5));
-    let (mut direct, mut through) = (Spread::default(), Spread::default());
+    let (mut direct, mut via_node) = (Spread::default(), Spread::default());
     for pair in 0..PAIRS {
-        let prompt = mix::write_prompt(2 * pair, Length::Short.tokens());
+        let prompt = mix::make_prompt(2 * pair, Length::Short.tokens());
         direct.record(time_direct(&fleet, &targets, pair, prompt).await?);
-        let prompt = mix::write_prompt(2 * pair + 1, Length::Short.tokens());
+        let prompt = mix::make_prompt(2 * pair + 1, Length::Short.tokens());
         let token = &fleet.credentials[0].token;
-        let ask =
-            Completion::of_prompt(token, fleet::MODEL, &prompt, PAIR_TOKENS, Class::Interactive);
-        let outcome = caller.complete(&ask, Instant::now()).await;
-        ensure!(outcome.end == End::Whole, "through a node: {:?}", outcome.end);
-        through.record(outcome.first_token.context("no first token")?);
+        let completion =
+            Completion::for_prompt(token, fleet::MODEL, &prompt, PAIR_TOKENS, Class::Interactive);
+        let outcome = caller.complete(&completion, Instant::now()).await;
+        ensure!(
+            outcome.end == End::Whole,
+            "through a node: expected a complete answer, got {:?}",
+            outcome.end
+        );
+        via_node
+            .record(outcome.first_token.context("through a node: the answer has no first token")?);
     }
-    for (quantile, at) in [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)] {
-        let (direct, through) = (direct.quantile_ms(at), through.quantile_ms(at));
+    for (quantile, fraction) in [("p50", 0.50), ("p95", 0.95), ("p99", 0.99)] {
+        let (direct, via_node) = (direct.quantile_ms(fraction), via_node.quantile_ms(fraction));
         sheet.add(format!("first token direct {quantile}"), direct, "ms");
-        sheet.add(format!("first token through a node {quantile}"), through, "ms");
-        let added = through - direct;
+        sheet.add(format!("first token through a node {quantile}"), via_node, "ms");
+        let added = via_node - direct;
         match quantile {
             "p95" => sheet.judge("first token added p95", added, "ms", Goal::AtMost(3.0)),
             _ => sheet.add(format!("first token added {quantile}"), added, "ms"),
@@ -89,24 +95,29 @@
     };
     let start = Instant::now();
     let mut tokens = targets.generate(engine.address(), &generate).await?;
-    let first = tokens.next().await.context("an empty answer")??;
+    let first =
+        tokens.next().await.context("direct: the stream ended before the first token")??;
     let time = start.elapsed();
-    ensure!(matches!(first, Event::Token { .. }), "direct: {first:?}");
+    ensure!(
+        matches!(first, Event::Token { .. }),
+        "direct: expected a token as the first event, got {first:?}"
+    );
     while let Some(event) = tokens.next().await {
-        event.context("direct")?;
+        event.context("direct: reading the stream")?;
     }
     Ok(time)
 }
 
-/// One node relays many streams; its processor time is divided by the tokens.
-async fn measure_core(sheet: &mut Sheet) -> Result<()> {
+/// Measures the relay throughput of one node, and the tokens relayed per second of
+/// its processor time.
+async fn measure_relay_rate(sheet: &mut Sheet) -> Result<()> {
     let engine = Engine { speed: 4.0, ..Engine::default() };
     let options = fleet::Options { nodes: 1, engines: 8, engine, ..fleet::Options::default() };
-    let fleet = Fleet::open(options).await?;
-    let mut part = Part::of(Length::Short, Class::Interactive, 120.0);
+    let fleet = Fleet::start(options).await?;
+    let mut part = Part::new(Length::Short, Class::Interactive, 120.0);
     part.max_tokens = RELAY_TOKENS;
     let options =
-        Options { parts: vec![part], resends: 0, ..Options::empty(sheet.seed, RELAY_FOR) };
+        Options { parts: vec![part], resends: 0, ..Options::empty(sheet.seed, RELAY_TIME) };
     let (start, before) = (Instant::now(), fleet.nodes[0].process.usage()?);
     let samples = send(&fleet, Policy::Fair, &options).await;
     let cpu = fleet.nodes[0].process.usage()?.cpu_seconds - before.cpu_seconds;
--- a/crates/load/src/short_beside_long.rs
+++ b/crates/load/src/short_beside_long.rs
@@ -1,11 +1,11 @@
-//! Short requests alone, then beside a burst of long ones.
+//! Measures short requests alone, then during a burst of long ones.
 //!
-//! The long burst is more than the fleet can prefill while it is measured, so
-//! what the short requests gain is taken from the long ones, and shows in the
-//! time the last long answer takes.
+//! The fleet can't prefill the whole burst within the measurement. Any capacity
+//! that the short requests gain is therefore lost by the long ones and shows in the
+//! latency of the last long answer.
 
 use crate::experiment::{
-    POLICIES, add_ends, note_baselines, open_fleet, send, spread_first_tokens,
+    POLICIES, add_outcomes, first_token_spread, note_baselines, send, start_fleet,
 };
 use crate::fleet::{self, Policy};
 use crate::mix::{Arrival, Class, Length, Options, Part};
@@ -14,26 +14,28 @@
 use eyre::Result;
 use std::time::Duration;
 
-/// When the long requests are sent.
+/// Time of the burst of long requests.
 const BURST_AT: Duration = Duration::from_secs(8);
 
-/// How many: 32 of 100k tokens take six engines 13 s at 40k tokens a second.
-const BURST: u32 = 32;
+/// Number of long requests. Six engines prefill 32 prompts of 100k tokens in 13 s
+/// at 40k tokens per second each.
+const BURST_SIZE: u32 = 32;
 
-/// How long short requests are sent.
+/// Duration of the workload of short requests.
 const DURATION: Duration = Duration::from_secs(20);
 
-/// Short requests a second: an eighth of what six engines prefill.
+/// Rate of short requests per second, an eighth of the prefill capacity of six
+/// engines.
 const SHORT_RATE: f64 = 30.0;
 
 #[derive(Clone, Copy)]
-struct Measured {
+struct Measurement {
     slowdown: f64,
     beside: f64,
     long_rate: f64,
 }
 
-/// Measures all policies.
+/// Runs the experiment for all policies.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let mut fair = None;
     for policy in POLICIES {
@@ -48,22 +50,22 @@
     Ok(())
 }
 
-fn compare(sheet: &mut Sheet, policy: Policy, fair: Measured, base: Measured) {
+fn compare(sheet: &mut Sheet, policy: Policy, fair: Measurement, baseline: Measurement) {
     let name = |what: &str| format!("{what}, {policy} / fair");
-    sheet.add(name("slowdown p95"), base.slowdown / fair.slowdown, "x");
-    sheet.add(name("first token 1k beside long p95"), base.beside / fair.beside, "x");
-    let kept = fair.long_rate / base.long_rate;
+    sheet.add(name("slowdown p95"), baseline.slowdown / fair.slowdown, "x");
+    sheet.add(name("first token 1k beside long p95"), baseline.beside / fair.beside, "x");
+    let kept = fair.long_rate / baseline.long_rate;
     sheet.judge(format!("long throughput, fair / {policy}"), kept, "x", Goal::AtLeast(0.9));
 }
 
-async fn measure_policy(sheet: &mut Sheet, policy: Policy) -> Result<Measured> {
-    let fleet = open_fleet(fleet::Options::default(), policy).await?;
+async fn measure_policy(sheet: &mut Sheet, policy: Policy) -> Result<Measurement> {
+    let fleet = start_fleet(fleet::Options::default(), policy).await?;
     let options = plan(sheet.seed);
     let samples = send(&fleet, policy, &options).await;
     drop(fleet);
     let short = Kind::Completion(Length::Short);
-    let alone = spread_first_tokens(&samples, short, Duration::ZERO..BURST_AT);
-    let beside = spread_first_tokens(&samples, short, BURST_AT..DURATION);
+    let alone = first_token_spread(&samples, short, Duration::ZERO..BURST_AT);
+    let beside = first_token_spread(&samples, short, BURST_AT..DURATION);
     let slowdown = beside.quantile_ms(0.95) / alone.quantile_ms(0.95);
     let long_rate = measure_long(&samples);
     let name = |what: &str| format!("{policy}: {what}");
@@ -76,21 +78,21 @@
         _ => sheet.add(name("slowdown p95"), slowdown, "x"),
     }
     sheet.add(name("long throughput"), long_rate, "tokens/s");
-    add_ends(sheet, &policy.to_string(), &options, &samples);
-    Ok(Measured { slowdown, beside: beside.quantile_ms(0.95), long_rate })
+    add_outcomes(sheet, &policy.to_string(), &options, &samples);
+    Ok(Measurement { slowdown, beside: beside.quantile_ms(0.95), long_rate })
 }
 
 fn plan(seed: u64) -> Options {
-    let mut long = Part::of(Length::Long, Class::Batch, 0.0);
-    long.arrival = Arrival::Once(BURST);
+    let mut long = Part::new(Length::Long, Class::Batch, 0.0);
+    long.arrival = Arrival::Once(BURST_SIZE);
     long.from = BURST_AT;
-    let parts = vec![Part::of(Length::Short, Class::Interactive, SHORT_RATE), long];
+    let parts = vec![Part::new(Length::Short, Class::Interactive, SHORT_RATE), long];
     Options { parts, skew: 0.0, ..Options::empty(seed, DURATION) }
 }
 
 fn measure_long(samples: &[Sample]) -> f64 {
     let long = samples.iter().filter(|s| s.kind == Kind::Completion(Length::Long));
     let whole: Vec<_> = long.filter(|s| s.outcome.end == End::Whole).collect();
-    let last = whole.iter().map(|s| s.outcome.time).max().unwrap_or(Duration::MAX);
+    let last = whole.iter().map(|s| s.outcome.latency).max().unwrap_or(Duration::MAX);
     whole.len() as f64 * Length::Long.tokens().0 as f64 / last.as_secs_f64()
 }
--- a/crates/load/src/sse.rs
+++ b/crates/load/src/sse.rs
@@ -1,29 +1,29 @@
-//! Server-sent events, as the WHATWG HTML standard has them.
+//! A parser of server-sent events, as specified in the WHATWG HTML standard.
 
 use compact_str::CompactString;
 use derive_more::{Display, Error};
 
-/// Bytes that one event may have: a token is far below, and a server that
-/// never ends an event must not take the caller's memory.
-pub const EVENT_MAX: usize = 1 << 20;
+/// Maximum size of an event. Tokens are far smaller; the limit keeps a server that
+/// never ends an event from exhausting the caller's memory.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last id that the stream has set.
+    /// The last event id that the stream has set.
     pub id: Option<CompactString>,
-    /// The type; empty where the stream sets none.
+    /// The event type; empty if the stream sets none.
     pub kind: CompactString,
-    /// The data, its lines joined by a line feed.
+    /// The data lines, joined by line feeds.
     pub data: String,
 }
 
-/// An event is longer than [`EVENT_MAX`].
+/// The error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Error)]
-#[display("an event is longer than {EVENT_MAX} bytes")]
-pub struct Overlong;
+#[display("an event is longer than {MAX_EVENT_BYTES} bytes")]
+pub struct EventTooLong;
 
-/// Splits a byte stream into events, whatever the chunks it comes in.
+/// Splits a byte stream into events, independently of how it is chunked.
 #[derive(Debug, Default)]
 pub struct Parser {
     line: Vec<u8>,
@@ -33,8 +33,8 @@
 }
 
 impl Parser {
-    /// Takes a chunk in and returns the events that it completes.
-    pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<Event>, Overlong> {
+    /// Parses a chunk and returns the events that it completes.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         let mut events = Vec::new();
         for byte in chunk {
             let after_return = std::mem::replace(&mut self.after_return, *byte == b'\r');
@@ -43,8 +43,8 @@
                 b'\n' | b'\r' => events.extend(self.end_line()),
                 _ => self.line.push(*byte),
             }
-            if self.line.len() + self.event.data.len() > EVENT_MAX {
-                return Err(Overlong);
+            if self.line.len() + self.event.data.len() > MAX_EVENT_BYTES {
+                return Err(EventTooLong);
             }
         }
         Ok(events)
@@ -72,7 +72,8 @@
         None
     }
 
-    /// An event without data is none, but its id stays in force.
+    /// Ends the current event. An event without data is discarded, but its id applies
+    /// to the events that follow.
     fn end_event(&mut self) -> Option<Event> {
         let next = Event { id: self.event.id.clone(), ..Event::default() };
         let event = std::mem::replace(&mut self.event, next);
--- a/crates/load/tests/content.rs
+++ b/crates/load/tests/content.rs
@@ -1,21 +1,21 @@
-//! The content check finds each kind of corruption.
+//! The content check detects each kind of corruption.
 
 use compact_str::{CompactString, format_compact};
 use hickory_load::content::{Check, Fault};
 
 const COUNT: u64 = 4;
 
-fn derive(seq: u64) -> CompactString {
+fn expected_token(seq: u64) -> CompactString {
     format_compact!(" own{seq}")
 }
 
 fn check_tokens(tokens: &[&str], told: Option<u64>) -> Result<(), Fault> {
-    let mut check = Check::open(COUNT, derive);
+    let mut check = Check::open(COUNT, expected_token);
     tokens.iter().try_for_each(|token| check.token(token))?;
     check.end(told)
 }
 
-/// Each row: what came, the server's count, and the verdict.
+/// Each row: name, received tokens, the server's count, and the expected result.
 #[test]
 fn each_kind_of_corruption_is_found() {
     type Row<'a> = (&'a str, &'a [&'a str], Option<u64>, Result<(), Fault>);
@@ -50,19 +50,19 @@
 }
 
 #[test]
-fn nothing_may_follow_the_end() {
-    let mut check = Check::open(1, derive);
+fn data_after_the_end_is_rejected() {
+    let mut check = Check::open(1, expected_token);
     check.token(" own0").expect("right");
     check.end(None).expect("whole");
     assert_eq!(check.token(" own1"), Err(Fault::AfterEnd));
     assert_eq!(check.end(None), Err(Fault::AfterEnd));
 }
 
-/// An answer that is not streamed is one text, checked token by token.
+/// An answer that isn't streamed arrives as one text.
 #[test]
-fn a_whole_text_is_checked_like_its_tokens() {
+fn unstreamed_text_is_checked_token_by_token() {
     let verdict = |text: &str| {
-        let mut check = Check::open(COUNT, derive);
+        let mut check = Check::open(COUNT, expected_token);
         check.text(text).and_then(|()| check.end(None))
     };
     assert_eq!(verdict(" own0 own1 own2 own3"), Ok(()));
--- a/crates/load/tests/stream_server.rs
+++ b/crates/load/tests/stream_server.rs
@@ -1,4 +1,4 @@
-//! Which HTTP server lets a streamed token out before the next one is made.
+//! Which HTTP server sends a streamed token before the next one is generated.
 
 use bytes::Bytes;
 use crossbeam::channel::{Receiver, Sender, unbounded};
@@ -9,21 +9,22 @@
 enum Step {
     Made(u32),
     Seen,
-    GaveUp,
+    TimedOut,
 }
 
-/// Makes the second token only after the reader has seen the first.
-struct Handshake {
+/// Generates the second token only after the reader has received the first, or after
+/// a timeout.
+struct AcknowledgedSource {
     made: u32,
     steps: Sender<Step>,
     seen: Receiver<()>,
-    patience: Duration,
+    timeout: Duration,
 }
 
-impl Source for Handshake {
+impl Source for AcknowledgedSource {
     fn next_token(&mut self) -> Option<Bytes> {
-        if self.made == 1 && self.seen.recv_timeout(self.patience).is_err() {
-            self.steps.send(Step::GaveUp).ok()?;
+        if self.made == 1 && self.seen.recv_timeout(self.timeout).is_err() {
+            self.steps.send(Step::TimedOut).ok()?;
         }
         if self.made == 2 {
             return None;
@@ -34,17 +35,17 @@
     }
 }
 
-fn record_steps(server: Server, patience: Duration) -> Vec<Step> {
+fn record_steps(server: Server, timeout: Duration) -> Vec<Step> {
     let (steps, recorded) = unbounded();
     let (ack, seen) = unbounded();
-    let source = Handshake { made: 0, steps: steps.clone(), seen, patience };
+    let source = AcknowledgedSource { made: 0, steps: steps.clone(), seen, timeout };
     let address = stream_server::spawn_server(server, source).expect("server");
     let mut first = true;
     stream_server::read_answer(address, |answer| {
         if first && !stream_server::split_body(answer).is_empty() {
             first = false;
             steps.send(Step::Seen).expect("step");
-            // The source may have given up and gone.
+            // The source may have timed out and ended already.
             ack.send(()).ok();
         }
     })
@@ -53,21 +54,20 @@
     recorded.try_iter().collect()
 }
 
-/// The caller sees nothing of a streamed answer until its end. The source
-/// makes a token and waits until the reader has it; oxhttp's server keeps it
-/// in a chunk of at least 1,024 bytes within a 16 KiB buffer that it flushes
-/// only at the end, so the source waits in vain, however long: the patience
-/// only bounds the test, a longer one changes nothing.
+/// With oxhttp the caller receives nothing of a streamed answer until its end. The
+/// server collects chunks of at least 1,024 bytes in a 16 KiB buffer that it flushes
+/// only at the end, so the source times out waiting for the first token to be
+/// received. The timeout only limits the test; a longer one has the same result.
 #[test]
-fn oxhttp_holds_the_first_token_back_until_the_answer_ends() {
+fn oxhttp_delays_the_first_token_until_the_answer_ends() {
     let steps = record_steps(Server::Oxhttp, Duration::from_millis(500));
-    assert_eq!(steps, [Step::Made(0), Step::GaveUp, Step::Made(1), Step::Seen]);
+    assert_eq!(steps, [Step::Made(0), Step::TimedOut, Step::Made(1), Step::Seen]);
 }
 
-/// With hyper the caller sees the first token while the answer is still being
-/// made: the source gets its acknowledgement and never gives up.
+/// With hyper the caller receives the first token while the answer is still being
+/// generated, so the source is acknowledged before its timeout.
 #[test]
-fn hyper_lets_each_token_out_at_once() {
+fn hyper_sends_each_token_immediately() {
     let steps = record_steps(Server::Hyper, Duration::from_secs(15));
     assert_eq!(steps, [Step::Made(0), Step::Seen, Step::Made(1)]);
 }
