--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -8,7 +8,7 @@
 use hickory_state::config::Rejection;
 use hickory_store::host::{Kind, Standing};
 use hickory_unit::{id, size};
-use hickory_wire::message::{State, Weights};
+use hickory_wire::message::{TargetState, Weights};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Handle;
@@ -96,7 +96,7 @@
             .values()
             .map(|host| {
                 let state = self.core.view.state(&host.target);
-                let count = |f: fn(&State) -> u32| state.as_ref().map_or(0, f);
+                let count = |f: fn(&TargetState) -> u32| state.as_ref().map_or(0, f);
                 view::Target {
                     target: host.target.clone(),
                     zone: host.zone.clone(),
--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -286,7 +286,7 @@
             End::Whole(_) => Ending::Finished,
             // The permit is the other node's to give back.
             End::Taken => return Attempt::Gone,
-            End::Gone => Ending::Left,
+            End::Gone => Ending::CallerDisconnected,
             End::Died => Ending::TargetDied,
             End::Failed(Error::NotSent(_) | Error::Refused(_)) => Ending::NotSent,
             End::Deadline | End::Stalled | End::Failed(_) => Ending::Lost,
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -12,7 +12,9 @@
 use hickory_release::configuration::Configuration;
 use hickory_target::engine::{self, Handle};
 use hickory_unit::{id, size};
-use hickory_wire::message::{Adopt, Ask, Ending, Outcome, Permit, Refusal, State, Weights};
+use hickory_wire::message::{
+    Adoption, Ending, Outcome, Permit, PermitRequest, Refusal, TargetState, Weights,
+};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -59,7 +61,7 @@
     /// The configuration whose shares the limiter follows.
     pub(crate) release: id::Release,
     /// What peers were told last, and its version.
-    pub(crate) told: Option<(u64, State)>,
+    pub(crate) told: Option<(u64, TargetState)>,
 }
 
 /// Permits for adopted streams are numbered from here, out of the way of the
@@ -146,7 +148,7 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Instant, life: Duration, ask: &Ask) -> Begun {
+    pub(crate) fn ask(&mut self, now: Instant, life: Duration, ask: &PermitRequest) -> Begun {
         // The same ask again: its last answer was lost, or it stays queued.
         if let Some(ticket) = self.tickets.get(&ask.stream).copied() {
             return self.ask_again(now, life, ticket);
@@ -268,7 +270,7 @@
     }
 
     /// Whether another node than the asking one serves the stream.
-    pub(crate) fn is_taken(&self, adopt: &Adopt) -> bool {
+    pub(crate) fn is_taken(&self, adopt: &Adoption) -> bool {
         let ticket = self.tickets.get(&adopt.stream);
         let granted = ticket.and_then(|ticket| self.permits.get(ticket));
         granted.is_some_and(|granted| granted.node != adopt.node)
@@ -276,7 +278,7 @@
 
     pub(crate) fn adopt(
         &mut self,
-        adopt: &Adopt,
+        adopt: &Adoption,
         until: Instant,
         life: Duration,
     ) -> Option<Permit> {
@@ -307,7 +309,7 @@
             return;
         }
         match outcome.ending {
-            Ending::Left => {
+            Ending::CallerDisconnected => {
                 if let Some(granted) = self.permits.get_mut(&outcome.permit) {
                     granted.left = Some(now);
                 }
@@ -342,7 +344,7 @@
         let Some(stream) = &outcome.stream else { return };
         match outcome.ending {
             Ending::Lost => self.cancels.push(stream.clone()),
-            Ending::Left => {
+            Ending::CallerDisconnected => {
                 self.foreign.insert(stream.clone(), Foreign { alone: Some(now) });
             }
             Ending::Finished | Ending::Cancelled | Ending::NotSent | Ending::TargetDied => {
@@ -361,7 +363,7 @@
     }
 
     /// What peers are to know, with the version of its last change.
-    pub(crate) fn tell(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, State)> {
+    pub(crate) fn tell(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, TargetState)> {
         let state = self.state();
         if self.told.as_ref().is_none_or(|(_, told)| *told != state) {
             self.told = Some((next(), state));
@@ -370,9 +372,9 @@
     }
 
     /// What peers would be told now.
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn state(&self) -> TargetState {
         let used = self.kv_used.max(self.limiter.kv_used());
-        State {
+        TargetState {
             target: self.target.clone(),
             epoch: self.epoch,
             queued_prefill: self.limiter.prefill_queued(),
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -6,7 +6,7 @@
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
 use hickory_wire::link::{Handler, Links};
-use hickory_wire::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use hickory_wire::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
 use tokio::sync::Mutex;
@@ -43,7 +43,7 @@
         }
     }
 
-    async fn permit(&self, ask: Ask) -> Result<Permit, Refusal> {
+    async fn permit(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
         let core = self.0.upgrade().ok_or_else(refuse_closed)?;
         table::permit(&core, &ask).await
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal> {
+    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal> {
         let core = self.0.upgrade().ok_or_else(refuse_closed)?;
         table::adopt(&core, &adopt)
     }
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -14,7 +14,7 @@
 use hickory_unit::clock::Clock;
 use hickory_unit::{id, size};
 use hickory_wire::link;
-use hickory_wire::message::{self, Ask, Ending, Outcome, Permit};
+use hickory_wire::message::{self, Ending, Outcome, Permit, PermitRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -233,7 +233,7 @@
         let Some(time_left) = want.deadline.checked_duration_since(asked) else {
             return Err(Some(refuse(Reason::Deadline, "the deadline passed in the queue")));
         };
-        let ask = Ask { urgent: at_once, ..make_ask(want, target, time_left) };
+        let ask = PermitRequest { urgent: at_once, ..make_ask(want, target, time_left) };
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
@@ -274,7 +274,7 @@
 ) -> Option<Permit> {
     let asked = core.now();
     let time_left = want.deadline.checked_duration_since(asked)?;
-    let ask = Ask { urgent: true, ..make_ask(want, target, time_left) };
+    let ask = PermitRequest { urgent: true, ..make_ask(want, target, time_left) };
     let permit = send_ask(core, &ask).await.ok()?.ok()?;
     let configuration = core.configuration()?;
     let usable = core.now() < asked + permit.life && core.view.may_send(target, &configuration);
@@ -284,8 +284,8 @@
     usable.then_some(permit)
 }
 
-fn make_ask(want: &Want<'_>, target: &id::Target, time_left: Duration) -> Ask {
-    Ask {
+fn make_ask(want: &Want<'_>, target: &id::Target, time_left: Duration) -> PermitRequest {
+    PermitRequest {
         stream: want.stream.clone(),
         target: target.clone(),
         partner: want.partner.clone(),
@@ -328,7 +328,10 @@
     link::Error::Connect("no owner known".into())
 }
 
-async fn send_ask(core: &Core, ask: &Ask) -> Result<Result<Permit, message::Refusal>, link::Error> {
+async fn send_ask(
+    core: &Core,
+    ask: &PermitRequest,
+) -> Result<Result<Permit, message::Refusal>, link::Error> {
     match find_owner(core, &ask.target).ok_or_else(no_owner)? {
         Owner::Here => Ok(table::permit(core, ask).await),
         Owner::There(address) => {
@@ -339,7 +342,7 @@
 }
 
 /// Tells the owner of a target that this node serves the rest of a stream.
-pub(crate) async fn adopt(core: &Core, adopt: message::Adopt) -> Result<Permit, Refusal> {
+pub(crate) async fn adopt(core: &Core, adopt: message::Adoption) -> Result<Permit, Refusal> {
     // The owner may have gone with the caller's node: its successor, once it
     // is there, finds the stream on the target.
     let no_owner = || Refusal {
@@ -367,7 +370,7 @@
 /// its caller may have gone on through another node, and taking the stream
 /// back would cut that one. While the target has no owner the answer waits,
 /// for `limit` at most: then the cut is far likelier than a second reader.
-pub(crate) async fn may_keep(core: &Core, want: message::Adopt, limit: Duration) -> bool {
+pub(crate) async fn may_keep(core: &Core, want: message::Adoption, limit: Duration) -> bool {
     let end = core.now() + limit;
     loop {
         match adopt(core, want.clone()).await {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -15,7 +15,7 @@
 use hickory_target::engine::{Engines, Event};
 use hickory_target::http::Tokens;
 use hickory_unit::id;
-use hickory_wire::message::Adopt;
+use hickory_wire::message::Adoption;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -141,7 +141,7 @@
     /// Takes the stream up from what the caller has, over a new connection.
     async fn reopen_once(&mut self) -> Result<Tokens, End> {
         let limit = self.core.time(self.core.settings.times.progress_ms);
-        let keep = Adopt {
+        let keep = Adoption {
             target: self.target.clone(),
             stream: self.stream.clone(),
             node: self.core.me().clone(),
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -8,7 +8,7 @@
 use crate::seal::Position;
 use hickory_policy::refuse::{Ran, Reason, Refusal};
 use hickory_target::engine::Engines;
-use hickory_wire::message::{Adopt, Ending, Permit};
+use hickory_wire::message::{Adoption, Ending, Permit};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -81,7 +81,7 @@
             (Ending::Finished, Ok(()))
         }
         End::Taken => return Ok(()),
-        End::Gone => (Ending::Left, Ok(())),
+        End::Gone => (Ending::CallerDisconnected, Ok(())),
         End::Deadline => (Ending::Lost, Err(refuse(Reason::Deadline, "the deadline passed"))),
         End::Died => (Ending::TargetDied, Err(lost())),
         End::Stalled | End::Failed(_) => (Ending::Lost, Err(lost())),
@@ -95,7 +95,7 @@
 /// Tells the owner, as soon as there is one, that this node serves the rest.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
-    let adopt = Adopt { target, stream, node: core.me().clone(), keep: false };
+    let adopt = Adoption { target, stream, node: core.me().clone(), keep: false };
     loop {
         match permit::adopt(core, adopt.clone()).await {
             Ok(permit) => return Some(permit),
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -10,7 +10,7 @@
 use hickory_telemetry::label;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
-use hickory_wire::message::{Adopt, Ask, Outcome, Permit, Refusal, State};
+use hickory_wire::message::{Adoption, Outcome, Permit, PermitRequest, Refusal, TargetState};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -72,7 +72,7 @@
     }
 
     /// What peers would be told of all targets now.
-    pub(crate) fn states(&self) -> Vec<State> {
+    pub(crate) fn states(&self) -> Vec<TargetState> {
         let shards = self.shards.iter();
         shards
             .flat_map(|shard| lock(shard).values().map(Target::state).collect::<Vec<_>>())
@@ -84,7 +84,7 @@
     ///
     /// Telling all of it every time made two thirds of a node's control bytes,
     /// of which next to nothing was news on an idle fleet.
-    pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<State>) {
+    pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<TargetState>) {
         let mut changed = Vec::new();
         for shard in &self.shards {
             for owned in lock(shard).values_mut() {
@@ -125,7 +125,7 @@
 
 /// Answers an ask for a permit as owner: at once, or when its turn comes, or
 /// with [`QUEUED`] after half a permit's life.
-pub(crate) async fn permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
+pub(crate) async fn permit(core: &Core, ask: &PermitRequest) -> Result<Permit, Refusal> {
     let answer = decide_permit(core, ask).await;
     core.metrics.permit(match &answer {
         Ok(_) => label::Permit::Granted,
@@ -135,7 +135,7 @@
     answer
 }
 
-async fn decide_permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
+async fn decide_permit(core: &Core, ask: &PermitRequest) -> Result<Permit, Refusal> {
     let life = core.permit_life();
     let now = core.now();
     let begun = core.table.with(&ask.target, |owned| owned.ask(now, life, ask));
@@ -155,7 +155,7 @@
 }
 
 /// Takes a stream over for the asking node.
-pub(crate) fn adopt(core: &Core, adopt: &Adopt) -> Result<Permit, Refusal> {
+pub(crate) fn adopt(core: &Core, adopt: &Adoption) -> Result<Permit, Refusal> {
     let life = core.permit_life();
     let left = adopt.stream.deadline_ms.saturating_sub(core.clock.wall_ms());
     let until = core.now() + Duration::from_millis(left);
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -9,7 +9,7 @@
 use hickory_store::host::{Host, Kind, Standing};
 use hickory_target::engine::Weights;
 use hickory_unit::{id, size};
-use hickory_wire::message::{Gossip, State};
+use hickory_wire::message::{Gossip, TargetState};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
@@ -35,7 +35,7 @@
 /// What an owner told of a target, and what this node sent there since.
 #[derive(Clone, Debug)]
 struct Seen {
-    state: State,
+    state: TargetState,
     owner: id::Node,
     /// The target's hash, for placement.
     key: u64,
@@ -150,7 +150,7 @@
 
     /// Takes in one target's state; one under an older epoch comes from an
     /// owner that has been replaced and is passed over.
-    fn merge_state(&self, owner: &id::Node, state: State) {
+    fn merge_state(&self, owner: &id::Node, state: TargetState) {
         let mut shard = self.shard(&state.target);
         let known = shard.get(&state.target);
         if known.is_some_and(|known| known.state.epoch > state.epoch) {
@@ -184,7 +184,7 @@
         self.peers().clone()
     }
 
-    pub(crate) fn state(&self, target: &id::Target) -> Option<State> {
+    pub(crate) fn state(&self, target: &id::Target) -> Option<TargetState> {
         self.shard(target).get(target).map(|seen| seen.state.clone())
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// Puts what this node's own books say in place of what it last told.
-    pub(crate) fn refresh_own(candidates: &mut [Candidate], own: &[State]) {
+    pub(crate) fn refresh_own(candidates: &mut [Candidate], own: &[TargetState]) {
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
             let Some(candidate) = found else { continue };
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -16,7 +16,7 @@
 use hickory_unit::clock::System;
 use hickory_unit::{id, size};
 use hickory_wire::link::{Handler, Links};
-use hickory_wire::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use hickory_wire::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -124,13 +124,13 @@
         self.peers.tell(&self.node)
     }
 
-    async fn permit(&self, _: Ask) -> Result<Permit, Refusal> {
+    async fn permit(&self, _: PermitRequest) -> Result<Permit, Refusal> {
         Err(refuse())
     }
 
     fn outcome(&self, _: Outcome) {}
 
-    fn adopt(&self, _: Adopt) -> Result<Permit, Refusal> {
+    fn adopt(&self, _: Adoption) -> Result<Permit, Refusal> {
         Err(refuse())
     }
 
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -3,7 +3,7 @@
 
 use crate::codec;
 use crate::link::{Handler, make_system};
-use crate::message::Adopt;
+use crate::message::Adoption;
 use crate::peer_capnp::{login, peer};
 use crate::proof::{Key, Side, is_same, make_nonce};
 use capnp_rpc::rpc_twoparty_capnp;
@@ -110,7 +110,7 @@
         mut results: peer::AdoptResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let answer = self.0.adopt(Adopt {
+        let answer = self.0.adopt(Adoption {
             target: codec::read_text(params.get_target())?.into(),
             stream: codec::read_stream(params.get_stream())?,
             node: codec::read_text(params.get_node())?.into(),
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,7 +1,8 @@
 //! Between the plain types and the generated ones.
 
 use crate::message::{
-    Ask, Cost, Document, Ending, Gossip, Outcome, Permit, Refusal, State, Suspect, Weights,
+    Cost, Document, Ending, Gossip, Outcome, Permit, PermitRequest, Refusal, Suspect, TargetState,
+    Weights,
 };
 use crate::peer_capnp as schema;
 use capnp::Error;
@@ -41,7 +42,7 @@
     })
 }
 
-pub(crate) fn write_ask(ask: &Ask, mut to: schema::permit_ask::Builder<'_>) {
+pub(crate) fn write_ask(ask: &PermitRequest, mut to: schema::permit_ask::Builder<'_>) {
     to.set_stream(ask.stream.to_string());
     to.set_target(ask.target.as_str());
     to.set_partner(ask.partner.as_str());
@@ -62,13 +63,13 @@
     to.set_urgent(ask.urgent);
 }
 
-pub(crate) fn read_ask(from: schema::permit_ask::Reader<'_>) -> Result<Ask> {
+pub(crate) fn read_ask(from: schema::permit_ask::Reader<'_>) -> Result<PermitRequest> {
     let cost = from.get_cost()?;
     let weights = match from.get_service() {
         true => None,
         false => Some(read_weights(from.get_weights()?)?),
     };
-    Ok(Ask {
+    Ok(PermitRequest {
         stream: read_stream(from.get_stream())?,
         target: read_text(from.get_target())?.into(),
         partner: read_text(from.get_partner())?.into(),
@@ -144,7 +145,7 @@
         Ending::TargetDied => Kind::TargetDied,
         Ending::NotSent => Kind::NotSent,
         Ending::Lost => Kind::Lost,
-        Ending::Left => Kind::Left,
+        Ending::CallerDisconnected => Kind::Left,
     });
     to.set_first_token_ms(outcome.first_token.map_or(0, |time| millis(time).max(1)));
     if let Some(stream) = &outcome.stream {
@@ -166,7 +167,7 @@
             Kind::TargetDied => Ending::TargetDied,
             Kind::NotSent => Ending::NotSent,
             Kind::Lost => Ending::Lost,
-            Kind::Left => Ending::Left,
+            Kind::Left => Ending::CallerDisconnected,
         },
         first_token: (first_token_ms > 0).then(|| Duration::from_millis(first_token_ms)),
         stream: match stream.is_empty() {
@@ -176,7 +177,7 @@
     })
 }
 
-fn write_state(state: &State, mut to: schema::target_state::Builder<'_>) {
+fn write_state(state: &TargetState, mut to: schema::target_state::Builder<'_>) {
     to.set_target(state.target.as_str());
     to.set_epoch(state.epoch.0);
     to.set_queued_prefill(state.queued_prefill.0);
@@ -199,8 +200,8 @@
     }
 }
 
-fn read_state(from: schema::target_state::Reader<'_>) -> Result<State> {
-    Ok(State {
+fn read_state(from: schema::target_state::Reader<'_>) -> Result<TargetState> {
+    Ok(TargetState {
         target: read_text(from.get_target())?.into(),
         epoch: id::Epoch(from.get_epoch()),
         queued_prefill: size::Tokens(from.get_queued_prefill()),
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -8,7 +8,7 @@
 
 use crate::answer::serve;
 use crate::codec;
-use crate::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use crate::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use crate::peer_capnp::{login, peer};
 use crate::proof::{Key, Side, is_same, make_nonce};
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
@@ -52,13 +52,13 @@
 
     /// Grants or refuses a permit. The future is dropped when the asker no
     /// longer waits, which takes the ask out of the queue.
-    fn permit(&self, ask: Ask) -> impl Future<Output = Result<Permit, Refusal>> + Send;
+    fn permit(&self, ask: PermitRequest) -> impl Future<Output = Result<Permit, Refusal>> + Send;
 
     /// Takes in the end of a permitted attempt.
     fn outcome(&self, outcome: Outcome);
 
     /// Takes over a stream for the asking node.
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal>;
+    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal>;
 
     /// The configuration in force.
     fn release(&self) -> Option<Document>;
@@ -78,11 +78,11 @@
 #[derive(Debug)]
 enum Call {
     Exchange(SocketAddr, Gossip, oneshot::Sender<Result<Gossip, Error>>),
-    Permit(SocketAddr, Box<Ask>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
+    Permit(SocketAddr, Box<PermitRequest>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
     Outcome(SocketAddr, Box<Outcome>, oneshot::Sender<Result<(), Error>>),
     Release(SocketAddr, oneshot::Sender<Result<Option<Document>, Error>>),
     Owners(SocketAddr, oneshot::Sender<Result<Option<Document>, Error>>),
-    Adopt(SocketAddr, Box<Adopt>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
+    Adopt(SocketAddr, Box<Adoption>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
     Probe(SocketAddr, oneshot::Sender<Result<(), Error>>),
     Close(SocketAddr),
 }
@@ -126,7 +126,7 @@
     pub async fn permit(
         &self,
         to: SocketAddr,
-        ask: Ask,
+        ask: PermitRequest,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
         let (answer, wait) = oneshot::channel();
@@ -171,7 +171,7 @@
     pub async fn adopt(
         &self,
         to: SocketAddr,
-        adopt: Adopt,
+        adopt: Adoption,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
         self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adopt), answer)).await
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -27,7 +27,7 @@
 
 /// A question to a target's owner: may this attempt be sent?
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Names the request, the attempt, the sender and the deadline, and will
     /// name the stream on the target.
     pub stream: id::Stream,
@@ -98,7 +98,7 @@
     Lost,
     /// The caller's connection went; another node may take the stream up, and
     /// the owner cancels it if none does.
-    Left,
+    CallerDisconnected,
 }
 
 /// The end of a permitted attempt, told to the target's owner.
@@ -120,7 +120,7 @@
 
 /// What an owner tells of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct State {
+pub struct TargetState {
     /// The target.
     pub target: id::Target,
     /// The epoch of the ownership.
@@ -181,7 +181,7 @@
     /// listener tells only what has changed since.
     pub seen: u64,
     /// The targets it owns that have changed since the listener's last word.
-    pub targets: Vec<State>,
+    pub targets: Vec<TargetState>,
     /// Requests under suspicion.
     pub suspects: Vec<Suspect>,
     /// Callers it serves at present.
@@ -200,7 +200,7 @@
 
 /// A node's notice that it serves the rest of a stream another node opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Adopt {
+pub struct Adoption {
     /// The target that holds the stream.
     pub target: id::Target,
     /// The stream.
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -4,7 +4,8 @@
 use hickory_unit::{id, size};
 use hickory_wire::link::{Error, Handler, Links};
 use hickory_wire::message::{
-    Adopt, Ask, Cost, Document, Ending, Gossip, Outcome, Permit, Refusal, State, Suspect, Weights,
+    Adoption, Cost, Document, Ending, Gossip, Outcome, Permit, PermitRequest, Refusal, Suspect,
+    TargetState, Weights,
 };
 use hickory_wire::proof::Key;
 use std::net::{SocketAddr, TcpListener};
@@ -41,7 +42,7 @@
         gossip
     }
 
-    async fn permit(&self, ask: Ask) -> Result<Permit, Refusal> {
+    async fn permit(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
         self.asked.fetch_add(1, Ordering::SeqCst);
         let _asked = Asked(self.asked.clone());
         if self.waits {
@@ -61,7 +62,7 @@
         self.outcomes.lock().expect("no test panics with the lock").push(outcome);
     }
 
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal> {
+    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal> {
         let id = u64::from(adopt.keep);
         Ok(Permit { id, epoch: id::Epoch(1), life: TIMEOUT, priority: 0 })
     }
@@ -93,8 +94,8 @@
     }
 }
 
-fn ask(batch: bool) -> Ask {
-    Ask {
+fn ask(batch: bool) -> PermitRequest {
+    PermitRequest {
         stream: stream(),
         target: "engine-1".into(),
         partner: "mawe".into(),
@@ -112,7 +113,7 @@
 
 fn gossip() -> Gossip {
     let ready = vec![Weights { model: "m".into(), version: "1".into(), adapter: Some("a".into()) }];
-    let state = State {
+    let state = TargetState {
         target: "engine-1".into(),
         epoch: id::Epoch(1),
         queued_prefill: size::Tokens(2),
@@ -154,7 +155,9 @@
     assert_eq!(granted.map(|permit| (permit.id, permit.epoch.0, permit.priority)), Ok((7, 3, 2)));
     let refused = client.permit(to, ask(true), TIMEOUT).await.expect("an answer");
     assert!(refused.is_err_and(|refusal| refusal.not_owner && refusal.reason == "overloaded"));
-    for ending in [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::Left] {
+    for ending in
+        [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::CallerDisconnected]
+    {
         let outcome = Outcome {
             target: "engine-1".into(),
             permit: 7,
@@ -170,7 +173,7 @@
     assert_eq!(document, Some(Document { version: 4, text: "{}".into() }));
     assert_eq!(client.owners(to, TIMEOUT).await, Ok(None));
     for keep in [false, true] {
-        let adopt = Adopt { target: "t".into(), stream: stream(), node: "node-1".into(), keep };
+        let adopt = Adoption { target: "t".into(), stream: stream(), node: "node-1".into(), keep };
         let permit = client.adopt(to, adopt, TIMEOUT).await.expect("an answer");
         assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(keep)));
     }
