--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -130,7 +130,7 @@
     pub fn accepting(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
-        states.filter(|state| state.accepting).count()
+        states.filter(|state| state.is_accepting).count()
     }
 
     /// Begins a planned stop; [`Node::closed`] tells when it is done.
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -70,14 +70,14 @@
 const ADOPTED_FIRST: Ticket = 1 << 63;
 
 pub(crate) fn refuse(reason: impl std::fmt::Display, retry_after: Duration) -> Refusal {
-    Refusal { reason: reason.to_string(), retry_after, not_owner: false }
+    Refusal { reason: reason.to_string(), retry_after, is_not_owner: false }
 }
 
 pub(crate) fn refuse_not_owner() -> Refusal {
     Refusal {
         reason: Reason::NoOwner.to_string(),
         retry_after: Duration::from_millis(200),
-        not_owner: true,
+        is_not_owner: true,
     }
 }
 
@@ -160,11 +160,11 @@
         let wanted = limit::Ask {
             partner: ask.partner.clone(),
             account: ask.account.clone(),
-            class: if ask.batch { Class::Batch } else { Class::Interactive },
+            class: if ask.is_batch { Class::Batch } else { Class::Interactive },
             cost: Cost { prefill: ask.cost.prefill, decode: ask.cost.decode },
             deadline: until,
-            alone: ask.alone,
-            urgent: ask.urgent,
+            alone: ask.runs_alone,
+            urgent: ask.must_not_queue,
         };
         let priority = priority_of(wanted.lane());
         match self.limiter.ask(now, wanted) {
@@ -211,7 +211,7 @@
     }
 
     fn make_permit(&self, id: Ticket, priority: u8, life: Duration) -> Permit {
-        Permit { id, epoch: self.epoch, life, priority }
+        Permit { id, epoch: self.epoch, lifetime: life, priority }
     }
 
     fn insert_permit(&mut self, ticket: Ticket, granted: Granted) {
@@ -322,7 +322,11 @@
                 }
             }
             Ending::Finished => {
-                self.give_back(now, outcome.permit, limit::Outcome::Whole(outcome.first_token));
+                self.give_back(
+                    now,
+                    outcome.permit,
+                    limit::Outcome::Whole(outcome.time_to_first_token),
+                );
             }
             Ending::Cancelled | Ending::NotSent => {
                 self.give_back(now, outcome.permit, limit::Outcome::Dropped);
@@ -382,12 +386,12 @@
             kv_free: self.kv_capacity.saturating_sub(used),
             kv_capacity: self.kv_capacity,
             prefill_rate: self.limiter.prefill_rate(),
-            bound: self.limiter.bound(),
+            stream_limit: self.limiter.bound(),
             running: self.limiter.running() as u32,
             waiting: self.limiter.waiting() as u32,
             incarnation: self.incarnation.unwrap_or_default(),
             ready: self.ready.clone(),
-            accepting: self.accepting,
+            is_accepting: self.accepting,
             prefixes: Vec::new(),
         }
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -26,7 +26,7 @@
     Refusal {
         reason: hickory_policy::refuse::Reason::Draining.to_string(),
         retry_after: std::time::Duration::from_secs(1),
-        not_owner: true,
+        is_not_owner: true,
     }
 }
 
@@ -77,13 +77,13 @@
     let (version, targets) = core.table.states_since(since);
     Gossip {
         version,
-        seen,
+        acknowledged_version: seen,
         targets,
         node: core.me().clone(),
         incarnation: core.incarnation,
-        release: core.configuration().map_or(id::Release(0), |c| c.version),
-        owners: core.owners.revision(),
-        draining: core.stage() != Stage::Serving,
+        configuration_version: core.configuration().map_or(id::Release(0), |c| c.version),
+        owners_revision: core.owners.revision(),
+        is_draining: core.stage() != Stage::Serving,
         suspects: core.record.tell(core.now(), since == 0),
         connections: core.active.load(Ordering::Acquire) as u32,
     }
@@ -92,7 +92,7 @@
 fn take_gossip(core: &Core, gossip: &Gossip) {
     core.view.merge(core.clock.now(), gossip);
     core.record.merge(core.now(), &gossip.suspects);
-    core.owners.heard(&gossip.node, gossip.owners);
+    core.owners.heard(&gossip.node, gossip.owners_revision);
 }
 
 /// Exchanges gossip with every peer, and fetches what a peer knows better: a
@@ -103,7 +103,7 @@
     loop {
         // Its own word goes the way of all others'.
         let own = make_gossip(&core, core.me());
-        take_gossip(&core, &Gossip { seen: own.version, ..own });
+        take_gossip(&core, &Gossip { acknowledged_version: own.version, ..own });
         core.view.note_nodes(core.now(), &core.member.nodes());
         for info in core.member.nodes().values() {
             // An exchange goes both ways, so one of the two begins it. A node
@@ -148,8 +148,8 @@
 async fn fetch_release(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
     let Ok(_fetch) = core.fetches.release.try_lock() else { return };
     let known = core.configuration().map_or(id::Release(0), |c| c.version);
-    if gossip.release > known
-        && let Ok(Some(document)) = links.release(info.peers, core.peer_timeout()).await
+    if gossip.configuration_version > known
+        && let Ok(Some(document)) = links.fetch_configuration(info.peers, core.peer_timeout()).await
         && let Ok(configuration) = serde_json::from_str(&document.text)
     {
         core.keeper.offer(configuration);
@@ -158,8 +158,8 @@
 
 async fn fetch_owners(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
     let Ok(_fetch) = core.fetches.owners.try_lock() else { return };
-    if gossip.owners > core.owners.revision()
-        && let Ok(Some(document)) = links.owners(info.peers, core.peer_timeout()).await
+    if gossip.owners_revision > core.owners.revision()
+        && let Ok(Some(document)) = links.fetch_owners(info.peers, core.peer_timeout()).await
     {
         core.owners.offer(document.version, &document.text);
     }
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -233,7 +233,7 @@
         let Some(time_left) = want.deadline.checked_duration_since(asked) else {
             return Err(Some(refuse(Reason::Deadline, "the deadline passed in the queue")));
         };
-        let ask = PermitRequest { urgent: at_once, ..make_ask(want, target, time_left) };
+        let ask = PermitRequest { must_not_queue: at_once, ..make_ask(want, target, time_left) };
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
@@ -242,7 +242,7 @@
             }
         };
         match answer {
-            Ok(permit) if core.now() < asked + permit.life => {
+            Ok(permit) if core.now() < asked + permit.lifetime => {
                 core.metrics.permit_waited(core.now() - asked);
                 return Ok(permit);
             }
@@ -251,7 +251,7 @@
                 give_back(core, target, &permit, want.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED => {}
-            Err(refused) if refused.not_owner => {
+            Err(refused) if refused.is_not_owner => {
                 core.metrics.retried(Retry::NotOwner);
                 return Err(None);
             }
@@ -274,10 +274,10 @@
 ) -> Option<Permit> {
     let asked = core.now();
     let time_left = want.deadline.checked_duration_since(asked)?;
-    let ask = PermitRequest { urgent: true, ..make_ask(want, target, time_left) };
+    let ask = PermitRequest { must_not_queue: true, ..make_ask(want, target, time_left) };
     let permit = send_ask(core, &ask).await.ok()?.ok()?;
     let configuration = core.configuration()?;
-    let usable = core.now() < asked + permit.life && core.view.may_send(target, &configuration);
+    let usable = core.now() < asked + permit.lifetime && core.view.may_send(target, &configuration);
     if !usable {
         give_back(core, target, &permit, want.stream, Ending::NotSent, None);
     }
@@ -290,7 +290,7 @@
         target: target.clone(),
         partner: want.partner.clone(),
         account: want.account.clone(),
-        batch: want.class == Class::Batch,
+        is_batch: want.class == Class::Batch,
         cost: message::Cost {
             prefill: want.cost.prefill,
             decode: want.cost.decode,
@@ -301,10 +301,10 @@
             Need::Service(_) => None,
         },
         time_left,
-        alone: want.alone,
+        runs_alone: want.alone,
         fingerprint: want.fingerprint,
         prefix: want.prefix,
-        urgent: false,
+        must_not_queue: false,
     }
 }
 
@@ -336,7 +336,7 @@
         Owner::Here => Ok(table::permit(core, ask).await),
         Owner::There(address) => {
             let links = core.links.get().ok_or(link::Error::Closed)?;
-            links.permit(address, ask.clone(), core.peer_timeout()).await
+            links.request_permit(address, ask.clone(), core.peer_timeout()).await
         }
     }
 }
@@ -358,7 +358,7 @@
         }
     };
     answer.map_err(|refused| match refused.reason.as_str() {
-        _ if refused.not_owner => no_owner(),
+        _ if refused.is_not_owner => no_owner(),
         TAKEN => refuse(Reason::AlreadyClaimed, "another node serves the stream"),
         _ => refuse(Reason::StreamLost, "no target holds the stream any more"),
     })
@@ -397,7 +397,7 @@
         permit: permit.id,
         epoch: permit.epoch,
         ending,
-        first_token,
+        time_to_first_token: first_token,
         stream: Some(stream.clone()),
     };
     match find_owner(core, target) {
@@ -407,7 +407,7 @@
             let timeout = core.peer_timeout();
             tokio::spawn(async move {
                 for _ in 0..OUTCOME_TRIES {
-                    if links.outcome(address, outcome.clone(), timeout).await.is_ok() {
+                    if links.report_outcome(address, outcome.clone(), timeout).await.is_ok() {
                         return;
                     }
                 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -145,7 +145,7 @@
             target: self.target.clone(),
             stream: self.stream.clone(),
             node: self.core.me().clone(),
-            keep: true,
+            is_renewal: true,
         };
         let keeping = tokio::select! {
             keeping = permit::may_keep(self.core, keep, limit) => keeping,
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -95,7 +95,7 @@
 /// Tells the owner, as soon as there is one, that this node serves the rest.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
-    let adopt = Adoption { target, stream, node: core.me().clone(), keep: false };
+    let adopt = Adoption { target, stream, node: core.me().clone(), is_renewal: false };
     loop {
         match permit::adopt(core, adopt.clone()).await {
             Ok(permit) => return Some(permit),
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -160,7 +160,7 @@
     let left = adopt.stream.deadline_ms.saturating_sub(core.clock.wall_ms());
     let until = core.now() + Duration::from_millis(left);
     let taken = core.table.with(&adopt.target, |owned| match owned.incarnation {
-        Some(_) if adopt.keep && owned.is_taken(adopt) => Err(refuse(TAKEN, Duration::ZERO)),
+        Some(_) if adopt.is_renewal && owned.is_taken(adopt) => Err(refuse(TAKEN, Duration::ZERO)),
         Some(_) => Ok(owned.adopt(adopt, until, life)),
         // A new owner does not know yet what the target holds.
         None => Err(refuse_not_owner()),
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -125,13 +125,13 @@
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
         let seen = PeerSeen {
             at: now,
-            release: gossip.release,
+            release: gossip.configuration_version,
             connections: gossip.connections,
-            draining: gossip.draining,
+            draining: gossip.is_draining,
             incarnation: gossip.incarnation,
             // An answer that was overtaken by a later one takes nothing back.
             version: known.map_or(0, |known| known.version).max(gossip.version),
-            seen: gossip.seen,
+            seen: gossip.acknowledged_version,
         };
         // What was overtaken by a later word would put a target back to what
         // it was, and is not told again.
@@ -236,7 +236,7 @@
             candidate.queued_long = state.queued_long;
             candidate.queued_prefill = state.queued_prefill;
             candidate.kv_free = state.kv_free;
-            candidate.max_streams = state.bound;
+            candidate.max_streams = state.stream_limit;
             candidate.running = state.running;
             candidate.waiting = state.waiting;
         }
@@ -261,7 +261,7 @@
             (Need::Service(service), Kind::Service(name)) => service == name,
             _ => false,
         };
-        (fits && state.accepting && is_heard(&seen.owner)).then(|| Candidate {
+        (fits && state.is_accepting && is_heard(&seen.owner)).then(|| Candidate {
             target: host.target.clone(),
             hash: seen.key,
             is_same_zone: host.zone == self.zone,
@@ -272,7 +272,7 @@
             kv_free: state.kv_free.saturating_sub(seen.sent),
             kv_capacity: state.kv_capacity,
             prefill_rate: state.prefill_rate,
-            max_streams: state.bound,
+            max_streams: state.stream_limit,
             running: state.running + seen.sent_count,
             waiting: state.waiting,
         })
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -97,11 +97,11 @@
         Gossip {
             node: node.clone(),
             incarnation: id::Incarnation(1),
-            release: id::Release(self.release.load(Ordering::SeqCst)),
-            owners: self.owners.load(Ordering::SeqCst),
-            draining: false,
+            configuration_version: id::Release(self.release.load(Ordering::SeqCst)),
+            owners_revision: self.owners.load(Ordering::SeqCst),
+            is_draining: false,
             version: 0,
-            seen: 0,
+            acknowledged_version: 0,
             targets: Vec::new(),
             suspects: Vec::new(),
             connections: 0,
@@ -116,7 +116,7 @@
 }
 
 fn refuse() -> Refusal {
-    Refusal { reason: "draining".into(), retry_after: Duration::ZERO, not_owner: true }
+    Refusal { reason: "draining".into(), retry_after: Duration::ZERO, is_not_owner: true }
 }
 
 impl Handler for Peer {
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -114,7 +114,7 @@
             target: codec::read_text(params.get_target())?.into(),
             stream: codec::read_stream(params.get_stream())?,
             node: codec::read_text(params.get_node())?.into(),
-            keep: params.get_keep(),
+            is_renewal: params.get_keep(),
         });
         codec::write_answer(&answer, results.get().init_answer());
         Ok(())
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -47,7 +47,7 @@
     to.set_target(ask.target.as_str());
     to.set_partner(ask.partner.as_str());
     to.set_account(ask.account.as_str());
-    to.set_batch(ask.batch);
+    to.set_batch(ask.is_batch);
     let mut cost = to.reborrow().init_cost();
     cost.set_prefill(ask.cost.prefill.0);
     cost.set_decode(ask.cost.decode.0);
@@ -57,10 +57,10 @@
         write_weights(weights, to.reborrow().init_weights());
     }
     to.set_time_left_ms(millis(ask.time_left));
-    to.set_alone(ask.alone);
+    to.set_alone(ask.runs_alone);
     to.set_fingerprint(ask.fingerprint);
     to.set_prefix(ask.prefix);
-    to.set_urgent(ask.urgent);
+    to.set_urgent(ask.must_not_queue);
 }
 
 pub(crate) fn read_ask(from: schema::permit_ask::Reader<'_>) -> Result<PermitRequest> {
@@ -74,7 +74,7 @@
         target: read_text(from.get_target())?.into(),
         partner: read_text(from.get_partner())?.into(),
         account: read_text(from.get_account())?.into(),
-        batch: from.get_batch(),
+        is_batch: from.get_batch(),
         cost: Cost {
             prefill: size::Tokens(cost.get_prefill()),
             decode: size::Tokens(cost.get_decode()),
@@ -82,10 +82,10 @@
         },
         weights,
         time_left: Duration::from_millis(from.get_time_left_ms()),
-        alone: from.get_alone(),
+        runs_alone: from.get_alone(),
         fingerprint: from.get_fingerprint(),
         prefix: from.get_prefix(),
-        urgent: from.get_urgent(),
+        must_not_queue: from.get_urgent(),
     })
 }
 
@@ -98,14 +98,14 @@
             let mut to = to.init_granted();
             to.set_id(permit.id);
             to.set_epoch(permit.epoch.0);
-            to.set_life_ms(millis(permit.life));
+            to.set_life_ms(millis(permit.lifetime));
             to.set_priority(permit.priority);
         }
         Err(refusal) => {
             let mut to = to.init_refused();
             to.set_reason(refusal.reason.as_str());
             to.set_retry_after_ms(millis(refusal.retry_after));
-            to.set_not_owner(refusal.not_owner);
+            to.set_not_owner(refusal.is_not_owner);
         }
     }
 }
@@ -119,7 +119,7 @@
             Ok(Permit {
                 id: permit.get_id(),
                 epoch: id::Epoch(permit.get_epoch()),
-                life: Duration::from_millis(permit.get_life_ms()),
+                lifetime: Duration::from_millis(permit.get_life_ms()),
                 priority: permit.get_priority(),
             })
         }
@@ -128,7 +128,7 @@
             Err(Refusal {
                 reason: read_text(refusal.get_reason())?.into(),
                 retry_after: Duration::from_millis(refusal.get_retry_after_ms()),
-                not_owner: refusal.get_not_owner(),
+                is_not_owner: refusal.get_not_owner(),
             })
         }
     })
@@ -147,7 +147,7 @@
         Ending::Lost => Kind::Lost,
         Ending::CallerDisconnected => Kind::Left,
     });
-    to.set_first_token_ms(outcome.first_token.map_or(0, |time| millis(time).max(1)));
+    to.set_first_token_ms(outcome.time_to_first_token.map_or(0, |time| millis(time).max(1)));
     if let Some(stream) = &outcome.stream {
         to.set_stream(stream.to_string());
     }
@@ -169,7 +169,7 @@
             Kind::Lost => Ending::Lost,
             Kind::Left => Ending::CallerDisconnected,
         },
-        first_token: (first_token_ms > 0).then(|| Duration::from_millis(first_token_ms)),
+        time_to_first_token: (first_token_ms > 0).then(|| Duration::from_millis(first_token_ms)),
         stream: match stream.is_empty() {
             true => None,
             false => Some(stream.parse().map_err(|_| malformed("stream"))?),
@@ -185,11 +185,11 @@
     to.set_kv_free(state.kv_free.0);
     to.set_kv_capacity(state.kv_capacity.0);
     to.set_prefill_rate(state.prefill_rate);
-    to.set_bound(state.bound);
+    to.set_bound(state.stream_limit);
     to.set_running(state.running);
     to.set_waiting(state.waiting);
     to.set_incarnation(state.incarnation.0);
-    to.set_accepting(state.accepting);
+    to.set_accepting(state.is_accepting);
     let mut ready = to.reborrow().init_ready(state.ready.len() as u32);
     for (i, weights) in state.ready.iter().enumerate() {
         write_weights(weights, ready.reborrow().get(i as u32));
@@ -209,12 +209,12 @@
         kv_free: size::Tokens(from.get_kv_free()),
         kv_capacity: size::Tokens(from.get_kv_capacity()),
         prefill_rate: from.get_prefill_rate(),
-        bound: from.get_bound(),
+        stream_limit: from.get_bound(),
         running: from.get_running(),
         waiting: from.get_waiting(),
         incarnation: id::Incarnation(from.get_incarnation()),
         ready: from.get_ready()?.iter().map(read_weights).collect::<Result<_>>()?,
-        accepting: from.get_accepting(),
+        is_accepting: from.get_accepting(),
         prefixes: from.get_prefixes()?.iter().collect(),
     })
 }
@@ -222,12 +222,12 @@
 pub(crate) fn write_gossip(gossip: &Gossip, mut to: schema::gossip::Builder<'_>) {
     to.set_node(gossip.node.as_str());
     to.set_incarnation(gossip.incarnation.0);
-    to.set_release(gossip.release.0);
-    to.set_owners(gossip.owners);
-    to.set_draining(gossip.draining);
+    to.set_release(gossip.configuration_version.0);
+    to.set_owners(gossip.owners_revision);
+    to.set_draining(gossip.is_draining);
     to.set_connections(gossip.connections);
     to.set_version(gossip.version);
-    to.set_seen(gossip.seen);
+    to.set_seen(gossip.acknowledged_version);
     let mut targets = to.reborrow().init_targets(gossip.targets.len() as u32);
     for (i, state) in gossip.targets.iter().enumerate() {
         write_state(state, targets.reborrow().get(i as u32));
@@ -250,14 +250,14 @@
     Ok(Gossip {
         node: read_text(from.get_node())?.into(),
         incarnation: id::Incarnation(from.get_incarnation()),
-        release: id::Release(from.get_release()),
-        owners: from.get_owners(),
-        draining: from.get_draining(),
+        configuration_version: id::Release(from.get_release()),
+        owners_revision: from.get_owners(),
+        is_draining: from.get_draining(),
         targets: from.get_targets()?.iter().map(read_state).collect::<Result<_>>()?,
         suspects: suspects.collect(),
         connections: from.get_connections(),
         version: from.get_version(),
-        seen: from.get_seen(),
+        acknowledged_version: from.get_seen(),
     })
 }
 
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -123,7 +123,7 @@
 
     /// Asks the owner at `to` for a permit, and waits as long as `timeout`;
     /// dropping the future withdraws the ask.
-    pub async fn permit(
+    pub async fn request_permit(
         &self,
         to: SocketAddr,
         ask: PermitRequest,
@@ -139,7 +139,7 @@
     }
 
     /// Tells the owner how a permitted attempt ended.
-    pub async fn outcome(
+    pub async fn report_outcome(
         &self,
         to: SocketAddr,
         outcome: Outcome,
@@ -149,7 +149,7 @@
     }
 
     /// Fetches the configuration that a peer has in force.
-    pub async fn release(
+    pub async fn fetch_configuration(
         &self,
         to: SocketAddr,
         timeout: Duration,
@@ -158,7 +158,7 @@
     }
 
     /// Fetches the ownership table that a peer knows.
-    pub async fn owners(
+    pub async fn fetch_owners(
         &self,
         to: SocketAddr,
         timeout: Duration,
@@ -308,7 +308,7 @@
                     request.get().set_target(adopt.target.as_str());
                     request.get().set_stream(adopt.stream.to_string());
                     request.get().set_node(adopt.node.as_str());
-                    request.get().set_keep(adopt.keep);
+                    request.get().set_keep(adopt.is_renewal);
                     let response = request.send().promise.await.map_err(no_answer)?;
                     let found = response.get().and_then(|r| r.get_answer()).map_err(no_answer)?;
                     codec::read_answer(found).map_err(no_answer)
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -38,7 +38,7 @@
     /// The client account.
     pub account: id::Account,
     /// Whether it may wait; else a person waits for it.
-    pub batch: bool,
+    pub is_batch: bool,
     /// What it weighs.
     pub cost: Cost,
     /// The weights it asks for; `None` for a call of a plain service, which
@@ -47,14 +47,14 @@
     /// Time left until the request's deadline.
     pub time_left: Duration,
     /// Set for a suspect: runs beside no other request.
-    pub alone: bool,
+    pub runs_alone: bool,
     /// Hash of account and content.
     pub fingerprint: u64,
     /// Hash of the prompt's leading blocks.
     pub prefix: u64,
     /// Set where several targets are reserved, all or none: the owner grants
     /// or refuses at once and never queues.
-    pub urgent: bool,
+    pub must_not_queue: bool,
 }
 
 /// Leave to send one attempt to a target.
@@ -67,7 +67,7 @@
     /// How long it may be used to begin sending, counted from the moment the
     /// asker *sent* its ask: one from an owner that was paused is dead when
     /// it arrives.
-    pub life: Duration,
+    pub lifetime: Duration,
     /// The priority for the engine.
     pub priority: u8,
 }
@@ -80,7 +80,7 @@
     /// When to come back.
     pub retry_after: Duration,
     /// Set where the asked node does not own the target.
-    pub not_owner: bool,
+    pub is_not_owner: bool,
 }
 
 /// How a permitted attempt ended.
@@ -113,7 +113,7 @@
     /// How it ended.
     pub ending: Ending,
     /// Time from sending to the first token, if one came.
-    pub first_token: Option<Duration>,
+    pub time_to_first_token: Option<Duration>,
     /// The stream, as it was named to the target, if one was opened.
     pub stream: Option<id::Stream>,
 }
@@ -136,7 +136,7 @@
     /// Prompt tokens a second at its present warmth.
     pub prefill_rate: u64,
     /// Streams that it bears at present.
-    pub bound: u32,
+    pub stream_limit: u32,
     /// Streams granted.
     pub running: u32,
     /// The incarnation of the target's process.
@@ -146,7 +146,7 @@
     /// Weights that are ready.
     pub ready: Vec<Weights>,
     /// Whether it takes new work.
-    pub accepting: bool,
+    pub is_accepting: bool,
     /// Prefixes thought to be in its cache.
     pub prefixes: Vec<u64>,
 }
@@ -170,16 +170,16 @@
     /// Its incarnation.
     pub incarnation: id::Incarnation,
     /// The configuration it has in force.
-    pub release: id::Release,
+    pub configuration_version: id::Release,
     /// The revision of the ownership table it knows.
-    pub owners: u64,
+    pub owners_revision: u64,
     /// Whether it is stopping.
-    pub draining: bool,
+    pub is_draining: bool,
     /// Counts the changes of what it tells of its targets.
     pub version: u64,
     /// The listener's version that the speaker has; zero for none. The
     /// listener tells only what has changed since.
-    pub seen: u64,
+    pub acknowledged_version: u64,
     /// The targets it owns that have changed since the listener's last word.
     pub targets: Vec<TargetState>,
     /// Requests under suspicion.
@@ -209,5 +209,5 @@
     pub node: id::Node,
     /// Set where the node served it before: answered with yes only if no other
     /// node has taken it over since.
-    pub keep: bool,
+    pub is_renewal: bool,
 }
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -48,12 +48,12 @@
         if self.waits {
             self.grant.notified().await;
         }
-        match ask.batch {
-            false => Ok(Permit { id: 7, epoch: id::Epoch(3), life: TIMEOUT, priority: 2 }),
+        match ask.is_batch {
+            false => Ok(Permit { id: 7, epoch: id::Epoch(3), lifetime: TIMEOUT, priority: 2 }),
             true => Err(Refusal {
                 reason: "overloaded".into(),
                 retry_after: Duration::from_millis(250),
-                not_owner: true,
+                is_not_owner: true,
             }),
         }
     }
@@ -63,8 +63,8 @@
     }
 
     fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal> {
-        let id = u64::from(adopt.keep);
-        Ok(Permit { id, epoch: id::Epoch(1), life: TIMEOUT, priority: 0 })
+        let id = u64::from(adopt.is_renewal);
+        Ok(Permit { id, epoch: id::Epoch(1), lifetime: TIMEOUT, priority: 0 })
     }
 
     fn release(&self) -> Option<Document> {
@@ -100,14 +100,14 @@
         target: "engine-1".into(),
         partner: "mawe".into(),
         account: "shop".into(),
-        batch,
+        is_batch: batch,
         cost: Cost { prefill: size::Tokens(1), decode: size::Tokens(2), kv: size::Tokens(3) },
         weights: Some(Weights { model: "m".into(), version: "1".into(), adapter: None }),
         time_left: TIMEOUT,
-        alone: true,
+        runs_alone: true,
         fingerprint: 5,
         prefix: 6,
-        urgent: true,
+        must_not_queue: true,
     }
 }
 
@@ -121,22 +121,22 @@
         kv_free: size::Tokens(4),
         kv_capacity: size::Tokens(5),
         prefill_rate: 6,
-        bound: 7,
+        stream_limit: 7,
         running: 8,
         incarnation: id::Incarnation(9),
         waiting: 10,
         ready,
-        accepting: true,
+        is_accepting: true,
         prefixes: vec![11, 12],
     };
     Gossip {
         node: "node-1".into(),
         incarnation: id::Incarnation(1),
-        release: id::Release(2),
-        owners: 3,
-        draining: true,
+        configuration_version: id::Release(2),
+        owners_revision: 3,
+        is_draining: true,
         version: 4,
-        seen: 5,
+        acknowledged_version: 5,
         targets: vec![state],
         suspects: vec![Suspect { fingerprint: 6, deaths: 1, age: Duration::from_millis(7) }],
         connections: 8,
@@ -151,10 +151,10 @@
     let client = listen(Node::default(), "2a");
     let to = server.address();
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
-    let granted = client.permit(to, ask(false), TIMEOUT).await.expect("an answer");
+    let granted = client.request_permit(to, ask(false), TIMEOUT).await.expect("an answer");
     assert_eq!(granted.map(|permit| (permit.id, permit.epoch.0, permit.priority)), Ok((7, 3, 2)));
-    let refused = client.permit(to, ask(true), TIMEOUT).await.expect("an answer");
-    assert!(refused.is_err_and(|refusal| refusal.not_owner && refusal.reason == "overloaded"));
+    let refused = client.request_permit(to, ask(true), TIMEOUT).await.expect("an answer");
+    assert!(refused.is_err_and(|refusal| refusal.is_not_owner && refusal.reason == "overloaded"));
     for ending in
         [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::CallerDisconnected]
     {
@@ -163,17 +163,22 @@
             permit: 7,
             epoch: id::Epoch(3),
             ending,
-            first_token: Some(Duration::from_millis(9)),
+            time_to_first_token: Some(Duration::from_millis(9)),
             stream: Some(stream()),
         };
-        assert_eq!(client.outcome(to, outcome.clone(), TIMEOUT).await, Ok(()));
+        assert_eq!(client.report_outcome(to, outcome.clone(), TIMEOUT).await, Ok(()));
         assert_eq!(node.outcomes.lock().expect("no panic").pop(), Some(outcome));
     }
-    let document = client.release(to, TIMEOUT).await.expect("an answer");
+    let document = client.fetch_configuration(to, TIMEOUT).await.expect("an answer");
     assert_eq!(document, Some(Document { version: 4, text: "{}".into() }));
-    assert_eq!(client.owners(to, TIMEOUT).await, Ok(None));
+    assert_eq!(client.fetch_owners(to, TIMEOUT).await, Ok(None));
     for keep in [false, true] {
-        let adopt = Adoption { target: "t".into(), stream: stream(), node: "node-1".into(), keep };
+        let adopt = Adoption {
+            target: "t".into(),
+            stream: stream(),
+            node: "node-1".into(),
+            is_renewal: keep,
+        };
         let permit = client.adopt(to, adopt, TIMEOUT).await.expect("an answer");
         assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(keep)));
     }
@@ -226,7 +231,7 @@
     let to: SocketAddr = server.address();
     let waiting = tokio::spawn({
         let client = client.clone();
-        async move { client.permit(to, ask(false), TIMEOUT).await }
+        async move { client.request_permit(to, ask(false), TIMEOUT).await }
     });
     eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
     waiting.abort();
@@ -246,6 +251,6 @@
         eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
         server.close();
     };
-    let (answer, ()) = tokio::join!(client.permit(to, ask(false), TIMEOUT * 100), closing);
+    let (answer, ()) = tokio::join!(client.request_permit(to, ask(false), TIMEOUT * 100), closing);
     assert!(matches!(answer, Err(Error::NoAnswer(_))), "{answer:?}");
 }
