--- a/apps/hickory-node/src/main.rs
+++ b/apps/hickory-node/src/main.rs
@@ -60,7 +60,7 @@
     }
 }
 
-async fn run(settings: hickory_settings::Node, first: First) -> eyre::Result<()> {
+async fn run(settings: hickory_settings::Settings, first: First) -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let name = settings.node.clone();
--- a/apps/hickory-node/tests/proofs/versions.rs
+++ b/apps/hickory-node/tests/proofs/versions.rs
@@ -23,7 +23,7 @@
         let wanted = Weights { version: version.into(), ..weights() };
         let engines = self.standins.engines.iter();
         let reports = engines.map(|engine| engine.service().with_engine(|e| e.take_report()));
-        let has = |l: &hickory_target::engine::Loaded| l.ready && l.weights == wanted;
+        let has = |l: &hickory_target::engine::LoadedWeights| l.ready && l.weights == wanted;
         reports.filter(|report| report.loaded.iter().any(has)).count()
     }
 }
--- a/apps/hickory/src/accept.rs
+++ b/apps/hickory/src/accept.rs
@@ -48,7 +48,7 @@
     let text = print::read_input(file)?;
     let name = file.display().to_string();
     let invalid = |findings| Failure::Invalid { file: name.clone(), findings };
-    let Draft { note, places } = parse_draft(&text).map_err(invalid)?;
+    let Draft { note, locations } = parse_draft(&text).map_err(invalid)?;
     let present = read_configuration(client)?;
     if note.against != present.version {
         let detail =
@@ -56,7 +56,7 @@
         return Err(Failure::Conflict { present: Some(present.version), detail });
     }
     let next = apply_note(&present, &note).map_err(|mut findings| {
-        places.locate(&mut findings);
+        locations.locate(&mut findings);
         invalid(findings)
     })?;
     print::print_changes(&diff_configurations(&present, &next), json);
--- a/apps/hickory/src/check.rs
+++ b/apps/hickory/src/check.rs
@@ -17,9 +17,9 @@
 
 /// Checks the settings of a node.
 pub(crate) fn check_settings(file: &Path, json: bool) -> Result<(), Failure> {
-    let check = hickory_settings::check_node(&read_input(file)?);
+    let check = hickory_settings::check_settings(&read_input(file)?);
     let name = file.display().to_string();
-    if check.node.is_none() {
+    if check.settings.is_none() {
         if !json {
             print_warnings(&name, &check.warnings);
         }
@@ -37,12 +37,12 @@
 ) -> Result<(), Failure> {
     let name = file.display().to_string();
     let invalid = |findings| Failure::Invalid { file: name.clone(), findings };
-    let Draft { note, places } = parse_draft(&read_input(file)?).map_err(invalid)?;
+    let Draft { note, locations } = parse_draft(&read_input(file)?).map_err(invalid)?;
     if let Some(path) = configuration {
         let present: Configuration = serde_json::from_str(&read_input(path)?)
             .map_err(|error| Failure::Local(format!("{}: {error}", path.display())))?;
         apply_note(&present, &note).map_err(|mut findings| {
-            places.locate(&mut findings);
+            locations.locate(&mut findings);
             invalid(findings)
         })?;
         check_against(note.against, present.version)?;
--- a/apps/hickory/src/demo.rs
+++ b/apps/hickory/src/demo.rs
@@ -8,7 +8,7 @@
 use hickory_node::Node;
 use hickory_release::configuration::{self, Account, Model, Partner, Service, Weight, Zone};
 use hickory_release::note::{Entries, Note};
-use hickory_settings::{Node as Settings, Platform, Times};
+use hickory_settings::{Platform, Settings, Times};
 use hickory_standin::fleet::{self, Fleet};
 use hickory_target::engine::Weights;
 use hickory_unit::{id, size};
--- a/apps/hickory/tests/real.rs
+++ b/apps/hickory/tests/real.rs
@@ -59,7 +59,7 @@
     }
 }
 
-fn write_settings(standins: &Fleet, zone: &str) -> hickory_settings::Node {
+fn write_settings(standins: &Fleet, zone: &str) -> hickory_settings::Settings {
     let platform = standins.platform();
     let text = format!(
         r#"{{ "node": "entry-{zone}", "zone": "{zone}", "callers": "127.0.0.1:0",
@@ -71,7 +71,7 @@
         platform.weights,
         digest_token(TOKEN)
     );
-    hickory_settings::parse_node(&text).unwrap()
+    hickory_settings::parse_settings(&text).unwrap()
 }
 
 fn read_metric(node: &Node, series: &str) -> f64 {
--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -16,7 +16,7 @@
 
 /// The greatest body: a note can't usefully be greater than the configuration
 /// it makes, which the platform bounds to one mebibyte.
-const BODY_MAX: u64 = 1 << 20;
+const MAX_BODY_BYTES: u64 = 1 << 20;
 
 /// The media type that Prometheus asks for.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
@@ -57,7 +57,7 @@
         }
     }
 
-    fn is_open(self) -> bool {
+    fn is_public(self) -> bool {
         matches!(self, Self::Metrics | Self::Health)
     }
 }
@@ -77,7 +77,7 @@
     let path = request.uri().path().to_owned();
     let route = Route::parse(&path);
     // Without a token not even the paths that exist can be told apart.
-    if !route.is_some_and(Route::is_open) && !is_authorized(control, request) {
+    if !route.is_some_and(Route::is_public) && !is_authorized(control, request) {
         return Err(fail(Code::Unauthorized, "an operator's token is needed"));
     }
     let route = route.ok_or_else(|| fail(Code::NotFound, "no such path"))?;
@@ -115,11 +115,11 @@
     control: &C,
     request: &mut Request<Body>,
 ) -> Result<Response<Body>, Box<Problem>> {
-    let expected = read_expected(request)?;
+    let expected = read_if_match(request)?;
     let text = read_body(request)?;
-    let Draft { mut note, places } = note::parse_draft(&text).map_err(fail_invalid)?;
+    let Draft { mut note, locations } = note::parse_draft(&text).map_err(fail_invalid)?;
     if let Some(expected) = expected {
-        check_expected(expected, &note)?;
+        check_if_match(expected, &note)?;
     }
     if note.operation.is_empty() {
         note.operation = read_operation(request)?;
@@ -136,7 +136,7 @@
         }
         Err(failure) => {
             let mut problem = describe_failure(failure, operation);
-            places.locate(&mut problem.findings);
+            locations.locate(&mut problem.findings);
             log::warn!(operation:? = problem.operation, code:% = problem.code; "release note not accepted");
             Err(problem)
         }
@@ -180,7 +180,7 @@
 }
 
 /// The version in `If-Match`, if the header is there.
-fn read_expected(request: &Request<Body>) -> Result<Option<id::Release>, Box<Problem>> {
+fn read_if_match(request: &Request<Body>) -> Result<Option<id::Release>, Box<Problem>> {
     let Some(value) = request.headers().get(IF_MATCH) else {
         return Ok(None);
     };
@@ -205,7 +205,7 @@
     }
 }
 
-fn check_expected(expected: id::Release, note: &Note) -> Result<(), Box<Problem>> {
+fn check_if_match(expected: id::Release, note: &Note) -> Result<(), Box<Problem>> {
     if expected == note.against {
         return Ok(());
     }
@@ -217,11 +217,11 @@
     let mut text = Vec::new();
     request
         .body_mut()
-        .take(BODY_MAX + 1)
+        .take(MAX_BODY_BYTES + 1)
         .read_to_end(&mut text)
         .map_err(|error| fail(Code::Incomplete, format!("the body broke off: {error}")))?;
-    if text.len() as u64 > BODY_MAX {
-        return Err(fail(Code::TooLarge, format!("the body is over {BODY_MAX} bytes")));
+    if text.len() as u64 > MAX_BODY_BYTES {
+        return Err(fail(Code::TooLarge, format!("the body is over {MAX_BODY_BYTES} bytes")));
     }
     String::from_utf8(text).map_err(|_| fail(Code::Invalid, "the body is not UTF-8"))
 }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Tries at finding a free port where none is given.
-const PORT_TRIES: usize = 16;
+const MAX_PORT_ATTEMPTS: usize = 16;
 
 /// The bounds of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
     /// accepted. A few operators and scrapers need a handful; the bound keeps
     /// a flood from taking the threads and the memory that callers are served
     /// with.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a read or write on a connection may stand. A connection that
     /// is silent for good, because its other end is frozen or lost, must not
     /// hold one of the few threads for good.
@@ -27,7 +27,7 @@
 
 impl Default for Options {
     fn default() -> Self {
-        Self { connections: 16, timeout: Duration::from_secs(10) }
+        Self { max_connections: 16, timeout: Duration::from_secs(10) }
     }
 }
 
@@ -43,27 +43,27 @@
 #[derive(Debug)]
 pub struct Handle<C> {
     address: SocketAddr,
-    control: Slot<C>,
+    control: SharedControl<C>,
 }
 
-type Slot<C> = Arc<RwLock<Option<Arc<C>>>>;
+type SharedControl<C> = Arc<RwLock<Option<Arc<C>>>>;
 
 impl Server {
     /// Serves `control` at `address`; port 0 takes any that is free.
     pub fn spawn<C: Control>(address: SocketAddr, control: Arc<C>) -> io::Result<Handle<C>> {
-        Self::spawn_within(Options::default(), address, control)
+        Self::spawn_with_options(Options::default(), address, control)
     }
 
     /// Serves within bounds other than the usual ones.
-    pub fn spawn_within<C: Control>(
+    pub fn spawn_with_options<C: Control>(
         options: Options,
         address: SocketAddr,
         control: Arc<C>,
     ) -> io::Result<Handle<C>> {
         let slot = Arc::new(RwLock::new(Some(control)));
-        let mut tries = PORT_TRIES;
+        let mut tries = MAX_PORT_ATTEMPTS;
         loop {
-            let bound = resolve_port(address)?;
+            let bound = choose_port(address)?;
             match listen(options, bound, &slot) {
                 Ok(()) => return Ok(Handle { address: bound, control: slot }),
                 Err(error) if address.port() != 0 || tries == 0 => return Err(error),
@@ -88,14 +88,18 @@
 
 /// Names a free port in place of port 0: the library tells no one which port
 /// it was given.
-fn resolve_port(address: SocketAddr) -> io::Result<SocketAddr> {
+fn choose_port(address: SocketAddr) -> io::Result<SocketAddr> {
     if address.port() != 0 {
         return Ok(address);
     }
     TcpListener::bind(address)?.local_addr()
 }
 
-fn listen<C: Control>(options: Options, address: SocketAddr, slot: &Slot<C>) -> io::Result<()> {
+fn listen<C: Control>(
+    options: Options,
+    address: SocketAddr,
+    slot: &SharedControl<C>,
+) -> io::Result<()> {
     let slot = Arc::clone(slot);
     oxhttp::Server::new(move |request| {
         let control = slot.read().unwrap_or_else(PoisonError::into_inner).clone();
@@ -106,7 +110,7 @@
     })
     .bind(address)
     .with_global_timeout(options.timeout)
-    .with_max_concurrent_connections(options.connections)
+    .with_max_concurrent_connections(options.max_connections)
     .spawn()
     .map(drop)
 }
--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -248,10 +248,10 @@
 // without it, nobody could take a zone out at this node until it restarts.
 #[test]
 fn silent_connections_do_not_keep_operators_out() {
-    let options = Options { connections: 2, timeout: Duration::from_millis(300) };
+    let options = Options { max_connections: 2, timeout: Duration::from_millis(300) };
     let fake = Fake::open(&Platform::open(FIRST), []);
     let address = "127.0.0.1:0".parse().unwrap();
-    let handle = Server::spawn_within(options, address, fake).unwrap();
+    let handle = Server::spawn_with_options(options, address, fake).unwrap();
     let mut silent: Vec<TcpStream> =
         (0..6).map(|_| TcpStream::connect(handle.address()).unwrap()).collect();
     // Some have begun a request, the others never say a word.
--- a/crates/admin/tests/fake/mod.rs
+++ b/crates/admin/tests/fake/mod.rs
@@ -75,7 +75,7 @@
     pub fn write(&self, note: &Note) -> Result<Accepted, Failure> {
         let mut present = self.configuration.lock().unwrap();
         match accept_note(&present, note) {
-            Ok(Acceptance::Next(next)) => {
+            Ok(Acceptance::NewConfiguration(next)) => {
                 *present = *next;
                 Ok(Accepted { version: present.version, repeated: false })
             }
--- a/crates/document/src/field.rs
+++ b/crates/document/src/field.rs
@@ -1,6 +1,6 @@
 //! The fields of an object.
 
-use crate::place;
+use crate::location;
 use crate::read::{Node, Read};
 use hickory_unit::finding::Finding;
 use jsonc_parser::ast::{Object, Value};
@@ -12,26 +12,26 @@
     node: &'a Node<'a>,
     object: &'a Object<'a>,
     findings: &'f mut Vec<Finding>,
-    known: BTreeSet<&'static str>,
+    requested: BTreeSet<&'static str>,
 }
 
 impl<'a, 'f> Fields<'a, 'f> {
     /// The fields of `node`, where it is an object.
     pub fn open(node: &'a Node<'a>, findings: &'f mut Vec<Finding>) -> Option<Self> {
         let Value::Object(object) = node.value else {
-            findings.push(node.expected("an object"));
+            findings.push(node.mismatch("an object"));
             return None;
         };
-        Some(Self { node, object, findings, known: BTreeSet::new() })
+        Some(Self { node, object, findings, requested: BTreeSet::new() })
     }
 
     /// A field that must be there.
     pub fn required<T: Read>(&mut self, name: &'static str) -> Option<T> {
-        match self.take(name) {
+        match self.take_field(name) {
             Some(node) => T::read(&node, self.findings),
             None => {
                 let mut finding = self.node.finding("is missing");
-                finding.field = place::join_path(&self.node.path, name);
+                finding.field = location::join_path(&self.node.path, name);
                 self.findings.push(finding);
                 None
             }
@@ -40,7 +40,7 @@
 
     /// A field that may be left out.
     pub fn optional<T: Read>(&mut self, name: &'static str) -> Option<T> {
-        let node = self.take(name)?;
+        let node = self.take_field(name)?;
         T::read(&node, self.findings)
     }
 
@@ -48,15 +48,15 @@
     pub fn close(self) {
         for property in &self.object.properties {
             let name = property.name.as_str();
-            if !self.known.contains(name) {
+            if !self.requested.contains(name) {
                 let node = self.locate(name, property);
                 self.findings.push(node.finding("unknown field"));
             }
         }
     }
 
-    fn take(&mut self, name: &'static str) -> Option<Node<'a>> {
-        self.known.insert(name);
+    fn take_field(&mut self, name: &'static str) -> Option<Node<'a>> {
+        self.requested.insert(name);
         let mut same = self.object.properties.iter().filter(|p| p.name.as_str() == name);
         let first = same.next()?;
         for again in same {
@@ -67,7 +67,7 @@
     }
 
     fn locate(&self, name: &str, property: &'a jsonc_parser::ast::ObjectProp<'a>) -> Node<'a> {
-        let path = place::join_path(&self.node.path, name);
+        let path = location::join_path(&self.node.path, name);
         Node::at(&property.value, path, property.range.start, self.node.lines)
     }
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,4 +1,4 @@
-//! Documents in JSON with comments, read with every finding and its place.
+//! Documents in JSON with comments, read with every finding and its location.
 //!
 //! `serde` stops at the first thing that is wrong. Operators who send a long
 //! note, or start many hosts with one settings file, need all of them at
@@ -37,13 +37,13 @@
 //! ```
 
 pub mod field;
-pub mod place;
+pub mod location;
 pub mod read;
 pub mod rule;
 
 use hickory_unit::finding::Finding;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
-use place::{Lines, Places};
+use location::{Lines, Locations};
 use read::{Node, Read};
 
 /// The path of the document itself.
@@ -51,33 +51,33 @@
 
 /// What came of reading a document.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading<T> {
+pub struct Parsed<T> {
     /// What could be read, also beside findings.
     pub value: Option<T>,
     /// All that is wrong, by line.
     pub findings: Vec<Finding>,
     /// Where each field stands, for findings of later checks.
-    pub places: Places,
+    pub locations: Locations,
 }
 
-impl<T> Reading<T> {
+impl<T> Parsed<T> {
     /// Adds findings of later checks, and fills in their lines.
     ///
     /// A field that has a finding, or stands within one that has, gets no
     /// second one: what could not be read is stood in for by a default, and a
     /// finding about that default would mislead.
-    pub fn extend(&mut self, later: Vec<Finding>) {
+    pub fn add_findings(&mut self, later: Vec<Finding>) {
         let known = &self.findings;
         let mut later: Vec<Finding> =
-            later.into_iter().filter(|finding| !is_known(known, &finding.field)).collect();
-        self.places.locate(&mut later);
+            later.into_iter().filter(|finding| !has_finding(known, &finding.field)).collect();
+        self.locations.locate(&mut later);
         self.findings.append(&mut later);
         self.findings.sort();
     }
 
     /// Whether a field, or what it stands in, has a finding.
-    pub fn is_known(&self, field: &str) -> bool {
-        is_known(&self.findings, field)
+    pub fn has_finding(&self, field: &str) -> bool {
+        has_finding(&self.findings, field)
     }
 
     /// The value, where nothing is wrong.
@@ -90,7 +90,7 @@
 }
 
 /// Reads a document.
-pub fn read_document<T: Read>(text: &str) -> Reading<T> {
+pub fn read_document<T: Read>(text: &str) -> Parsed<T> {
     match parse_to_ast(text, &CollectOptions::default(), &parse_options()) {
         Ok(parsed) => match &parsed.value {
             Some(root) => read_root(text, root),
@@ -101,7 +101,7 @@
     }
 }
 
-fn is_known(findings: &[Finding], field: &str) -> bool {
+fn has_finding(findings: &[Finding], field: &str) -> bool {
     findings.iter().any(|known| {
         field
             .strip_prefix(known.field.as_str())
@@ -109,17 +109,17 @@
     })
 }
 
-fn read_root<T: Read>(text: &str, root: &jsonc_parser::ast::Value<'_>) -> Reading<T> {
+fn read_root<T: Read>(text: &str, root: &jsonc_parser::ast::Value<'_>) -> Parsed<T> {
     let lines = Lines::of(text);
     let mut findings = Vec::new();
     let value = T::read(&Node::root(root, &lines), &mut findings);
     findings.sort();
-    Reading { value, findings, places: Places::of(root, &lines) }
+    Parsed { value, findings, locations: Locations::of(root, &lines) }
 }
 
-fn fail<T>(line: usize, message: String) -> Reading<T> {
+fn fail<T>(line: usize, message: String) -> Parsed<T> {
     let findings = vec![Finding { line, field: ROOT.to_owned(), message }];
-    Reading { value: None, findings, places: Places::default() }
+    Parsed { value: None, findings, locations: Locations::default() }
 }
 
 /// JSON with comments and trailing commas, and nothing looser: a note that
--- a/crates/document/src/place.rs
+++ b/crates/document/src/location.rs
@@ -28,13 +28,13 @@
 /// are named by themselves, as in `accounts.shop.models.advice`, and all else
 /// in arrays by its index, as in `ports[0]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places(BTreeMap<String, usize>);
+pub struct Locations(BTreeMap<String, usize>);
 
-impl Places {
+impl Locations {
     pub(crate) fn of(root: &Value<'_>, lines: &Lines) -> Self {
-        let mut places = Self::default();
-        places.visit(String::new(), root, lines);
-        places
+        let mut locations = Self::default();
+        locations.visit(String::new(), root, lines);
+        locations
     }
 
     /// Fills in the lines of findings that have none, and sorts all by line.
--- a/crates/document/src/read.rs
+++ b/crates/document/src/read.rs
@@ -1,7 +1,7 @@
 //! Values of a document as types.
 
 use crate::ROOT;
-use crate::place::{self, Lines};
+use crate::location::{self, Lines};
 use compact_str::CompactString;
 use hickory_unit::finding::Finding;
 use hickory_unit::{id, size};
@@ -12,9 +12,9 @@
 use std::str::FromStr;
 
 /// Characters of a wrong value that a finding shows.
-const SHOWN_MAX: usize = 32;
+const MAX_SHOWN_CHARS: usize = 32;
 
-/// A value with its place.
+/// A value with its location.
 #[derive(Clone, Debug)]
 pub struct Node<'a> {
     pub(crate) value: &'a Value<'a>,
@@ -32,15 +32,15 @@
         Self { value, path, line: lines.line(offset), lines }
     }
 
-    /// A finding at this place.
+    /// A finding at this location.
     pub fn finding(&self, message: impl Into<String>) -> Finding {
         let field = if self.path.is_empty() { ROOT.to_owned() } else { self.path.clone() };
         Finding { line: self.line, field, message: message.into() }
     }
 
     /// A finding that another type was expected.
-    pub fn expected(&self, what: &str) -> Finding {
-        self.finding(format!("expected {what}, found {}", describe(self.value)))
+    pub fn mismatch(&self, expected: &str) -> Finding {
+        self.finding(format!("expected {expected}, found {}", describe_value(self.value)))
     }
 
     /// The text, where it is one.
@@ -52,10 +52,10 @@
     }
 }
 
-fn describe(value: &Value<'_>) -> String {
+fn describe_value(value: &Value<'_>) -> String {
     match value {
-        Value::StringLit(text) => format!("the text {:?}", shorten(&text.value)),
-        Value::NumberLit(number) => format!("the number {}", shorten(number.value)),
+        Value::StringLit(text) => format!("the text {:?}", truncate(&text.value)),
+        Value::NumberLit(number) => format!("the number {}", truncate(number.value)),
         Value::BooleanLit(literal) => literal.value.to_string(),
         Value::Object(_) => "an object".to_owned(),
         Value::Array(_) => "an array".to_owned(),
@@ -64,8 +64,8 @@
 }
 
 /// The beginning of a text, so that a finding stays on one line.
-fn shorten(text: &str) -> &str {
-    text.char_indices().nth(SHOWN_MAX).map_or(text, |(end, _)| &text[..end])
+fn truncate(text: &str) -> &str {
+    text.char_indices().nth(MAX_SHOWN_CHARS).map_or(text, |(end, _)| &text[..end])
 }
 
 /// A type that can be read from a document.
@@ -74,16 +74,16 @@
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self>;
 }
 
-/// Reads a text that another type is parsed from; `what` says what is
+/// Reads a text that another type is parsed from; `expected` says what is
 /// expected.
 pub fn read_parsed<T: FromStr>(
     node: &Node<'_>,
     findings: &mut Vec<Finding>,
-    what: &str,
+    expected: &str,
 ) -> Option<T> {
     let parsed = node.text().and_then(|text| text.parse().ok());
     if parsed.is_none() {
-        findings.push(node.expected(what));
+        findings.push(node.mismatch(expected));
     }
     parsed
 }
@@ -93,7 +93,7 @@
         match node.value {
             Value::BooleanLit(literal) => Some(literal.value),
             _ => {
-                findings.push(node.expected("a boolean"));
+                findings.push(node.mismatch("a boolean"));
                 None
             }
         }
@@ -109,8 +109,8 @@
                     _ => None,
                 };
                 if parsed.is_none() {
-                    let what = format!("an integer from 0 to {}", Self::MAX);
-                    findings.push(node.expected(&what));
+                    let expected = format!("an integer from 0 to {}", Self::MAX);
+                    findings.push(node.mismatch(&expected));
                 }
                 parsed
             }
@@ -128,7 +128,7 @@
         };
         let finite = parsed.filter(|number| number.is_finite());
         if finite.is_none() {
-            findings.push(node.expected("a finite number"));
+            findings.push(node.mismatch("a finite number"));
         }
         finite
     }
@@ -177,13 +177,13 @@
 impl<K: for<'k> From<&'k str> + Ord, V: Read> Read for BTreeMap<K, V> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Object(object) = node.value else {
-            findings.push(node.expected("an object"));
+            findings.push(node.mismatch("an object"));
             return None;
         };
         let mut entries = Self::new();
         for property in &object.properties {
             let name = property.name.as_str();
-            let path = place::join_path(&node.path, name);
+            let path = location::join_path(&node.path, name);
             let entry = Node::at(&property.value, path, property.range.start, node.lines);
             let Some(value) = V::read(&entry, findings) else {
                 continue;
@@ -200,12 +200,12 @@
 impl<T: Read + Ord> Read for BTreeSet<T> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Array(array) = node.value else {
-            findings.push(node.expected("an array"));
+            findings.push(node.mismatch("an array"));
             return None;
         };
         let mut elements = Self::new();
         for (index, value) in array.elements.iter().enumerate() {
-            let path = place::join_element(&node.path, index, value);
+            let path = location::join_element(&node.path, index, value);
             let element = Node::at(value, path, value.range().start, node.lines);
             let Some(value) = T::read(&element, findings) else {
                 continue;
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -9,7 +9,9 @@
 use crate::memory::Memory;
 use crate::seen::Seen;
 use crate::warmth::Warmth;
-use hickory_target::engine::{CacheEvent, Cancelled, Handle, Held, Order, Report, Role, Weights};
+use hickory_target::engine::{
+    CacheEvent, Cancelled, Handle, HeldStream, Order, Report, Role, Weights,
+};
 use hickory_unit::{id, size};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -360,8 +362,8 @@
     }
 }
 
-fn report_run(run: &Run) -> Held {
-    Held {
+fn report_run(run: &Run) -> HeldStream {
+    HeldStream {
         stream: run.stream.clone(),
         kv: size::Tokens(run.prompt + run.max_tokens),
         prefill_left: size::Tokens(run.prefill_left),
--- a/crates/model/src/loading.rs
+++ b/crates/model/src/loading.rs
@@ -1,7 +1,7 @@
 //! Weights on an engine.
 
 use crate::option::Options;
-use hickory_target::engine::{Loaded, Weights};
+use hickory_target::engine::{LoadedWeights, Weights};
 use hickory_unit::size;
 use std::collections::BTreeMap;
 
@@ -71,8 +71,9 @@
     }
 
     /// All weights held.
-    pub fn list(&self) -> Vec<Loaded> {
+    pub fn list(&self) -> Vec<LoadedWeights> {
         let each = self.held.iter();
-        each.map(|(weights, ready)| Loaded { weights: weights.clone(), ready: *ready }).collect()
+        each.map(|(weights, ready)| LoadedWeights { weights: weights.clone(), ready: *ready })
+            .collect()
     }
 }
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -4,7 +4,7 @@
 //! Simplification: cached blocks are not told apart by weights.
 
 use crate::event::Log;
-use crate::prefix::BLOCK;
+use crate::prefix::BLOCK_TOKENS;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Instant;
@@ -49,12 +49,12 @@
     /// Tokens in use by streams, handles and pins; what only the cache holds
     /// is free to be taken.
     pub fn used(&self) -> u64 {
-        self.reserved + (self.blocks.len() - self.idle.len()) as u64 * BLOCK.0
+        self.reserved + (self.blocks.len() - self.idle.len()) as u64 * BLOCK_TOKENS.0
     }
 
     /// Tokens in the prefix cache that nothing holds.
     pub fn cached(&self) -> u64 {
-        self.idle.len() as u64 * BLOCK.0
+        self.idle.len() as u64 * BLOCK_TOKENS.0
     }
 
     /// How many leading blocks are cached.
@@ -66,7 +66,7 @@
     /// `false`, and nothing done, where they do not fit.
     pub fn reserve(&mut self, now: Instant, shared: &[u64], tokens: u64, log: &mut Log) -> bool {
         let idle = shared.iter().filter(|hash| self.blocks[*hash].holds == 0).count() as u64;
-        if self.used() + idle * BLOCK.0 + tokens > self.capacity {
+        if self.used() + idle * BLOCK_TOKENS.0 + tokens > self.capacity {
             return false;
         }
         shared.iter().for_each(|hash| self.hold(*hash));
@@ -86,7 +86,7 @@
     /// tokens that were reserved; the caller holds them then.
     pub fn share(&mut self, now: Instant, blocks: &[u64], from: usize, log: &mut Log) {
         for (depth, hash) in blocks.iter().enumerate().skip(from) {
-            self.reserved -= BLOCK.0;
+            self.reserved -= BLOCK_TOKENS.0;
             self.store(now, blocks, depth, *hash, log);
             self.hold(*hash);
         }
@@ -96,7 +96,7 @@
     pub fn offer(&mut self, now: Instant, blocks: &[u64], log: &mut Log) {
         self.uses += 1;
         for (depth, hash) in blocks.iter().enumerate() {
-            if self.used() + self.cached() + BLOCK.0 > self.capacity {
+            if self.used() + self.cached() + BLOCK_TOKENS.0 > self.capacity {
                 return;
             }
             self.store(now, blocks, depth, *hash, log);
--- a/crates/model/src/step.rs
+++ b/crates/model/src/step.rs
@@ -4,7 +4,7 @@
 use crate::batch::{Key, Run, Step, plan_step};
 use crate::engine::{Engine, Place};
 use crate::job::{Failure, Progress, State};
-use crate::prefix::BLOCK;
+use crate::prefix::BLOCK_TOKENS;
 use std::time::Instant;
 
 impl Engine {
@@ -15,7 +15,7 @@
             let Some(mut entry) = self.waiting.first_entry() else { return };
             let run = entry.get_mut();
             let cached = self.memory.count_cached(&run.blocks);
-            let skipped = cached as u64 * BLOCK.0;
+            let skipped = cached as u64 * BLOCK_TOKENS.0;
             let (shared, reserved) = match run.is_shared() {
                 true => (cached, run.prompt - skipped + run.max_tokens),
                 false => (0, run.prefill_left + run.max_tokens),
@@ -72,7 +72,7 @@
         let Some(run) = self.batch.get_mut(&key) else { return };
         if run.is_shared() {
             self.memory.share(now, &run.blocks, run.shared, &mut self.log);
-            run.reserved -= (run.blocks.len() - run.shared) as u64 * BLOCK.0;
+            run.reserved -= (run.blocks.len() - run.shared) as u64 * BLOCK_TOKENS.0;
             run.shared = run.blocks.len();
         }
         if run.max_tokens == 0 {
--- a/crates/model/src/transfer.rs
+++ b/crates/model/src/transfer.rs
@@ -4,7 +4,7 @@
 use crate::engine::Engine;
 use crate::handle::{Export, Kept, Link};
 use crate::job::{Failure, Job, Refused};
-use crate::prefix::BLOCK;
+use crate::prefix::BLOCK_TOKENS;
 use hickory_target::engine::Handle;
 use hickory_unit::size;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     pub(crate) fn count_covered(&self, handle: &Handle, job: &Job) -> Option<(u64, u64)> {
         let kept = self.handles.get(handle).filter(|kept| kept.is_usable())?;
         let covers = kept.export.covers.0;
-        let last = (covers / BLOCK.0).checked_sub(1);
+        let last = (covers / BLOCK_TOKENS.0).checked_sub(1);
         let block = last.and_then(|last| job.blocks.get(last as usize)).copied();
         let same = job.blocks.is_empty() || block == kept.export.last_block;
         (covers <= job.prompt.0 && same).then_some((covers, kept.export.own.0))
--- a/crates/model/tests/cache.rs
+++ b/crates/model/tests/cache.rs
@@ -4,7 +4,7 @@
 
 use common::{Bench, job, job_of, options, text};
 use hickory_model::engine::Options;
-use hickory_model::prefix::{self, BLOCK};
+use hickory_model::prefix::{self, BLOCK_TOKENS};
 use hickory_target::engine::{CacheEvent, Order};
 use hickory_unit::{id, size};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const FENCE: id::Epoch = id::Epoch(1);
 
 fn small(blocks: u64) -> Options {
-    let kv_capacity = size::Tokens(blocks * BLOCK.0);
+    let kv_capacity = size::Tokens(blocks * BLOCK_TOKENS.0);
     Options { kv_capacity, event_lag: Duration::ZERO, event_gap: 0, ..options() }
 }
 
@@ -38,8 +38,8 @@
     let mut bench = Bench::open(small(100));
     let prompt = text('a', 10);
     assert_eq!(run(&mut bench, 1, &prompt), 0);
-    assert_eq!(run(&mut bench, 2, &(prompt.clone() + "more")), 10 * BLOCK.0);
-    assert_eq!(run(&mut bench, 3, &(text('a', 5) + &text('b', 5))), 5 * BLOCK.0);
+    assert_eq!(run(&mut bench, 2, &(prompt.clone() + "more")), 10 * BLOCK_TOKENS.0);
+    assert_eq!(run(&mut bench, 3, &(text('a', 5) + &text('b', 5))), 5 * BLOCK_TOKENS.0);
     assert_eq!(bench.used(), 0, "what only the cache holds is not in use");
 }
 
@@ -50,17 +50,17 @@
     run(&mut bench, 2, &text('b', 10));
     run(&mut bench, 3, &text('a', 10));
     run(&mut bench, 4, &text('c', 10));
-    assert!(run(&mut bench, 5, &text('a', 10)) > 9 * BLOCK.0);
-    assert!(run(&mut bench, 6, &text('b', 10)) < 10 * BLOCK.0);
+    assert!(run(&mut bench, 5, &text('a', 10)) > 9 * BLOCK_TOKENS.0);
+    assert!(run(&mut bench, 6, &text('b', 10)) < 10 * BLOCK_TOKENS.0);
 }
 
 #[test]
 fn streams_take_memory_from_the_cache() {
     let mut bench = Bench::open(small(20));
     run(&mut bench, 1, &text('a', 15));
-    bench.begin(job(2, 15 * BLOCK.0, 1));
+    bench.begin(job(2, 15 * BLOCK_TOKENS.0, 1));
     bench.run_to_end(2);
-    assert!(run(&mut bench, 3, &text('a', 15)) <= 5 * BLOCK.0);
+    assert!(run(&mut bench, 3, &text('a', 15)) <= 5 * BLOCK_TOKENS.0);
 }
 
 #[test]
@@ -70,10 +70,10 @@
     bench.engine.order(bench.now, FENCE, &Order::Pin(pinned)).unwrap();
     assert_eq!(bench.used(), 0, "not there yet");
     run(&mut bench, 1, &text('a', 10));
-    assert_eq!(bench.used(), 10 * BLOCK.0);
+    assert_eq!(bench.used(), 10 * BLOCK_TOKENS.0);
     run(&mut bench, 2, &text('b', 19));
     run(&mut bench, 3, &text('c', 19));
-    assert_eq!(run(&mut bench, 4, &text('a', 10)), 10 * BLOCK.0 - 1);
+    assert_eq!(run(&mut bench, 4, &text('a', 10)), 10 * BLOCK_TOKENS.0 - 1);
     assert_eq!(bench.engine.take_report().pins, vec![pinned]);
     bench.engine.order(bench.now, FENCE, &Order::Unpin(pinned)).unwrap();
     assert_eq!((bench.used(), bench.engine.take_report().pins.len()), (0, 0));
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -5,7 +5,7 @@
 use crate::table::Table;
 use crate::view::View;
 use hickory_release::configuration::Configuration;
-use hickory_settings::Node as Settings;
+use hickory_settings::Settings;
 use hickory_state::claim::Ledger;
 use hickory_state::config::Keeper;
 use hickory_state::member::{Info, Member};
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 //! order in which a request goes through them.
 //!
 //! ```no_run
-//! # async fn run(settings: hickory_settings::Node) -> std::io::Result<()> {
+//! # async fn run(settings: hickory_settings::Settings) -> std::io::Result<()> {
 //! let node = hickory_node::Node::spawn(settings).await?;
 //! println!("callers connect to {}", node.callers());
 //! node.drain();
@@ -41,7 +41,7 @@
 
 use crate::core::{Core, LinkProbe, Stage};
 use hickory_release::note::Note;
-use hickory_settings::Node as Settings;
+use hickory_settings::Settings;
 use hickory_state::claim::{self, Ledger};
 use hickory_state::config::{Keeper, Rejection};
 use hickory_state::member::{Info, Member};
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -12,7 +12,7 @@
 use hickory_store::store::{Expect, Lease, Store, Write};
 use hickory_store::weight;
 use hickory_target::Error;
-use hickory_target::engine::{Engines, Loaded, Order, Weights};
+use hickory_target::engine::{Engines, LoadedWeights, Order, Weights};
 use hickory_telemetry::label;
 use hickory_unit::id;
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
 impl Slot {
     /// Whether the load may still run: the report lags, so a load that does
     /// not stand in it yet may have begun.
-    fn is_needed(&self, now: Instant, loaded: &[Loaded]) -> bool {
+    fn is_needed(&self, now: Instant, loaded: &[LoadedWeights]) -> bool {
         match loaded.iter().find(|loaded| loaded.weights == self.weights) {
             Some(loaded) => !loaded.ready,
             None => now.saturating_duration_since(self.taken) < REPORT_LAG,
@@ -90,7 +90,7 @@
 /// What to unload: not offered any more, and nothing runs on it.
 pub(crate) fn plan_unloads(
     offers: &BTreeSet<Weights>,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     is_busy: impl Fn(&Weights) -> bool,
 ) -> Vec<Weights> {
     let surplus = loaded.iter().map(|loaded| &loaded.weights);
@@ -103,7 +103,7 @@
 /// all weights differ in what they hold.
 pub(crate) fn plan_load(
     offers: &BTreeSet<Weights>,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     target: &id::Target,
     replicas: impl Fn(&Weights) -> usize,
 ) -> Option<Weights> {
@@ -123,7 +123,7 @@
     core: &Core,
     host: &Host,
     epoch: id::Epoch,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     configuration: &Configuration,
 ) {
     let offers = list_offers(configuration);
--- a/crates/node/src/seal.rs
+++ b/crates/node/src/seal.rs
@@ -21,14 +21,14 @@
 /// The event id of a position, for an account.
 pub(crate) fn seal_position(key: &Key, account: &id::Account, position: &Position) -> String {
     let text = format!("{}:{}:{}", position.seq, position.target, position.stream);
-    let seal = key.seal(&format!("{account}\n{text}")).to_hex();
+    let seal = key.compute_mac(&format!("{account}\n{text}")).to_hex();
     format!("{}:{text}", &seal[..SEAL_LEN])
 }
 
 /// Reads an event id; `None` where it is malformed or not this account's.
 pub(crate) fn open_position(key: &Key, account: &id::Account, sealed: &str) -> Option<Position> {
     let (seal, text) = sealed.split_once(':')?;
-    let wanted = key.seal(&format!("{account}\n{text}")).to_hex();
+    let wanted = key.compute_mac(&format!("{account}\n{text}")).to_hex();
     let same = subtle::ConstantTimeEq::ct_eq(seal.as_bytes(), wanted[..SEAL_LEN].as_bytes());
     if !bool::from(same) {
         return None;
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -9,7 +9,7 @@
 use crate::owned::Target;
 use hickory_policy::limit::{self, Capacity, Observed, Ticket};
 use hickory_policy::ramp::Sample;
-use hickory_target::engine::{Handle, Held, Report};
+use hickory_target::engine::{Handle, HeldStream, Report};
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
 
@@ -88,7 +88,7 @@
 
     fn observe(&self, report: &Report) -> Observed {
         // What has ended stands in the report until its lag has passed.
-        let own = |held: &&Held| !self.is_foreign(&held.stream);
+        let own = |held: &&HeldStream| !self.is_foreign(&held.stream);
         let foreign = report.streams.iter().filter(|held| self.is_foreign(&held.stream));
         let streams: size::Tokens = report.streams.iter().filter(own).map(|held| held.kv).sum();
         // A part of a long prompt stays on the engine as a kept KV cache when
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -301,7 +301,7 @@
 }
 
 fn is_in_service(host: &Host, configuration: &Configuration) -> bool {
-    host.standing == Standing::Live && !configuration.zone_out(&host.zone)
+    host.standing == Standing::Live && !configuration.is_zone_out(&host.zone)
 }
 
 fn is_same(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -4,7 +4,7 @@
 use hickory_node::Node;
 use hickory_release::configuration::{Account, Model, Partner, Service, Weight, digest_token};
 use hickory_release::note::{Entries, Note};
-use hickory_settings::{Node as Settings, Platform, Times};
+use hickory_settings::{Platform, Settings, Times};
 use hickory_standin::fleet::{self, Fleet};
 use hickory_target::engine::Weights;
 use hickory_unit::size;
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -8,7 +8,7 @@
     Account, Configuration, Model, Partner, Service, Weight, digest_token,
 };
 use hickory_release::note::{Entries, Note};
-use hickory_settings::{Node as Settings, Platform, Times};
+use hickory_settings::{Platform, Settings, Times};
 use hickory_standin::fleet::{self, Fleet};
 use hickory_state::member::{Info, Member};
 use hickory_store::http::Platform as Store;
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -316,7 +316,7 @@
             .iter()
             .map(|&i| (stream_of(i, self.flights[i].attempt), self.flights[i].ticket))
             .collect();
-        let left = |held: &hickory_target::engine::Held| {
+        let left = |held: &hickory_target::engine::HeldStream| {
             tickets.get(&held.stream).map(|&ticket| (ticket, held.prefill_left))
         };
         let observed = Observed {
--- a/crates/release/src/accept.rs
+++ b/crates/release/src/accept.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Acceptance {
     /// The configuration to write in place of the present one.
-    Next(Box<Configuration>),
+    NewConfiguration(Box<Configuration>),
     /// The same operation made this version before; nothing is to be written.
     Repeated(id::Release),
 }
@@ -47,7 +47,7 @@
     check_operators(present, &next, &mut findings);
     findings.sort();
     match findings.is_empty() {
-        true => Ok(Acceptance::Next(Box::new(next))),
+        true => Ok(Acceptance::NewConfiguration(Box::new(next))),
         false => Err(Rejection::Invalid(findings)),
     }
 }
--- a/crates/release/src/check.rs
+++ b/crates/release/src/check.rs
@@ -1,6 +1,6 @@
 //! What must hold of a note and of the configuration it makes.
 
-use crate::configuration::{Account, BYTES_MAX, Configuration, Model, Service, Weight};
+use crate::configuration::{Account, Configuration, MAX_SIZE, Model, Service, Weight};
 use crate::note::{Entries, Note};
 use hickory_document::rule::{check_digest, check_name};
 use hickory_unit::finding::Finding;
@@ -9,10 +9,10 @@
 use std::fmt::Display;
 
 /// The longest path of a plain service.
-const PATH_MAX: usize = 256;
+const MAX_PATH_LENGTH: usize = 256;
 
 /// The greatest share or weight: sums over all accounts stay exact enough.
-const SHARE_MAX: f64 = 1e9;
+const MAX_SHARE: f64 = 1e9;
 
 /// All that is wrong with a note by itself.
 pub(crate) fn check_values(note: &Note) -> Vec<Finding> {
@@ -90,20 +90,21 @@
 fn check_service(path: &str, service: &Service, findings: &mut Vec<Finding>) {
     let well_formed = |call: &str| {
         call.starts_with('/')
-            && call.len() <= PATH_MAX
+            && call.len() <= MAX_PATH_LENGTH
             && call.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
     };
     for call in service.once.iter().filter(|call| !well_formed(call)) {
         let message = format!(
-            "expected a path with a leading slash, without query, of at most {PATH_MAX} characters"
+            "expected a path with a leading slash, without query, of at most \
+             {MAX_PATH_LENGTH} characters"
         );
         findings.push(Finding::at(format!("{path}.once.{call}"), message));
     }
 }
 
 fn check_share(path: &str, share: f64, findings: &mut Vec<Finding>) {
-    if !(share > 0.0 && share <= SHARE_MAX) {
-        findings.push(Finding::at(path, format!("must be greater than 0 and at most {SHARE_MAX}")));
+    if !(share > 0.0 && share <= MAX_SHARE) {
+        findings.push(Finding::at(path, format!("must be greater than 0 and at most {MAX_SHARE}")));
     }
 }
 
@@ -262,10 +263,10 @@
 
 /// The whole must fit into one value of the platform's service.
 pub(crate) fn check_size(next: &Configuration, findings: &mut Vec<Finding>) {
-    let bytes = next.bytes();
-    if bytes > BYTES_MAX {
+    let bytes = next.json_size();
+    if bytes > MAX_SIZE {
         let message = format!(
-            "the configuration would have {bytes} bytes; the platform holds at most {BYTES_MAX}"
+            "the configuration would have {bytes} bytes; the platform holds at most {MAX_SIZE}"
         );
         findings.push(Finding::at(hickory_document::ROOT, message));
     }
--- a/crates/release/src/configuration.rs
+++ b/crates/release/src/configuration.rs
@@ -6,7 +6,7 @@
 
 /// The greatest configuration as JSON: it is one value of the platform's
 /// key-value service, which holds values of up to this size.
-pub const BYTES_MAX: size::Bytes = size::Bytes(1 << 20);
+pub const MAX_SIZE: size::Bytes = size::Bytes(1 << 20);
 
 /// All that governs, as the last accepted release note left it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     /// Digest of the account's token (BLAKE3, hexadecimal).
     pub token_digest: String,
     /// Its weight among the partner's accounts.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// Models it may use.
     #[serde(default)]
@@ -59,7 +59,7 @@
     pub services: BTreeSet<id::Service>,
 }
 
-pub(crate) fn one() -> f64 {
+pub(crate) fn default_weight() -> f64 {
     1.0
 }
 
@@ -126,12 +126,12 @@
     }
 
     /// The size as JSON.
-    pub fn bytes(&self) -> size::Bytes {
+    pub fn json_size(&self) -> size::Bytes {
         size::Bytes(serde_json::to_string(self).map_or(u64::MAX, |text| text.len() as u64))
     }
 
     /// Whether operators have taken the zone out.
-    pub fn zone_out(&self, zone: &id::Zone) -> bool {
+    pub fn is_zone_out(&self, zone: &id::Zone) -> bool {
         self.zones.get(zone).is_some_and(|zone| zone.out)
     }
 
--- a/crates/release/src/note.rs
+++ b/crates/release/src/note.rs
@@ -2,7 +2,7 @@
 
 use crate::check;
 use crate::configuration::{Account, Configuration, Model, Partner, Service, Target, Zone};
-use hickory_document::place::Places;
+use hickory_document::location::Locations;
 use hickory_unit::finding::Finding;
 use hickory_unit::id;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
 /// How many operation ids the configuration keeps. An operator who got no
 /// answer reads them within minutes; at 910 changes a day 64 last for more
 /// than an hour.
-const OPERATIONS_KEPT: usize = 64;
+const MAX_KEPT_OPERATIONS: usize = 64;
 
 /// A release note.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -79,17 +79,17 @@
     /// The note.
     pub note: Note,
     /// Where its fields stand, for findings that need the configuration.
-    pub places: Places,
+    pub locations: Locations,
 }
 
 /// Reads a note from JSON with comments, with every finding that can be made
 /// without the configuration.
 pub fn parse_draft(text: &str) -> Result<Draft, Vec<Finding>> {
-    let mut reading = hickory_document::read_document::<Note>(text);
-    let later = reading.value.as_ref().map(check::check_values).unwrap_or_default();
-    reading.extend(later);
-    let places = std::mem::take(&mut reading.places);
-    reading.into_result().map(|note| Draft { note, places })
+    let mut parsed = hickory_document::read_document::<Note>(text);
+    let later = parsed.value.as_ref().map(check::check_values).unwrap_or_default();
+    parsed.add_findings(later);
+    let locations = std::mem::take(&mut parsed.locations);
+    parsed.into_result().map(|note| Draft { note, locations })
 }
 
 /// Reads a note from JSON with comments; see [`parse_draft`].
@@ -99,7 +99,7 @@
 
 /// The configuration that a note makes of `present`, or all that is wrong.
 ///
-/// The findings have no lines; [`Draft::places`] fills them in.
+/// The findings have no lines; [`Draft::locations`] fills them in.
 pub fn apply_note(present: &Configuration, note: &Note) -> Result<Configuration, Vec<Finding>> {
     let (next, findings) = check_note(present, note);
     if findings.is_empty() { Ok(next) } else { Err(findings) }
@@ -121,7 +121,7 @@
     let mut next = present.clone();
     next.version = id::Release(present.version.0 + 1);
     next.operations.push(note.operation.clone());
-    let surplus = next.operations.len().saturating_sub(OPERATIONS_KEPT);
+    let surplus = next.operations.len().saturating_sub(MAX_KEPT_OPERATIONS);
     next.operations.drain(..surplus);
     macro_rules! merge {
         ($($section:ident)*) => {$(
--- a/crates/release/src/read.rs
+++ b/crates/release/src/read.rs
@@ -4,7 +4,9 @@
 //! for by a default, so that the fields beside it are checked as well; a note
 //! with a finding is never used.
 
-use crate::configuration::{Account, Model, Partner, Service, Target, Weight, Zone, one};
+use crate::configuration::{
+    Account, Model, Partner, Service, Target, Weight, Zone, default_weight,
+};
 use crate::note::{Entries, Names, Note};
 use hickory_document::field::Fields;
 use hickory_document::read::{Node, Read};
@@ -61,7 +63,7 @@
         let mut fields = Fields::open(node, findings)?;
         let partner = fields.required("partner").unwrap_or_else(|| id::Partner::from(""));
         let token_digest = fields.required("token_digest").unwrap_or_default();
-        let weight = fields.optional("weight").unwrap_or_else(one);
+        let weight = fields.optional("weight").unwrap_or_else(default_weight);
         let models = fields.optional("models").unwrap_or_default();
         let services = fields.optional("services").unwrap_or_default();
         fields.close();
--- a/crates/release/tests/any.rs
+++ b/crates/release/tests/any.rs
@@ -45,7 +45,7 @@
             let again = parse_note(&serde_json::to_string(&draft.note).unwrap());
             prop_assert_eq!(again.as_ref(), Ok(&draft.note));
             if let Err(mut findings) = apply_note(&Configuration::default(), &draft.note) {
-                draft.places.locate(&mut findings);
+                draft.locations.locate(&mut findings);
                 prop_assert!(
                     findings.iter().all(|f| (1..=lines).contains(&f.line)),
                     "{findings:?}"
@@ -106,7 +106,7 @@
             let text = format!(r#"{{ "against": {against}, "operation": "op-{index}" }}"#);
             let before = present.version.0;
             match accept_note(&present, &parse_note(&text).unwrap()) {
-                Ok(Acceptance::Next(next)) => {
+                Ok(Acceptance::NewConfiguration(next)) => {
                     prop_assert_eq!(against, before);
                     prop_assert_eq!(next.version.0, before + 1);
                     present = *next;
--- a/crates/release/tests/notes.rs
+++ b/crates/release/tests/notes.rs
@@ -33,7 +33,7 @@
     let text = std::fs::read_to_string(data("present.jsonc")).unwrap();
     let Draft { note, .. } = parse_draft(&text).unwrap();
     match accept_note(&Configuration::default(), &note).unwrap() {
-        Acceptance::Next(next) => *next,
+        Acceptance::NewConfiguration(next) => *next,
         Acceptance::Repeated(version) => panic!("repeated as {version}"),
     }
 }
@@ -59,10 +59,10 @@
     let present = read_present();
     let mut report = String::new();
     for (name, text) in read_documents("against") {
-        let Draft { note, places } = parse_draft(&text).unwrap();
+        let Draft { note, locations } = parse_draft(&text).unwrap();
         write!(report, "{name}: ").unwrap();
         match accept_note(&present, &note) {
-            Ok(Acceptance::Next(next)) => {
+            Ok(Acceptance::NewConfiguration(next)) => {
                 writeln!(report, "version {}", next.version).unwrap();
                 for change in diff_configurations(&present, &next) {
                     writeln!(report, "  {change}").unwrap();
@@ -74,7 +74,7 @@
             }
             Err(Rejection::Invalid(mut findings)) => {
                 writeln!(report, "invalid").unwrap();
-                places.locate(&mut findings);
+                locations.locate(&mut findings);
                 write_findings(&mut report, &name, &findings);
             }
         }
--- a/crates/release/tests/size.rs
+++ b/crates/release/tests/size.rs
@@ -1,7 +1,7 @@
 //! The size of the configuration, which must fit into one value.
 
 use hickory_release::configuration::{
-    Account, BYTES_MAX, Configuration, Model, Partner, Weight, digest_token,
+    Account, Configuration, MAX_SIZE, Model, Partner, Weight, digest_token,
 };
 use hickory_release::note::{Entries, Note, apply_note};
 use hickory_unit::size::Bytes;
@@ -41,9 +41,9 @@
 #[test]
 fn the_size_to_come_fits_into_a_quarter_of_the_bound() {
     let next = apply_note(&Configuration::default(), &build_note(680, 12)).unwrap();
-    let bytes = next.bytes();
+    let bytes = next.json_size();
     insta::assert_snapshot!(bytes, @"193215");
-    assert!(bytes.0 * 4 < BYTES_MAX.0, "{bytes}");
+    assert!(bytes.0 * 4 < MAX_SIZE.0, "{bytes}");
 }
 
 #[test]
@@ -56,5 +56,5 @@
 
 #[test]
 fn the_bound_is_that_of_the_platform() {
-    assert_eq!(BYTES_MAX, hickory_store::store::MAX_VALUE_SIZE);
+    assert_eq!(MAX_SIZE, hickory_store::store::MAX_VALUE_SIZE);
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,9 +1,9 @@
 //! What must hold of settings beyond their types.
 
-use crate::node::{Node, Times};
+use crate::node::{Settings, Times};
 use derive_more::Display;
 use hickory_document::read_document;
-use hickory_document::rule::{HEX_LENGTH, check_digest, check_name, is_hex};
+use hickory_document::rule::{HEX_DIGITS, check_digest, check_name, is_hex};
 use hickory_unit::finding::{self, Finding};
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 struct Range {
     name: &'static str,
     read: fn(&Times) -> u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 }
 
 impl Range {
@@ -27,22 +27,22 @@
 /// one end, and from noticing faults too late to end requests in time at the
 /// other.
 const RANGES: &[Range] = &[
-    Range { name: "lease_ms", read: |t| t.lease_ms, least: 500, most: 60_000 },
-    Range { name: "permit_ms", read: |t| t.permit_ms, least: 50, most: 10_000 },
-    Range { name: "gossip_ms", read: |t| t.gossip_ms, least: 20, most: 5_000 },
-    Range { name: "report_ms", read: |t| t.report_ms, least: 20, most: 5_000 },
-    Range { name: "hosts_ms", read: |t| t.hosts_ms, least: 50, most: 30_000 },
-    Range { name: "entry_keep_ms", read: |t| t.entry_keep_ms, least: 100, most: 600_000 },
-    Range { name: "resume_ms", read: |t| t.resume_ms, least: 0, most: 60_000 },
-    Range { name: "progress_ms", read: |t| t.progress_ms, least: 100, most: 600_000 },
-    Range { name: "platform_ms", read: |t| t.platform_ms, least: 50, most: 30_000 },
+    Range { name: "lease_ms", read: |t| t.lease_ms, min: 500, max: 60_000 },
+    Range { name: "permit_ms", read: |t| t.permit_ms, min: 50, max: 10_000 },
+    Range { name: "gossip_ms", read: |t| t.gossip_ms, min: 20, max: 5_000 },
+    Range { name: "report_ms", read: |t| t.report_ms, min: 20, max: 5_000 },
+    Range { name: "hosts_ms", read: |t| t.hosts_ms, min: 50, max: 30_000 },
+    Range { name: "entry_keep_ms", read: |t| t.entry_keep_ms, min: 100, max: 600_000 },
+    Range { name: "resume_ms", read: |t| t.resume_ms, min: 0, max: 60_000 },
+    Range { name: "progress_ms", read: |t| t.progress_ms, min: 100, max: 600_000 },
+    Range { name: "platform_ms", read: |t| t.platform_ms, min: 50, max: 30_000 },
 ];
 
 /// All that a check of settings found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Check {
     /// The settings, where nothing is wrong.
-    pub node: Option<Node>,
+    pub settings: Option<Settings>,
     /// What keeps a node from starting.
     pub findings: Vec<Finding>,
     /// What a node starts with, though it is probably not meant.
@@ -86,51 +86,52 @@
 }
 
 /// Reads the settings of a node from a file.
-pub fn open(file: &Path) -> Result<Node, Error> {
+pub fn open(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| Error::Unreadable { file: file.to_owned(), error })?;
     let invalid = |findings| Error::Invalid(Invalid { file: file.to_owned(), findings });
-    parse_node(&text).map_err(invalid)
+    parse_settings(&text).map_err(invalid)
 }
 
 /// Reads settings from JSON with comments, with every finding.
-pub fn parse_node(text: &str) -> Result<Node, Vec<Finding>> {
-    let check = check_node(text);
-    check.node.ok_or(check.findings)
+pub fn parse_settings(text: &str) -> Result<Settings, Vec<Finding>> {
+    let check = check_settings(text);
+    check.settings.ok_or(check.findings)
 }
 
 /// Checks settings, with every finding and warning.
-pub fn check_node(text: &str) -> Check {
-    let mut reading = read_document::<Node>(text);
+pub fn check_settings(text: &str) -> Check {
+    let mut parsed = read_document::<Settings>(text);
     let mut later = Vec::new();
     let mut warnings = Vec::new();
-    if let Some(node) = &reading.value {
-        check_name("node", node.node.as_str(), &mut later);
-        check_name("zone", node.zone.as_str(), &mut later);
-        check_addresses(node, &mut later, &mut warnings);
-        check_secrets(node, &mut later, &mut warnings);
-        check_ranges(&node.times, &mut later);
+    if let Some(settings) = &parsed.value {
+        check_name("node", settings.node.as_str(), &mut later);
+        check_name("zone", settings.zone.as_str(), &mut later);
+        check_addresses(settings, &mut later, &mut warnings);
+        check_secrets(settings, &mut later, &mut warnings);
+        check_ranges(&settings.times, &mut later);
         // A time that can't be read would be compared by its default.
-        if !RANGES.iter().any(|range| reading.is_known(&range.field())) {
-            check_contradictions(&node.times, &mut later, &mut warnings);
+        if !RANGES.iter().any(|range| parsed.has_finding(&range.field())) {
+            check_contradictions(&settings.times, &mut later, &mut warnings);
         }
     }
     // What stands in for a field that can't be read is no choice of anybody's.
-    warnings.retain(|warning| !reading.is_known(&warning.field));
-    reading.extend(later);
-    reading.places.locate(&mut warnings);
-    match reading.into_result() {
-        Ok(node) => Check { node: Some(node), findings: Vec::new(), warnings },
-        Err(findings) => Check { node: None, findings, warnings },
+    warnings.retain(|warning| !parsed.has_finding(&warning.field));
+    parsed.add_findings(later);
+    parsed.locations.locate(&mut warnings);
+    match parsed.into_result() {
+        Ok(settings) => Check { settings: Some(settings), findings: Vec::new(), warnings },
+        Err(findings) => Check { settings: None, findings, warnings },
     }
 }
 
-fn check_addresses(node: &Node, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    let listeners = [("callers", node.callers), ("admin", node.admin), ("peers", node.peers)];
+fn check_addresses(settings: &Settings, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
+    let listeners =
+        [("callers", settings.callers), ("admin", settings.admin), ("peers", settings.peers)];
     let services = [
-        ("platform.store", node.platform.store),
-        ("platform.hosts", node.platform.hosts),
-        ("platform.weights", node.platform.weights),
+        ("platform.store", settings.platform.store),
+        ("platform.hosts", settings.platform.hosts),
+        ("platform.weights", settings.platform.weights),
     ];
     // A listener may take any free port, which the node prints when it is
     // ready; a service of the platform can't be found at port 0.
@@ -174,14 +175,18 @@
         && (a == b || a.is_unspecified() || b.is_unspecified())
 }
 
-fn check_secrets(node: &Node, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    if !is_hex(&node.fleet_key) {
-        let message = format!("expected 32 bytes: {HEX_LENGTH} hexadecimal digits");
+fn check_secrets(settings: &Settings, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
+    if !is_hex(&settings.fleet_key) {
+        let message = format!("expected 32 bytes: {HEX_DIGITS} hexadecimal digits");
         findings.push(Finding::at("fleet_key", message));
-    } else if node.fleet_key.bytes().all(|digit| Some(digit) == node.fleet_key.bytes().next()) {
+    } else if settings
+        .fleet_key
+        .bytes()
+        .all(|digit| Some(digit) == settings.fleet_key.bytes().next())
+    {
         warnings.push(Finding::at("fleet_key", "is one digit repeated; draw it at random"));
     }
-    if let Some(digest) = &node.first_operator {
+    if let Some(digest) = &settings.first_operator {
         check_digest("first_operator", digest, findings);
     }
 }
@@ -189,8 +194,8 @@
 fn check_ranges(times: &Times, findings: &mut Vec<Finding>) {
     for range in RANGES {
         let time = (range.read)(times);
-        if time < range.least || time > range.most {
-            let message = format!("must be from {} to {}", range.least, range.most);
+        if time < range.min || time > range.max {
+            let message = format!("must be from {} to {}", range.min, range.max);
             findings.push(Finding::at(range.field(), message));
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod node;
 pub(crate) mod read;
 
-pub use check::{Check, Error, Invalid, check_node, open, parse_node};
-pub use node::{Level, Logs, Node, Platform, Times};
+pub use check::{Check, Error, Invalid, check_settings, open, parse_settings};
+pub use node::{Level, Logs, Platform, Settings, Times};
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -6,7 +6,7 @@
 
 /// All settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Node {
+pub struct Settings {
     /// The name of this node, unique in the fleet.
     pub node: id::Node,
     /// The availability zone it stands in.
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -4,7 +4,7 @@
 //! for by a default, so that all others are checked as well; settings with a
 //! finding are never used.
 
-use crate::node::{Level, Logs, Node, Platform, Times};
+use crate::node::{Level, Logs, Platform, Settings, Times};
 use hickory_document::field::Fields;
 use hickory_document::read::{self, Read, read_parsed};
 use hickory_unit::finding::Finding;
@@ -13,12 +13,12 @@
 use std::path::PathBuf;
 
 /// Stands in for an address that can't be read.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-impl Read for Node {
+impl Read for Settings {
     fn read(node: &read::Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let mut fields = Fields::open(node, findings)?;
-        let name = fields.required("node");
+        let node_name = fields.required("node");
         let zone = fields.required("zone");
         let callers = fields.required("callers");
         let admin = fields.required("admin");
@@ -30,15 +30,15 @@
         let logs = fields.optional("logs").unwrap_or_default();
         fields.close();
         Some(Self {
-            node: name.unwrap_or_else(|| id::Node::from("")),
+            node: node_name.unwrap_or_else(|| id::Node::from("")),
             zone: zone.unwrap_or_else(|| id::Zone::from("")),
-            callers: callers.unwrap_or(NOWHERE),
-            admin: admin.unwrap_or(NOWHERE),
-            peers: peers.unwrap_or(NOWHERE),
+            callers: callers.unwrap_or(PLACEHOLDER_ADDRESS),
+            admin: admin.unwrap_or(PLACEHOLDER_ADDRESS),
+            peers: peers.unwrap_or(PLACEHOLDER_ADDRESS),
             platform: platform.unwrap_or(Platform {
-                store: NOWHERE,
-                hosts: NOWHERE,
-                weights: NOWHERE,
+                store: PLACEHOLDER_ADDRESS,
+                hosts: PLACEHOLDER_ADDRESS,
+                weights: PLACEHOLDER_ADDRESS,
             }),
             fleet_key: fleet_key.unwrap_or_default(),
             first_operator,
@@ -56,9 +56,9 @@
         let weights = fields.required("weights");
         fields.close();
         Some(Self {
-            store: store.unwrap_or(NOWHERE),
-            hosts: hosts.unwrap_or(NOWHERE),
-            weights: weights.unwrap_or(NOWHERE),
+            store: store.unwrap_or(PLACEHOLDER_ADDRESS),
+            hosts: hosts.unwrap_or(PLACEHOLDER_ADDRESS),
+            weights: weights.unwrap_or(PLACEHOLDER_ADDRESS),
         })
     }
 }
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -1,6 +1,6 @@
 //! The operators' page names each time with its default and range.
 
-use hickory_settings::{Times, check_node};
+use hickory_settings::{Times, check_settings};
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
@@ -13,7 +13,7 @@
     let names = list_rows().into_iter().map(|row| format!("\"{}\": {time}", row.name));
     let times = format!("\"times\": {{ {} }},\n}}", names.collect::<Vec<_>>().join(", "));
     let end = text.rfind('}').unwrap();
-    let check = check_node(&format!("{}{times}", &text[..end]));
+    let check = check_settings(&format!("{}{times}", &text[..end]));
     check.findings.iter().map(|finding| format!("{}: {}", finding.field, finding.message)).collect()
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings under `data/` with what is said of them.
 
-use hickory_settings::{Check, Error, Times, check_node, open};
+use hickory_settings::{Check, Error, Times, check_settings, open};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -16,10 +16,10 @@
     let mut report = String::new();
     for file in files {
         let name = file.file_name().unwrap().to_string_lossy().into_owned();
-        let Check { node, findings, warnings } =
-            check_node(&std::fs::read_to_string(&file).unwrap());
-        assert_eq!(node.is_some(), findings.is_empty(), "{name}");
-        writeln!(report, "{name}: {}", if node.is_some() { "good" } else { "bad" }).unwrap();
+        let Check { settings, findings, warnings } =
+            check_settings(&std::fs::read_to_string(&file).unwrap());
+        assert_eq!(settings.is_some(), findings.is_empty(), "{name}");
+        writeln!(report, "{name}: {}", if settings.is_some() { "good" } else { "bad" }).unwrap();
         for finding in findings {
             writeln!(report, "  {}", finding.in_file(&name)).unwrap();
         }
@@ -37,10 +37,10 @@
 
 #[test]
 fn what_is_left_out_has_its_default() {
-    let node = open(&data().join("good.jsonc")).unwrap();
-    assert_eq!(node.times, Times::default());
-    assert_eq!(node.logs, Default::default());
-    assert_eq!(node.first_operator, None);
+    let settings = open(&data().join("good.jsonc")).unwrap();
+    assert_eq!(settings.times, Times::default());
+    assert_eq!(settings.logs, Default::default());
+    assert_eq!(settings.first_operator, None);
 }
 
 #[test]
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -8,7 +8,7 @@
 use hickory_model::engine::{Engine, Job, Options as Model, Refused};
 use hickory_model::loading::Fetch;
 use hickory_target::engine::{Generate, Handle as Cache, Weights};
-use hickory_target::http::{Fenced, Import, Resume};
+use hickory_target::http::{FencedOrder, ImportRequest, ResumeRequest};
 use hickory_unit::{id, size};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -227,7 +227,7 @@
         Reply::json(&cancelled)
     }
 
-    fn order(&self, fenced: &Fenced) -> Reply {
+    fn order(&self, fenced: &FencedOrder) -> Reply {
         let now = self.inner.faults.now();
         let done = self.with_engine(|engine| engine.order(now, fenced.fence, &fenced.order));
         self.inner.work.notify_one();
@@ -260,7 +260,7 @@
         }
     }
 
-    async fn import(&self, import: &Import) -> Reply {
+    async fn import(&self, import: &ImportRequest) -> Reply {
         let Some(export) = self.inner.peers.export(import.from, &import.handle).await else {
             return Reply::status(404, "no such KV cache");
         };
@@ -326,7 +326,7 @@
         let now = self.inner.faults.now();
         match (call.method.as_str(), call.path.as_str()) {
             ("POST", "/v1/generate") => call.answer(|body| self.generate(&body)),
-            ("POST", "/v1/resume") => call.answer(|body: Resume| {
+            ("POST", "/v1/resume") => call.answer(|body: ResumeRequest| {
                 let from = if self.inner.options.replays { 0 } else { body.from };
                 self.read(&body.stream, from)
             }),
@@ -337,7 +337,7 @@
                 Reply::json(&self.with_engine(|engine| engine.cache_events(now, after)))
             }
             ("POST", "/v1/order") => call.answer(|body| self.order(&body)),
-            ("POST", "/v1/import") => match call.json::<Import>() {
+            ("POST", "/v1/import") => match call.json::<ImportRequest>() {
                 Ok(import) => self.import(&import).await,
                 Err(reply) => reply,
             },
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -148,7 +148,7 @@
                 Some(Err(Rejection::Conflict { present: Box::new(present) }))
             }
             Ok(accept::Acceptance::Repeated(_)) => Some(Ok(Arc::new(present))),
-            Ok(accept::Acceptance::Next(next)) => {
+            Ok(accept::Acceptance::NewConfiguration(next)) => {
                 let value = serde_json::to_string(&next).ok();
                 let write = Write { key: KEY.into(), value, expect, lease: None };
                 self.write = Some((write, Arc::new(*next)));
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -99,7 +99,7 @@
 
 /// A stream that is held on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldStream {
     /// The stream.
     pub stream: id::Stream,
     /// Tokens of KV cache it holds or will hold.
@@ -110,7 +110,7 @@
 
 /// Weights on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Loaded {
+pub struct LoadedWeights {
     /// Which.
     pub weights: Weights,
     /// Whether they can serve, or are still being loaded.
@@ -146,13 +146,13 @@
     /// How warm it is, from 0 (cold) to 100.
     pub warmth: u8,
     /// Streams held.
-    pub streams: Vec<Held>,
+    pub streams: Vec<HeldStream>,
     /// KV caches held beside streams.
     pub handles: Vec<Handle>,
     /// Pinned prefixes by hash.
     pub pins: Vec<u64>,
     /// Weights held.
-    pub loaded: Vec<Loaded>,
+    pub loaded: Vec<LoadedWeights>,
     /// Its role.
     pub role: Role,
     /// The greatest fencing number seen, where the engine checks them.
--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -37,7 +37,7 @@
 
 /// The body of an order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Fenced {
+pub struct FencedOrder {
     /// The fencing number.
     pub fence: id::Epoch,
     /// The order.
@@ -46,7 +46,7 @@
 
 /// The body of an import.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Import {
+pub struct ImportRequest {
     /// The engine that holds the KV cache.
     pub from: SocketAddr,
     /// The KV cache.
@@ -55,7 +55,7 @@
 
 /// The body of a resume.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Resume {
+pub struct ResumeRequest {
     /// The stream.
     pub stream: id::Stream,
     /// The first token wanted.
@@ -191,7 +191,7 @@
         stream: &id::Stream,
         from: u64,
     ) -> Result<Tokens, Error> {
-        let body = Resume { stream: stream.clone(), from };
+        let body = ResumeRequest { stream: stream.clone(), from };
         self.open_stream(at, "/v1/resume", &body).await
     }
 
@@ -204,7 +204,7 @@
     }
 
     async fn order(&self, at: SocketAddr, fence: id::Epoch, order: &Order) -> Result<(), Error> {
-        let body = Fenced { fence, order: order.clone() };
+        let body = FencedOrder { fence, order: order.clone() };
         self.call_json(Method::POST, at, "/v1/order", Some(&body), self.timeout).await
     }
 
@@ -220,7 +220,7 @@
     }
 
     async fn import(&self, at: SocketAddr, from: SocketAddr, handle: &Handle) -> Result<(), Error> {
-        let body = Import { from, handle: handle.clone() };
+        let body = ImportRequest { from, handle: handle.clone() };
         self.call_json(Method::POST, at, "/v1/import", Some(&body), IMPORT_TIMEOUT).await
     }
 
--- a/crates/target/src/prefix.rs
+++ b/crates/target/src/prefix.rs
@@ -8,10 +8,10 @@
 use hickory_unit::size;
 
 /// Tokens in a block.
-pub const BLOCK: size::Tokens = size::Tokens(256);
+pub const BLOCK_TOKENS: size::Tokens = size::Tokens(256);
 
 /// Bytes of prompt in a block.
-pub const BLOCK_BYTES: usize = (BLOCK.0 * size::BYTES_PER_TOKEN) as usize;
+pub const BLOCK_BYTES: usize = (BLOCK_TOKENS.0 * size::BYTES_PER_TOKEN) as usize;
 
 /// The hashes of the whole leading blocks of `prompt`; an incomplete last
 /// block has none.
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -5,7 +5,7 @@
 use crate::link::{Handler, make_system};
 use crate::message::Adoption;
 use crate::peer_capnp::{login, peer};
-use crate::proof::{Key, Side, is_same, make_nonce};
+use crate::proof::{Key, Side, generate_nonce, is_valid_proof};
 use capnp_rpc::rpc_twoparty_capnp;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -45,8 +45,8 @@
         mut results: login::ChallengeResults,
     ) -> Result<(), capnp::Error> {
         let theirs = params.get()?.get_nonce()?.to_vec();
-        let nonce = make_nonce();
-        let proof = self.key.prove(Side::Answerer, &theirs, &nonce);
+        let nonce = generate_nonce();
+        let proof = self.key.compute_proof(Side::Server, &theirs, &nonce);
         results.get().set_nonce(&nonce);
         results.get().set_proof(proof.as_bytes());
         *self.nonces.borrow_mut() = Some((theirs, nonce));
@@ -60,8 +60,8 @@
     ) -> Result<(), capnp::Error> {
         let denied = || capnp::Error::failed("proof does not hold".into());
         let (theirs, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
-        let wanted = self.key.prove(Side::Asker, &theirs, &nonce);
-        if !is_same(params.get()?.get_proof()?, wanted) {
+        let wanted = self.key.compute_proof(Side::Client, &theirs, &nonce);
+        if !is_valid_proof(params.get()?.get_proof()?, wanted) {
             return Err(denied());
         }
         results.get().set_peer(capnp_rpc::new_client(Peer(self.handler.clone())));
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -10,7 +10,7 @@
 use crate::codec;
 use crate::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use crate::peer_capnp::{login, peer};
-use crate::proof::{Key, Side, is_same, make_nonce};
+use crate::proof::{Key, Side, generate_nonce, is_valid_proof};
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
 use derive_more::Display;
 use futures::AsyncReadExt;
@@ -389,18 +389,18 @@
 }
 
 async fn log_in(login: login::Client, key: &Key) -> Result<peer::Client, Error> {
-    let nonce = make_nonce();
+    let nonce = generate_nonce();
     let mut request = login.challenge_request();
     request.get().set_nonce(&nonce);
     let response = request.send().promise.await.map_err(cant_connect)?;
     let challenge = response.get().map_err(cant_connect)?;
     let theirs = challenge.get_nonce().map_err(cant_connect)?;
     let proof = challenge.get_proof().map_err(cant_connect)?;
-    if !is_same(proof, key.prove(Side::Answerer, &nonce, theirs)) {
+    if !is_valid_proof(proof, key.compute_proof(Side::Server, &nonce, theirs)) {
         return Err(Error::Connect("the peer does not have the fleet's key".into()));
     }
     let mut request = login.enter_request();
-    request.get().set_proof(key.prove(Side::Asker, &nonce, theirs).as_bytes());
+    request.get().set_proof(key.compute_proof(Side::Client, &nonce, theirs).as_bytes());
     let response = request.send().promise.await.map_err(cant_connect)?;
     response.get().and_then(|r| r.get_peer()).map_err(cant_connect)
 }
--- a/crates/wire/src/proof.rs
+++ b/crates/wire/src/proof.rs
@@ -36,36 +36,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
     /// The side that connected.
-    Asker,
+    Client,
     /// The side that was connected to.
-    Answerer,
+    Server,
 }
 
 impl Key {
     /// A keyed hash of `text`, to seal what callers hand back later.
-    pub fn seal(&self, text: &str) -> blake3::Hash {
+    pub fn compute_mac(&self, text: &str) -> blake3::Hash {
         blake3::keyed_hash(&self.0, text.as_bytes())
     }
 
-    pub(crate) fn prove(&self, side: Side, asker: &[u8], answerer: &[u8]) -> blake3::Hash {
+    pub(crate) fn compute_proof(
+        &self,
+        side: Side,
+        client_nonce: &[u8],
+        server_nonce: &[u8],
+    ) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(match side {
-            Side::Asker => b"peer asker",
-            Side::Answerer => b"peer answr",
+            Side::Client => b"peer asker",
+            Side::Server => b"peer answr",
         });
-        hasher.update(&(asker.len() as u64).to_le_bytes());
-        hasher.update(asker);
-        hasher.update(answerer);
+        hasher.update(&(client_nonce.len() as u64).to_le_bytes());
+        hasher.update(client_nonce);
+        hasher.update(server_nonce);
         hasher.finalize()
     }
 }
 
 /// A fresh nonce.
-pub(crate) fn make_nonce() -> [u8; NONCE_LEN] {
+pub(crate) fn generate_nonce() -> [u8; NONCE_LEN] {
     rand::random()
 }
 
 /// Compares in constant time.
-pub(crate) fn is_same(proof: &[u8], wanted: blake3::Hash) -> bool {
-    <[u8; 32]>::try_from(proof).is_ok_and(|proof| blake3::Hash::from(proof) == wanted)
+pub(crate) fn is_valid_proof(proof: &[u8], expected: blake3::Hash) -> bool {
+    <[u8; 32]>::try_from(proof).is_ok_and(|proof| blake3::Hash::from(proof) == expected)
 }
