--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/answer.rs
@@ -1,5 +1,4 @@
-//! The answering side of a link: mutual proof first, then the calls of a
-//! proved peer.
+//! The server side of a link: mutual authentication, then the calls of an authenticated peer.
 
 use crate::codec;
 use crate::link::{Handler, make_system};
@@ -12,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Serves one connection until it ends or the node closes its links.
+/// Serves one connection until the peer closes it or the node closes its links.
 pub(crate) async fn serve<H: Handler>(
     stream: TcpStream,
     key: Key,
@@ -31,7 +30,7 @@
     }
 }
 
-/// The first object of a connection: proves both sides.
+/// The bootstrap object of a connection, which authenticates both sides.
 struct Login<H> {
     key: Key,
     handler: H,
@@ -69,7 +68,7 @@
     }
 }
 
-/// What a proved peer may call.
+/// The methods that an authenticated peer may call.
 struct Peer<H>(H);
 
 impl<H: Handler> peer::Server for Peer<H> {
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Between the plain types and the generated ones.
+//! Conversions between the plain message types and the generated ones.
 
 use crate::message::{
     Cost, Document, Ending, Gossip, Outcome, Permit, PermitRequest, Refusal, Suspect, TargetState,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! The protocol between hickoryrun nodes: Cap'n Proto RPC over TCP.
 //!
-//! [`message`] has the plain types that the rest of the system sees, [`link`]
-//! the connections. The generated code stays within this package.
+//! [`message`] defines the plain types that other crates use, and [`link`] the connections. The
+//! generated code is private to this crate.
 
 mod answer;
 mod codec;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,10 +1,10 @@
 //! Connections between nodes.
 //!
-//! Cap'n Proto objects can't leave their thread, so one thread keeps all
-//! links; the rest of the node talks to it through a channel. A link whose
-//! call times out is closed and the next call opens a new one: a connection
-//! that something between the hosts has forgotten stays silent for good
-//! while new ones work, so the old connection says nothing of the peer.
+//! Cap'n Proto objects are bound to one thread, so a dedicated thread runs all links and the rest
+//! of the node sends it calls through a channel. If a call times out, its link is closed and the
+//! next call opens a new one. A firewall or router that drops the state of a connection leaves that
+//! connection silent forever while new ones work, so a silent connection does not show that the
+//! peer is down.
 
 use crate::answer::serve;
 use crate::codec;
@@ -26,48 +26,48 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use tokio_util::sync::CancellationToken;
 
-/// How long connecting and the mutual proof may take.
+/// Timeout for connecting and mutual authentication.
 const LOGIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call to a peer brought no answer.
+/// Why a call to a peer failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// No connection could be made.
+    /// Connecting or authenticating failed.
     #[display("can't connect: {_0}")]
     #[error(ignore)]
     Connect(String),
-    /// The connection broke, or the answer did not come in time.
+    /// The connection broke, or the answer did not arrive in time.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     NoAnswer(String),
-    /// This node is closing its links.
+    /// This node has closed its links.
     #[display("closed")]
     Closed,
 }
 
-/// What a node answers to its peers.
+/// The calls that a node serves for its peers.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Takes in a peer's gossip and answers with its own.
+    /// Processes a peer's gossip and returns this node's own.
     fn exchange(&self, gossip: Gossip) -> Gossip;
 
-    /// Grants or refuses a permit. The future is dropped when the asker no
-    /// longer waits, which takes the ask out of the queue.
+    /// Grants or refuses a permit. If the requester stops waiting, the future is dropped, which
+    /// must remove the request from the queue.
     fn permit(&self, ask: PermitRequest) -> impl Future<Output = Result<Permit, Refusal>> + Send;
 
-    /// Takes in the end of a permitted attempt.
+    /// Processes the result of a permitted attempt.
     fn outcome(&self, outcome: Outcome);
 
-    /// Takes over a stream for the asking node.
+    /// Transfers a stream to the requesting node.
     fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal>;
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     fn release(&self) -> Option<Document>;
 
-    /// The ownership table known.
+    /// Returns the latest known ownership table.
     fn owners(&self) -> Option<Document>;
 }
 
-/// The links of a node: a server for its peers and clients to them.
+/// The links of a node: a server for its peers and a client for each of them.
 #[derive(Clone, Debug)]
 pub struct Links {
     calls: mpsc::UnboundedSender<Call>,
@@ -88,7 +88,7 @@
 }
 
 impl Links {
-    /// Serves peers on `listener` and starts the thread of the links.
+    /// Serves peers on `listener` and starts the thread that runs the links.
     pub fn spawn<H: Handler>(
         listener: std::net::TcpListener,
         key: Key,
@@ -106,12 +106,12 @@
         Ok(Self { calls, address, stop })
     }
 
-    /// Where peers connect.
+    /// Returns the address at which peers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Exchanges gossip with a peer; a silent link is closed.
+    /// Exchanges gossip with a peer; closes the link if the peer does not answer in time.
     pub async fn exchange(
         &self,
         to: SocketAddr,
@@ -121,8 +121,8 @@
         self.call(to, timeout, |answer| Call::Exchange(to, gossip, answer)).await
     }
 
-    /// Asks the owner at `to` for a permit, and waits as long as `timeout`;
-    /// dropping the future withdraws the ask.
+    /// Requests a permit from the owner at `to` and waits up to `timeout`. Dropping the future
+    /// withdraws the request.
     pub async fn request_permit(
         &self,
         to: SocketAddr,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Tells the owner how a permitted attempt ended.
+    /// Reports to the owner how a permitted attempt ended.
     pub async fn report_outcome(
         &self,
         to: SocketAddr,
@@ -157,7 +157,7 @@
         self.call(to, timeout, |answer| Call::Release(to, answer)).await
     }
 
-    /// Fetches the ownership table that a peer knows.
+    /// Fetches the ownership table that a peer has.
     pub async fn fetch_owners(
         &self,
         to: SocketAddr,
@@ -166,8 +166,8 @@
         self.call(to, timeout, |answer| Call::Owners(to, answer)).await
     }
 
-    /// Tells the owner that this node serves the rest of a stream that another
-    /// node opened.
+    /// Requests from the owner that this node takes over the rest of a stream that another node
+    /// opened.
     pub async fn adopt(
         &self,
         to: SocketAddr,
@@ -177,7 +177,7 @@
         self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adopt), answer)).await
     }
 
-    /// Whether a new connection to the peer can be made and proves itself.
+    /// Checks that a new connection to the peer can be opened and authenticated.
     pub async fn probe(&self, to: SocketAddr, timeout: Duration) -> Result<(), Error> {
         self.call(to, timeout, |answer| Call::Probe(to, answer)).await
     }
@@ -223,7 +223,7 @@
                     let stopped = accepted_stop.clone();
                     tokio::task::spawn_local(serve(stream, key, handler, stopped));
                 }
-                // Out of file descriptors, most likely: let some be closed.
+                // Most likely the process has no file descriptors left; wait until some are closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             },
             call = inbox.recv() => match call {
@@ -238,7 +238,7 @@
     }
 }
 
-/// The client side of the links, one a peer.
+/// The client side of the links, one connection per peer.
 struct Clients {
     key: Key,
     open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
@@ -328,8 +328,7 @@
         }
     }
 
-    /// Runs a call until its answer is there, its link is closed, or no one
-    /// waits for it any more.
+    /// Runs a call until it completes, its link is closed, or its receiver is dropped.
     async fn answer<T>(
         &self,
         to: SocketAddr,
@@ -343,8 +342,8 @@
         };
         let result = tokio::select! {
             result = call => result,
-            // The library leaves promises of an aborted system pending for
-            // good, so the end of the link has to be waited for beside them.
+            // After an RPC system is aborted, the library leaves its promises pending forever, so
+            // the closing of the link must be awaited as well.
             () = link.closed.cancelled() => Err(Error::NoAnswer("link closed".into())),
             () = answer.closed() => return,
         };
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,9 +1,9 @@
-//! What nodes say to each other, as plain types.
+//! Messages between nodes, as plain types.
 
 use hickory_unit::{id, size};
 use std::time::Duration;
 
-/// Weights that a request asks for, or that an engine has.
+/// Weights that a request needs or that an engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Weights {
     /// The model.
@@ -14,182 +14,180 @@
     pub adapter: Option<id::Adapter>,
 }
 
-/// What a request weighs on a target.
+/// The resources that a request needs on a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
     /// Prompt tokens to prefill.
     pub prefill: size::Tokens,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub decode: size::Tokens,
-    /// Tokens of KV cache at its greatest.
+    /// Maximum size of its KV cache in tokens.
     pub kv: size::Tokens,
 }
 
-/// A question to a target's owner: may this attempt be sent?
+/// A request to a target's owner for a permit to send one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// Names the request, the attempt, the sender and the deadline, and will
-    /// name the stream on the target.
+    /// The stream id on the target, made of request, attempt, sender and deadline.
     pub stream: id::Stream,
     /// The target.
     pub target: id::Target,
-    /// The partner whose share pays.
+    /// The partner whose share of the fleet is used.
     pub partner: id::Partner,
     /// The client account.
     pub account: id::Account,
-    /// Whether it may wait; else a person waits for it.
+    /// Whether the request is batch work and may be queued; otherwise it is interactive.
     pub is_batch: bool,
-    /// What it weighs.
+    /// The resources it needs.
     pub cost: Cost,
-    /// The weights it asks for; `None` for a call of a plain service, which
-    /// weighs one slot.
+    /// The weights it needs; `None` for a call of a plain service, which uses one slot.
     pub weights: Option<Weights>,
     /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Set for a suspect: runs beside no other request.
+    /// Whether the request is suspected of crashing targets and must run with no other request
+    /// beside it.
     pub runs_alone: bool,
-    /// Hash of account and content.
+    /// Hash of the client account and the content.
     pub fingerprint: u64,
-    /// Hash of the prompt's leading blocks.
+    /// Hash of the leading blocks of the prompt.
     pub prefix: u64,
-    /// Set where several targets are reserved, all or none: the owner grants
-    /// or refuses at once and never queues.
+    /// Set when several targets are reserved together, all or none: the owner grants or refuses the
+    /// request immediately instead of queuing it.
     pub must_not_queue: bool,
 }
 
-/// Leave to send one attempt to a target.
+/// Permission to send one attempt to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Names the permit at its owner.
+    /// Identifies the permit at its owner.
     pub id: u64,
-    /// The epoch of the ownership it was given under.
+    /// The ownership epoch in which it was granted.
     pub epoch: id::Epoch,
-    /// How long it may be used to begin sending, counted from the moment the
-    /// asker *sent* its ask: one from an owner that was paused is dead when
-    /// it arrives.
+    /// How long the permit may be used to start sending, counted from the moment the request for it
+    /// was *sent*: a permit that a paused owner granted late has expired when it arrives.
     pub lifetime: Duration,
-    /// The priority for the engine.
+    /// The priority that the engine applies.
     pub priority: u8,
 }
 
-/// Why an owner said no.
+/// An owner's refusal to grant a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The reason, as named by the decisions.
+    /// The name of the refusal reason.
     pub reason: String,
-    /// When to come back.
+    /// The time after which to retry.
     pub retry_after: Duration,
-    /// Set where the asked node does not own the target.
+    /// Set if the node that received the request does not own the target.
     pub is_not_owner: bool,
 }
 
 /// How a permitted attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer came.
+    /// The complete answer arrived.
     Finished,
-    /// The target confirmed a cancel.
+    /// The target confirmed a cancellation.
     Cancelled,
-    /// The connection broke and a new one could not be made.
+    /// The connection broke and reconnecting failed.
     TargetDied,
-    /// No byte went to the target.
+    /// No byte was sent to the target.
     NotSent,
-    /// It may still run on the target; the owner cancels it.
+    /// The attempt may still be running on the target; the owner cancels it.
     Lost,
-    /// The caller's connection went; another node may take the stream up, and
-    /// the owner cancels it if none does.
+    /// The caller disconnected. Another node may resume the stream; if none does, the owner cancels
+    /// it.
     CallerDisconnected,
 }
 
-/// The end of a permitted attempt, told to the target's owner.
+/// The result of a permitted attempt, reported to the target's owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// The target.
     pub target: id::Target,
-    /// The permit.
+    /// The id of the permit.
     pub permit: u64,
-    /// The epoch it was given under.
+    /// The ownership epoch in which the permit was granted.
     pub epoch: id::Epoch,
     /// How it ended.
     pub ending: Ending,
-    /// Time from sending to the first token, if one came.
+    /// Time from sending to the first token; `None` if no token arrived.
     pub time_to_first_token: Option<Duration>,
-    /// The stream, as it was named to the target, if one was opened.
+    /// The id of the stream on the target, if one was opened.
     pub stream: Option<id::Stream>,
 }
 
-/// What an owner tells of a target.
+/// The state of a target, as its owner publishes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetState {
     /// The target.
     pub target: id::Target,
-    /// The epoch of the ownership.
+    /// The ownership epoch.
     pub epoch: id::Epoch,
-    /// Prompt tokens granted or queued and not yet prefilled.
+    /// Prompt tokens that are granted or queued but not yet prefilled.
     pub queued_prefill: size::Tokens,
-    /// Of these, tokens of long prompts.
+    /// The part of `queued_prefill` that belongs to long prompts.
     pub queued_long: size::Tokens,
-    /// KV cache that is free.
+    /// Free KV cache.
     pub kv_free: size::Tokens,
-    /// KV cache in all.
+    /// Total KV cache.
     pub kv_capacity: size::Tokens,
-    /// Prompt tokens a second at its present warmth.
+    /// Prompt tokens prefilled per second at the current warmth.
     pub prefill_rate: u64,
-    /// Streams that it bears at present.
+    /// Maximum number of concurrent streams at the current warmth.
     pub stream_limit: u32,
-    /// Streams granted.
+    /// Number of granted streams.
     pub running: u32,
     /// The incarnation of the target's process.
     pub incarnation: id::Incarnation,
-    /// Requests waiting in the owner's queue.
+    /// Number of requests in the owner's queue.
     pub waiting: u32,
-    /// Weights that are ready.
+    /// Weights that are loaded and ready to serve.
     pub ready: Vec<Weights>,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub is_accepting: bool,
-    /// Prefixes thought to be in its cache.
+    /// Prefixes that the owner expects in the target's cache.
     pub prefixes: Vec<u64>,
 }
 
-/// A request that may be what killed a target.
+/// A request that is suspected of crashing targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// Hash of account and content.
+    /// Hash of the client account and the content.
     pub fingerprint: u64,
-    /// Deaths of targets at which it ran.
+    /// Number of target crashes while it was running there.
     pub deaths: u32,
-    /// Time since the last of them.
+    /// Time since the last of these crashes.
     pub age: Duration,
 }
 
-/// The exchange between two nodes, the same both ways.
+/// The gossip that two nodes exchange; both directions have the same form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gossip {
-    /// Who speaks.
+    /// The node that sends it.
     pub node: id::Node,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     pub incarnation: id::Incarnation,
-    /// The configuration it has in force.
+    /// The version of the sender's configuration in force.
     pub configuration_version: id::Release,
-    /// The revision of the ownership table it knows.
+    /// The revision of the ownership table that the sender has.
     pub owners_revision: u64,
-    /// Whether it is stopping.
+    /// Whether the sender is draining.
     pub is_draining: bool,
-    /// Counts the changes of what it tells of its targets.
+    /// The version of the sender's target states; each change of one increments it.
     pub version: u64,
-    /// The listener's version that the speaker has; zero for none. The
-    /// listener tells only what has changed since.
+    /// The latest version of the receiver's target states that the sender has, or 0. The receiver
+    /// answers with only the states that changed after it.
     pub acknowledged_version: u64,
-    /// The targets it owns that have changed since the listener's last word.
+    /// States of the sender's targets that changed after the version that the receiver
+    /// acknowledged.
     pub targets: Vec<TargetState>,
-    /// Requests under suspicion.
+    /// Requests that are suspected of crashing targets.
     pub suspects: Vec<Suspect>,
-    /// Callers it serves at present.
+    /// Number of callers connected to the sender.
     pub connections: u32,
 }
 
-/// A document with its version, as fetched from a peer while the platform
-/// is down.
+/// A versioned document, fetched from a peer while the platform is unreachable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Document {
     /// Its version.
@@ -198,16 +196,16 @@
     pub text: String,
 }
 
-/// A node's notice that it serves the rest of a stream another node opened.
+/// A request to take over the rest of a stream that another node opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Adoption {
-    /// The target that holds the stream.
+    /// The target that runs the stream.
     pub target: id::Target,
     /// The stream.
     pub stream: id::Stream,
-    /// The node that now serves it.
+    /// The node that now serves the stream.
     pub node: id::Node,
-    /// Set where the node served it before: answered with yes only if no other
-    /// node has taken it over since.
+    /// Set if the node has served the stream before: the request is granted only if no other node
+    /// has taken the stream over since.
     pub is_renewal: bool,
 }
--- a/crates/wire/src/proof.rs
+++ b/crates/wire/src/proof.rs
@@ -1,11 +1,11 @@
-//! How nodes prove the fleet's key to each other.
+//! Mutual authentication of nodes by a shared fleet key.
 //!
-//! Each side hashes both nonces under the key. The role stands in the hash,
-//! so that an answer can't be reflected as a question.
+//! Each side computes a keyed hash over both nonces. The hash also covers the side, so that a proof
+//! can't be reflected back to its sender.
 
 use std::str::FromStr;
 
-/// Bytes of a nonce.
+/// Length of a nonce in bytes.
 const NONCE_LEN: usize = 16;
 
 /// The key that all nodes of a fleet share.
@@ -18,7 +18,7 @@
     }
 }
 
-/// A key that is not 32 bytes in hexadecimal.
+/// The error of parsing a key that is not 64 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("a fleet key is 64 hexadecimal digits")]
 pub struct Malformed;
@@ -32,17 +32,17 @@
     }
 }
 
-/// Which side of a connection proves itself.
+/// The side of a connection that a proof authenticates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Side {
-    /// The side that connected.
+    /// The side that opened the connection.
     Client,
-    /// The side that was connected to.
+    /// The side that accepted the connection.
     Server,
 }
 
 impl Key {
-    /// A keyed hash of `text`, to seal what callers hand back later.
+    /// Returns a keyed hash of `text`, which authenticates text that callers present again later.
     pub fn compute_mac(&self, text: &str) -> blake3::Hash {
         blake3::keyed_hash(&self.0, text.as_bytes())
     }
@@ -65,12 +65,12 @@
     }
 }
 
-/// A fresh nonce.
+/// Returns a random nonce.
 pub(crate) fn generate_nonce() -> [u8; NONCE_LEN] {
     rand::random()
 }
 
-/// Compares in constant time.
+/// Returns whether a proof equals the expected one, compared in constant time.
 pub(crate) fn is_valid_proof(proof: &[u8], expected: blake3::Hash) -> bool {
     <[u8; 32]>::try_from(proof).is_ok_and(|proof| blake3::Hash::from(proof) == expected)
 }
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -1,5 +1,5 @@
-//! The contract between nodes: proofs of the fleet's key, links that break or
-//! go silent, and asks that are withdrawn.
+//! Tests of the protocol between nodes: authentication by the fleet key, broken and silent links,
+//! and withdrawn permit requests.
 
 use hickory_unit::{id, size};
 use hickory_wire::link::{Error, Handler, Links};
@@ -16,19 +16,19 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers as it is told to, and remembers what it was told.
+/// A handler that returns fixed answers and records the outcomes it receives.
 #[derive(Clone, Debug, Default)]
 struct Node {
     outcomes: Arc<Mutex<Vec<Outcome>>>,
-    /// Asks under way.
+    /// Number of permit requests in progress.
     asked: Arc<AtomicUsize>,
-    /// Lets asks be granted.
+    /// Signals that a blocked permit request may be granted.
     grant: Arc<Notify>,
-    /// Whether asks wait for `grant`.
+    /// Whether permit requests block until `grant` is signalled.
     waits: bool,
 }
 
-/// Counts an ask while it is under way.
+/// Counts a permit request while it is in progress.
 struct Asked(Arc<AtomicUsize>);
 
 impl Drop for Asked {
@@ -143,7 +143,8 @@
     }
 }
 
-/// Everything that nodes say arrives as it was said.
+/// Guards against fields that are lost or mixed up in encoding: every message must arrive as it was
+/// sent.
 #[tokio::test]
 async fn what_is_said_arrives() {
     let node = Node::default();
@@ -184,8 +185,8 @@
     }
 }
 
-/// A process without the fleet's key gets nothing, whichever side it stands
-/// on.
+/// Guards against links that authenticate only one side: a process with another fleet key must be
+/// rejected both as client and as server.
 #[tokio::test]
 async fn without_the_key_nothing_is_said() {
     let server = listen(Node::default(), "2a");
@@ -198,8 +199,8 @@
     }
 }
 
-/// A peer that accepts and says nothing is given up on within the login's
-/// time, and one that does not listen at once.
+/// Guards against connecting without a timeout: a peer that accepts connections but never answers
+/// must fail with a login timeout, and one that does not listen must fail immediately.
 #[tokio::test]
 async fn silent_and_absent_peers_are_given_up_on() {
     let client = listen(Node::default(), "2a");
@@ -221,8 +222,8 @@
     assert!(tokio::time::timeout(TIMEOUT, wait).await.is_ok(), "never came: {what}");
 }
 
-/// An asker that stops waiting takes its ask out of the owner's queue; the
-/// link stays good for the next call.
+/// Guards against requests that stay queued after their sender stopped waiting. The link must stay
+/// usable for the next call.
 #[tokio::test]
 async fn a_dropped_ask_is_withdrawn_at_its_owner() {
     let node = Node { waits: true, ..Node::default() };
@@ -239,8 +240,8 @@
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
 }
 
-/// The owner's process goes while an ask waits there: the asker is told at
-/// once and not at its timeout.
+/// Guards against waiting for the timeout when the owner's process ends while a permit request is
+/// queued there.
 #[tokio::test]
 async fn an_ask_at_a_closed_peer_ends() {
     let node = Node { waits: true, ..Node::default() };
