--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -59,7 +59,7 @@
         table::adopt(&core, &adopt)
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         let configuration = self.0.upgrade()?.configuration()?;
         let text = serde_json::to_string(&*configuration).ok()?;
         Some(Document { version: configuration.version.0, text })
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -134,7 +134,7 @@
         Err(refuse())
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         let document = self.peers.document.lock().unwrap().clone();
         self.peers.releases.give(self.peers.slow(), document)
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -19,11 +19,11 @@
     read_text(text)?.parse().map_err(|_| malformed("stream"))
 }
 
-fn malformed(what: &str) -> Error {
-    Error::failed(format!("malformed {what}"))
+fn malformed(field: &str) -> Error {
+    Error::failed(format!("malformed {field}"))
 }
 
-fn millis(time: Duration) -> u64 {
+fn to_millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -42,28 +42,31 @@
     })
 }
 
-pub(crate) fn write_ask(ask: &PermitRequest, mut to: schema::permit_ask::Builder<'_>) {
-    to.set_stream(ask.stream.to_string());
-    to.set_target(ask.target.as_str());
-    to.set_partner(ask.partner.as_str());
-    to.set_account(ask.account.as_str());
-    to.set_batch(ask.is_batch);
+pub(crate) fn write_permit_request(
+    permit_request: &PermitRequest,
+    mut to: schema::permit_ask::Builder<'_>,
+) {
+    to.set_stream(permit_request.stream.to_string());
+    to.set_target(permit_request.target.as_str());
+    to.set_partner(permit_request.partner.as_str());
+    to.set_account(permit_request.account.as_str());
+    to.set_batch(permit_request.is_batch);
     let mut cost = to.reborrow().init_cost();
-    cost.set_prefill(ask.cost.prefill.0);
-    cost.set_decode(ask.cost.decode.0);
-    cost.set_kv(ask.cost.kv.0);
-    to.set_service(ask.weights.is_none());
-    if let Some(weights) = &ask.weights {
+    cost.set_prefill(permit_request.cost.prefill.0);
+    cost.set_decode(permit_request.cost.decode.0);
+    cost.set_kv(permit_request.cost.kv.0);
+    to.set_service(permit_request.weights.is_none());
+    if let Some(weights) = &permit_request.weights {
         write_weights(weights, to.reborrow().init_weights());
     }
-    to.set_time_left_ms(millis(ask.time_left));
-    to.set_alone(ask.runs_alone);
-    to.set_fingerprint(ask.fingerprint);
-    to.set_prefix(ask.prefix);
-    to.set_urgent(ask.must_not_queue);
+    to.set_time_left_ms(to_millis(permit_request.time_left));
+    to.set_alone(permit_request.runs_alone);
+    to.set_fingerprint(permit_request.fingerprint);
+    to.set_prefix(permit_request.prefix);
+    to.set_urgent(permit_request.must_not_queue);
 }
 
-pub(crate) fn read_ask(from: schema::permit_ask::Reader<'_>) -> Result<PermitRequest> {
+pub(crate) fn read_permit_request(from: schema::permit_ask::Reader<'_>) -> Result<PermitRequest> {
     let cost = from.get_cost()?;
     let weights = match from.get_service() {
         true => None,
@@ -98,13 +101,13 @@
             let mut to = to.init_granted();
             to.set_id(permit.id);
             to.set_epoch(permit.epoch.0);
-            to.set_life_ms(millis(permit.lifetime));
+            to.set_life_ms(to_millis(permit.lifetime));
             to.set_priority(permit.priority);
         }
         Err(refusal) => {
             let mut to = to.init_refused();
             to.set_reason(refusal.reason.as_str());
-            to.set_retry_after_ms(millis(refusal.retry_after));
+            to.set_retry_after_ms(to_millis(refusal.retry_after));
             to.set_not_owner(refusal.is_not_owner);
         }
     }
@@ -147,7 +150,7 @@
         Ending::Lost => Kind::Lost,
         Ending::CallerDisconnected => Kind::Left,
     });
-    to.set_first_token_ms(outcome.time_to_first_token.map_or(0, |time| millis(time).max(1)));
+    to.set_first_token_ms(outcome.time_to_first_token.map_or(0, |time| to_millis(time).max(1)));
     if let Some(stream) = &outcome.stream {
         to.set_stream(stream.to_string());
     }
@@ -237,7 +240,7 @@
         let mut to = suspects.reborrow().get(i as u32);
         to.set_fingerprint(suspect.fingerprint);
         to.set_deaths(suspect.deaths);
-        to.set_age_ms(millis(suspect.age));
+        to.set_age_ms(to_millis(suspect.age));
     }
 }
 
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -6,11 +6,11 @@
 //! connection silent forever while new ones work, so a silent connection does not show that the
 //! peer is down.
 
-use crate::answer::serve;
 use crate::codec;
 use crate::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use crate::peer_capnp::{login, peer};
 use crate::proof::{Key, Side, generate_nonce, is_valid_proof};
+use crate::server::serve;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
 use derive_more::Display;
 use futures::AsyncReadExt;
@@ -52,16 +52,19 @@
 
     /// Grants or refuses a permit. If the requester stops waiting, the future is dropped, which
     /// must remove the request from the queue.
-    fn permit(&self, ask: PermitRequest) -> impl Future<Output = Result<Permit, Refusal>> + Send;
+    fn permit(
+        &self,
+        permit_request: PermitRequest,
+    ) -> impl Future<Output = Result<Permit, Refusal>> + Send;
 
     /// Processes the result of a permitted attempt.
     fn outcome(&self, outcome: Outcome);
 
     /// Transfers a stream to the requesting node.
-    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal>;
+    fn adopt(&self, adoption: Adoption) -> Result<Permit, Refusal>;
 
     /// Returns the configuration in force.
-    fn release(&self) -> Option<Document>;
+    fn configuration(&self) -> Option<Document>;
 
     /// Returns the latest known ownership table.
     fn owners(&self) -> Option<Document>;
@@ -96,12 +99,18 @@
     ) -> std::io::Result<Self> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (calls, inbox) = mpsc::unbounded_channel();
+        let (calls, call_receiver) = mpsc::unbounded_channel();
         let (stop, stopped) = watch::channel(false);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new().name("links".into()).spawn(move || {
             let local = LocalSet::new();
-            runtime.block_on(local.run_until(run(listener, key, handler, inbox, stopped)));
+            runtime.block_on(local.run_until(run_links(
+                listener,
+                key,
+                handler,
+                call_receiver,
+                stopped,
+            )));
         })?;
         Ok(Self { calls, address, stop })
     }
@@ -126,11 +135,11 @@
     pub async fn request_permit(
         &self,
         to: SocketAddr,
-        ask: PermitRequest,
+        permit_request: PermitRequest,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
         let (answer, wait) = oneshot::channel();
-        let call = Call::Permit(to, Box::new(ask), answer);
+        let call = Call::Permit(to, Box::new(permit_request), answer);
         self.calls.send(call).map_err(|_| Error::Closed)?;
         match tokio::time::timeout(timeout, wait).await {
             Ok(answer) => answer.unwrap_or(Err(Error::Closed)),
@@ -171,10 +180,10 @@
     pub async fn adopt(
         &self,
         to: SocketAddr,
-        adopt: Adoption,
+        adoption: Adoption,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
-        self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adopt), answer)).await
+        self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adoption), answer)).await
     }
 
     /// Checks that a new connection to the peer can be opened and authenticated.
@@ -191,10 +200,10 @@
         &self,
         to: SocketAddr,
         timeout: Duration,
-        make: impl FnOnce(oneshot::Sender<Result<T, Error>>) -> Call,
+        make_call: impl FnOnce(oneshot::Sender<Result<T, Error>>) -> Call,
     ) -> Result<T, Error> {
         let (answer, wait) = oneshot::channel();
-        self.calls.send(make(answer)).map_err(|_| Error::Closed)?;
+        self.calls.send(make_call(answer)).map_err(|_| Error::Closed)?;
         match tokio::time::timeout(timeout, wait).await {
             Ok(answer) => answer.unwrap_or(Err(Error::Closed)),
             Err(_) => {
@@ -205,11 +214,11 @@
     }
 }
 
-async fn run<H: Handler>(
+async fn run_links<H: Handler>(
     listener: std::net::TcpListener,
     key: Key,
     handler: H,
-    mut inbox: mpsc::UnboundedReceiver<Call>,
+    mut call_receiver: mpsc::UnboundedReceiver<Call>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
@@ -226,7 +235,7 @@
                 // Most likely the process has no file descriptors left; wait until some are closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             },
-            call = inbox.recv() => match call {
+            call = call_receiver.recv() => match call {
                 Some(call) => {
                     let clients = clients.clone();
                     tokio::task::spawn_local(async move { clients.handle(call).await });
@@ -260,60 +269,60 @@
                 let run = async |peer: peer::Client| {
                     let mut request = peer.exchange_request();
                     codec::write_gossip(&gossip, request.get().init_gossip());
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let gossip = response.get().and_then(|r| r.get_gossip()).map_err(no_answer)?;
-                    codec::read_gossip(gossip).map_err(no_answer)
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let gossip = response.get().and_then(|r| r.get_gossip()).map_err(call_error)?;
+                    codec::read_gossip(gossip).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
-            Call::Permit(to, ask, answer) => {
+            Call::Permit(to, permit_request, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.permit_request();
-                    codec::write_ask(&ask, request.get().init_ask());
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(no_answer)?;
-                    codec::read_answer(found).map_err(no_answer)
+                    codec::write_permit_request(&permit_request, request.get().init_ask());
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let found = response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(found).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Outcome(to, outcome, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.outcome_request();
                     codec::write_outcome(&outcome, request.get().init_outcome());
-                    request.send().promise.await.map_err(no_answer).map(drop)
+                    request.send().promise.await.map_err(call_error).map(drop)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Release(to, answer) => {
                 let run = async |peer: peer::Client| {
                     let request = peer.release_request();
-                    let response = request.send().promise.await.map_err(no_answer)?;
+                    let response = request.send().promise.await.map_err(call_error)?;
                     let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(no_answer)?).map_err(no_answer)
+                    codec::read_document(found.map_err(call_error)?).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Owners(to, answer) => {
                 let run = async |peer: peer::Client| {
                     let request = peer.owners_request();
-                    let response = request.send().promise.await.map_err(no_answer)?;
+                    let response = request.send().promise.await.map_err(call_error)?;
                     let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(no_answer)?).map_err(no_answer)
+                    codec::read_document(found.map_err(call_error)?).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
-            Call::Adopt(to, adopt, answer) => {
+            Call::Adopt(to, adoption, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.adopt_request();
-                    request.get().set_target(adopt.target.as_str());
-                    request.get().set_stream(adopt.stream.to_string());
-                    request.get().set_node(adopt.node.as_str());
-                    request.get().set_keep(adopt.is_renewal);
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(no_answer)?;
-                    codec::read_answer(found).map_err(no_answer)
+                    request.get().set_target(adoption.target.as_str());
+                    request.get().set_stream(adoption.stream.to_string());
+                    request.get().set_node(adoption.node.as_str());
+                    request.get().set_keep(adoption.is_renewal);
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let found = response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(found).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Probe(to, mut answer) => {
                 let link = Link::default();
@@ -329,7 +338,7 @@
     }
 
     /// Runs a call until it completes, its link is closed, or its receiver is dropped.
-    async fn answer<T>(
+    async fn run_call<T>(
         &self,
         to: SocketAddr,
         mut answer: oneshot::Sender<Result<T, Error>>,
@@ -371,15 +380,15 @@
 
     async fn open(&self, to: SocketAddr, key: &Key) -> Result<&peer::Client, Error> {
         let login = self.peer.get_or_try_init(|| async {
-            let stream = TcpStream::connect(to).await.map_err(cant_connect)?;
-            stream.set_nodelay(true).map_err(cant_connect)?;
+            let stream = TcpStream::connect(to).await.map_err(connect_error)?;
+            stream.set_nodelay(true).map_err(connect_error)?;
             let mut system = make_system(stream, rpc_twoparty_capnp::Side::Client, None);
             let login: login::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
             let task = tokio::task::spawn_local(async move {
                 let _ = system.await;
             });
             *self.task.borrow_mut() = Some(task.abort_handle());
-            log_in(login, key).await
+            authenticate(login, key).await
         });
         tokio::time::timeout(LOGIN_TIMEOUT, login)
             .await
@@ -387,21 +396,21 @@
     }
 }
 
-async fn log_in(login: login::Client, key: &Key) -> Result<peer::Client, Error> {
+async fn authenticate(login: login::Client, key: &Key) -> Result<peer::Client, Error> {
     let nonce = generate_nonce();
     let mut request = login.challenge_request();
     request.get().set_nonce(&nonce);
-    let response = request.send().promise.await.map_err(cant_connect)?;
-    let challenge = response.get().map_err(cant_connect)?;
-    let theirs = challenge.get_nonce().map_err(cant_connect)?;
-    let proof = challenge.get_proof().map_err(cant_connect)?;
-    if !is_valid_proof(proof, key.compute_proof(Side::Server, &nonce, theirs)) {
+    let response = request.send().promise.await.map_err(connect_error)?;
+    let challenge = response.get().map_err(connect_error)?;
+    let server_nonce = challenge.get_nonce().map_err(connect_error)?;
+    let proof = challenge.get_proof().map_err(connect_error)?;
+    if !is_valid_proof(proof, key.compute_proof(Side::Server, &nonce, server_nonce)) {
         return Err(Error::Connect("the peer does not have the fleet's key".into()));
     }
     let mut request = login.enter_request();
-    request.get().set_proof(key.compute_proof(Side::Client, &nonce, theirs).as_bytes());
-    let response = request.send().promise.await.map_err(cant_connect)?;
-    response.get().and_then(|r| r.get_peer()).map_err(cant_connect)
+    request.get().set_proof(key.compute_proof(Side::Client, &nonce, server_nonce).as_bytes());
+    let response = request.send().promise.await.map_err(connect_error)?;
+    response.get().and_then(|r| r.get_peer()).map_err(connect_error)
 }
 
 pub(crate) fn make_system(
@@ -416,10 +425,10 @@
     RpcSystem::new(Box::new(network), bootstrap)
 }
 
-fn cant_connect(error: impl std::fmt::Display) -> Error {
+fn connect_error(error: impl std::fmt::Display) -> Error {
     Error::Connect(error.to_string())
 }
 
-fn no_answer(error: capnp::Error) -> Error {
+fn call_error(error: capnp::Error) -> Error {
     Error::NoAnswer(error.to_string())
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/server.rs
@@ -16,7 +16,7 @@
     stream: TcpStream,
     key: Key,
     handler: H,
-    mut stopped: watch::Receiver<bool>,
+    mut closed: watch::Receiver<bool>,
 ) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -26,7 +26,7 @@
     let system = make_system(stream, rpc_twoparty_capnp::Side::Server, Some(login.client));
     tokio::select! {
         _ = system => {}
-        _ = stopped.wait_for(|stop| *stop) => {}
+        _ = closed.wait_for(|stop| *stop) => {}
     }
 }
 
@@ -43,12 +43,12 @@
         params: login::ChallengeParams,
         mut results: login::ChallengeResults,
     ) -> Result<(), capnp::Error> {
-        let theirs = params.get()?.get_nonce()?.to_vec();
+        let client_nonce = params.get()?.get_nonce()?.to_vec();
         let nonce = generate_nonce();
-        let proof = self.key.compute_proof(Side::Server, &theirs, &nonce);
+        let proof = self.key.compute_proof(Side::Server, &client_nonce, &nonce);
         results.get().set_nonce(&nonce);
         results.get().set_proof(proof.as_bytes());
-        *self.nonces.borrow_mut() = Some((theirs, nonce));
+        *self.nonces.borrow_mut() = Some((client_nonce, nonce));
         Ok(())
     }
 
@@ -58,9 +58,9 @@
         mut results: login::EnterResults,
     ) -> Result<(), capnp::Error> {
         let denied = || capnp::Error::failed("proof does not hold".into());
-        let (theirs, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
-        let wanted = self.key.compute_proof(Side::Client, &theirs, &nonce);
-        if !is_valid_proof(params.get()?.get_proof()?, wanted) {
+        let (client_nonce, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
+        let expected = self.key.compute_proof(Side::Client, &client_nonce, &nonce);
+        if !is_valid_proof(params.get()?.get_proof()?, expected) {
             return Err(denied());
         }
         results.get().set_peer(capnp_rpc::new_client(Peer(self.handler.clone())));
@@ -87,8 +87,8 @@
         params: peer::PermitParams,
         mut results: peer::PermitResults,
     ) -> Result<(), capnp::Error> {
-        let ask = codec::read_ask(params.get()?.get_ask()?)?;
-        let answer = self.0.permit(ask).await;
+        let permit_request = codec::read_permit_request(params.get()?.get_ask()?)?;
+        let answer = self.0.permit(permit_request).await;
         codec::write_answer(&answer, results.get().init_answer());
         Ok(())
     }
@@ -124,7 +124,7 @@
         _: peer::ReleaseParams,
         mut results: peer::ReleaseResults,
     ) -> Result<(), capnp::Error> {
-        codec::write_document(self.0.release().as_ref(), results.get().init_document());
+        codec::write_document(self.0.configuration().as_ref(), results.get().init_document());
         Ok(())
     }
 
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -21,17 +21,17 @@
 struct Node {
     outcomes: Arc<Mutex<Vec<Outcome>>>,
     /// Number of permit requests in progress.
-    asked: Arc<AtomicUsize>,
+    pending: Arc<AtomicUsize>,
     /// Signals that a blocked permit request may be granted.
     grant: Arc<Notify>,
     /// Whether permit requests block until `grant` is signalled.
-    waits: bool,
+    blocks_permits: bool,
 }
 
 /// Counts a permit request while it is in progress.
-struct Asked(Arc<AtomicUsize>);
+struct PendingRequest(Arc<AtomicUsize>);
 
-impl Drop for Asked {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -42,13 +42,13 @@
         gossip
     }
 
-    async fn permit(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
-        self.asked.fetch_add(1, Ordering::SeqCst);
-        let _asked = Asked(self.asked.clone());
-        if self.waits {
+    async fn permit(&self, request: PermitRequest) -> Result<Permit, Refusal> {
+        self.pending.fetch_add(1, Ordering::SeqCst);
+        let _pending = PendingRequest(self.pending.clone());
+        if self.blocks_permits {
             self.grant.notified().await;
         }
-        match ask.is_batch {
+        match request.is_batch {
             false => Ok(Permit { id: 7, epoch: id::Epoch(3), lifetime: TIMEOUT, priority: 2 }),
             true => Err(Refusal {
                 reason: "overloaded".into(),
@@ -62,12 +62,12 @@
         self.outcomes.lock().expect("no test panics with the lock").push(outcome);
     }
 
-    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal> {
-        let id = u64::from(adopt.is_renewal);
+    fn adopt(&self, adoption: Adoption) -> Result<Permit, Refusal> {
+        let id = u64::from(adoption.is_renewal);
         Ok(Permit { id, epoch: id::Epoch(1), lifetime: TIMEOUT, priority: 0 })
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         Some(Document { version: 4, text: "{}".into() })
     }
 
@@ -94,7 +94,7 @@
     }
 }
 
-fn ask(batch: bool) -> PermitRequest {
+fn permit_request(batch: bool) -> PermitRequest {
     PermitRequest {
         stream: stream(),
         target: "engine-1".into(),
@@ -146,15 +146,17 @@
 /// Guards against fields that are lost or mixed up in encoding: every message must arrive as it was
 /// sent.
 #[tokio::test]
-async fn what_is_said_arrives() {
+async fn every_message_arrives_unchanged() {
     let node = Node::default();
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to = server.address();
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
-    let granted = client.request_permit(to, ask(false), TIMEOUT).await.expect("an answer");
+    let granted =
+        client.request_permit(to, permit_request(false), TIMEOUT).await.expect("an answer");
     assert_eq!(granted.map(|permit| (permit.id, permit.epoch.0, permit.priority)), Ok((7, 3, 2)));
-    let refused = client.request_permit(to, ask(true), TIMEOUT).await.expect("an answer");
+    let refused =
+        client.request_permit(to, permit_request(true), TIMEOUT).await.expect("an answer");
     assert!(refused.is_err_and(|refusal| refusal.is_not_owner && refusal.reason == "overloaded"));
     for ending in
         [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::CallerDisconnected]
@@ -173,25 +175,21 @@
     let document = client.fetch_configuration(to, TIMEOUT).await.expect("an answer");
     assert_eq!(document, Some(Document { version: 4, text: "{}".into() }));
     assert_eq!(client.fetch_owners(to, TIMEOUT).await, Ok(None));
-    for keep in [false, true] {
-        let adopt = Adoption {
-            target: "t".into(),
-            stream: stream(),
-            node: "node-1".into(),
-            is_renewal: keep,
-        };
-        let permit = client.adopt(to, adopt, TIMEOUT).await.expect("an answer");
-        assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(keep)));
+    for is_renewal in [false, true] {
+        let adoption =
+            Adoption { target: "t".into(), stream: stream(), node: "node-1".into(), is_renewal };
+        let permit = client.adopt(to, adoption, TIMEOUT).await.expect("an answer");
+        assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(is_renewal)));
     }
 }
 
 /// Guards against links that authenticate only one side: a process with another fleet key must be
 /// rejected both as client and as server.
 #[tokio::test]
-async fn without_the_key_nothing_is_said() {
+async fn peers_without_the_fleet_key_are_rejected() {
     let server = listen(Node::default(), "2a");
-    let stranger = listen(Node::default(), "2b");
-    for (from, to) in [(&stranger, &server), (&server, &stranger)] {
+    let foreign_node = listen(Node::default(), "2b");
+    for (from, to) in [(&foreign_node, &server), (&server, &foreign_node)] {
         let answer = from.exchange(to.address(), gossip(), TIMEOUT).await;
         assert!(matches!(answer, Err(Error::Connect(_))), "{answer:?}");
         let probe = from.probe(to.address(), TIMEOUT).await;
@@ -202,7 +200,7 @@
 /// Guards against connecting without a timeout: a peer that accepts connections but never answers
 /// must fail with a login timeout, and one that does not listen must fail immediately.
 #[tokio::test]
-async fn silent_and_absent_peers_are_given_up_on() {
+async fn connecting_to_a_silent_or_absent_peer_fails() {
     let client = listen(Node::default(), "2a");
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let to = silent.local_addr().expect("it is bound");
@@ -213,45 +211,46 @@
     assert!(matches!(answer, Err(Error::Connect(_))), "{answer:?}");
 }
 
-async fn eventually(what: &str, holds: impl Fn() -> bool) {
+async fn eventually(what: &str, condition: impl Fn() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, wait).await.is_ok(), "never came: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, wait).await.is_ok(), "timed out waiting: {what}");
 }
 
 /// Guards against requests that stay queued after their sender stopped waiting. The link must stay
 /// usable for the next call.
 #[tokio::test]
-async fn a_dropped_ask_is_withdrawn_at_its_owner() {
-    let node = Node { waits: true, ..Node::default() };
+async fn a_dropped_permit_request_is_withdrawn_from_its_owner() {
+    let node = Node { blocks_permits: true, ..Node::default() };
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to: SocketAddr = server.address();
     let waiting = tokio::spawn({
         let client = client.clone();
-        async move { client.request_permit(to, ask(false), TIMEOUT).await }
+        async move { client.request_permit(to, permit_request(false), TIMEOUT).await }
     });
-    eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
+    eventually("the request is queued", || node.pending.load(Ordering::SeqCst) == 1).await;
     waiting.abort();
-    eventually("the ask is withdrawn", || node.asked.load(Ordering::SeqCst) == 0).await;
+    eventually("the request is withdrawn", || node.pending.load(Ordering::SeqCst) == 0).await;
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
 }
 
 /// Guards against waiting for the timeout when the owner's process ends while a permit request is
 /// queued there.
 #[tokio::test]
-async fn an_ask_at_a_closed_peer_ends() {
-    let node = Node { waits: true, ..Node::default() };
+async fn a_queued_permit_request_fails_when_the_peer_closes() {
+    let node = Node { blocks_permits: true, ..Node::default() };
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to = server.address();
     let closing = async {
-        eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
+        eventually("the request is queued", || node.pending.load(Ordering::SeqCst) == 1).await;
         server.close();
     };
-    let (answer, ()) = tokio::join!(client.request_permit(to, ask(false), TIMEOUT * 100), closing);
+    let (answer, ()) =
+        tokio::join!(client.request_permit(to, permit_request(false), TIMEOUT * 100), closing);
     assert!(matches!(answer, Err(Error::NoAnswer(_))), "{answer:?}");
 }
