--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -9,7 +9,7 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-/// A model with the version and the adapter that a request asks for.
+/// A model with the version and the adapter that a request needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Weights {
     /// The model.
@@ -21,103 +21,104 @@
     pub adapter: Option<id::Adapter>,
 }
 
-/// The priority that an engine gives a stream; the greater goes first.
+/// The scheduling priority of a stream on an engine; a greater value is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Priority(pub u8);
 
-/// A stream to open.
+/// A request to open a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generate {
-    /// Who sends it, for which attempt, until when.
+    /// The stream id, which names the sender, the attempt and the deadline.
     pub stream: id::Stream,
-    /// What is to run it.
+    /// The weights to run it with.
     pub weights: Weights,
     /// The prompt.
     pub prompt: String,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: size::Tokens,
     /// Its priority.
     pub priority: Priority,
-    /// KV cache imported before, which the prefill may start from.
+    /// An imported KV cache that the prefill may continue from.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub import: Option<Handle>,
-    /// Continue the prefill only, and keep the KV cache under this handle.
+    /// If set, the engine only continues the prefill and keeps the KV cache under this handle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefill_only: Option<Handle>,
-    /// Skip tokens before this index (a repeated attempt after a lost one).
+    /// Index of the first token to return: a repeated attempt skips the tokens that the caller
+    /// already has.
     #[serde(default)]
     pub from: u64,
 }
 
-/// A KV cache kept on an engine for export, import or reuse; tagged with the
-/// stream it belongs to, so that whoever finds it can tell an orphan.
+/// A KV cache kept on an engine for export, import or reuse. It carries the id of its stream, so
+/// that a cache whose stream no longer exists can be recognized as an orphan.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Handle {
     /// The stream it was made for.
     pub stream: id::Stream,
-    /// The part of a prompt that is spread over several engines, from 0.
+    /// Index, from 0, of the chunk of a prompt that is split over several engines.
     pub part: u32,
 }
 
-/// What a stream brings.
+/// An event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// A token with its index from 0.
+    /// A generated token.
     Token {
-        /// The index.
+        /// The index of the token, from 0.
         seq: u64,
         /// The text.
         text: CompactString,
     },
-    /// The explicit end: the answer is whole and has this many tokens.
+    /// The explicit end marker: the answer is complete.
     End {
-        /// Tokens generated.
+        /// Number of tokens generated.
         count: u64,
     },
-    /// The engine ended the stream by itself before it was whole.
+    /// The engine ended the stream before it was complete.
     Failed {
-        /// Why.
+        /// The reason.
         reason: CompactString,
     },
 }
 
-/// What a cancel found.
+/// The result of a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cancelled {
-    /// The stream was not known, and the engine will refuse it from now on.
+    /// The engine did not know the stream and will reject it from now on.
     NeverBegun,
-    /// The stream was running and has been stopped.
+    /// The stream was running and was stopped.
     Stopped,
-    /// The stream had ended.
+    /// The stream had already ended.
     Ended,
 }
 
-/// A stream that is held on an engine.
+/// A stream that an engine holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldStream {
     /// The stream.
     pub stream: id::Stream,
-    /// Tokens of KV cache it holds or will hold.
+    /// KV cache in tokens that the stream uses or has reserved.
     pub kv: size::Tokens,
-    /// Tokens of its prompt that are not prefilled yet.
+    /// Prompt tokens that are not prefilled yet.
     pub prefill_left: size::Tokens,
 }
 
 /// Weights on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedWeights {
-    /// Which.
+    /// The weights.
     pub weights: Weights,
-    /// Whether they can serve, or are still being loaded.
+    /// Whether they are ready to serve; otherwise they are still loading.
     pub ready: bool,
 }
 
-/// The role of an engine.
+/// The phases that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -130,73 +131,72 @@
     Decode,
 }
 
-/// The load that an engine reports, with a lag.
+/// The load report of an engine; it lags behind the actual load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Differs after each start of the engine process.
+    /// The incarnation of the engine process; each start has a new one.
     pub incarnation: id::Incarnation,
     /// KV cache capacity.
     pub kv_capacity: size::Tokens,
     /// KV cache in use by streams, handles and pins.
     pub kv_used: size::Tokens,
-    /// Prompt tokens a second that it prefills when warm.
+    /// Prompt tokens prefilled per second when warm.
     pub prefill_rate: u64,
-    /// Streams that it decodes at once when warm.
+    /// Maximum number of streams decoded concurrently when warm.
     pub streams_max: u32,
-    /// How warm it is, from 0 (cold) to 100.
+    /// Warmth from 0 (cold) to 100 (warm).
     pub warmth: u8,
-    /// Streams held.
+    /// The streams it holds.
     pub streams: Vec<HeldStream>,
-    /// KV caches held beside streams.
+    /// KV caches kept apart from streams.
     pub handles: Vec<Handle>,
-    /// Pinned prefixes by hash.
+    /// Hashes of the pinned prefixes.
     pub pins: Vec<u64>,
-    /// Weights held.
+    /// The weights it holds.
     pub loaded: Vec<LoadedWeights>,
     /// Its role.
     pub role: Role,
-    /// The greatest fencing number seen, where the engine checks them.
+    /// The greatest fencing epoch seen; `None` if the engine does not check fencing epochs.
     pub fence: Option<id::Epoch>,
-    /// Prompt tokens found in its prefix cache since it started.
+    /// Prompt tokens found in the prefix cache since the process started.
     pub cache_hits: u64,
-    /// Prompt tokens prefilled since it started.
+    /// Prompt tokens prefilled since the process started.
     pub cache_misses: u64,
 }
 
-/// An order to an engine.
+/// A management order to an engine. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// Load weights; done when already loaded.
+    /// Load weights; no effect if they are loaded.
     Load(Weights),
-    /// Unload weights; done when not loaded.
+    /// Unload weights; no effect if they are not loaded.
     Unload(Weights),
-    /// Change role.
+    /// Change the role.
     Role(Role),
-    /// Pin a prefix in the cache, by the hash of its leading blocks; see
-    /// [`crate::prefix`].
+    /// Pin a prefix in the cache by the hash of its leading blocks; see [`crate::prefix`].
     Pin(u64),
-    /// Release a pinned prefix.
+    /// Unpin a prefix.
     Unpin(u64),
 }
 
-/// A change of an engine's prefix cache; events come late and with gaps,
-/// which show in `seq`.
+/// A change of an engine's prefix cache. Events arrive late and some are missing; gaps in `seq`
+/// show the missing ones.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events.
+    /// Sequence number among the events of the engine.
     pub seq: u64,
     /// Hash of the leading blocks that were stored or evicted; see
     /// [`crate::prefix`].
     pub prefix: u64,
-    /// Whether the prefix was stored.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
-/// Model engines.
+/// The interface to model engines.
 pub trait Engines: Clone + Send + Sync + 'static {
-    /// What the tokens of a stream come through; dropping it closes the
-    /// connection, which leaves the stream on the engine.
+    /// The stream of events of a generation. Dropping it closes the connection; the generation
+    /// stays on the engine.
     type Tokens: Stream<Item = Result<Event, Error>> + Send + Unpin;
 
     /// Opens a stream.
@@ -206,7 +206,7 @@
         generate: &Generate,
     ) -> impl Future<Output = Result<Self::Tokens, Error>> + Send;
 
-    /// Takes up a stream that the engine holds, from token `from`.
+    /// Resumes a stream that the engine holds, from token `from`.
     fn resume(
         &self,
         at: SocketAddr,
@@ -214,7 +214,7 @@
         from: u64,
     ) -> impl Future<Output = Result<Self::Tokens, Error>> + Send;
 
-    /// Cancels a stream and frees its memory.
+    /// Cancels a stream and frees its KV cache.
     fn cancel(
         &self,
         at: SocketAddr,
@@ -224,7 +224,7 @@
     /// Reads the load report.
     fn report(&self, at: SocketAddr) -> impl Future<Output = Result<Report, Error>> + Send;
 
-    /// Gives an order under a fencing number.
+    /// Sends an order with a fencing epoch.
     fn order(
         &self,
         at: SocketAddr,
@@ -232,15 +232,15 @@
         order: &Order,
     ) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Reads the cache events after `after`.
+    /// Reads the cache events with a sequence number greater than `after`.
     fn cache_events(
         &self,
         at: SocketAddr,
         after: u64,
     ) -> impl Future<Output = Result<Vec<CacheEvent>, Error>> + Send;
 
-    /// Has the engine at `at` take over the KV cache `handle` that the engine
-    /// at `from` holds; both hold it until one drops it.
+    /// Makes the engine at `at` copy the KV cache `handle` from the engine at `from`. Both engines
+    /// hold it until it is dropped on each of them.
     fn import(
         &self,
         at: SocketAddr,
@@ -248,7 +248,7 @@
         handle: &Handle,
     ) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Drops a held KV cache; done when not held.
+    /// Drops a kept KV cache; no effect if the engine does not hold it.
     fn drop_handle(
         &self,
         at: SocketAddr,
--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -1,8 +1,7 @@
-//! HTTP adapters of the target ports.
+//! HTTP clients for the target interfaces.
 //!
-//! Streams are JSON lines over a connection of their own, and how long they
-//! may stand still is for the caller to bound. Short calls share a pooled
-//! client; what its failures mean is told apart in [`hickory_client`].
+//! A stream is a response of JSON lines on its own connection; its caller must apply a timeout for
+//! progress. Short calls share a pooled client; [`hickory_client`] classifies its failures.
 
 use crate::Error;
 use crate::engine::{CacheEvent, Cancelled, Engines, Event, Generate, Handle, Order, Report};
@@ -21,49 +20,49 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// How long a connect to a target may take.
+/// Timeout for connecting to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long an import may take: it ends with the copy of a KV cache, which
-/// takes seconds for the greatest ones.
+/// Timeout for an import. The call returns when the KV cache is copied, which takes seconds for the
+/// largest ones.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Targets over HTTP.
+/// An HTTP client for all targets.
 #[derive(Clone, Debug)]
 pub struct Targets {
     client: Client,
     timeout: Duration,
 }
 
-/// The body of an order.
+/// The body of an order request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FencedOrder {
-    /// The fencing number.
+    /// The fencing epoch.
     pub fence: id::Epoch,
     /// The order.
     pub order: Order,
 }
 
-/// The body of an import.
+/// The body of an import request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ImportRequest {
     /// The engine that holds the KV cache.
     pub from: SocketAddr,
-    /// The KV cache.
+    /// The handle of the KV cache.
     pub handle: Handle,
 }
 
-/// The body of a resume.
+/// The body of a resume request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ResumeRequest {
-    /// The stream.
+    /// The stream to resume.
     pub stream: id::Stream,
-    /// The first token wanted.
+    /// Index of the first token to return.
     pub from: u64,
 }
 
 impl Targets {
-    /// Opens the adapters; each short call ends within `timeout`.
+    /// Creates a client whose short calls time out after `timeout`.
     pub fn open(timeout: Duration) -> Self {
         Self { client: Client::open(CONNECT_TIMEOUT.min(timeout)), timeout }
     }
@@ -117,9 +116,8 @@
     Ok(body.map_err(|e| Error::NotSent(e.to_string()))?.unwrap_or_default().into())
 }
 
-/// Reads a refusal from a status. Only a status that blames the call means
-/// that the target did not begin: behind one that blames the target, it may
-/// have failed midway.
+/// Converts an HTTP status to an error. Only a client error (4xx) means that the target did not
+/// start the request; after a server error (5xx) it may have failed midway.
 fn check_status(status: StatusCode, body: &[u8]) -> Result<(), Error> {
     match status {
         StatusCode::NOT_FOUND => Err(Error::NotFound),
@@ -132,7 +130,7 @@
     }
 }
 
-/// The tokens of a stream, from JSON lines.
+/// The events of a stream, parsed from JSON lines.
 #[derive(Debug)]
 pub struct Tokens {
     body: Incoming,
@@ -163,8 +161,8 @@
                         this.line.extend_from_slice(&data);
                     }
                 }
-                // A body that stops without its explicit end is cut: the
-                // answer is not whole, whatever has come so far.
+                // A body without the explicit end marker was cut off: the answer is incomplete even
+                // if the body ended normally.
                 Some(Err(e)) => {
                     this.ended = true;
                     return Poll::Ready(Some(Err(Error::Unknown(e.to_string()))));
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ports to the targets: model engines and plain services.
+//! Interfaces to the targets: model engines and plain services.
 //!
-//! The adapters only translate. What a failed call means for a request (did
-//! it run, may it be sent again) is decided by the caller from [`Error`].
+//! The HTTP clients only translate calls. From [`Error`] the caller decides whether a failed
+//! request may have run and whether it may be repeated.
 
 pub mod engine;
 pub mod http;
@@ -10,28 +10,28 @@
 
 use derive_more::Display;
 
-/// Why a call to a target failed, by what the target can have seen of it.
+/// Why a call to a target failed, classified by whether the target may have acted on it.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// No byte of the call reached the target.
+    /// No byte of the call was sent to the target.
     #[display("not sent: {_0}")]
     #[error(ignore)]
     NotSent(String),
-    /// Bytes went, and the target may have acted on them.
+    /// The call was sent, and the target may have acted on it.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     Unknown(String),
-    /// The target answered that it did not begin.
+    /// The target answered that it did not start the call.
     #[display("refused: {_0}")]
     #[error(ignore)]
     Refused(String),
-    /// The target has seen a greater fencing number.
+    /// The target has seen a greater fencing epoch.
     #[display("stale fencing number")]
     Stale,
-    /// The target does not know what was named.
+    /// The target does not have the named stream or KV cache.
     #[display("not found")]
     NotFound,
-    /// The target did not move on for longer than it may.
+    /// The stream made no progress within its timeout.
     #[display("no progress")]
     Stalled,
 }
--- a/crates/target/src/prefix.rs
+++ b/crates/target/src/prefix.rs
@@ -1,20 +1,19 @@
-//! Hashes of the leading blocks of a prompt, as engines and their cache
-//! events name them.
+//! Hashes of the leading blocks of a prompt, which name prefixes in engines and their cache events.
 //!
-//! Block `n` is named by the first eight bytes, little endian, of the BLAKE3
-//! hash of the prompt's bytes from its start to the end of the block, so that
-//! equal names mean equal prompts up to there.
+//! The hash of block `n` is the first eight bytes, little endian, of the BLAKE3 hash of the prompt
+//! from its start to the end of the block. Equal hashes therefore mean that the prompts are equal
+//! up to the end of the block.
 
 use hickory_unit::size;
 
-/// Tokens in a block.
+/// Number of tokens in a block.
 pub const BLOCK_TOKENS: size::Tokens = size::Tokens(256);
 
-/// Bytes of prompt in a block.
+/// Number of prompt bytes in a block.
 pub const BLOCK_BYTES: usize = (BLOCK_TOKENS.0 * size::BYTES_PER_TOKEN) as usize;
 
-/// The hashes of the whole leading blocks of `prompt`; an incomplete last
-/// block has none.
+/// Returns the hashes of the complete leading blocks of `prompt`; an incomplete last block is
+/// ignored.
 pub fn hash_blocks(prompt: &str) -> Vec<u64> {
     let mut hasher = blake3::Hasher::new();
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES);
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: one call, one answer.
+//! Plain services: one request, one response.
 
 use crate::Error;
 use bytes::Bytes;
@@ -7,20 +7,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A call.
+/// A call of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The path within the service, with its leading slash.
+    /// The path within the service, with a leading slash.
     pub path: String,
     /// The idempotency key, passed on so that the service can log it.
     pub key: Option<String>,
     /// The body.
     pub body: Bytes,
-    /// Time left for the answer.
+    /// Timeout for the reply.
     pub timeout: Duration,
 }
 
-/// An answer.
+/// The reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     /// The HTTP status.
@@ -29,22 +29,22 @@
     pub body: Bytes,
 }
 
-/// The load that a replica of a service reports.
+/// The load report of a service replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Differs after each start of the process.
+    /// The incarnation of the process; each start has a new one.
     pub incarnation: hickory_unit::id::Incarnation,
-    /// Calls running.
+    /// Number of calls in progress.
     pub running: u32,
-    /// Calls that it bears at once when warm.
+    /// Maximum number of concurrent calls when warm.
     pub calls_max: u32,
-    /// How warm it is, from 0 (cold) to 100.
+    /// Warmth from 0 (cold) to 100 (warm).
     pub warmth: u8,
 }
 
-/// Plain services.
+/// The interface to plain services.
 pub trait Services: Clone + Send + Sync + 'static {
-    /// Makes a call.
+    /// Sends a call and returns the reply.
     fn call(&self, at: SocketAddr, call: Call)
     -> impl Future<Output = Result<Reply, Error>> + Send;
 
--- a/crates/target/tests/contract.rs
+++ b/crates/target/tests/contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the target ports over HTTP: what each call gives under
-//! each fault, and whether the target acted on it.
+//! Tests of the target interfaces over HTTP: the result of each call under each fault, and whether
+//! the target acted on it.
 
 mod scene;
 
@@ -13,22 +13,22 @@
 #[derive(Clone, Copy, Debug)]
 enum Act {
     Generate,
-    /// A prompt greater than the engine.
+    /// A request for more tokens than the engine can hold.
     GenerateLong,
-    /// Weights that are not loaded.
+    /// A request for weights that are not loaded.
     GenerateNotLoaded,
-    /// A stream that has begun before.
+    /// A stream that was started before.
     GenerateAgain,
-    /// A stream that was cancelled before it came.
+    /// A stream that was cancelled before it was sent.
     GenerateCancelled,
-    /// A KV cache to start from that is not held.
+    /// An import of a KV cache that the engine does not hold.
     GenerateNoCache,
     Resume,
     ResumeUnknown,
     Cancel,
     Report,
     Order,
-    /// An order below the greatest fencing number.
+    /// An order with a fencing epoch lower than the greatest one seen.
     OrderStale,
     CacheEvents,
     ImportUnknown,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Fault, call, what the caller is told, whether stream 9 has begun.
+/// Fault, call, its result, whether stream 9 was started.
 const ENGINE: &[(Fault, Act, Told, bool)] = &[
     (Fault::None, Act::Generate, Told::Done, true),
     (Fault::None, Act::GenerateLong, Told::Refused, false),
@@ -134,8 +134,8 @@
     }
 }
 
-/// The memory of a stream whose cancel was lost stays taken until a cancel
-/// arrives: the caller is told that it does not know.
+/// Guards against treating a lost cancellation as done: the KV cache stays in use until a
+/// cancellation arrives, so the caller must get `Unknown`.
 #[tokio::test]
 async fn lost_cancel_is_repeated() {
     let scene = Scene::open().await;
@@ -151,7 +151,7 @@
     assert_eq!(scene.targets.cancel(at, &stream).await, Ok(Cancelled::Ended));
 }
 
-/// Engines that ignore fencing numbers take an order of a paused holder.
+/// Engines that ignore fencing epochs execute an order from a paused former owner.
 #[tokio::test]
 async fn engine_without_fencing_takes_a_stale_order() {
     let mut options = scene::options();
@@ -162,7 +162,7 @@
     assert_eq!(Engines::report(&scene.targets, at).await.unwrap().fence, None);
 }
 
-/// Fault, what the caller of a plain service is told, how often it ran.
+/// Fault, result for the caller of a plain service, number of executions.
 const SERVICE: &[(Fault, Told, u32)] = &[
     (Fault::None, Told::Done, 1),
     (Fault::Killed, Told::NotSent, 0),
@@ -195,7 +195,8 @@
     }
 }
 
-/// The books of a service outlive its process, as the orders in them do.
+/// A restart of a service changes its incarnation and resets its warmth, but not its count of
+/// executed calls.
 #[tokio::test]
 async fn service_keeps_its_count_through_a_restart() {
     let options = hickory_standin::service::Options::default();
@@ -213,8 +214,8 @@
     assert!(before.warmth > after.warmth, "cold after a restart");
 }
 
-/// A cold replica that is given more than it bears falls over, and its calls
-/// have run for all that their callers know.
+/// A cold replica that gets more calls than it can handle crashes. Callers must treat these calls
+/// as possibly executed.
 #[tokio::test]
 async fn cold_service_falls_over_under_a_full_share() {
     let options = hickory_standin::service::Options {
--- a/crates/target/tests/scene/mod.rs
+++ b/crates/target/tests/scene/mod.rs
@@ -1,4 +1,4 @@
-//! An engine with something on it, and the faults that it is put through.
+//! An engine with some state, and the faults that tests inject into it.
 #![allow(dead_code)]
 
 use futures::StreamExt;
@@ -13,12 +13,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Ends the short calls that no answer comes to, and the wait for a stream
-/// that stands still; what is answered gets [`LONG`], so that a busy machine
-/// changes no verdict.
+/// Timeout where no answer is expected: for short calls that are never answered and for stalled
+/// streams. Calls that are answered get [`LONG`], so that a slow machine does not change the
+/// result.
 pub const SHORT: Duration = Duration::from_millis(250);
 
-/// A wait that no test sees the end of.
+/// A timeout that is never reached in a passing test.
 pub const LONG: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Debug)]
@@ -26,26 +26,26 @@
     None,
     /// The process is dead.
     Killed,
-    /// It was dead, and runs again.
+    /// The process was killed and started again.
     Restarted,
-    /// It accepts connections and says nothing.
+    /// It accepts connections but does not answer.
     Frozen,
-    /// It was frozen, and goes on.
+    /// It was frozen and runs again.
     Thawed,
-    /// It takes longer than the caller waits.
+    /// It answers only after the caller's timeout.
     Slow,
-    /// The call is lost on a connection that breaks.
+    /// The call is lost because the connection breaks.
     CallLost,
-    /// The answer is lost on a connection that breaks.
+    /// The answer is lost because the connection breaks.
     AnswerLost,
-    /// No answer comes, and the connection stays open.
+    /// No answer arrives and the connection stays open.
     AnswerSilent,
-    /// The connections that were open are silent for good.
+    /// All connections that were open become silent forever.
     Silenced,
 }
 
 impl Fault {
-    /// How long to wait for what comes under it.
+    /// The timeout for calls under this fault.
     pub fn patience(self) -> Duration {
         match self {
             Self::Frozen | Self::Slow | Self::AnswerSilent | Self::Silenced => SHORT,
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a caller is told.
+/// The result that a caller gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     Done,
@@ -82,14 +82,14 @@
     Stale,
     NotFound,
     Stalled,
-    /// The stream failed by the engine's own word.
+    /// The engine reported that the stream failed.
     Failed,
-    /// Nothing: the caller has to bound the wait itself.
+    /// No result within the timeout: the caller must apply its own timeout.
     Pending,
 }
 
 impl Told {
-    /// How long to wait for what is expected.
+    /// The timeout to use when this result is expected.
     pub fn patience(self) -> Duration {
         if self == Self::Pending { SHORT } else { LONG }
     }
@@ -152,14 +152,14 @@
 
 pub struct Scene {
     pub engine: Engine,
-    /// With timeouts of `patience`.
+    /// Clients that use `timeout`.
     pub targets: Targets,
     pub patience: Duration,
 }
 
 impl Scene {
-    /// An engine that has ended stream 1, keeps a KV cache of stream 2, and
-    /// has seen fencing number 2.
+    /// Starts an engine that has completed stream 1, keeps a KV cache of stream 2, and has seen
+    /// fencing epoch 2.
     pub async fn open() -> Self {
         Self::open_with(options()).await
     }
@@ -175,8 +175,8 @@
         scene
     }
 
-    /// The same with as much patience as `fault` needs, and a connection that
-    /// has been used.
+    /// Like [`Self::open`], with the timeout that `fault` needs and a connection that has been
+    /// used.
     pub async fn open_for(fault: Fault) -> Self {
         let mut scene = Self::open().await;
         scene.patience = fault.patience();
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Opens a stream of ten tokens that stands still after the fifth.
+    /// Opens a stream of ten tokens that stalls after the fifth.
     pub async fn hold(&self, number: u128) -> Tokens {
         self.engine.service().stall(Stall::After(5));
         let generate = generate(number, 10);
@@ -210,7 +210,7 @@
     }
 }
 
-/// The text of the next `count` tokens.
+/// Reads the next `count` tokens and returns their text.
 pub async fn read_tokens(tokens: &mut Tokens, count: usize) -> String {
     let mut text = String::new();
     for _ in 0..count {
--- a/crates/target/tests/stream.rs
+++ b/crates/target/tests/stream.rs
@@ -1,5 +1,5 @@
-//! The contract of streams: what a reader gets when something happens in the
-//! middle of an answer, and how the rest is taken up.
+//! Tests of streams: what a reader gets when a fault interrupts an answer, and whether the stream
+//! can be resumed.
 
 mod scene;
 
@@ -12,24 +12,24 @@
 use scene::{Fault, LONG, SHORT, Scene, Told, generate, read_to_end, read_tokens, stream, weights};
 use std::time::Duration;
 
-/// What happens after the fifth of ten tokens.
+/// An event after the fifth of ten tokens.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// Nothing: the stream goes on.
+    /// The stream continues.
     GoOn,
-    /// Nothing: the stream stands still.
+    /// The stream stalls.
     Stall,
-    /// All open connections are cut.
+    /// All open connections are closed.
     Cut,
-    /// Another reader takes up the stream.
+    /// Another reader resumes the stream.
     Superseded,
-    /// It is cancelled.
+    /// The stream is cancelled.
     Cancelled,
     /// Its weights are unloaded.
     Unloaded,
     /// A request crashes the engine.
     Crashed,
-    /// A fault that the contract of short calls has, too.
+    /// A fault that the tests of short calls use as well.
     Fault(Fault),
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// What happens, what the reader is told, whether the stream can be taken up.
+/// Event, result for the reader, whether the stream can be resumed.
 const EVENTS: &[(Event, Told, bool)] = &[
     (Event::GoOn, Told::Done, true),
     (Event::Stall, Told::Pending, true),
@@ -91,9 +91,8 @@
     }
 }
 
-/// The caller sees the rest of the answer, not the answer from its start: the
-/// connection is cut after five tokens, the stream lives on, and a resume
-/// from the sixth brings what is missing.
+/// Guards against a resume that repeats or skips tokens: the connection breaks after five tokens,
+/// and a resume from token 5 must return exactly the rest.
 #[tokio::test]
 async fn answer_is_whole_over_a_cut() {
     let scene = Scene::open().await;
@@ -113,7 +112,7 @@
     assert!(rest.next().await.is_none());
 }
 
-/// A repeated attempt skips the tokens that the caller has.
+/// A repeated attempt skips the tokens that the caller already has.
 #[tokio::test]
 async fn repeated_attempt_starts_where_the_caller_is() {
     let scene = Scene::open().await;
@@ -124,8 +123,7 @@
     assert_eq!(first, hickory_target::engine::Event::Token { seq: 7, text });
 }
 
-/// The engine loses memory while nobody reads: its stream stays after the
-/// reader has gone, until it is cancelled.
+/// A stream without a reader keeps its KV cache on the engine until it is cancelled.
 #[tokio::test]
 async fn stream_without_a_reader_holds_its_memory() {
     let scene = Scene::open().await;
@@ -139,7 +137,7 @@
     assert_eq!(scene.engine.service().kv_used(), before);
 }
 
-/// A frozen engine does nothing meanwhile, and goes on where it was.
+/// A frozen engine makes no progress and continues after it is thawed.
 #[tokio::test]
 async fn frozen_stream_goes_on_after_the_thaw() {
     let scene = Scene::open().await;
@@ -166,8 +164,8 @@
     assert_eq!(scene.targets.cancel(at, &stream(1)).await, Ok(Cancelled::Ended));
 }
 
-/// A prompt is prefilled here and generated there; the memory of both comes
-/// back.
+/// A prompt is prefilled on one engine and decoded on another; afterwards both have freed its KV
+/// cache.
 #[tokio::test]
 async fn cache_moves_between_engines() {
     let (a, b) = (Scene::open().await, Scene::open().await);
--- a/crates/target/tests/wire.rs
+++ b/crates/target/tests/wire.rs
@@ -1,4 +1,4 @@
-//! What a caller makes of odd statuses and of odd streams.
+//! Tests of unusual HTTP statuses and of malformed or truncated streams.
 
 mod scene;
 
@@ -12,12 +12,12 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// What the target answers.
+/// The response of the target.
 #[derive(Clone)]
 enum Answer {
     Status(u16, &'static str),
-    /// A stream in pieces, then its end; without the end it is cut when the
-    /// reader says so, for a cut takes along what has not arrived.
+    /// Pieces of a stream, and whether the body then ends normally. Otherwise the connection is cut
+    /// when the reader signals it, because a cut discards data that has not arrived yet.
     Pieces(&'static [&'static str], bool, Arc<Notify>),
 }
 
@@ -31,7 +31,7 @@
         tokio::spawn(async move {
             for piece in pieces {
                 let _ = send.send(Piece::Data(Bytes::from_static(piece.as_bytes()))).await;
-                // Leaves time for each piece to go out by itself.
+                // Lets each piece be sent separately.
                 tokio::task::yield_now().await;
             }
             match whole {
@@ -47,7 +47,7 @@
     server::spawn(any(), answer).unwrap()
 }
 
-/// A status that blames the target leaves open whether it began.
+/// Status, body and result. A 5xx status leaves open whether the target started the request.
 const STATUSES: &[(u16, &str, Told)] = &[
     (200, "null", Told::Done),
     (200, "[", Told::Unknown),
@@ -87,9 +87,8 @@
 const END: &str = "{\"end\":{\"count\":1}}\n";
 const FAILED: &str = "{\"failed\":{\"reason\":\"x\"}}\n";
 
-/// Pieces of a stream, whether the body then ends as a body should, tokens
-/// read, and what the reader is told at last. Only the explicit end makes an
-/// answer whole, whatever the connection does.
+/// Pieces of a stream, whether the body then ends normally, number of tokens read, and the final
+/// result. Only the explicit end marker completes an answer.
 const STREAMS: &[(&[&str], bool, usize, Told)] = &[
     (&[TOKEN, END], true, 1, Told::Done),
     (&["{\"token\":{\"seq\":0,\"te", "xt\":\" a\"}}\n", END], true, 1, Told::Done),
