--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -93,7 +93,7 @@
         let status = response.status();
         let body = response.into_body();
         if status.is_success() {
-            return Ok(Tokens { body, line: BytesMut::new(), ended: false });
+            return Ok(Tokens { body, buffer: BytesMut::new(), ended: false });
         }
         let text = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
         check_status(status, &text)?;
@@ -134,7 +134,7 @@
 #[derive(Debug)]
 pub struct Tokens {
     body: Incoming,
-    line: BytesMut,
+    buffer: BytesMut,
     ended: bool,
 }
 
@@ -147,9 +147,9 @@
             if this.ended {
                 return Poll::Ready(None);
             }
-            if let Some(end) = this.line.iter().position(|b| *b == b'\n') {
-                let line = this.line.split_to(end);
-                this.line.advance(1);
+            if let Some(end) = this.buffer.iter().position(|b| *b == b'\n') {
+                let line = this.buffer.split_to(end);
+                this.buffer.advance(1);
                 let event = serde_json::from_slice::<Event>(&line)
                     .map_err(|e| Error::Unknown(e.to_string()));
                 this.ended = !matches!(event, Ok(Event::Token { .. }));
@@ -158,7 +158,7 @@
             match ready!(Pin::new(&mut this.body).poll_frame(cx)) {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
-                        this.line.extend_from_slice(&data);
+                        this.buffer.extend_from_slice(&data);
                     }
                 }
                 // A body without the explicit end marker was cut off: the answer is incomplete even
@@ -231,8 +231,8 @@
     async fn call(&self, at: SocketAddr, call: Call) -> Result<Reply, Error> {
         let path = format!("/call{}", call.path);
         let (method, key) = (Method::POST, call.key.as_deref());
-        let sent = hickory_client::Call { method, path: &path, key, body: call.body };
-        let answer = self.client.exchange(at, sent, call.timeout).await?;
+        let request = hickory_client::Call { method, path: &path, key, body: call.body };
+        let answer = self.client.exchange(at, request, call.timeout).await?;
         Ok(Reply { status: answer.status.as_u16(), body: answer.body })
     }
 
