--- a/crates/admin/src/control.rs
+++ b/crates/admin/src/control.rs
@@ -1,4 +1,4 @@
-//! What the node does for operators.
+//! The operations that a node implements for the administration API.
 
 use crate::view;
 use hickory_release::configuration::Configuration;
@@ -7,66 +7,64 @@
 use hickory_unit::id;
 use std::sync::Arc;
 
-/// An accepted note.
+/// The result of an accepted note.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// The version that the note made.
+    /// The configuration version that the note created.
     pub version: id::Release,
-    /// Set where the same operation had been accepted before.
+    /// Whether the same operation had been accepted before.
     pub repeated: bool,
 }
 
 /// Why a note was not accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Failure {
-    /// It was written against another version than the present one.
+    /// The note was written against another version than the current one, which is given.
     Conflict(id::Release),
-    /// All that is wrong with it; lines are filled in by the server.
+    /// The findings of the note; the server fills in their lines.
     Invalid(Vec<Finding>),
-    /// The platform can't be reached; the note certainly has no effect.
+    /// The platform is unreachable; the note has no effect.
     Unavailable(String),
-    /// No answer came from the platform; the note may take effect. Read back
-    /// by the operation's id.
+    /// The platform did not answer, so the note may still take effect. Look up the operation's id
+    /// to find out.
     Unknown(String),
 }
 
-/// A node, as operators see and command it.
+/// A node, as operators observe and control it.
 ///
-/// Each method may block the thread that serves the connection; none may
-/// block for longer than the server's timeout, or the operator sees no answer.
+/// Each method may block the thread that serves the connection, but not for longer than the
+/// server's timeout, or the operator gets no answer.
 pub trait Control: Send + Sync + 'static {
-    /// Whether the token is an operator's, compared in constant time with the
-    /// kept digests.
+    /// Returns whether the token belongs to an operator. The digests are compared in constant time.
     fn is_operator(&self, token: &str) -> bool;
 
-    /// Accepts a note: applies it to the present configuration and writes the
-    /// result, whole or not at all.
+    /// Accepts a note: applies it to the current configuration and writes the result atomically.
     fn accept(&self, note: &Note) -> Result<Accepted, Failure>;
 
-    /// The version that the operation made: `None` where this node knows of no
-    /// effect, or the operation is older than what is kept. A node may learn
-    /// of an effect seconds later; a note sent again under the same operation
-    /// is told from a new one by the platform's own copy.
+    /// Returns the version that an operation created, or `None` if this node knows no effect of it
+    /// or its record has expired. The node may learn of an effect seconds later. A note that is
+    /// sent again under the same operation id is still recognized as a repetition, because that
+    /// check reads the platform's own copy.
     fn find_operation(&self, operation: &str) -> Result<Option<id::Release>, Failure>;
 
-    /// The configuration in force at this node, if it has one.
+    /// Returns the configuration in force at this node, if any.
     fn configuration(&self) -> Option<Arc<Configuration>>;
 
-    /// The nodes, as known here.
+    /// Returns the nodes that this node knows.
     fn nodes(&self) -> Vec<view::Node>;
 
-    /// The targets, as known here.
+    /// Returns the targets that this node knows.
     fn targets(&self) -> Vec<view::Target>;
 
-    /// Who owns which target, as known here.
+    /// Returns the owners of targets that this node knows.
     fn owners(&self) -> view::Owners;
 
-    /// Begins a planned stop of this node; returns at once.
+    /// Starts a planned stop of this node and returns immediately.
     fn drain(&self);
 
-    /// The metrics in the Prometheus text format.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 
-    /// How this node is.
+    /// Returns the health of this node.
     fn health(&self) -> view::Health;
 }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,10 @@
 //! The administration API of a node.
 //!
-//! [`server::Server`] serves it over a [`control::Control`], which the node
-//! implements; [`view`] and [`problem`] have the documents that go over the
-//! wire, for the command line to read.
+//! [`server::Server`] serves it for a [`control::Control`], which the node implements. [`view`] and
+//! [`problem`] define the response bodies, which the command line tool parses.
 //!
-//! The API is served by `oxhttp`, a thread for each connection. That suits a
-//! few operators and a scraper of metrics; callers are served elsewhere.
+//! The API is served by `oxhttp` with one thread per connection. That suits a few operators and a
+//! metrics scraper; callers are served by another server.
 
 pub mod control;
 pub mod problem;
@@ -15,5 +14,5 @@
 
 pub use server::{Handle, Server};
 
-/// The header that names the operation of a note which does not name its own.
+/// The header with the operation id of a note that does not contain one.
 pub const OPERATION_HEADER: &str = "idempotency-key";
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -8,47 +8,47 @@
 /// The media type of a problem document.
 pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// What failed.
+/// The kind of failure.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
-    /// No token, or one that is no operator's.
+    /// The token is missing or does not belong to an operator.
     #[display("unauthorized")]
     Unauthorized,
-    /// No such path or operation.
+    /// The path or operation does not exist.
     #[display("not-found")]
     NotFound,
-    /// The method is not one the path takes.
+    /// The path does not support the method.
     #[display("bad-method")]
     BadMethod,
-    /// A header can't be read, or contradicts the body.
+    /// A header is malformed or contradicts the body.
     #[display("bad-header")]
     BadHeader,
-    /// The body is over the bound.
+    /// The body exceeds the size limit.
     #[display("too-large")]
     TooLarge,
-    /// The note is invalid; the findings say where.
+    /// The note is invalid; the findings contain the details.
     #[display("invalid")]
     Invalid,
-    /// The note was written against another version than the present one.
+    /// The note was written against another version than the current one.
     #[display("conflict")]
     Conflict,
     /// The node has no configuration yet.
     #[display("not-ready")]
     NotReady,
-    /// The platform can't be reached; certainly nothing was done.
+    /// The platform is unreachable; the request had no effect.
     #[display("unavailable")]
     Unavailable,
-    /// No answer came from the platform; the note may take effect.
+    /// The platform did not answer; the note may still take effect.
     #[display("unknown")]
     Unknown,
-    /// The body broke off before its end.
+    /// The connection closed before the end of the body.
     #[display("incomplete")]
     Incomplete,
 }
 
 impl Code {
-    /// The HTTP status that goes with the code.
+    /// Returns the HTTP status of the code.
     pub fn status(self) -> u16 {
         match self {
             Self::BadHeader | Self::Incomplete => 400,
@@ -67,28 +67,28 @@
 /// A problem document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// `urn:hickoryrun:admin:` and the code.
+    /// `urn:hickoryrun:admin:` followed by the code.
     #[serde(rename = "type")]
     pub kind: String,
     /// The code.
     pub code: Code,
     /// The HTTP status.
     pub status: u16,
-    /// What a person reads.
+    /// A description for people.
     pub detail: String,
-    /// The present version, with a conflict.
+    /// The current version, if the note conflicts with it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub present: Option<id::Release>,
-    /// The operation's id, where a note was sent.
+    /// The operation id, if a note was sent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operation: Option<String>,
-    /// All that is wrong with the note.
+    /// The findings of the note.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<Finding>,
 }
 
 impl Problem {
-    /// A problem with nothing but its detail.
+    /// Creates a problem with a code and a description.
     pub fn new(code: Code, detail: impl Into<String>) -> Self {
         Self {
             kind: format!("urn:hickoryrun:admin:{code}"),
--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -1,4 +1,4 @@
-//! From a request to its answer.
+//! Routing of requests to their handlers.
 
 use crate::control::{Control, Failure};
 use crate::problem::{self, Code, Problem};
@@ -14,14 +14,14 @@
 use serde::Serialize;
 use std::io::Read;
 
-/// The greatest body: a note can't usefully be greater than the configuration
-/// it makes, which the platform bounds to one mebibyte.
+/// Maximum size of a request body. A larger note is of no use, because the platform limits the
+/// configuration that it creates to one mebibyte.
 const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// The media type that Prometheus asks for.
+/// The media type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-/// What the API serves.
+/// The endpoints of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Route<'a> {
     Accept,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Answers a request.
+/// Handles a request.
 pub(crate) fn answer<C: Control>(control: &C, request: &mut Request<Body>) -> Response<Body> {
     match serve(control, request) {
         Ok(response) => response,
@@ -76,7 +76,7 @@
 ) -> Result<Response<Body>, Box<Problem>> {
     let path = request.uri().path().to_owned();
     let route = Route::parse(&path);
-    // Without a token not even the paths that exist can be told apart.
+    // Without a valid token, existing and missing paths must not be distinguishable.
     if !route.is_some_and(Route::is_public) && !is_authorized(control, request) {
         return Err(fail(Code::Unauthorized, "an operator's token is needed"));
     }
@@ -179,7 +179,7 @@
     Ok(response)
 }
 
-/// The version in `If-Match`, if the header is there.
+/// Parses the version in the `If-Match` header, if present.
 fn read_if_match(request: &Request<Body>) -> Result<Option<id::Release>, Box<Problem>> {
     let Some(value) = request.headers().get(IF_MATCH) else {
         return Ok(None);
@@ -188,8 +188,8 @@
     version.map(Some).ok_or_else(|| fail(Code::BadHeader, "If-Match is no version in quotes"))
 }
 
-/// The operation's id from the header; a fresh one where neither the note nor
-/// the header has one: such a note can't be read back, but takes effect.
+/// Returns the operation id from the header, or a new one if the header is absent. A note with a
+/// generated id takes effect, but a client that loses the answer can't look it up.
 fn read_operation(request: &Request<Body>) -> Result<String, Box<Problem>> {
     let Some(value) = request.headers().get(OPERATION_HEADER) else {
         return Ok(uuid::Uuid::now_v7().to_string());
@@ -240,7 +240,7 @@
     problem
 }
 
-/// A problem as a response.
+/// Converts a problem to a response.
 pub(crate) fn render_problem(problem: &Problem) -> Response<Body> {
     let text = serde_json::to_string(problem).unwrap_or_default();
     let mut response = render(problem.status, problem::MEDIA_TYPE, text);
@@ -271,7 +271,7 @@
     response
 }
 
-/// Sets the entity tag to the version.
+/// Sets the `ETag` header to the version.
 fn set_version(response: &mut Response<Body>, version: id::Release) {
     if let Ok(value) = format!("\"{version}\"").parse() {
         response.headers_mut().insert(ETAG, value);
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: one listener, a bounded number of connections.
+//! The HTTP server: one listener and a bounded number of connections.
 
 use crate::control::Control;
 use crate::problem::{Code, Problem};
@@ -8,20 +8,18 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-/// Tries at finding a free port where none is given.
+/// Maximum number of attempts to bind a free port if none is configured.
 const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// The bounds of a server.
+/// Limits of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Connections served at once, each by a thread; more wait to be
-    /// accepted. A few operators and scrapers need a handful; the bound keeps
-    /// a flood from taking the threads and the memory that callers are served
-    /// with.
+    /// Maximum number of concurrent connections, each served by its own thread; further connections
+    /// wait to be accepted. A few operators and scrapers need only a handful. The limit keeps a
+    /// flood of connections from using up threads and memory that serving callers needs.
     pub max_connections: usize,
-    /// How long a read or write on a connection may stand. A connection that
-    /// is silent for good, because its other end is frozen or lost, must not
-    /// hold one of the few threads for good.
+    /// Timeout for reads and writes on a connection. A connection whose other end is frozen or
+    /// unreachable would otherwise occupy one of the few threads forever.
     pub timeout: Duration,
 }
 
@@ -37,9 +35,8 @@
 
 /// A running server.
 ///
-/// The library can't stop listening. A dropped handle lets go of the control,
-/// and what still connects is told that the node is gone; the listener's
-/// thread remains until the process ends.
+/// `oxhttp` can't stop listening. Dropping the handle releases the control, and later requests get
+/// an error that the node has stopped; the listener's thread runs until the process ends.
 #[derive(Debug)]
 pub struct Handle<C> {
     address: SocketAddr,
@@ -49,12 +46,12 @@
 type SharedControl<C> = Arc<RwLock<Option<Arc<C>>>>;
 
 impl Server {
-    /// Serves `control` at `address`; port 0 takes any that is free.
+    /// Serves `control` at `address`; port 0 selects a free port.
     pub fn spawn<C: Control>(address: SocketAddr, control: Arc<C>) -> io::Result<Handle<C>> {
         Self::spawn_with_options(Options::default(), address, control)
     }
 
-    /// Serves within bounds other than the usual ones.
+    /// Serves `control` with limits other than the defaults.
     pub fn spawn_with_options<C: Control>(
         options: Options,
         address: SocketAddr,
@@ -74,7 +71,7 @@
 }
 
 impl<C> Handle<C> {
-    /// Where the server listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -86,8 +83,7 @@
     }
 }
 
-/// Names a free port in place of port 0: the library tells no one which port
-/// it was given.
+/// Replaces port 0 with a free port, because `oxhttp` does not report the port that it bound.
 fn choose_port(address: SocketAddr) -> io::Result<SocketAddr> {
     if address.port() != 0 {
         return Ok(address);
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,17 +1,17 @@
-//! The documents that the API answers with.
+//! The response bodies of the API.
 
 use hickory_unit::{id, size};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The answer to an accepted note.
+/// The response to an accepted note.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The version that the note made.
+    /// The configuration version that the note created.
     pub version: id::Release,
-    /// The operation's id.
+    /// The operation id.
     pub operation: String,
-    /// Set where the same operation had been accepted before.
+    /// Whether the same operation had been accepted before.
     pub repeated: bool,
 }
 
@@ -22,15 +22,15 @@
     pub node: id::Node,
     /// Its availability zone.
     pub zone: id::Zone,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// The version of the configuration it has in force.
+    /// The version of its configuration in force.
     pub version: id::Release,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether the answering node has a link to it.
+    /// Whether the responding node has a link to it.
     pub reachable: bool,
-    /// Targets it owns.
+    /// Number of targets that it owns.
     pub owned: usize,
 }
 
@@ -43,30 +43,30 @@
     pub zone: id::Zone,
     /// `engine`, or the name of the plain service.
     pub kind: String,
-    /// Where it listens.
+    /// The address it listens on.
     pub address: SocketAddr,
-    /// `live`, `leaving`, `dead`.
+    /// `live`, `leaving` or `dead`.
     pub standing: String,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub accepting: bool,
-    /// Streams it bears at present.
+    /// Maximum number of concurrent streams at its current warmth.
     pub bound: u32,
-    /// Streams granted.
+    /// Number of granted streams.
     pub running: u32,
-    /// Asks that wait.
+    /// Number of requests in its owner's queue.
     pub waiting: u32,
-    /// KV cache that is free.
+    /// Free KV cache.
     pub kv_free: size::Tokens,
-    /// Weights that are ready, as `model@version` or `model@version+adapter`.
+    /// Weights that are loaded and ready, as `model@version` or `model@version+adapter`.
     pub ready: Vec<String>,
 }
 
-/// Who owns what.
+/// The ownership table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owners {
     /// The revision of the ownership table.
     pub revision: u64,
-    /// The owners, by target.
+    /// The owner of each target.
     pub owners: Vec<Owner>,
 }
 
@@ -77,21 +77,21 @@
     pub target: id::Target,
     /// The node that owns it.
     pub node: id::Node,
-    /// The epoch of the ownership.
+    /// The ownership epoch.
     pub epoch: id::Epoch,
 }
 
-/// How a node is.
+/// The health of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
     /// The node.
     pub node: id::Node,
     /// Whether it serves callers.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Whether the platform answers.
+    /// Whether the platform is reachable.
     pub platform: bool,
-    /// The version of the configuration in force; 0 before the first.
+    /// The version of the configuration in force; 0 if there is none yet.
     pub version: id::Release,
 }
--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of the administration API, over a control in memory.
+//! Tests of the administration API with an in-memory control.
 
 mod fake;
 
@@ -14,10 +14,10 @@
 
 const FIRST: &str = include_str!("data/first.jsonc");
 
-/// How long an answer may take before a test fails.
+/// Timeout after which a missing answer fails the test.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// One call, and what goes wrong meanwhile.
+/// A request and a fault that occurs while it is processed.
 struct Case {
     name: &'static str,
     method: Method,
@@ -45,7 +45,7 @@
     (fake, handle)
 }
 
-/// The answer as text: status, the headers that matter, and the body.
+/// Sends a request and returns the response as text: status, relevant headers and body.
 fn call(address: SocketAddr, case: &Case, body: impl Into<Body>) -> String {
     let mut request = Request::builder()
         .method(case.method.clone())
@@ -67,7 +67,7 @@
     text
 }
 
-/// Runs the cases in order on one node, and writes down what came back.
+/// Sends the requests in order to one node and returns all responses as text.
 fn report(platform: &Arc<Platform>, cases: &[Case]) -> String {
     let (fake, handle) = spawn(platform);
     let mut report = String::new();
@@ -194,10 +194,9 @@
     assert_eq!(platform.configuration().version.0, 1);
 }
 
-// The operator's connection breaks while the note is being sent. The server
-// sees the end of the connection before the end of the body; what came so far
-// is a note by itself, which must not be accepted in place of the whole one.
-// The library answers such a request on its own, with status 400 or 500.
+// Guards against accepting a truncated note. The operator's connection breaks within the body, and
+// the part that arrived is a valid note by itself. `oxhttp` answers such a request itself, with
+// status 400 or 500.
 #[test]
 fn a_note_that_breaks_off_is_not_accepted() {
     let platform = Platform::open(FIRST);
@@ -223,8 +222,8 @@
     assert_eq!(platform.configuration().version.0, 1);
 }
 
-// A node that is gone within a process that goes on (tests, the demo) must
-// not be kept alive by its administration server, which can't stop listening.
+// Guards against a stopped node that stays in memory because its administration server can't stop
+// listening. This matters in processes that outlive their nodes, such as tests and the demo.
 #[test]
 fn a_dropped_handle_lets_go_of_the_control() {
     let (fake, handle) = spawn(&Platform::open(FIRST));
@@ -242,10 +241,9 @@
     assert!(taken.is_err());
 }
 
-// A scraper is frozen, or something between the two ends has lost track of
-// its connections: they take all threads of the server and say nothing. The
-// operator who comes next waits for no longer than the timeout and is served;
-// without it, nobody could take a zone out at this node until it restarts.
+// Guards against silent connections that occupy all threads of the server, for example of a frozen
+// scraper or after a firewall dropped its connection state. They must time out so that the next
+// operator is served.
 #[test]
 fn silent_connections_do_not_keep_operators_out() {
     let options = Options { max_connections: 2, timeout: Duration::from_millis(300) };
@@ -254,7 +252,7 @@
     let handle = Server::spawn_with_options(options, address, fake).unwrap();
     let mut silent: Vec<TcpStream> =
         (0..6).map(|_| TcpStream::connect(handle.address()).unwrap()).collect();
-    // Some have begun a request, the others never say a word.
+    // Three connections start a request, the others send nothing.
     for stream in &mut silent[..3] {
         stream.write_all(b"GET /v1/admin/nodes HTTP/1.1\r\nhost: ").unwrap();
     }
--- a/crates/admin/tests/fake/mod.rs
+++ b/crates/admin/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! A control over a configuration in memory, with faults on demand.
+//! A control over an in-memory configuration, with fault injection.
 
 use hickory_admin::control::{Accepted, Control, Failure};
 use hickory_admin::view;
@@ -9,38 +9,38 @@
 use std::collections::VecDeque;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// The operator's token.
+/// The token of the operator.
 pub const TOKEN: &str = "operator-token";
 
-/// What goes wrong at the next accept.
+/// A fault at the next accepted note.
 #[derive(Clone, Debug)]
 #[allow(dead_code)]
 pub enum Fault {
-    /// The platform can't be reached.
+    /// The platform is unreachable.
     Unavailable,
-    /// The write takes effect, and the platform's answer is lost.
+    /// The write takes effect, but the platform's answer is lost.
     LostAfter,
-    /// The write gets lost, and nobody can tell.
+    /// The write is lost, and the node gets no answer.
     LostBefore,
-    /// The write takes effect, and the node never answers the operator.
+    /// The write takes effect, but the node does not answer the operator.
     Silent,
-    /// The same note, lost earlier, takes effect just before; the node sees
-    /// only that its write meets another version.
+    /// An earlier, delayed write of the same note takes effect first; the node only sees that the
+    /// version has changed.
     Overtaken,
-    /// Another operator's note gets in between the node's read and its write,
-    /// and the node tells of the version that it had read.
+    /// Another operator's note is written between the node's read and write, and the node reports
+    /// the version that it had read.
     RaceUnseen(&'static str),
-    /// Another operator's note gets in first.
+    /// Another operator's note is written first.
     Race(&'static str),
 }
 
-/// What all nodes share: the platform's key-value service.
+/// The platform's key-value service, which all nodes share.
 #[derive(Debug, Default)]
 pub struct Platform {
     configuration: Mutex<Configuration>,
 }
 
-/// A node that knows what the platform holds.
+/// A node that reads the platform's current state.
 #[derive(Debug)]
 pub struct Fake {
     platform: Arc<Platform>,
@@ -52,19 +52,19 @@
 
 #[allow(dead_code)]
 impl Platform {
-    /// A platform with what a note makes of an empty configuration.
+    /// Creates a platform whose configuration results from a note.
     pub fn open(note: &str) -> Arc<Self> {
         let platform = Arc::new(Self::default());
         platform.write(&parse_note(note).unwrap()).unwrap();
         platform
     }
 
-    /// What it holds.
+    /// Returns the stored configuration.
     pub fn configuration(&self) -> Configuration {
         self.configuration.lock().unwrap().clone()
     }
 
-    /// Accepts another operator's note, whatever the present version is.
+    /// Accepts another operator's note against the current version.
     pub fn race(&self, mut note: Note) -> Result<Accepted, Failure> {
         note.against = self.configuration().version;
         note.operation = format!("op-race-{}", note.against);
@@ -88,7 +88,7 @@
 
 #[allow(dead_code)]
 impl Fake {
-    /// A node before `platform`.
+    /// Creates a node that uses `platform`.
     pub fn open(platform: &Arc<Platform>, faults: impl IntoIterator<Item = Fault>) -> Arc<Self> {
         Arc::new(Self {
             platform: Arc::clone(platform),
@@ -99,22 +99,22 @@
         })
     }
 
-    /// Sets what goes wrong at the next accept.
+    /// Injects a fault at the next accepted note.
     pub fn fail(&self, fault: Fault) {
         self.faults.lock().unwrap().push_back(fault);
     }
 
-    /// Notes that came.
+    /// Returns the number of notes received.
     pub fn accepts(&self) -> usize {
         *self.accepts.lock().unwrap()
     }
 
-    /// Whether it was told to drain.
+    /// Returns whether a drain was requested.
     pub fn drained(&self) -> bool {
         *self.drained.lock().unwrap()
     }
 
-    /// Lets a silent node go on.
+    /// Unblocks a node with the fault [`Fault::Silent`].
     pub fn release(&self) {
         *self.released.0.lock().unwrap() = true;
         self.released.1.notify_all();
--- a/crates/document/src/field.rs
+++ b/crates/document/src/field.rs
@@ -6,7 +6,7 @@
 use jsonc_parser::ast::{Object, Value};
 use std::collections::BTreeSet;
 
-/// The fields of one object, taken by name; what is left over is unknown.
+/// Reads the fields of one object by name and reports the fields that were not read.
 #[derive(Debug)]
 pub struct Fields<'a, 'f> {
     node: &'a Node<'a>,
@@ -16,7 +16,7 @@
 }
 
 impl<'a, 'f> Fields<'a, 'f> {
-    /// The fields of `node`, where it is an object.
+    /// Opens the object in `node`, or adds a finding if it is not an object.
     pub fn open(node: &'a Node<'a>, findings: &'f mut Vec<Finding>) -> Option<Self> {
         let Value::Object(object) = node.value else {
             findings.push(node.mismatch("an object"));
@@ -25,7 +25,7 @@
         Some(Self { node, object, findings, requested: BTreeSet::new() })
     }
 
-    /// A field that must be there.
+    /// Reads a required field; adds a finding if it is missing.
     pub fn required<T: Read>(&mut self, name: &'static str) -> Option<T> {
         match self.take_field(name) {
             Some(node) => T::read(&node, self.findings),
@@ -38,13 +38,13 @@
         }
     }
 
-    /// A field that may be left out.
+    /// Reads an optional field.
     pub fn optional<T: Read>(&mut self, name: &'static str) -> Option<T> {
         let node = self.take_field(name)?;
         T::read(&node, self.findings)
     }
 
-    /// Ends the object: each field that was not asked for is a finding.
+    /// Adds a finding for each field that was not read.
     pub fn close(self) {
         for property in &self.object.properties {
             let name = property.name.as_str();
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,9 +1,9 @@
-//! Documents in JSON with comments, read with every finding and its location.
+//! Reading of JSON documents with comments that reports all findings with their locations.
 //!
-//! `serde` stops at the first thing that is wrong. Operators who send a long
-//! note, or start many hosts with one settings file, need all of them at
-//! once. [`read::Read`] walks the syntax tree of `jsonc-parser` instead and
-//! goes on after each finding.
+//! `serde` stops at the first error. Operators who send a long note, or start
+//! many hosts with one settings file, need all errors at once. [`read::Read`]
+//! therefore walks the syntax tree of `jsonc-parser` and continues after each
+//! finding.
 //!
 //! ```
 //! use hickory_document::{field::Fields, read::{Node, Read}, read_document};
@@ -46,26 +46,26 @@
 use location::{Lines, Locations};
 use read::{Node, Read};
 
-/// The path of the document itself.
+/// The path of the whole document in findings.
 pub const ROOT: &str = "document";
 
-/// What came of reading a document.
+/// The result of reading a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parsed<T> {
-    /// What could be read, also beside findings.
+    /// The parts that could be read, also if there are findings.
     pub value: Option<T>,
-    /// All that is wrong, by line.
+    /// The findings, sorted by line.
     pub findings: Vec<Finding>,
-    /// Where each field stands, for findings of later checks.
+    /// The lines of all fields, to locate findings of later checks.
     pub locations: Locations,
 }
 
 impl<T> Parsed<T> {
-    /// Adds findings of later checks, and fills in their lines.
+    /// Adds findings of later checks and fills in their lines.
     ///
-    /// A field that has a finding, or stands within one that has, gets no
-    /// second one: what could not be read is stood in for by a default, and a
-    /// finding about that default would mislead.
+    /// A later finding is dropped if its field, or an object that contains it, already has one: a
+    /// value that could not be read was replaced by a default, and a finding about that default
+    /// would be misleading.
     pub fn add_findings(&mut self, later: Vec<Finding>) {
         let known = &self.findings;
         let mut later: Vec<Finding> =
@@ -75,12 +75,12 @@
         self.findings.sort();
     }
 
-    /// Whether a field, or what it stands in, has a finding.
+    /// Returns whether a field, or an object that contains it, has a finding.
     pub fn has_finding(&self, field: &str) -> bool {
         has_finding(&self.findings, field)
     }
 
-    /// The value, where nothing is wrong.
+    /// Returns the value if there are no findings.
     pub fn into_result(self) -> Result<T, Vec<Finding>> {
         match self.value {
             Some(value) if self.findings.is_empty() => Ok(value),
@@ -96,7 +96,8 @@
             Some(root) => read_root(text, root),
             None => fail(1, "is empty".to_owned()),
         },
-        // The parser counts a lone carriage return as the end of a line, too.
+        // The parser also counts a lone carriage return as a line end, so its line number is not
+        // used.
         Err(error) => fail(Lines::of(text).line(error.range().start), error.kind().to_string()),
     }
 }
@@ -122,8 +123,8 @@
     Parsed { value: None, findings, locations: Locations::default() }
 }
 
-/// JSON with comments and trailing commas, and nothing looser: a note that
-/// another tool reads differently must not be accepted.
+/// Allows JSON with comments and trailing commas, and no further extensions: a note that another
+/// tool would parse differently must be rejected.
 fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
--- a/crates/document/src/location.rs
+++ b/crates/document/src/location.rs
@@ -1,32 +1,32 @@
-//! Where the fields of a document stand.
+//! The locations of a document's fields.
 
 use hickory_unit::finding::Finding;
 use jsonc_parser::ast::Value;
 use jsonc_parser::common::Ranged;
 use std::collections::BTreeMap;
 
-/// Where the lines of a text begin.
+/// The offsets at which the lines of a text start.
 #[derive(Clone, Debug)]
 pub struct Lines(Vec<usize>);
 
 impl Lines {
-    /// The lines of `text`.
+    /// Finds the lines of `text`.
     pub fn of(text: &str) -> Self {
         let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         Self(ends.map(|(index, _)| index + 1).collect())
     }
 
-    /// The line, from 1, of a byte's offset.
+    /// Returns the line number, from 1, of a byte offset.
     pub fn line(&self, offset: usize) -> usize {
         1 + self.0.partition_point(|start| *start <= offset)
     }
 }
 
-/// The lines of a document's fields, by their paths.
+/// The lines of a document's fields, by path.
 ///
-/// Fields of objects have paths as in `accounts.shop.models`; texts in arrays
-/// are named by themselves, as in `accounts.shop.models.advice`, and all else
-/// in arrays by its index, as in `ports[0]`.
+/// The path of an object's field looks like `accounts.shop.models`. A string in an array is
+/// identified by its value, as in `accounts.shop.models.advice`, and any other element by its
+/// index, as in `ports[0]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Locations(BTreeMap<String, usize>);
 
@@ -37,10 +37,9 @@
         locations
     }
 
-    /// Fills in the lines of findings that have none, and sorts all by line.
+    /// Fills in the lines of findings that have none, and sorts all findings.
     ///
-    /// A field that is not in the document has the line of what it would
-    /// stand in.
+    /// A field that is missing in the document gets the line of the object that should contain it.
     pub fn locate(&self, findings: &mut [Finding]) {
         for finding in findings.iter_mut().filter(|finding| finding.line == 0) {
             finding.line = self.line(&finding.field);
@@ -82,12 +81,12 @@
     }
 }
 
-/// The path of a field of the object at `path`.
+/// Returns the path of a field in the object at `path`.
 pub(crate) fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-/// The path of an element of the array at `path`.
+/// Returns the path of an element in the array at `path`.
 pub(crate) fn join_element(path: &str, index: usize, element: &Value<'_>) -> String {
     match element {
         Value::StringLit(text) => join_path(path, &text.value),
--- a/crates/document/src/read.rs
+++ b/crates/document/src/read.rs
@@ -1,4 +1,4 @@
-//! Values of a document as types.
+//! Conversion of document values to Rust types.
 
 use crate::ROOT;
 use crate::location::{self, Lines};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Characters of a wrong value that a finding shows.
+/// Maximum number of characters of an invalid value that a finding shows.
 const MAX_SHOWN_CHARS: usize = 32;
 
 /// A value with its location.
@@ -32,18 +32,18 @@
         Self { value, path, line: lines.line(offset), lines }
     }
 
-    /// A finding at this location.
+    /// Creates a finding at this location.
     pub fn finding(&self, message: impl Into<String>) -> Finding {
         let field = if self.path.is_empty() { ROOT.to_owned() } else { self.path.clone() };
         Finding { line: self.line, field, message: message.into() }
     }
 
-    /// A finding that another type was expected.
+    /// Creates a finding that the value is not what was expected.
     pub fn mismatch(&self, expected: &str) -> Finding {
         self.finding(format!("expected {expected}, found {}", describe_value(self.value)))
     }
 
-    /// The text, where it is one.
+    /// Returns the text of a string value.
     pub fn text(&self) -> Option<&'a str> {
         match self.value {
             Value::StringLit(text) => Some(&text.value),
@@ -63,19 +63,18 @@
     }
 }
 
-/// The beginning of a text, so that a finding stays on one line.
+/// Returns the start of a text, so that a finding stays on one line.
 fn truncate(text: &str) -> &str {
     text.char_indices().nth(MAX_SHOWN_CHARS).map_or(text, |(end, _)| &text[..end])
 }
 
 /// A type that can be read from a document.
 pub trait Read: Sized {
-    /// Reads the value, or says all that is wrong with it.
+    /// Reads the value and adds all findings about it.
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self>;
 }
 
-/// Reads a text that another type is parsed from; `expected` says what is
-/// expected.
+/// Reads a string and parses it; `expected` describes the expected value in a finding.
 pub fn read_parsed<T: FromStr>(
     node: &Node<'_>,
     findings: &mut Vec<Finding>,
@@ -173,7 +172,7 @@
     }
 }
 
-/// Entries that can't be read are left out, each with its findings.
+/// Entries that can't be read are skipped, with their findings.
 impl<K: for<'k> From<&'k str> + Ord, V: Read> Read for BTreeMap<K, V> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Object(object) = node.value else {
@@ -196,7 +195,7 @@
     }
 }
 
-/// Elements that can't be read are left out, each with its findings.
+/// Elements that can't be read are skipped, with their findings.
 impl<T: Read + Ord> Read for BTreeSet<T> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Array(array) = node.value else {
