--- a/crates/release/src/accept.rs
+++ b/crates/release/src/accept.rs
@@ -1,7 +1,7 @@
-//! The decision about a note.
+//! Acceptance of release notes.
 //!
-//! It needs the present configuration and no other state, so that whoever
-//! holds the platform's compare-and-swap can make it again after a conflict.
+//! The decision depends only on the current configuration, so that the process that writes it with
+//! compare-and-swap can repeat the decision after a conflict.
 
 use crate::check::check_operators;
 use crate::configuration::Configuration;
@@ -9,30 +9,30 @@
 use hickory_unit::finding::Finding;
 use hickory_unit::id;
 
-/// A note that is accepted.
+/// The result of an accepted note.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Acceptance {
-    /// The configuration to write in place of the present one.
+    /// The configuration to write in place of the current one.
     NewConfiguration(Box<Configuration>),
-    /// The same operation made this version before; nothing is to be written.
+    /// The operation was accepted before and created this version; nothing needs to be written.
     Repeated(id::Release),
 }
 
-/// A note that is not accepted.
+/// Why a note was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
-    /// It was written against another version; the present one is given.
+    /// The note was written against another version than the current one, which is given.
     Conflict(id::Release),
-    /// All that is wrong with it; the lines are not known here.
+    /// The findings of the note, without lines.
     Invalid(Vec<Finding>),
 }
 
-/// Decides about a note.
+/// Decides whether to accept a note.
 ///
-/// The operation is looked at before the version: an operator whose answer
-/// was lost sends the same note again, and it must not seem to conflict with
-/// itself. A conflict goes before findings, which would speak of a
-/// configuration that the operator has not seen.
+/// The operation id is checked before the version: an operator whose answer was lost sends the same
+/// note again, and it must not be reported as a conflict with its own first attempt. A conflict
+/// takes precedence over findings, because they would refer to a configuration that the operator
+/// has not seen.
 pub fn accept_note(present: &Configuration, note: &Note) -> Result<Acceptance, Rejection> {
     if let Some(version) = present.find_operation(&note.operation) {
         return Ok(Acceptance::Repeated(version));
--- a/crates/release/src/check.rs
+++ b/crates/release/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of a note and of the configuration it makes.
+//! Validation of release notes and of the configurations they create.
 
 use crate::configuration::{Account, Configuration, MAX_SIZE, Model, Service, Weight};
 use crate::note::{Entries, Note};
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
 
-/// The longest path of a plain service.
+/// Maximum length of a path of a plain service in bytes.
 const MAX_PATH_LENGTH: usize = 256;
 
-/// The greatest share or weight: sums over all accounts stay exact enough.
+/// Maximum share or weight. The limit keeps sums over all accounts sufficiently precise.
 const MAX_SHARE: f64 = 1e9;
 
-/// All that is wrong with a note by itself.
+/// Returns the findings that do not depend on a configuration.
 pub(crate) fn check_values(note: &Note) -> Vec<Finding> {
     let mut findings = Vec::new();
     if !note.operation.is_empty() {
@@ -108,7 +108,7 @@
     }
 }
 
-/// What is added must be new; what is changed or withdrawn must be there.
+/// Checks that added entries are new and that changed and withdrawn entries exist.
 pub(crate) fn check_existence(present: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     macro_rules! check {
         ($($section:ident)*) => {$(
@@ -160,7 +160,7 @@
     }
 }
 
-/// What accounts name must be there in the configuration that the note makes.
+/// Checks that all entries that accounts refer to exist in the new configuration.
 pub(crate) fn check_references(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     for (account, entry) in &next.accounts {
         let missing = list_references(entry, next, note).into_iter().filter(|r| !r.exists);
@@ -168,16 +168,16 @@
     }
 }
 
-/// The name of another entry within an account's entry.
+/// A reference from an account to another entry.
 struct Reference {
-    /// The field within the account's entry.
+    /// The field of the account that contains the reference.
     field: String,
-    /// The section and name of the other entry.
+    /// The section and the name of the other entry.
     section: &'static str,
     name: String,
-    /// Whether the other entry will be there.
+    /// Whether the other entry exists in the new configuration.
     exists: bool,
-    /// Whether the note withdraws it.
+    /// Whether the note withdraws the other entry.
     withdrawn: bool,
 }
 
@@ -205,8 +205,8 @@
 }
 
 impl Reference {
-    /// The finding stands at the account where the note has it, else at what
-    /// the note withdraws from under it.
+    /// Creates the finding about a broken reference. It is located at the account if the note
+    /// contains the account, and otherwise at the withdrawal of the entry that the account uses.
     fn explain(&self, account: &id::Account, note: &Note) -> Finding {
         let Self { field, section, name, withdrawn, .. } = self;
         let Some(part) = find_part(note, account) else {
@@ -218,14 +218,15 @@
     }
 }
 
-/// A token must tell its account.
+/// Checks that no two accounts have the same token.
 pub(crate) fn check_tokens(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     let mut owners: BTreeMap<&str, &id::Account> = BTreeMap::new();
     for (name, account) in &next.accounts {
         let Some(other) = owners.insert(&account.token_digest, name) else {
             continue;
         };
-        // One of the two is in the note: the present configuration is sound.
+        // At least one of the two accounts is in the note, because the current configuration is
+        // valid.
         let both = [(name, other), (other, name)];
         for (name, other) in both {
             if let Some(part) = find_part(note, name) {
@@ -237,7 +238,7 @@
     }
 }
 
-/// The part of a note that has an account.
+/// Returns the section of the note that contains the account.
 fn find_part(note: &Note, name: &id::Account) -> Option<&'static str> {
     if note.added.accounts.contains_key(name) {
         Some("added")
@@ -248,8 +249,8 @@
     }
 }
 
-/// The last operator stays: without one, the token of the nodes' settings,
-/// meant for the first note only, would be good again.
+/// Checks that at least one operator remains. Without any operator the token in the nodes'
+/// settings, which is only meant for the first note, would become valid again.
 pub(crate) fn check_operators(
     present: &Configuration,
     next: &Configuration,
@@ -261,7 +262,7 @@
     }
 }
 
-/// The whole must fit into one value of the platform's service.
+/// Checks that the configuration fits into one value of the platform's key-value service.
 pub(crate) fn check_size(next: &Configuration, findings: &mut Vec<Finding>) {
     let bytes = next.json_size();
     if bytes > MAX_SIZE {
--- a/crates/release/src/configuration.rs
+++ b/crates/release/src/configuration.rs
@@ -1,22 +1,22 @@
-//! The configuration in force.
+//! The configuration that release notes create.
 
 use hickory_unit::{id, size};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest configuration as JSON: it is one value of the platform's
-/// key-value service, which holds values of up to this size.
+/// Maximum size of a configuration as JSON. It is stored as one value in the platform's key-value
+/// service, which limits values to this size.
 pub const MAX_SIZE: size::Bytes = size::Bytes(1 << 20);
 
-/// All that governs, as the last accepted release note left it.
+/// The configuration in force, as created by the accepted release notes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Counts the accepted notes; zero before the first.
+    /// Number of accepted notes; 0 before the first.
     pub version: id::Release,
-    /// Ids of the last accepted operations, newest last: an operator whose
-    /// write got no answer reads here whether it took effect.
+    /// Ids of the last accepted operations, newest last. An operator whose request got no answer
+    /// can look up here whether it took effect.
     pub operations: Vec<String>,
-    /// The partners and the shares they have bought.
+    /// The partners and their shares.
     pub partners: BTreeMap<id::Partner, Partner>,
     /// The client accounts.
     pub accounts: BTreeMap<id::Account, Account>,
@@ -26,7 +26,7 @@
     pub zones: BTreeMap<id::Zone, Zone>,
     /// The plain services.
     pub services: BTreeMap<id::Service, Service>,
-    /// What is known of single targets.
+    /// Settings of individual targets.
     pub targets: BTreeMap<id::Target, Target>,
     /// Digests of operators' tokens, in hexadecimal.
     pub operators: BTreeSet<String>,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Partner {
-    /// Its share of the fleet, relative to the others'.
+    /// Its share of the fleet, relative to the other partners.
     pub share: f64,
 }
 
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// The partner whose share pays.
+    /// The partner whose share of the fleet it uses.
     pub partner: id::Partner,
     /// Digest of the account's token (BLAKE3, hexadecimal).
     pub token_digest: String,
-    /// Its weight among the partner's accounts.
+    /// Its weight among the accounts of the partner.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Models it may use.
+    /// Models that it may use.
     #[serde(default)]
     pub models: BTreeSet<id::Model>,
-    /// Plain services it may call.
+    /// Plain services that it may call.
     #[serde(default)]
     pub services: BTreeSet<id::Service>,
 }
@@ -67,11 +67,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version that requests get which name none.
+    /// The version for requests that do not specify one.
     pub current: id::Version,
-    /// All versions, with the size of their weights.
+    /// The versions, with the size of their weights.
     pub versions: BTreeMap<id::Version, Weight>,
-    /// Adapters that may be laid over it, with the size of their weights.
+    /// The adapters for the model, with the size of their weights.
     #[serde(default)]
     pub adapters: BTreeMap<id::Adapter, Weight>,
 }
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weight {
-    /// Bytes in the weight store.
+    /// Size in the weight store.
     pub bytes: size::Bytes,
 }
 
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Paths, with their leading slash, whose calls must not be repeated.
+    /// Paths, with a leading slash, whose calls are not idempotent and must not be repeated.
     #[serde(default)]
     pub once: BTreeSet<String>,
 }
@@ -106,17 +106,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it rejects orders with a fencing epoch lower than the greatest one seen.
     #[serde(default)]
     pub checks_fence: bool,
 }
 
 impl Configuration {
-    /// The version that an operation made; `None` where it had no effect, or
-    /// is older than what is kept.
+    /// Returns the version that an operation created, or `None` if the operation had no effect or
+    /// is no longer kept.
     ///
-    /// Each accepted note adds one version and one operation, so that the
-    /// operation's place from the end tells its version.
+    /// Each accepted note adds one version and one operation, so the version follows from the
+    /// operation's distance from the end of the list.
     pub fn find_operation(&self, operation: &str) -> Option<id::Release> {
         if operation.is_empty() {
             return None;
@@ -125,33 +125,33 @@
         Some(id::Release(self.version.0.saturating_sub(later as u64)))
     }
 
-    /// The size as JSON.
+    /// Returns the size of the configuration as JSON.
     pub fn json_size(&self) -> size::Bytes {
         size::Bytes(serde_json::to_string(self).map_or(u64::MAX, |text| text.len() as u64))
     }
 
-    /// Whether operators have taken the zone out.
+    /// Returns whether operators have taken the zone out of service.
     pub fn is_zone_out(&self, zone: &id::Zone) -> bool {
         self.zones.get(zone).is_some_and(|zone| zone.out)
     }
 
-    /// The account that a token belongs to, and the account's entry.
+    /// Returns the account that a token belongs to.
     ///
-    /// The token is hashed first and the digests are compared in constant
-    /// time, so that the time taken says nothing of how much matched.
+    /// The token is hashed and the digests are compared in constant time, so that the time taken
+    /// does not reveal how much of a digest matched.
     pub fn find_account(&self, token: &str) -> Option<(&id::Account, &Account)> {
         let digest = digest_token(token);
         self.accounts.iter().find(|(_, account)| same_digest(&account.token_digest, &digest))
     }
 
-    /// Whether a token is an operator's.
+    /// Returns whether a token belongs to an operator.
     pub fn is_operator(&self, token: &str) -> bool {
         let digest = digest_token(token);
         self.operators.iter().any(|known| same_digest(known, &digest))
     }
 }
 
-/// The digest under which a token is kept.
+/// Returns the digest of a token, as configurations store it.
 pub fn digest_token(token: &str) -> String {
     blake3::hash(token.as_bytes()).to_hex().to_string()
 }
--- a/crates/release/src/diff.rs
+++ b/crates/release/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! Comparison of two configurations.
 
 use crate::configuration::Configuration;
 use derive_more::Display;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// One difference.
+/// A difference between two configurations.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Change {
@@ -15,7 +15,7 @@
     Added {
         /// The path of the field.
         field: String,
-        /// Its value.
+        /// The new value.
         after: String,
     },
     /// The value differs.
@@ -23,9 +23,9 @@
     Changed {
         /// The path of the field.
         field: String,
-        /// The earlier value.
+        /// The old value.
         before: String,
-        /// The later value.
+        /// The new value.
         after: String,
     },
     /// Only the earlier configuration has the field.
@@ -33,13 +33,13 @@
     Withdrawn {
         /// The path of the field.
         field: String,
-        /// Its value.
+        /// The old value.
         before: String,
     },
 }
 
-/// All differences, by field. The version and the operations are left out:
-/// they differ after each note.
+/// Returns all differences, sorted by field. The version and the operations are ignored, because
+/// every note changes them.
 pub fn diff_configurations(before: &Configuration, after: &Configuration) -> Vec<Change> {
     let before = flatten_configuration(before);
     let mut after = flatten_configuration(after);
@@ -60,7 +60,7 @@
 }
 
 impl Change {
-    /// The path of the field.
+    /// Returns the path of the field.
     pub fn field(&self) -> &str {
         match self {
             Self::Added { field, .. }
@@ -80,8 +80,8 @@
     fields
 }
 
-/// Elements of arrays are names, and count as fields of their own. An entry
-/// without fields counts as one, so that it shows.
+/// Collects the values of all fields by path. Each name in an array is a field of its own. An entry
+/// without fields is treated as a field, so that its addition or withdrawal is reported.
 fn flatten_value(path: String, value: &Value, fields: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(entries) if !entries.is_empty() => {
--- a/crates/release/src/lib.rs
+++ b/crates/release/src/lib.rs
@@ -1,9 +1,8 @@
-//! Release notes and the configuration they build.
+//! Release notes and the configuration that they create.
 //!
-//! [`note::Note`] is what operators send, [`configuration::Configuration`]
-//! what is in force. A note is applied whole or not at all, and every finding
-//! is reported with its place. [`accept`] decides about a note against the present
-//! configuration, [`diff`] shows what changes.
+//! Operators send a [`note::Note`]; [`configuration::Configuration`] is in force on the nodes. A
+//! note is applied atomically, and all its findings are reported with their locations. [`accept`]
+//! decides whether to accept a note, and [`diff`] compares configurations.
 
 pub mod accept;
 pub(crate) mod check;
--- a/crates/release/src/note.rs
+++ b/crates/release/src/note.rs
@@ -1,4 +1,4 @@
-//! Release notes: what operators add, change and withdraw.
+//! Release notes, with which operators add, change and withdraw entries of the configuration.
 
 use crate::check;
 use crate::configuration::{Account, Configuration, Model, Partner, Service, Target, Zone};
@@ -8,9 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many operation ids the configuration keeps. An operator who got no
-/// answer reads them within minutes; at 910 changes a day 64 last for more
-/// than an hour.
+/// Number of operation ids that the configuration keeps. An operator who got no answer looks up the
+/// operation within minutes; at 910 changes a day, 64 ids cover more than an hour.
 const MAX_KEPT_OPERATIONS: usize = 64;
 
 /// A release note.
@@ -19,16 +18,16 @@
 pub struct Note {
     /// The version of the configuration that the note was written against.
     pub against: id::Release,
-    /// A unique id of this operation, chosen by the operator's client.
+    /// A unique id of the operation, chosen by the operator's client.
     #[serde(default)]
     pub operation: String,
-    /// What is new.
+    /// New entries.
     #[serde(default)]
     pub added: Entries,
-    /// What replaces an entry that is there.
+    /// Entries that replace existing ones.
     #[serde(default)]
     pub changed: Entries,
-    /// What goes.
+    /// Names of the entries to remove.
     #[serde(default)]
     pub withdrawn: Names,
 }
@@ -73,17 +72,17 @@
     pub operators: BTreeSet<String>,
 }
 
-/// A note as it was written, with the lines of its fields.
+/// A parsed note with the lines of its fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Draft {
     /// The note.
     pub note: Note,
-    /// Where its fields stand, for findings that need the configuration.
+    /// The lines of the note's fields, to locate findings that are made against a configuration.
     pub locations: Locations,
 }
 
-/// Reads a note from JSON with comments, with every finding that can be made
-/// without the configuration.
+/// Parses a note from JSON with comments and returns either the note or all findings that do not
+/// depend on the configuration.
 pub fn parse_draft(text: &str) -> Result<Draft, Vec<Finding>> {
     let mut parsed = hickory_document::read_document::<Note>(text);
     let later = parsed.value.as_ref().map(check::check_values).unwrap_or_default();
@@ -92,20 +91,20 @@
     parsed.into_result().map(|note| Draft { note, locations })
 }
 
-/// Reads a note from JSON with comments; see [`parse_draft`].
+/// Parses a note like [`parse_draft`], without the lines of its fields.
 pub fn parse_note(text: &str) -> Result<Note, Vec<Finding>> {
     parse_draft(text).map(|draft| draft.note)
 }
 
-/// The configuration that a note makes of `present`, or all that is wrong.
+/// Returns the configuration that results from applying a note to `present`, or all findings.
 ///
-/// The findings have no lines; [`Draft::locations`] fills them in.
+/// The findings have no lines; fill them in with [`Draft::locations`].
 pub fn apply_note(present: &Configuration, note: &Note) -> Result<Configuration, Vec<Finding>> {
     let (next, findings) = check_note(present, note);
     if findings.is_empty() { Ok(next) } else { Err(findings) }
 }
 
-/// The configuration that a note would make, beside all that is wrong.
+/// Returns the configuration that a note would create, together with all findings.
 pub(crate) fn check_note(present: &Configuration, note: &Note) -> (Configuration, Vec<Finding>) {
     let mut findings = check::check_values(note);
     check::check_existence(present, note, &mut findings);
--- a/crates/release/src/read.rs
+++ b/crates/release/src/read.rs
@@ -1,8 +1,7 @@
-//! Notes and their entries, read from documents.
+//! Reading of release notes from JSON documents.
 //!
-//! A field that is missing or can't be read has its finding and is stood in
-//! for by a default, so that the fields beside it are checked as well; a note
-//! with a finding is never used.
+//! A field that is missing or invalid gets a finding and is replaced by a default, so that the
+//! other fields are checked as well. A note with findings is never used.
 
 use crate::configuration::{
     Account, Model, Partner, Service, Target, Weight, Zone, default_weight,
--- a/crates/release/tests/any.rs
+++ b/crates/release/tests/any.rs
@@ -1,5 +1,5 @@
-//! Notes of any content: no panic, every finding within the text, and what is
-//! accepted means the same when it is written again.
+//! Property tests with arbitrary notes: parsing never panics, every finding has a line within the
+//! text, and a valid note is unchanged by serializing and parsing it.
 
 use hickory_release::accept::{Acceptance, accept_note};
 use hickory_release::configuration::Configuration;
@@ -9,7 +9,7 @@
 
 const NOTE: &str = include_str!("data/present.jsonc");
 
-/// Pieces that mean something to a parser of notes.
+/// Text fragments that are significant for a parser of notes.
 const PIECES: &[&str] = &[
     "{",
     "}",
@@ -60,7 +60,7 @@
     Ok(())
 }
 
-/// The greatest index at or below `index` that does not split a character.
+/// Returns the greatest char boundary that is not after `index`.
 fn floor(text: &str, index: usize) -> usize {
     (0..=index.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0)
 }
@@ -68,7 +68,7 @@
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 2_000,
-        // The same verdict on each run.
+        // A fixed seed makes the test deterministic.
         rng_seed: RngSeed::Fixed(7),
         failure_persistence: None,
         ..ProptestConfig::default()
@@ -96,8 +96,9 @@
         check(&text)?;
     }
 
-    // Notes in any order, stale or not: the version rises by one for each that
-    // is accepted, and every kept operation names the version that it made.
+    // Guards against wrong versions in operation lookups. For any sequence of notes, stale or not,
+    // each accepted one increments the version by one, and every kept operation maps to the version
+    // that it created.
     #[test]
     fn versions_count_accepted_notes(against in prop::collection::vec(0..12_u64, 0..40)) {
         let mut present = Configuration::default();
--- a/crates/release/tests/notes.rs
+++ b/crates/release/tests/notes.rs
@@ -1,7 +1,7 @@
-//! Notes under `data/` with what is said of them.
+//! Snapshot tests of the notes under `data/`.
 //!
-//! `data/shape` holds notes that are wrong by themselves, `data/against`
-//! notes that meet the configuration that `data/present.jsonc` makes.
+//! `data/shape` contains notes that are invalid in themselves. The notes in `data/against` are
+//! applied to the configuration created by `data/present.jsonc`.
 
 use hickory_release::accept::{Acceptance, Rejection, accept_note};
 use hickory_release::configuration::Configuration;
@@ -15,7 +15,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(path)
 }
 
-/// The documents of a directory by name, sorted.
+/// Returns the documents of a directory with their names, sorted.
 fn read_documents(directory: &str) -> Vec<(String, String)> {
     let mut documents: Vec<(String, String)> = std::fs::read_dir(data(directory))
         .unwrap()
@@ -82,9 +82,8 @@
     insta::assert_snapshot!(report);
 }
 
-// The operator sees findings for one entry and expects that nothing of the
-// note is in force. The note holds good entries beside the wrong one; were
-// they merged one by one, the good ones would stay behind.
+// Guards against partial application: a note with one invalid entry must not apply its valid
+// entries either.
 #[test]
 fn nothing_of_an_invalid_note_is_applied() {
     let present = read_present();
@@ -96,8 +95,8 @@
     assert_eq!(present, before);
 }
 
-// An operator's answer was lost and other notes were accepted since. Sent
-// again, the note must be told as accepted with the version that it made, as
+// Guards against reporting a repeated note as a conflict. If the answer to a note was lost and
+// other notes were accepted since, sending it again must return the version that it created, as
 // long as its operation is kept.
 #[test]
 fn a_repeated_operation_names_the_version_it_made() {
--- a/crates/release/tests/size.rs
+++ b/crates/release/tests/size.rs
@@ -1,4 +1,4 @@
-//! The size of the configuration, which must fit into one value.
+//! Tests that the configuration fits into one value of the platform's key-value service.
 
 use hickory_release::configuration::{
     Account, Configuration, MAX_SIZE, Model, Partner, Weight, digest_token,
@@ -36,8 +36,7 @@
     Note { operation: "op".to_owned(), added, ..Note::default() }
 }
 
-// 680 accounts that may each use all of 12 models: the size asked for within
-// two years. The configuration is one value of the platform's service.
+// The required size within two years is 680 accounts that may each use all of 12 models.
 #[test]
 fn the_size_to_come_fits_into_a_quarter_of_the_bound() {
     let next = apply_note(&Configuration::default(), &build_note(680, 12)).unwrap();
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! What must hold of settings beyond their types.
+//! Validation of settings beyond the types of their fields.
 
 use crate::node::{Settings, Times};
 use derive_more::Display;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A field of [`Times`] and the range that it may lie in.
+/// The allowed range of a field of [`Times`].
 struct Range {
     name: &'static str,
     read: fn(&Times) -> u64,
@@ -23,9 +23,8 @@
     }
 }
 
-/// The bounds keep a node from flooding the platform or its targets at the
-/// one end, and from noticing faults too late to end requests in time at the
-/// other.
+/// Too small values would let a node flood the platform or its targets with requests. With too
+/// large values it would detect faults too late to finish requests in time.
 const RANGES: &[Range] = &[
     Range { name: "lease_ms", read: |t| t.lease_ms, min: 500, max: 60_000 },
     Range { name: "permit_ms", read: |t| t.permit_ms, min: 50, max: 10_000 },
@@ -38,24 +37,23 @@
     Range { name: "platform_ms", read: |t| t.platform_ms, min: 50, max: 30_000 },
 ];
 
-/// All that a check of settings found.
+/// The result of checking settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Check {
-    /// The settings, where nothing is wrong.
+    /// The settings, if there are no findings.
     pub settings: Option<Settings>,
-    /// What keeps a node from starting.
+    /// Errors that keep a node from starting.
     pub findings: Vec<Finding>,
-    /// What a node starts with, though it is probably not meant.
+    /// Settings that are valid but probably not intended.
     pub warnings: Vec<Finding>,
 }
 
-/// Settings that a node can't start with: each finding on a line of its own,
-/// with file, line and field.
+/// Invalid settings. The displayed text has one line per finding, with file, line and field.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Error)]
 pub struct Invalid {
     /// The file.
     pub file: PathBuf,
-    /// What is wrong.
+    /// The findings.
     pub findings: Vec<Finding>,
 }
 
@@ -67,7 +65,7 @@
     }
 }
 
-/// Why settings could not be opened.
+/// Why settings could not be loaded.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -75,7 +73,7 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[error(source)]
         error: std::io::Error,
     },
@@ -85,7 +83,7 @@
     Invalid(Invalid),
 }
 
-/// Reads the settings of a node from a file.
+/// Loads the settings of a node from a file.
 pub fn open(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| Error::Unreadable { file: file.to_owned(), error })?;
@@ -93,13 +91,13 @@
     parse_settings(&text).map_err(invalid)
 }
 
-/// Reads settings from JSON with comments, with every finding.
+/// Parses settings from JSON with comments and returns either the settings or all findings.
 pub fn parse_settings(text: &str) -> Result<Settings, Vec<Finding>> {
     let check = check_settings(text);
     check.settings.ok_or(check.findings)
 }
 
-/// Checks settings, with every finding and warning.
+/// Parses and checks settings and returns all findings and warnings.
 pub fn check_settings(text: &str) -> Check {
     let mut parsed = read_document::<Settings>(text);
     let mut later = Vec::new();
@@ -110,12 +108,13 @@
         check_addresses(settings, &mut later, &mut warnings);
         check_secrets(settings, &mut later, &mut warnings);
         check_ranges(&settings.times, &mut later);
-        // A time that can't be read would be compared by its default.
+        // Skipped if any time is invalid, since the comparison would use its default.
         if !RANGES.iter().any(|range| parsed.has_finding(&range.field())) {
             check_contradictions(&settings.times, &mut later, &mut warnings);
         }
     }
-    // What stands in for a field that can't be read is no choice of anybody's.
+    // Drops warnings about defaults that replace invalid fields, because the user did not choose
+    // these values.
     warnings.retain(|warning| !parsed.has_finding(&warning.field));
     parsed.add_findings(later);
     parsed.locations.locate(&mut warnings);
@@ -133,8 +132,8 @@
         ("platform.hosts", settings.platform.hosts),
         ("platform.weights", settings.platform.weights),
     ];
-    // A listener may take any free port, which the node prints when it is
-    // ready; a service of the platform can't be found at port 0.
+    // A listener may use port 0; the node prints the port that it bound when it is ready. A service
+    // of the platform can't be reached at port 0.
     for (field, _) in listeners.iter().filter(|(_, address)| address.port() == 0) {
         warnings.push(Finding::at(*field, "port 0: another port is taken at each start"));
     }
@@ -142,7 +141,7 @@
         findings.push(Finding::at(*field, "the port must not be 0"));
     }
     for (field, address) in listeners.iter().chain(&services) {
-        // Callers and other nodes are told these addresses.
+        // Callers and other nodes receive these addresses to connect to.
         if address.ip().is_unspecified() && *field != "admin" {
             findings.push(Finding::at(*field, "must be an address that others can connect to"));
         }
@@ -167,7 +166,7 @@
     }
 }
 
-/// Whether two listeners would stand in each other's way.
+/// Returns whether two listeners can't be bound at the same time.
 fn overlaps(one: SocketAddr, other: SocketAddr) -> bool {
     let (a, b) = (one.ip(), other.ip());
     one.port() == other.port()
@@ -201,22 +200,22 @@
     }
 }
 
-/// Times that contradict each other. Each would break a guarantee without
-/// any error at run time, so that a node must not start with them.
+/// Checks times against each other. Each contradiction would break a guarantee without any error at
+/// run time, so a node must not start with it.
 fn check_contradictions(times: &Times, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    // A new owner waits for one permit's life after the old lease: permits
-    // must not outlive the lease under which they are given.
+    // A new owner waits for the lifetime of one permit after the previous lease has expired, so a
+    // permit must not outlive the lease in which it was granted.
     if times.permit_ms >= times.lease_ms {
         let message = format!("must be less than lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.permit_ms", message));
     }
-    // One slow call must leave time to renew the lease by another.
+    // After one slow call there must be time left to renew the lease with another.
     if times.platform_ms.saturating_mul(2) > times.lease_ms {
         let message = format!("must be at most half of lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.platform_ms", message));
     }
-    // Nodes that hear of each other less often than a lease lasts would take
-    // a live owner for gone.
+    // If nodes exchange gossip less often than a lease lasts, they would consider a live owner
+    // dead.
     if times.gossip_ms >= times.lease_ms {
         let message = format!("must be less than lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.gossip_ms", message));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! Settings of a node, in JSON with comments.
+//! The settings of a node, in JSON with comments.
 //!
-//! They are read strictly and whole: a node that started with a misspelt
-//! time would run on its default and show the fault only under load. Every
-//! finding is reported together with its line and field, so that one look at
-//! the file mends it.
+//! The settings are validated strictly: with a misspelt time, for example, a node would use the
+//! default, and the fault would only show under load. All findings are reported at once with their
+//! lines and fields, so that one edit of the file can fix them all.
 
 pub mod check;
 pub mod node;
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -1,4 +1,4 @@
-//! What a node is told when it starts.
+//! The types of the settings.
 
 use hickory_unit::id;
 use std::net::SocketAddr;
@@ -7,31 +7,30 @@
 /// All settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The name of this node, unique in the fleet.
+    /// The name of the node, unique in the fleet.
     pub node: id::Node,
-    /// The availability zone it stands in.
+    /// The availability zone of the node.
     pub zone: id::Zone,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// Where operators connect, and where metrics are read.
+    /// The address at which operators connect and metrics are scraped.
     pub admin: SocketAddr,
-    /// Where other nodes connect.
+    /// The address at which other nodes connect.
     pub peers: SocketAddr,
-    /// The platform's services.
+    /// The addresses of the platform's services.
     pub platform: Platform,
-    /// The key by which nodes prove themselves to each other, and which seals
-    /// resume tokens: 32 bytes in hexadecimal.
+    /// The key with which nodes authenticate each other and resume tokens: 32 bytes in hexadecimal.
     pub fleet_key: String,
-    /// Digest of an operator token that is good before any configuration is
-    /// there, to accept the first release note with.
+    /// Digest of an operator token that is valid until there is a configuration, so that an
+    /// operator can send the first release note.
     pub first_operator: Option<String>,
-    /// Times, with their defaults.
+    /// Timeouts and intervals.
     pub times: Times,
-    /// Logs, with their defaults.
+    /// Logging.
     pub logs: Logs,
 }
 
-/// Where the platform's services listen.
+/// The addresses of the platform's services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Platform {
     /// The key-value service.
@@ -42,57 +41,57 @@
     pub weights: SocketAddr,
 }
 
-/// What is logged, and where to.
+/// The logging settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Logs {
-    /// The least urgent level that is written.
+    /// The log level.
     pub level: Level,
-    /// The file that lines are appended to; standard output without one.
+    /// The file to which log lines are appended; standard output if not set.
     pub file: Option<PathBuf>,
 }
 
-/// How urgent a log line is.
+/// A log level.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, derive_more::Display, derive_more::FromStr,
 )]
 #[display(rename_all = "lowercase")]
 #[from_str(rename_all = "lowercase")]
 pub enum Level {
-    /// Nothing is written.
+    /// No log lines.
     Off,
-    /// Something is broken.
+    /// Faults that need attention.
     Error,
-    /// Something failed and was dealt with.
+    /// Failures that were handled.
     Warn,
-    /// Changes of state.
+    /// State changes.
     #[default]
     Info,
-    /// Each request.
+    /// Every request.
     Debug,
-    /// Each step.
+    /// Every step of a request.
     Trace,
 }
 
-/// Times in milliseconds.
+/// Timeouts and intervals in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// Time to live of a node's lease in the key-value service.
     pub lease_ms: u64,
-    /// Life of a permit, from the moment it is asked for.
+    /// Lifetime of a permit, counted from sending the request for it.
     pub permit_ms: u64,
-    /// Between two exchanges with a peer.
+    /// Interval of the gossip exchange with each peer.
     pub gossip_ms: u64,
-    /// Between two reads of a target's load report.
+    /// Poll interval of a target's load report.
     pub report_ms: u64,
-    /// Between two reads of the host list.
+    /// Poll interval of the host list.
     pub hosts_ms: u64,
-    /// How long callers may keep the answer to which address to use.
+    /// How long callers may cache the entry address that they were given.
     pub entry_keep_ms: u64,
-    /// How long a stream whose caller is gone is kept for a resume.
+    /// How long a stream is kept for a resume after its caller disconnected.
     pub resume_ms: u64,
-    /// How long a stream may stand without progress.
+    /// Timeout for a stream that makes no progress.
     pub progress_ms: u64,
-    /// How long a call to the platform may take.
+    /// Timeout for a call to the platform.
     pub platform_ms: u64,
 }
 
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,8 +1,7 @@
-//! Settings, read from documents.
+//! Reading of settings from JSON documents.
 //!
-//! A field that is missing or can't be read has its finding and is stood in
-//! for by a default, so that all others are checked as well; settings with a
-//! finding are never used.
+//! A field that is missing or invalid gets a finding and is replaced by a default, so that the
+//! other fields are checked as well. Settings with findings are never used.
 
 use crate::node::{Level, Logs, Platform, Settings, Times};
 use hickory_document::field::Fields;
@@ -12,7 +11,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Stands in for an address that can't be read.
+/// Replaces an address that is missing or invalid.
 const PLACEHOLDER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 impl Read for Settings {
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -1,10 +1,10 @@
-//! The operators' page names each time with its default and range.
+//! Tests that the operators' page lists each time with its default and range.
 
 use hickory_settings::{Times, check_settings};
 
 const PAGE: &str = include_str!("../../../docs/OPERATIONS.md");
 
-/// The findings of settings whose times are all `time`.
+/// Returns the findings of settings in which all times have the value `time`.
 fn read_findings(time: &str) -> Vec<String> {
     let text = std::fs::read_to_string(
         std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/good.jsonc"),
@@ -17,7 +17,7 @@
     check.findings.iter().map(|finding| format!("{}: {}", finding.field, finding.message)).collect()
 }
 
-/// A row of the table of times.
+/// A row of the page's table of times.
 struct Row {
     name: String,
     default: u64,
@@ -42,7 +42,7 @@
 
 #[test]
 fn each_time_stands_there_with_its_default() {
-    // The debug text names every field of the type.
+    // The `Debug` output lists all fields.
     let mut defaults: Vec<String> = format!("{:?}", Times::default())
         .trim_start_matches("Times { ")
         .trim_end_matches(" }")
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings under `data/` with what is said of them.
+//! Tests of the settings files under `data/`.
 
 use hickory_settings::{Check, Error, Times, check_settings, open};
 use std::fmt::Write;
