--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -63,14 +63,14 @@
 }
 
 /// Handles a request.
-pub(crate) fn answer<C: Control>(control: &C, request: &mut Request<Body>) -> Response<Body> {
-    match serve(control, request) {
+pub(crate) fn respond<C: Control>(control: &C, request: &mut Request<Body>) -> Response<Body> {
+    match handle_request(control, request) {
         Ok(response) => response,
         Err(problem) => render_problem(&problem),
     }
 }
 
-fn serve<C: Control>(
+fn handle_request<C: Control>(
     control: &C,
     request: &mut Request<Body>,
 ) -> Result<Response<Body>, Box<Problem>> {
@@ -78,11 +78,11 @@
     let route = Route::parse(&path);
     // Without a valid token, existing and missing paths must not be distinguishable.
     if !route.is_some_and(Route::is_public) && !is_authorized(control, request) {
-        return Err(fail(Code::Unauthorized, "an operator's token is needed"));
+        return Err(make_problem(Code::Unauthorized, "an operator's token is needed"));
     }
-    let route = route.ok_or_else(|| fail(Code::NotFound, "no such path"))?;
+    let route = route.ok_or_else(|| make_problem(Code::NotFound, "no such path"))?;
     if *request.method() != route.method() {
-        return Err(fail(Code::BadMethod, format!("use {}", route.method())));
+        return Err(make_problem(Code::BadMethod, format!("use {}", route.method())));
     }
     match route {
         Route::Accept => accept(control, request),
@@ -117,7 +117,7 @@
 ) -> Result<Response<Body>, Box<Problem>> {
     let expected = read_if_match(request)?;
     let text = read_body(request)?;
-    let Draft { mut note, locations } = note::parse_draft(&text).map_err(fail_invalid)?;
+    let Draft { mut note, locations } = note::parse_draft(&text).map_err(make_invalid_problem)?;
     if let Some(expected) = expected {
         check_if_match(expected, &note)?;
     }
@@ -131,7 +131,7 @@
             let version = accepted.version;
             log::info!(operation, version:%, repeated; "release note accepted");
             let mut response = render_json(200, &view::Accepted { version, operation, repeated });
-            set_version(&mut response, version);
+            set_etag(&mut response, version);
             Ok(response)
         }
         Err(failure) => {
@@ -146,14 +146,16 @@
 fn describe_failure(failure: Failure, operation: String) -> Box<Problem> {
     let mut problem = match failure {
         Failure::Conflict(present) => {
-            let mut problem =
-                fail(Code::Conflict, format!("the present version is {present}; write against it"));
+            let mut problem = make_problem(
+                Code::Conflict,
+                format!("the present version is {present}; write against it"),
+            );
             problem.present = Some(present);
             problem
         }
-        Failure::Invalid(findings) => fail_invalid(findings),
-        Failure::Unavailable(detail) => fail(Code::Unavailable, detail),
-        Failure::Unknown(detail) => fail(Code::Unknown, detail),
+        Failure::Invalid(findings) => make_invalid_problem(findings),
+        Failure::Unavailable(detail) => make_problem(Code::Unavailable, detail),
+        Failure::Unknown(detail) => make_problem(Code::Unknown, detail),
     };
     problem.operation = Some(operation);
     problem
@@ -166,16 +168,17 @@
     let found = control
         .find_operation(operation)
         .map_err(|failure| describe_failure(failure, operation.to_owned()))?;
-    let version = found.ok_or_else(|| fail(Code::NotFound, "no such operation is kept"))?;
+    let version = found.ok_or_else(|| make_problem(Code::NotFound, "no such operation is kept"))?;
     let operation = operation.to_owned();
     Ok(render_json(200, &view::Accepted { version, operation, repeated: true }))
 }
 
 fn show_configuration<C: Control>(control: &C) -> Result<Response<Body>, Box<Problem>> {
-    let configuration =
-        control.configuration().ok_or_else(|| fail(Code::NotReady, "no configuration yet"))?;
+    let configuration = control
+        .configuration()
+        .ok_or_else(|| make_problem(Code::NotReady, "no configuration yet"))?;
     let mut response = render_json(200, &*configuration);
-    set_version(&mut response, configuration.version);
+    set_etag(&mut response, configuration.version);
     Ok(response)
 }
 
@@ -185,7 +188,9 @@
         return Ok(None);
     };
     let version = value.to_str().ok().and_then(|text| text.trim().trim_matches('"').parse().ok());
-    version.map(Some).ok_or_else(|| fail(Code::BadHeader, "If-Match is no version in quotes"))
+    version
+        .map(Some)
+        .ok_or_else(|| make_problem(Code::BadHeader, "If-Match is no version in quotes"))
 }
 
 /// Returns the operation id from the header, or a new one if the header is absent. A note with a
@@ -200,7 +205,7 @@
     match findings.pop() {
         None => Ok(operation),
         Some(finding) => {
-            Err(fail(Code::BadHeader, format!("{}: {}", finding.field, finding.message)))
+            Err(make_problem(Code::BadHeader, format!("{}: {}", finding.field, finding.message)))
         }
     }
 }
@@ -210,7 +215,7 @@
         return Ok(());
     }
     let detail = format!("If-Match says {expected}, the note is against {}", note.against);
-    Err(fail(Code::BadHeader, detail))
+    Err(make_problem(Code::BadHeader, detail))
 }
 
 fn read_body(request: &mut Request<Body>) -> Result<String, Box<Problem>> {
@@ -219,23 +224,26 @@
         .body_mut()
         .take(MAX_BODY_BYTES + 1)
         .read_to_end(&mut text)
-        .map_err(|error| fail(Code::Incomplete, format!("the body broke off: {error}")))?;
+        .map_err(|error| make_problem(Code::Incomplete, format!("the body broke off: {error}")))?;
     if text.len() as u64 > MAX_BODY_BYTES {
-        return Err(fail(Code::TooLarge, format!("the body is over {MAX_BODY_BYTES} bytes")));
+        return Err(make_problem(
+            Code::TooLarge,
+            format!("the body is over {MAX_BODY_BYTES} bytes"),
+        ));
     }
-    String::from_utf8(text).map_err(|_| fail(Code::Invalid, "the body is not UTF-8"))
+    String::from_utf8(text).map_err(|_| make_problem(Code::Invalid, "the body is not UTF-8"))
 }
 
 fn read_header(request: &Request<Body>, name: HeaderName) -> Option<&str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-fn fail(code: Code, detail: impl Into<String>) -> Box<Problem> {
+fn make_problem(code: Code, detail: impl Into<String>) -> Box<Problem> {
     Box::new(Problem::new(code, detail))
 }
 
-fn fail_invalid(findings: Vec<Finding>) -> Box<Problem> {
-    let mut problem = fail(Code::Invalid, finding::count_text(&findings));
+fn make_invalid_problem(findings: Vec<Finding>) -> Box<Problem> {
+    let mut problem = make_problem(Code::Invalid, finding::count_text(&findings));
     problem.findings = findings;
     problem
 }
@@ -244,12 +252,12 @@
 pub(crate) fn render_problem(problem: &Problem) -> Response<Body> {
     let text = serde_json::to_string(problem).unwrap_or_default();
     let mut response = render(problem.status, problem::MEDIA_TYPE, text);
-    let extra = match problem.code {
+    let extra_header = match problem.code {
         Code::Unauthorized => Some((WWW_AUTHENTICATE, "Bearer")),
         Code::BadMethod => Some((ALLOW, problem.detail.trim_start_matches("use "))),
         _ => None,
     };
-    if let Some((name, value)) = extra
+    if let Some((name, value)) = extra_header
         && let Ok(value) = value.parse()
     {
         response.headers_mut().insert(name, value);
@@ -272,7 +280,7 @@
 }
 
 /// Sets the `ETag` header to the version.
-fn set_version(response: &mut Response<Body>, version: id::Release) {
+fn set_etag(response: &mut Response<Body>, version: id::Release) {
     if let Ok(value) = format!("\"{version}\"").parse() {
         response.headers_mut().insert(ETAG, value);
     }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -40,10 +40,10 @@
 #[derive(Debug)]
 pub struct Handle<C> {
     address: SocketAddr,
-    control: SharedControl<C>,
+    control: ControlSlot<C>,
 }
 
-type SharedControl<C> = Arc<RwLock<Option<Arc<C>>>>;
+type ControlSlot<C> = Arc<RwLock<Option<Arc<C>>>>;
 
 impl Server {
     /// Serves `control` at `address`; port 0 selects a free port.
@@ -57,14 +57,14 @@
         address: SocketAddr,
         control: Arc<C>,
     ) -> io::Result<Handle<C>> {
-        let slot = Arc::new(RwLock::new(Some(control)));
-        let mut tries = MAX_PORT_ATTEMPTS;
+        let control_slot = Arc::new(RwLock::new(Some(control)));
+        let mut attempts_left = MAX_PORT_ATTEMPTS;
         loop {
             let bound = choose_port(address)?;
-            match listen(options, bound, &slot) {
-                Ok(()) => return Ok(Handle { address: bound, control: slot }),
-                Err(error) if address.port() != 0 || tries == 0 => return Err(error),
-                Err(_) => tries -= 1,
+            match listen(options, bound, &control_slot) {
+                Ok(()) => return Ok(Handle { address: bound, control: control_slot }),
+                Err(error) if address.port() != 0 || attempts_left == 0 => return Err(error),
+                Err(_) => attempts_left -= 1,
             }
         }
     }
@@ -94,13 +94,13 @@
 fn listen<C: Control>(
     options: Options,
     address: SocketAddr,
-    slot: &SharedControl<C>,
+    control_slot: &ControlSlot<C>,
 ) -> io::Result<()> {
-    let slot = Arc::clone(slot);
+    let control_slot = Arc::clone(control_slot);
     oxhttp::Server::new(move |request| {
-        let control = slot.read().unwrap_or_else(PoisonError::into_inner).clone();
+        let control = control_slot.read().unwrap_or_else(PoisonError::into_inner).clone();
         match control {
-            Some(control) => route::answer(&*control, request),
+            Some(control) => route::respond(&*control, request),
             None => route::render_problem(&Problem::new(Code::Unavailable, "the node has stopped")),
         }
     })
--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -15,7 +15,7 @@
 const FIRST: &str = include_str!("data/first.jsonc");
 
 /// Timeout after which a missing answer fails the test.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A request and a fault that occurs while it is processed.
 struct Case {
@@ -46,7 +46,7 @@
 }
 
 /// Sends a request and returns the response as text: status, relevant headers and body.
-fn call(address: SocketAddr, case: &Case, body: impl Into<Body>) -> String {
+fn send(address: SocketAddr, case: &Case, body: impl Into<Body>) -> String {
     let mut request = Request::builder()
         .method(case.method.clone())
         .uri(format!("http://{address}{}", case.path));
@@ -54,7 +54,7 @@
         request = request.header(*name, *value);
     }
     let response = oxhttp::Client::new()
-        .with_global_timeout(PATIENCE)
+        .with_global_timeout(TIMEOUT)
         .request(request.body(body.into()).unwrap())
         .unwrap();
     let mut text = response.status().as_u16().to_string();
@@ -68,49 +68,59 @@
 }
 
 /// Sends the requests in order to one node and returns all responses as text.
-fn report(platform: &Arc<Platform>, cases: &[Case]) -> String {
+fn run_cases(platform: &Arc<Platform>, cases: &[Case]) -> String {
     let (fake, handle) = spawn(platform);
     let mut report = String::new();
     for case in cases {
         case.fault.iter().cloned().for_each(|fault| fake.fail(fault));
-        let answer = call(handle.address(), case, case.body);
+        let answer = send(handle.address(), case, case.body);
         writeln!(report, "{}: {} {} -> {answer}", case.name, case.method, case.path).unwrap();
     }
     report
 }
 
 #[test]
-fn nobody_without_an_operators_token_gets_in() {
-    let bare =
+fn requests_without_an_operator_token_are_rejected() {
+    let unauthenticated =
         |name, method, path, headers| Case { name, method, path, headers, body: "", fault: None };
     let cases = [
-        bare("none", Method::GET, "/v1/admin/nodes", &[]),
-        bare("empty", Method::GET, "/v1/admin/nodes", &[("authorization", "")]),
-        bare("no scheme", Method::GET, "/v1/admin/nodes", &[("authorization", TOKEN)]),
-        bare("basic", Method::GET, "/v1/admin/nodes", &[("authorization", "Basic operator-token")]),
-        bare("wrong", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer operator-toke")]),
-        bare("blank", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer ")]),
-        bare("accept", Method::POST, RELEASES, &[]),
-        bare("find", Method::GET, "/v1/admin/releases/op-first", &[]),
-        bare("configuration", Method::GET, "/v1/admin/configuration", &[]),
-        bare("targets", Method::GET, "/v1/admin/targets", &[]),
-        bare("owners", Method::GET, "/v1/admin/owners", &[]),
-        bare("drain", Method::POST, "/v1/admin/drain", &[]),
-        bare("unknown path", Method::GET, "/v1/secret", &[]),
-        bare("health is open", Method::GET, "/health", &[]),
-        bare("metrics are open", Method::GET, "/metrics", &[]),
-        bare(
+        unauthenticated("none", Method::GET, "/v1/admin/nodes", &[]),
+        unauthenticated("empty", Method::GET, "/v1/admin/nodes", &[("authorization", "")]),
+        unauthenticated("no scheme", Method::GET, "/v1/admin/nodes", &[("authorization", TOKEN)]),
+        unauthenticated(
+            "basic",
+            Method::GET,
+            "/v1/admin/nodes",
+            &[("authorization", "Basic operator-token")],
+        ),
+        unauthenticated(
+            "wrong",
+            Method::GET,
+            "/v1/admin/nodes",
+            &[("authorization", "Bearer operator-toke")],
+        ),
+        unauthenticated("blank", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer ")]),
+        unauthenticated("accept", Method::POST, RELEASES, &[]),
+        unauthenticated("find", Method::GET, "/v1/admin/releases/op-first", &[]),
+        unauthenticated("configuration", Method::GET, "/v1/admin/configuration", &[]),
+        unauthenticated("targets", Method::GET, "/v1/admin/targets", &[]),
+        unauthenticated("owners", Method::GET, "/v1/admin/owners", &[]),
+        unauthenticated("drain", Method::POST, "/v1/admin/drain", &[]),
+        unauthenticated("unknown path", Method::GET, "/v1/secret", &[]),
+        unauthenticated("health is open", Method::GET, "/health", &[]),
+        unauthenticated("metrics are open", Method::GET, "/metrics", &[]),
+        unauthenticated(
             "case",
             Method::GET,
             "/v1/admin/owners",
             &[("authorization", "bearer operator-token")],
         ),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn what_is_shown() {
+fn read_requests_return_the_state() {
     let cases = [
         get("nodes", "/v1/admin/nodes"),
         get("targets", "/v1/admin/targets"),
@@ -124,22 +134,22 @@
         Case { method: Method::POST, ..get("drain", "/v1/admin/drain") },
         get("health while draining", "/health"),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn a_node_without_a_configuration_says_so() {
+fn a_node_without_a_configuration_is_not_ready() {
     let cases = [
         get("configuration", "/v1/admin/configuration"),
         get("health", "/health"),
         accept("first note", FIRST),
         get("health", "/health"),
     ];
-    insta::assert_snapshot!(report(&Arc::default(), &cases));
+    insta::assert_snapshot!(run_cases(&Arc::default(), &cases));
 }
 
 #[test]
-fn notes_and_their_faults() {
+fn notes_and_faults() {
     const OUT: &str = r#"{ "against": 1, "operation": "op-out",
   "changed": { "zones": { "nairobi-a": { "out": true } } } }"#;
     const SHARE: &str = r#"{ "against": 2, "operation": "op-share", // renegotiated
@@ -176,20 +186,20 @@
         Case { headers: KEY, ..accept("repeated by header", EMPTY) },
         get("at last", "/v1/admin/configuration"),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn bodies_out_of_bounds_are_refused() {
+fn malformed_and_oversized_bodies_are_rejected() {
     let platform = Platform::open(FIRST);
     let (fake, handle) = spawn(&platform);
     let case = accept("bounds", "");
     let large = format!("{{ \"against\": 1 }}{}", " ".repeat(1 << 20));
-    assert!(call(handle.address(), &case, large).contains("\"code\":\"too-large\""));
+    assert!(send(handle.address(), &case, large).contains("\"code\":\"too-large\""));
     let binary = vec![b'{', 0xff, 0xfe, b'}'];
-    assert!(call(handle.address(), &case, binary).contains("not UTF-8"));
+    assert!(send(handle.address(), &case, binary).contains("not UTF-8"));
     let deep = "[".repeat(500_000);
-    assert!(call(handle.address(), &case, deep).starts_with("422"));
+    assert!(send(handle.address(), &case, deep).starts_with("422"));
     assert_eq!(fake.accepts(), 0);
     assert_eq!(platform.configuration().version.0, 1);
 }
@@ -198,7 +208,7 @@
 // the part that arrived is a valid note by itself. `oxhttp` answers such a request itself, with
 // status 400 or 500.
 #[test]
-fn a_note_that_breaks_off_is_not_accepted() {
+fn a_truncated_note_is_not_accepted() {
     let platform = Platform::open(FIRST);
     let (fake, handle) = spawn(&platform);
     let note = r#"{ "against": 1, "operation": "op-cut" }"#;
@@ -225,11 +235,11 @@
 // Guards against a stopped node that stays in memory because its administration server can't stop
 // listening. This matters in processes that outlive their nodes, such as tests and the demo.
 #[test]
-fn a_dropped_handle_lets_go_of_the_control() {
+fn a_dropped_handle_releases_the_control() {
     let (fake, handle) = spawn(&Platform::open(FIRST));
     let address = handle.address();
     drop(handle);
-    assert!(call(address, &get("after", "/health"), "").contains("the node has stopped"));
+    assert!(send(address, &get("after", "/health"), "").contains("the node has stopped"));
     assert_eq!(Arc::strong_count(&fake), 1);
 }
 
@@ -245,7 +255,7 @@
 // scraper or after a firewall dropped its connection state. They must time out so that the next
 // operator is served.
 #[test]
-fn silent_connections_do_not_keep_operators_out() {
+fn silent_connections_do_not_block_operators() {
     let options = Options { max_connections: 2, timeout: Duration::from_millis(300) };
     let fake = Fake::open(&Platform::open(FIRST), []);
     let address = "127.0.0.1:0".parse().unwrap();
@@ -256,6 +266,6 @@
     for stream in &mut silent[..3] {
         stream.write_all(b"GET /v1/admin/nodes HTTP/1.1\r\nhost: ").unwrap();
     }
-    let answer = call(handle.address(), &get("after", "/v1/admin/owners"), "");
+    let answer = send(handle.address(), &get("after", "/v1/admin/owners"), "");
     assert!(answer.starts_with("200"), "{answer}");
 }
--- a/crates/document/src/field.rs
+++ b/crates/document/src/field.rs
@@ -57,10 +57,10 @@
 
     fn take_field(&mut self, name: &'static str) -> Option<Node<'a>> {
         self.requested.insert(name);
-        let mut same = self.object.properties.iter().filter(|p| p.name.as_str() == name);
-        let first = same.next()?;
-        for again in same {
-            let finding = self.locate(name, again).finding("stands twice");
+        let mut matches = self.object.properties.iter().filter(|p| p.name.as_str() == name);
+        let first = matches.next()?;
+        for duplicate in matches {
+            let finding = self.locate(name, duplicate).finding("stands twice");
             self.findings.push(finding);
         }
         Some(self.locate(name, first))
--- a/crates/release/src/check.rs
+++ b/crates/release/src/check.rs
@@ -88,17 +88,17 @@
 }
 
 fn check_service(path: &str, service: &Service, findings: &mut Vec<Finding>) {
-    let well_formed = |call: &str| {
-        call.starts_with('/')
-            && call.len() <= MAX_PATH_LENGTH
-            && call.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
+    let well_formed = |call_path: &str| {
+        call_path.starts_with('/')
+            && call_path.len() <= MAX_PATH_LENGTH
+            && call_path.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
     };
-    for call in service.once.iter().filter(|call| !well_formed(call)) {
+    for call_path in service.once.iter().filter(|call_path| !well_formed(call_path)) {
         let message = format!(
             "expected a path with a leading slash, without query, of at most \
              {MAX_PATH_LENGTH} characters"
         );
-        findings.push(Finding::at(format!("{path}.once.{call}"), message));
+        findings.push(Finding::at(format!("{path}.once.{call_path}"), message));
     }
 }
 
@@ -164,7 +164,7 @@
 pub(crate) fn check_references(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     for (account, entry) in &next.accounts {
         let missing = list_references(entry, next, note).into_iter().filter(|r| !r.exists);
-        findings.extend(missing.map(|reference| reference.explain(account, note)));
+        findings.extend(missing.map(|reference| reference.to_finding(account, note)));
     }
 }
 
@@ -207,7 +207,7 @@
 impl Reference {
     /// Creates the finding about a broken reference. It is located at the account if the note
     /// contains the account, and otherwise at the withdrawal of the entry that the account uses.
-    fn explain(&self, account: &id::Account, note: &Note) -> Finding {
+    fn to_finding(&self, account: &id::Account, note: &Note) -> Finding {
         let Self { field, section, name, withdrawn, .. } = self;
         let Some(part) = find_part(note, account) else {
             let path = format!("withdrawn.{section}.{name}");
@@ -220,15 +220,15 @@
 
 /// Checks that no two accounts have the same token.
 pub(crate) fn check_tokens(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
-    let mut owners: BTreeMap<&str, &id::Account> = BTreeMap::new();
+    let mut accounts_by_token: BTreeMap<&str, &id::Account> = BTreeMap::new();
     for (name, account) in &next.accounts {
-        let Some(other) = owners.insert(&account.token_digest, name) else {
+        let Some(other) = accounts_by_token.insert(&account.token_digest, name) else {
             continue;
         };
         // At least one of the two accounts is in the note, because the current configuration is
         // valid.
-        let both = [(name, other), (other, name)];
-        for (name, other) in both {
+        let pairs = [(name, other), (other, name)];
+        for (name, other) in pairs {
             if let Some(part) = find_part(note, name) {
                 let field = format!("{part}.accounts.{name}.token_digest");
                 findings.push(Finding::at(field, format!("is the token of account {other}")));
--- a/crates/release/tests/any.rs
+++ b/crates/release/tests/any.rs
@@ -38,12 +38,12 @@
     "🎨",
 ];
 
-fn check(text: &str) -> Result<(), TestCaseError> {
+fn check_parsing(text: &str) -> Result<(), TestCaseError> {
     let lines = text.lines().count().max(1) + 1;
     match parse_draft(text) {
         Ok(draft) => {
-            let again = parse_note(&serde_json::to_string(&draft.note).unwrap());
-            prop_assert_eq!(again.as_ref(), Ok(&draft.note));
+            let reparsed = parse_note(&serde_json::to_string(&draft.note).unwrap());
+            prop_assert_eq!(reparsed.as_ref(), Ok(&draft.note));
             if let Err(mut findings) = apply_note(&Configuration::default(), &draft.note) {
                 draft.locations.locate(&mut findings);
                 prop_assert!(
@@ -61,7 +61,7 @@
 }
 
 /// Returns the greatest char boundary that is not after `index`.
-fn floor(text: &str, index: usize) -> usize {
+fn floor_char_boundary(text: &str, index: usize) -> usize {
     (0..=index.min(text.len())).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0)
 }
 
@@ -76,24 +76,24 @@
 
     #[test]
     fn any_text(text in ".{0,200}") {
-        check(&text)?;
+        check_parsing(&text)?;
     }
 
     #[test]
     fn any_pieces(pieces in prop::collection::vec(prop::sample::select(PIECES), 0..40)) {
-        check(&pieces.concat())?;
+        check_parsing(&pieces.concat())?;
     }
 
     #[test]
-    fn a_sound_note_with_a_part_replaced(
+    fn a_valid_note_with_a_part_replaced(
         start in 0..NOTE.len(),
         length in 0..60_usize,
         pieces in prop::collection::vec(prop::sample::select(PIECES), 0..6),
     ) {
-        let start = floor(NOTE, start);
-        let end = floor(NOTE, start + length);
+        let start = floor_char_boundary(NOTE, start);
+        let end = floor_char_boundary(NOTE, start + length);
         let text = [&NOTE[..start], &pieces.concat(), &NOTE[end..]].concat();
-        check(&text)?;
+        check_parsing(&text)?;
     }
 
     // Guards against wrong versions in operation lookups. For any sequence of notes, stale or not,
@@ -102,7 +102,7 @@
     #[test]
     fn versions_count_accepted_notes(against in prop::collection::vec(0..12_u64, 0..40)) {
         let mut present = Configuration::default();
-        let mut made = Vec::new();
+        let mut accepted = Vec::new();
         for (index, against) in against.into_iter().enumerate() {
             let text = format!(r#"{{ "against": {against}, "operation": "op-{index}" }}"#);
             let before = present.version.0;
@@ -111,13 +111,13 @@
                     prop_assert_eq!(against, before);
                     prop_assert_eq!(next.version.0, before + 1);
                     present = *next;
-                    made.push((format!("op-{index}"), present.version));
+                    accepted.push((format!("op-{index}"), present.version));
                 }
                 Ok(Acceptance::Repeated(version)) => prop_assert!(false, "repeated as {version}"),
                 Err(_) => prop_assert_ne!(against, before),
             }
         }
-        for (operation, version) in made {
+        for (operation, version) in accepted {
             prop_assert_eq!(present.find_operation(&operation), Some(version));
         }
     }
--- a/crates/release/tests/notes.rs
+++ b/crates/release/tests/notes.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn every_finding_of_a_note_by_itself_is_reported_with_its_place() {
+fn invalid_notes_report_all_findings() {
     let mut report = String::new();
     for (name, text) in read_documents("shape") {
         writeln!(report, "{name}").unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn notes_are_decided_against_the_present_configuration() {
+fn notes_are_checked_against_a_configuration() {
     let present = read_present();
     let mut report = String::new();
     for (name, text) in read_documents("against") {
@@ -99,7 +99,7 @@
 // other notes were accepted since, sending it again must return the version that it created, as
 // long as its operation is kept.
 #[test]
-fn a_repeated_operation_names_the_version_it_made() {
+fn a_repeated_operation_returns_its_version() {
     let mut present = read_present();
     let note = |version: u64| {
         let text = format!(
--- a/crates/release/tests/size.rs
+++ b/crates/release/tests/size.rs
@@ -38,7 +38,7 @@
 
 // The required size within two years is 680 accounts that may each use all of 12 models.
 #[test]
-fn the_size_to_come_fits_into_a_quarter_of_the_bound() {
+fn the_required_size_is_below_a_quarter_of_the_limit() {
     let next = apply_note(&Configuration::default(), &build_note(680, 12)).unwrap();
     let bytes = next.json_size();
     insta::assert_snapshot!(bytes, @"193215");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_configuration_over_the_bound_is_refused() {
+fn an_oversized_configuration_is_rejected() {
     let findings = apply_note(&Configuration::default(), &build_note(4_000, 12)).unwrap_err();
     assert_eq!(findings.len(), 1);
     assert_eq!(findings[0].field, "document");
@@ -54,6 +54,6 @@
 }
 
 #[test]
-fn the_bound_is_that_of_the_platform() {
+fn the_limit_equals_that_of_the_platform() {
     assert_eq!(MAX_SIZE, hickory_store::store::MAX_VALUE_SIZE);
 }
--- a/crates/settings/tests/docs.rs
+++ b/crates/settings/tests/docs.rs
@@ -21,8 +21,8 @@
 struct Row {
     name: String,
     default: u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 }
 
 fn list_rows() -> Vec<Row> {
@@ -33,15 +33,15 @@
             Row {
                 name: cells[0].trim_end_matches('`').to_owned(),
                 default: cells[1].parse().unwrap(),
-                least: cells[2].parse().unwrap(),
-                most: cells[3].parse().unwrap(),
+                min: cells[2].parse().unwrap(),
+                max: cells[3].parse().unwrap(),
             }
         })
         .collect()
 }
 
 #[test]
-fn each_time_stands_there_with_its_default() {
+fn the_page_lists_each_time_with_its_default() {
     // The `Debug` output lists all fields.
     let mut defaults: Vec<String> = format!("{:?}", Times::default())
         .trim_start_matches("Times { ")
@@ -49,18 +49,18 @@
         .split(", ")
         .map(str::to_owned)
         .collect();
-    let mut explained: Vec<String> =
+    let mut listed: Vec<String> =
         list_rows().iter().map(|row| format!("{}: {}", row.name, row.default)).collect();
     defaults.sort();
-    explained.sort();
-    assert_eq!(explained, defaults);
+    listed.sort();
+    assert_eq!(listed, defaults);
 }
 
 #[test]
-fn each_time_stands_there_with_its_range() {
+fn the_page_lists_each_time_with_its_range() {
     let findings = read_findings("3600001");
-    for Row { name, least, most, .. } in list_rows() {
-        let finding = format!("times.{name}: must be from {least} to {most}");
+    for Row { name, min, max, .. } in list_rows() {
+        let finding = format!("times.{name}: must be from {min} to {max}");
         assert!(findings.contains(&finding), "{finding}: {findings:?}");
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn every_finding_and_warning_is_reported_with_its_place() {
+fn all_findings_and_warnings_are_reported() {
     let mut files: Vec<PathBuf> =
         std::fs::read_dir(data()).unwrap().map(|entry| entry.unwrap().path()).collect();
     files.sort();
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn all_that_is_set_arrives() {
+fn all_settings_are_read() {
     insta::assert_debug_snapshot!(open(&data().join("whole.jsonc")).unwrap());
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
+fn omitted_settings_have_defaults() {
     let settings = open(&data().join("good.jsonc")).unwrap();
     assert_eq!(settings.times, Times::default());
     assert_eq!(settings.logs, Default::default());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_told_apart() {
+fn a_missing_file_is_a_separate_error() {
     let error = open(Path::new("/nowhere/settings.jsonc")).unwrap_err();
     assert!(matches!(error, Error::Unreadable { .. }), "{error}");
 }
