--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -137,7 +137,11 @@
         Err(failure) => {
             let mut problem = describe_failure(failure, operation);
             locations.locate(&mut problem.findings);
-            log::warn!(operation:? = problem.operation, code:% = problem.code; "release note not accepted");
+            log::warn!(
+                operation:? = problem.operation,
+                code:% = problem.code;
+                "release note not accepted"
+            );
             Err(problem)
         }
     }
--- a/crates/document/src/field.rs
+++ b/crates/document/src/field.rs
@@ -60,7 +60,7 @@
         let mut matches = self.object.properties.iter().filter(|p| p.name.as_str() == name);
         let first = matches.next()?;
         for duplicate in matches {
-            let finding = self.locate(name, duplicate).finding("stands twice");
+            let finding = self.locate(name, duplicate).finding("is a duplicate");
             self.findings.push(finding);
         }
         Some(self.locate(name, first))
--- a/crates/document/src/read.rs
+++ b/crates/document/src/read.rs
@@ -188,7 +188,7 @@
                 continue;
             };
             if entries.insert(K::from(name), value).is_some() {
-                findings.push(entry.finding("stands twice"));
+                findings.push(entry.finding("is a duplicate"));
             }
         }
         Some(entries)
@@ -210,7 +210,7 @@
                 continue;
             };
             if !elements.insert(value) {
-                findings.push(element.finding("stands twice"));
+                findings.push(element.finding("is a duplicate"));
             }
         }
         Some(elements)
--- a/crates/release/src/accept.rs
+++ b/crates/release/src/accept.rs
@@ -53,5 +53,5 @@
 }
 
 fn missing_operation() -> Finding {
-    Finding::at("operation", "is missing: a unique id tells a repeated note from a new one")
+    Finding::at("operation", "is missing; a unique id distinguishes a repeated note from a new one")
 }
--- a/crates/release/src/check.rs
+++ b/crates/release/src/check.rs
@@ -145,7 +145,7 @@
         findings.push(Finding::at(format!("{part}.{section}.{name}"), message));
     };
     for name in added.filter(|name| exists(name)) {
-        push("added", name, "exists already");
+        push("added", name, "already exists");
     }
     for name in changed {
         if !exists(name) {
@@ -257,7 +257,7 @@
     findings: &mut Vec<Finding>,
 ) {
     if next.operators.is_empty() && !present.operators.is_empty() {
-        let message = "no operator would be left; nobody could accept the next note";
+        let message = "no operator would remain, so no further note could be accepted";
         findings.push(Finding::at("withdrawn.operators", message));
     }
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -135,7 +135,7 @@
     // A listener may use port 0; the node prints the port that it bound when it is ready. A service
     // of the platform can't be reached at port 0.
     for (field, _) in listeners.iter().filter(|(_, address)| address.port() == 0) {
-        warnings.push(Finding::at(*field, "port 0: another port is taken at each start"));
+        warnings.push(Finding::at(*field, "port 0: a free port is chosen at each start"));
     }
     for (field, _) in services.iter().filter(|(_, address)| address.port() == 0) {
         findings.push(Finding::at(*field, "the port must not be 0"));
@@ -143,7 +143,10 @@
     for (field, address) in listeners.iter().chain(&services) {
         // Callers and other nodes receive these addresses to connect to.
         if address.ip().is_unspecified() && *field != "admin" {
-            findings.push(Finding::at(*field, "must be an address that others can connect to"));
+            findings.push(Finding::at(
+                *field,
+                "must be an address that callers and other nodes can connect to",
+            ));
         }
     }
     for (index, (field, address)) in listeners.iter().enumerate() {
@@ -183,7 +186,7 @@
         .bytes()
         .all(|digit| Some(digit) == settings.fleet_key.bytes().next())
     {
-        warnings.push(Finding::at("fleet_key", "is one digit repeated; draw it at random"));
+        warnings.push(Finding::at("fleet_key", "is one digit repeated; generate a random key"));
     }
     if let Some(digest) = &settings.first_operator {
         check_digest("first_operator", digest, findings);
@@ -221,8 +224,7 @@
         findings.push(Finding::at("times.gossip_ms", message));
     }
     if times.report_ms > times.permit_ms {
-        let message = "load is reported less often than a permit lives; a target that turns \
-                       cold is noticed late";
+        let message = "longer than permit_ms; a target that turns cold is detected late";
         warnings.push(Finding::at("times.report_ms", message));
     }
 }
