--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -171,9 +171,9 @@
         Case { headers: IF_MATCH_BAD, ..accept("If-Match is no version", OUT) },
         Case { fault: Some(Fault::Unavailable), ..accept("platform down", OUT) },
         Case { fault: Some(Fault::LostBefore), ..accept("lost, not written", OUT) },
-        get("not there", "/v1/admin/releases/op-out"),
+        get("operation not found", "/v1/admin/releases/op-out"),
         Case { fault: Some(Fault::LostAfter), ..accept("lost, written", OUT) },
-        get("there", "/v1/admin/releases/op-out"),
+        get("operation found", "/v1/admin/releases/op-out"),
         Case { headers: IF_MATCH_1, ..accept("repeated", OUT) },
         accept("stale", r#"{ "against": 1, "operation": "op-stale" }"#),
         accept("invalid", INVALID),
@@ -184,7 +184,7 @@
         Case { headers: KEY_BAD, ..accept("operation by a bad header", EMPTY) },
         Case { headers: KEY, ..accept("operation by header", EMPTY) },
         Case { headers: KEY, ..accept("repeated by header", EMPTY) },
-        get("at last", "/v1/admin/configuration"),
+        get("final state", "/v1/admin/configuration"),
     ];
     insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -24,8 +24,8 @@
 //!     }
 //! }
 //!
-//! let reading = read_document::<Point>("{ \"x\": true, // wrong\n \"z\": 1 }");
-//! let lines: Vec<String> = reading.findings.iter().map(|f| f.to_string()).collect();
+//! let parsed = read_document::<Point>("{ \"x\": true, // wrong\n \"z\": 1 }");
+//! let lines: Vec<String> = parsed.findings.iter().map(|f| f.to_string()).collect();
 //! assert_eq!(
 //!     lines,
 //!     [
@@ -66,12 +66,14 @@
     /// A later finding is dropped if its field, or an object that contains it, already has one: a
     /// value that could not be read was replaced by a default, and a finding about that default
     /// would be misleading.
-    pub fn add_findings(&mut self, later: Vec<Finding>) {
+    pub fn add_findings(&mut self, new_findings: Vec<Finding>) {
         let known = &self.findings;
-        let mut later: Vec<Finding> =
-            later.into_iter().filter(|finding| !has_finding(known, &finding.field)).collect();
-        self.locations.locate(&mut later);
-        self.findings.append(&mut later);
+        let mut located: Vec<Finding> = new_findings
+            .into_iter()
+            .filter(|finding| !has_finding(known, &finding.field))
+            .collect();
+        self.locations.locate(&mut located);
+        self.findings.append(&mut located);
         self.findings.sort();
     }
 
@@ -94,11 +96,13 @@
     match parse_to_ast(text, &CollectOptions::default(), &parse_options()) {
         Ok(parsed) => match &parsed.value {
             Some(root) => read_root(text, root),
-            None => fail(1, "is empty".to_owned()),
+            None => parse_failure(1, "is empty".to_owned()),
         },
         // The parser also counts a lone carriage return as a line end, so its line number is not
         // used.
-        Err(error) => fail(Lines::of(text).line(error.range().start), error.kind().to_string()),
+        Err(error) => {
+            parse_failure(Lines::of(text).line(error.range().start), error.kind().to_string())
+        }
     }
 }
 
@@ -118,7 +122,7 @@
     Parsed { value, findings, locations: Locations::of(root, &lines) }
 }
 
-fn fail<T>(line: usize, message: String) -> Parsed<T> {
+fn parse_failure<T>(line: usize, message: String) -> Parsed<T> {
     let findings = vec![Finding { line, field: ROOT.to_owned(), message }];
     Parsed { value: None, findings, locations: Locations::default() }
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -222,14 +222,14 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let accepted_stop = stopped.clone();
+    let server_stopped = stopped.clone();
     let clients = Rc::new(Clients { key: key.clone(), open: RefCell::default() });
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     let (key, handler) = (key.clone(), handler.clone());
-                    let stopped = accepted_stop.clone();
+                    let stopped = server_stopped.clone();
                     tokio::task::spawn_local(serve(stream, key, handler, stopped));
                 }
                 // Most likely the process has no file descriptors left; wait until some are closed.
@@ -280,8 +280,9 @@
                     let mut request = peer.permit_request();
                     codec::write_permit_request(&permit_request, request.get().init_ask());
                     let response = request.send().promise.await.map_err(call_error)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
-                    codec::read_answer(found).map_err(call_error)
+                    let peer_answer =
+                        response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(peer_answer).map_err(call_error)
                 };
                 self.run_call(to, answer, run).await;
             }
@@ -297,8 +298,8 @@
                 let run = async |peer: peer::Client| {
                     let request = peer.release_request();
                     let response = request.send().promise.await.map_err(call_error)?;
-                    let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(call_error)?).map_err(call_error)
+                    let document = response.get().and_then(|r| r.get_document());
+                    codec::read_document(document.map_err(call_error)?).map_err(call_error)
                 };
                 self.run_call(to, answer, run).await;
             }
@@ -306,8 +307,8 @@
                 let run = async |peer: peer::Client| {
                     let request = peer.owners_request();
                     let response = request.send().promise.await.map_err(call_error)?;
-                    let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(call_error)?).map_err(call_error)
+                    let document = response.get().and_then(|r| r.get_document());
+                    codec::read_document(document.map_err(call_error)?).map_err(call_error)
                 };
                 self.run_call(to, answer, run).await;
             }
@@ -319,16 +320,17 @@
                     request.get().set_node(adoption.node.as_str());
                     request.get().set_keep(adoption.is_renewal);
                     let response = request.send().promise.await.map_err(call_error)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
-                    codec::read_answer(found).map_err(call_error)
+                    let peer_answer =
+                        response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(peer_answer).map_err(call_error)
                 };
                 self.run_call(to, answer, run).await;
             }
             Call::Probe(to, mut answer) => {
                 let link = Link::default();
                 tokio::select! {
-                    made = link.open(to, &self.key) => {
-                        let _ = answer.send(made.map(drop));
+                    opened = link.open(to, &self.key) => {
+                        let _ = answer.send(opened.map(drop));
                     }
                     () = answer.closed() => {}
                 }
