--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -1,4 +1,4 @@
-//! From a request to its answer.
+//! Routing of requests to their handlers.
 
 use crate::control::{Control, Failure};
 use crate::problem::{self, Code, Problem};
@@ -14,14 +14,14 @@
 use serde::Serialize;
 use std::io::Read;
 
-/// The greatest body: a note can't usefully be greater than the configuration
-/// it makes, which the platform bounds to one mebibyte.
-const BODY_MAX: u64 = 1 << 20;
+/// Maximum size of a request body. A larger note is of no use, because the platform limits the
+/// configuration that it creates to one mebibyte.
+const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// The media type that Prometheus asks for.
+/// The media type of the Prometheus text format.
 const METRICS_TYPE: &str = "text/plain; version=0.0.4; charset=utf-8";
 
-/// What the API serves.
+/// The endpoints of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Route<'a> {
     Accept,
@@ -57,32 +57,32 @@
         }
     }
 
-    fn is_open(self) -> bool {
+    fn is_public(self) -> bool {
         matches!(self, Self::Metrics | Self::Health)
     }
 }
 
-/// Answers a request.
-pub(crate) fn answer<C: Control>(control: &C, request: &mut Request<Body>) -> Response<Body> {
-    match serve(control, request) {
+/// Handles a request.
+pub(crate) fn respond<C: Control>(control: &C, request: &mut Request<Body>) -> Response<Body> {
+    match handle_request(control, request) {
         Ok(response) => response,
         Err(problem) => render_problem(&problem),
     }
 }
 
-fn serve<C: Control>(
+fn handle_request<C: Control>(
     control: &C,
     request: &mut Request<Body>,
 ) -> Result<Response<Body>, Box<Problem>> {
     let path = request.uri().path().to_owned();
     let route = Route::parse(&path);
-    // Without a token not even the paths that exist can be told apart.
-    if !route.is_some_and(Route::is_open) && !is_authorized(control, request) {
-        return Err(fail(Code::Unauthorized, "an operator's token is needed"));
+    // Without a valid token, existing and missing paths must not be distinguishable.
+    if !route.is_some_and(Route::is_public) && !is_authorized(control, request) {
+        return Err(make_problem(Code::Unauthorized, "an operator's token is needed"));
     }
-    let route = route.ok_or_else(|| fail(Code::NotFound, "no such path"))?;
+    let route = route.ok_or_else(|| make_problem(Code::NotFound, "no such path"))?;
     if *request.method() != route.method() {
-        return Err(fail(Code::BadMethod, format!("use {}", route.method())));
+        return Err(make_problem(Code::BadMethod, format!("use {}", route.method())));
     }
     match route {
         Route::Accept => accept(control, request),
@@ -115,11 +115,11 @@
     control: &C,
     request: &mut Request<Body>,
 ) -> Result<Response<Body>, Box<Problem>> {
-    let expected = read_expected(request)?;
+    let expected = read_if_match(request)?;
     let text = read_body(request)?;
-    let Draft { mut note, places } = note::parse_draft(&text).map_err(fail_invalid)?;
+    let Draft { mut note, locations } = note::parse_draft(&text).map_err(make_invalid_problem)?;
     if let Some(expected) = expected {
-        check_expected(expected, &note)?;
+        check_if_match(expected, &note)?;
     }
     if note.operation.is_empty() {
         note.operation = read_operation(request)?;
@@ -131,13 +131,17 @@
             let version = accepted.version;
             log::info!(operation, version:%, repeated; "release note accepted");
             let mut response = render_json(200, &view::Accepted { version, operation, repeated });
-            set_version(&mut response, version);
+            set_etag(&mut response, version);
             Ok(response)
         }
         Err(failure) => {
             let mut problem = describe_failure(failure, operation);
-            places.locate(&mut problem.findings);
-            log::warn!(operation:? = problem.operation, code:% = problem.code; "release note not accepted");
+            locations.locate(&mut problem.findings);
+            log::warn!(
+                operation:? = problem.operation,
+                code:% = problem.code;
+                "release note not accepted"
+            );
             Err(problem)
         }
     }
@@ -146,14 +150,16 @@
 fn describe_failure(failure: Failure, operation: String) -> Box<Problem> {
     let mut problem = match failure {
         Failure::Conflict(present) => {
-            let mut problem =
-                fail(Code::Conflict, format!("the present version is {present}; write against it"));
+            let mut problem = make_problem(
+                Code::Conflict,
+                format!("the present version is {present}; write against it"),
+            );
             problem.present = Some(present);
             problem
         }
-        Failure::Invalid(findings) => fail_invalid(findings),
-        Failure::Unavailable(detail) => fail(Code::Unavailable, detail),
-        Failure::Unknown(detail) => fail(Code::Unknown, detail),
+        Failure::Invalid(findings) => make_invalid_problem(findings),
+        Failure::Unavailable(detail) => make_problem(Code::Unavailable, detail),
+        Failure::Unknown(detail) => make_problem(Code::Unknown, detail),
     };
     problem.operation = Some(operation);
     problem
@@ -166,30 +172,33 @@
     let found = control
         .find_operation(operation)
         .map_err(|failure| describe_failure(failure, operation.to_owned()))?;
-    let version = found.ok_or_else(|| fail(Code::NotFound, "no such operation is kept"))?;
+    let version = found.ok_or_else(|| make_problem(Code::NotFound, "no such operation is kept"))?;
     let operation = operation.to_owned();
     Ok(render_json(200, &view::Accepted { version, operation, repeated: true }))
 }
 
 fn show_configuration<C: Control>(control: &C) -> Result<Response<Body>, Box<Problem>> {
-    let configuration =
-        control.configuration().ok_or_else(|| fail(Code::NotReady, "no configuration yet"))?;
+    let configuration = control
+        .configuration()
+        .ok_or_else(|| make_problem(Code::NotReady, "no configuration yet"))?;
     let mut response = render_json(200, &*configuration);
-    set_version(&mut response, configuration.version);
+    set_etag(&mut response, configuration.version);
     Ok(response)
 }
 
-/// The version in `If-Match`, if the header is there.
-fn read_expected(request: &Request<Body>) -> Result<Option<id::Release>, Box<Problem>> {
+/// Parses the version in the `If-Match` header, if present.
+fn read_if_match(request: &Request<Body>) -> Result<Option<id::Release>, Box<Problem>> {
     let Some(value) = request.headers().get(IF_MATCH) else {
         return Ok(None);
     };
     let version = value.to_str().ok().and_then(|text| text.trim().trim_matches('"').parse().ok());
-    version.map(Some).ok_or_else(|| fail(Code::BadHeader, "If-Match is no version in quotes"))
+    version
+        .map(Some)
+        .ok_or_else(|| make_problem(Code::BadHeader, "If-Match is no version in quotes"))
 }
 
-/// The operation's id from the header; a fresh one where neither the note nor
-/// the header has one: such a note can't be read back, but takes effect.
+/// Returns the operation id from the header, or a new one if the header is absent. A note with a
+/// generated id takes effect, but a client that loses the answer can't look it up.
 fn read_operation(request: &Request<Body>) -> Result<String, Box<Problem>> {
     let Some(value) = request.headers().get(OPERATION_HEADER) else {
         return Ok(uuid::Uuid::now_v7().to_string());
@@ -200,56 +209,59 @@
     match findings.pop() {
         None => Ok(operation),
         Some(finding) => {
-            Err(fail(Code::BadHeader, format!("{}: {}", finding.field, finding.message)))
+            Err(make_problem(Code::BadHeader, format!("{}: {}", finding.field, finding.message)))
         }
     }
 }
 
-fn check_expected(expected: id::Release, note: &Note) -> Result<(), Box<Problem>> {
+fn check_if_match(expected: id::Release, note: &Note) -> Result<(), Box<Problem>> {
     if expected == note.against {
         return Ok(());
     }
     let detail = format!("If-Match says {expected}, the note is against {}", note.against);
-    Err(fail(Code::BadHeader, detail))
+    Err(make_problem(Code::BadHeader, detail))
 }
 
 fn read_body(request: &mut Request<Body>) -> Result<String, Box<Problem>> {
     let mut text = Vec::new();
     request
         .body_mut()
-        .take(BODY_MAX + 1)
+        .take(MAX_BODY_BYTES + 1)
         .read_to_end(&mut text)
-        .map_err(|error| fail(Code::Incomplete, format!("the body broke off: {error}")))?;
-    if text.len() as u64 > BODY_MAX {
-        return Err(fail(Code::TooLarge, format!("the body is over {BODY_MAX} bytes")));
+        .map_err(|error| make_problem(Code::Incomplete, format!("the body broke off: {error}")))?;
+    if text.len() as u64 > MAX_BODY_BYTES {
+        return Err(make_problem(
+            Code::TooLarge,
+            format!("the body is over {MAX_BODY_BYTES} bytes"),
+        ));
     }
-    String::from_utf8(text).map_err(|_| fail(Code::Invalid, "the body is not UTF-8"))
+    String::from_utf8(text).map_err(|_| make_problem(Code::Invalid, "the body is not UTF-8"))
 }
 
 fn read_header(request: &Request<Body>, name: HeaderName) -> Option<&str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-fn fail(code: Code, detail: impl Into<String>) -> Box<Problem> {
+fn make_problem(code: Code, detail: impl Into<String>) -> Box<Problem> {
     Box::new(Problem::new(code, detail))
 }
 
-fn fail_invalid(findings: Vec<Finding>) -> Box<Problem> {
-    let mut problem = fail(Code::Invalid, finding::count_text(&findings));
+fn make_invalid_problem(findings: Vec<Finding>) -> Box<Problem> {
+    let mut problem = make_problem(Code::Invalid, finding::count_text(&findings));
     problem.findings = findings;
     problem
 }
 
-/// A problem as a response.
+/// Converts a problem to a response.
 pub(crate) fn render_problem(problem: &Problem) -> Response<Body> {
     let text = serde_json::to_string(problem).unwrap_or_default();
     let mut response = render(problem.status, problem::MEDIA_TYPE, text);
-    let extra = match problem.code {
+    let extra_header = match problem.code {
         Code::Unauthorized => Some((WWW_AUTHENTICATE, "Bearer")),
         Code::BadMethod => Some((ALLOW, problem.detail.trim_start_matches("use "))),
         _ => None,
     };
-    if let Some((name, value)) = extra
+    if let Some((name, value)) = extra_header
         && let Ok(value) = value.parse()
     {
         response.headers_mut().insert(name, value);
@@ -271,8 +283,8 @@
     response
 }
 
-/// Sets the entity tag to the version.
-fn set_version(response: &mut Response<Body>, version: id::Release) {
+/// Sets the `ETag` header to the version.
+fn set_etag(response: &mut Response<Body>, version: id::Release) {
     if let Ok(value) = format!("\"{version}\"").parse() {
         response.headers_mut().insert(ETAG, value);
     }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The server: one listener, a bounded number of connections.
+//! The HTTP server: one listener and a bounded number of connections.
 
 use crate::control::Control;
 use crate::problem::{Code, Problem};
@@ -8,26 +8,24 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-/// Tries at finding a free port where none is given.
-const PORT_TRIES: usize = 16;
+/// Maximum number of attempts to bind a free port if none is configured.
+const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// The bounds of a server.
+/// Limits of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Connections served at once, each by a thread; more wait to be
-    /// accepted. A few operators and scrapers need a handful; the bound keeps
-    /// a flood from taking the threads and the memory that callers are served
-    /// with.
-    pub connections: usize,
-    /// How long a read or write on a connection may stand. A connection that
-    /// is silent for good, because its other end is frozen or lost, must not
-    /// hold one of the few threads for good.
+    /// Maximum number of concurrent connections, each served by its own thread; further connections
+    /// wait to be accepted. A few operators and scrapers need only a handful. The limit keeps a
+    /// flood of connections from using up threads and memory that serving callers needs.
+    pub max_connections: usize,
+    /// Timeout for reads and writes on a connection. A connection whose other end is frozen or
+    /// unreachable would otherwise occupy one of the few threads forever.
     pub timeout: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
-        Self { connections: 16, timeout: Duration::from_secs(10) }
+        Self { max_connections: 16, timeout: Duration::from_secs(10) }
     }
 }
 
@@ -37,44 +35,43 @@
 
 /// A running server.
 ///
-/// The library can't stop listening. A dropped handle lets go of the control,
-/// and what still connects is told that the node is gone; the listener's
-/// thread remains until the process ends.
+/// `oxhttp` can't stop listening. Dropping the handle releases the control, and later requests get
+/// an error that the node has stopped; the listener's thread runs until the process ends.
 #[derive(Debug)]
 pub struct Handle<C> {
     address: SocketAddr,
-    control: Slot<C>,
+    control: ControlSlot<C>,
 }
 
-type Slot<C> = Arc<RwLock<Option<Arc<C>>>>;
+type ControlSlot<C> = Arc<RwLock<Option<Arc<C>>>>;
 
 impl Server {
-    /// Serves `control` at `address`; port 0 takes any that is free.
+    /// Serves `control` at `address`; port 0 selects a free port.
     pub fn spawn<C: Control>(address: SocketAddr, control: Arc<C>) -> io::Result<Handle<C>> {
-        Self::spawn_within(Options::default(), address, control)
+        Self::spawn_with_options(Options::default(), address, control)
     }
 
-    /// Serves within bounds other than the usual ones.
-    pub fn spawn_within<C: Control>(
+    /// Serves `control` with limits other than the defaults.
+    pub fn spawn_with_options<C: Control>(
         options: Options,
         address: SocketAddr,
         control: Arc<C>,
     ) -> io::Result<Handle<C>> {
-        let slot = Arc::new(RwLock::new(Some(control)));
-        let mut tries = PORT_TRIES;
+        let control_slot = Arc::new(RwLock::new(Some(control)));
+        let mut attempts_left = MAX_PORT_ATTEMPTS;
         loop {
-            let bound = resolve_port(address)?;
-            match listen(options, bound, &slot) {
-                Ok(()) => return Ok(Handle { address: bound, control: slot }),
-                Err(error) if address.port() != 0 || tries == 0 => return Err(error),
-                Err(_) => tries -= 1,
+            let bound = choose_port(address)?;
+            match listen(options, bound, &control_slot) {
+                Ok(()) => return Ok(Handle { address: bound, control: control_slot }),
+                Err(error) if address.port() != 0 || attempts_left == 0 => return Err(error),
+                Err(_) => attempts_left -= 1,
             }
         }
     }
 }
 
 impl<C> Handle<C> {
-    /// Where the server listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -86,27 +83,30 @@
     }
 }
 
-/// Names a free port in place of port 0: the library tells no one which port
-/// it was given.
-fn resolve_port(address: SocketAddr) -> io::Result<SocketAddr> {
+/// Replaces port 0 with a free port, because `oxhttp` does not report the port that it bound.
+fn choose_port(address: SocketAddr) -> io::Result<SocketAddr> {
     if address.port() != 0 {
         return Ok(address);
     }
     TcpListener::bind(address)?.local_addr()
 }
 
-fn listen<C: Control>(options: Options, address: SocketAddr, slot: &Slot<C>) -> io::Result<()> {
-    let slot = Arc::clone(slot);
+fn listen<C: Control>(
+    options: Options,
+    address: SocketAddr,
+    control_slot: &ControlSlot<C>,
+) -> io::Result<()> {
+    let control_slot = Arc::clone(control_slot);
     oxhttp::Server::new(move |request| {
-        let control = slot.read().unwrap_or_else(PoisonError::into_inner).clone();
+        let control = control_slot.read().unwrap_or_else(PoisonError::into_inner).clone();
         match control {
-            Some(control) => route::answer(&*control, request),
+            Some(control) => route::respond(&*control, request),
             None => route::render_problem(&Problem::new(Code::Unavailable, "the node has stopped")),
         }
     })
     .bind(address)
     .with_global_timeout(options.timeout)
-    .with_max_concurrent_connections(options.connections)
+    .with_max_concurrent_connections(options.max_connections)
     .spawn()
     .map(drop)
 }
--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -1,4 +1,4 @@
-//! The contract of the administration API, over a control in memory.
+//! Tests of the administration API with an in-memory control.
 
 mod fake;
 
@@ -14,10 +14,10 @@
 
 const FIRST: &str = include_str!("data/first.jsonc");
 
-/// How long an answer may take before a test fails.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout after which a missing answer fails the test.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One call, and what goes wrong meanwhile.
+/// A request and a fault that occurs while it is processed.
 struct Case {
     name: &'static str,
     method: Method,
@@ -45,8 +45,8 @@
     (fake, handle)
 }
 
-/// The answer as text: status, the headers that matter, and the body.
-fn call(address: SocketAddr, case: &Case, body: impl Into<Body>) -> String {
+/// Sends a request and returns the response as text: status, relevant headers and body.
+fn send(address: SocketAddr, case: &Case, body: impl Into<Body>) -> String {
     let mut request = Request::builder()
         .method(case.method.clone())
         .uri(format!("http://{address}{}", case.path));
@@ -54,7 +54,7 @@
         request = request.header(*name, *value);
     }
     let response = oxhttp::Client::new()
-        .with_global_timeout(PATIENCE)
+        .with_global_timeout(TIMEOUT)
         .request(request.body(body.into()).unwrap())
         .unwrap();
     let mut text = response.status().as_u16().to_string();
@@ -67,50 +67,60 @@
     text
 }
 
-/// Runs the cases in order on one node, and writes down what came back.
-fn report(platform: &Arc<Platform>, cases: &[Case]) -> String {
+/// Sends the requests in order to one node and returns all responses as text.
+fn run_cases(platform: &Arc<Platform>, cases: &[Case]) -> String {
     let (fake, handle) = spawn(platform);
     let mut report = String::new();
     for case in cases {
         case.fault.iter().cloned().for_each(|fault| fake.fail(fault));
-        let answer = call(handle.address(), case, case.body);
+        let answer = send(handle.address(), case, case.body);
         writeln!(report, "{}: {} {} -> {answer}", case.name, case.method, case.path).unwrap();
     }
     report
 }
 
 #[test]
-fn nobody_without_an_operators_token_gets_in() {
-    let bare =
+fn requests_without_an_operator_token_are_rejected() {
+    let unauthenticated =
         |name, method, path, headers| Case { name, method, path, headers, body: "", fault: None };
     let cases = [
-        bare("none", Method::GET, "/v1/admin/nodes", &[]),
-        bare("empty", Method::GET, "/v1/admin/nodes", &[("authorization", "")]),
-        bare("no scheme", Method::GET, "/v1/admin/nodes", &[("authorization", TOKEN)]),
-        bare("basic", Method::GET, "/v1/admin/nodes", &[("authorization", "Basic operator-token")]),
-        bare("wrong", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer operator-toke")]),
-        bare("blank", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer ")]),
-        bare("accept", Method::POST, RELEASES, &[]),
-        bare("find", Method::GET, "/v1/admin/releases/op-first", &[]),
-        bare("configuration", Method::GET, "/v1/admin/configuration", &[]),
-        bare("targets", Method::GET, "/v1/admin/targets", &[]),
-        bare("owners", Method::GET, "/v1/admin/owners", &[]),
-        bare("drain", Method::POST, "/v1/admin/drain", &[]),
-        bare("unknown path", Method::GET, "/v1/secret", &[]),
-        bare("health is open", Method::GET, "/health", &[]),
-        bare("metrics are open", Method::GET, "/metrics", &[]),
-        bare(
+        unauthenticated("none", Method::GET, "/v1/admin/nodes", &[]),
+        unauthenticated("empty", Method::GET, "/v1/admin/nodes", &[("authorization", "")]),
+        unauthenticated("no scheme", Method::GET, "/v1/admin/nodes", &[("authorization", TOKEN)]),
+        unauthenticated(
+            "basic",
+            Method::GET,
+            "/v1/admin/nodes",
+            &[("authorization", "Basic operator-token")],
+        ),
+        unauthenticated(
+            "wrong",
+            Method::GET,
+            "/v1/admin/nodes",
+            &[("authorization", "Bearer operator-toke")],
+        ),
+        unauthenticated("blank", Method::GET, "/v1/admin/nodes", &[("authorization", "Bearer ")]),
+        unauthenticated("accept", Method::POST, RELEASES, &[]),
+        unauthenticated("find", Method::GET, "/v1/admin/releases/op-first", &[]),
+        unauthenticated("configuration", Method::GET, "/v1/admin/configuration", &[]),
+        unauthenticated("targets", Method::GET, "/v1/admin/targets", &[]),
+        unauthenticated("owners", Method::GET, "/v1/admin/owners", &[]),
+        unauthenticated("drain", Method::POST, "/v1/admin/drain", &[]),
+        unauthenticated("unknown path", Method::GET, "/v1/secret", &[]),
+        unauthenticated("health is open", Method::GET, "/health", &[]),
+        unauthenticated("metrics are open", Method::GET, "/metrics", &[]),
+        unauthenticated(
             "case",
             Method::GET,
             "/v1/admin/owners",
             &[("authorization", "bearer operator-token")],
         ),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn what_is_shown() {
+fn read_requests_return_the_state() {
     let cases = [
         get("nodes", "/v1/admin/nodes"),
         get("targets", "/v1/admin/targets"),
@@ -124,22 +134,22 @@
         Case { method: Method::POST, ..get("drain", "/v1/admin/drain") },
         get("health while draining", "/health"),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn a_node_without_a_configuration_says_so() {
+fn a_node_without_a_configuration_is_not_ready() {
     let cases = [
         get("configuration", "/v1/admin/configuration"),
         get("health", "/health"),
         accept("first note", FIRST),
         get("health", "/health"),
     ];
-    insta::assert_snapshot!(report(&Arc::default(), &cases));
+    insta::assert_snapshot!(run_cases(&Arc::default(), &cases));
 }
 
 #[test]
-fn notes_and_their_faults() {
+fn notes_and_faults() {
     const OUT: &str = r#"{ "against": 1, "operation": "op-out",
   "changed": { "zones": { "nairobi-a": { "out": true } } } }"#;
     const SHARE: &str = r#"{ "against": 2, "operation": "op-share", // renegotiated
@@ -161,9 +171,9 @@
         Case { headers: IF_MATCH_BAD, ..accept("If-Match is no version", OUT) },
         Case { fault: Some(Fault::Unavailable), ..accept("platform down", OUT) },
         Case { fault: Some(Fault::LostBefore), ..accept("lost, not written", OUT) },
-        get("not there", "/v1/admin/releases/op-out"),
+        get("operation not found", "/v1/admin/releases/op-out"),
         Case { fault: Some(Fault::LostAfter), ..accept("lost, written", OUT) },
-        get("there", "/v1/admin/releases/op-out"),
+        get("operation found", "/v1/admin/releases/op-out"),
         Case { headers: IF_MATCH_1, ..accept("repeated", OUT) },
         accept("stale", r#"{ "against": 1, "operation": "op-stale" }"#),
         accept("invalid", INVALID),
@@ -174,32 +184,31 @@
         Case { headers: KEY_BAD, ..accept("operation by a bad header", EMPTY) },
         Case { headers: KEY, ..accept("operation by header", EMPTY) },
         Case { headers: KEY, ..accept("repeated by header", EMPTY) },
-        get("at last", "/v1/admin/configuration"),
+        get("final state", "/v1/admin/configuration"),
     ];
-    insta::assert_snapshot!(report(&Platform::open(FIRST), &cases));
+    insta::assert_snapshot!(run_cases(&Platform::open(FIRST), &cases));
 }
 
 #[test]
-fn bodies_out_of_bounds_are_refused() {
+fn malformed_and_oversized_bodies_are_rejected() {
     let platform = Platform::open(FIRST);
     let (fake, handle) = spawn(&platform);
     let case = accept("bounds", "");
     let large = format!("{{ \"against\": 1 }}{}", " ".repeat(1 << 20));
-    assert!(call(handle.address(), &case, large).contains("\"code\":\"too-large\""));
+    assert!(send(handle.address(), &case, large).contains("\"code\":\"too-large\""));
     let binary = vec![b'{', 0xff, 0xfe, b'}'];
-    assert!(call(handle.address(), &case, binary).contains("not UTF-8"));
+    assert!(send(handle.address(), &case, binary).contains("not UTF-8"));
     let deep = "[".repeat(500_000);
-    assert!(call(handle.address(), &case, deep).starts_with("422"));
+    assert!(send(handle.address(), &case, deep).starts_with("422"));
     assert_eq!(fake.accepts(), 0);
     assert_eq!(platform.configuration().version.0, 1);
 }
 
-// The operator's connection breaks while the note is being sent. The server
-// sees the end of the connection before the end of the body; what came so far
-// is a note by itself, which must not be accepted in place of the whole one.
-// The library answers such a request on its own, with status 400 or 500.
+// Guards against accepting a truncated note. The operator's connection breaks within the body, and
+// the part that arrived is a valid note by itself. `oxhttp` answers such a request itself, with
+// status 400 or 500.
 #[test]
-fn a_note_that_breaks_off_is_not_accepted() {
+fn a_truncated_note_is_not_accepted() {
     let platform = Platform::open(FIRST);
     let (fake, handle) = spawn(&platform);
     let note = r#"{ "against": 1, "operation": "op-cut" }"#;
@@ -223,14 +232,14 @@
     assert_eq!(platform.configuration().version.0, 1);
 }
 
-// A node that is gone within a process that goes on (tests, the demo) must
-// not be kept alive by its administration server, which can't stop listening.
+// Guards against a stopped node that stays in memory because its administration server can't stop
+// listening. This matters in processes that outlive their nodes, such as tests and the demo.
 #[test]
-fn a_dropped_handle_lets_go_of_the_control() {
+fn a_dropped_handle_releases_the_control() {
     let (fake, handle) = spawn(&Platform::open(FIRST));
     let address = handle.address();
     drop(handle);
-    assert!(call(address, &get("after", "/health"), "").contains("the node has stopped"));
+    assert!(send(address, &get("after", "/health"), "").contains("the node has stopped"));
     assert_eq!(Arc::strong_count(&fake), 1);
 }
 
@@ -242,22 +251,21 @@
     assert!(taken.is_err());
 }
 
-// A scraper is frozen, or something between the two ends has lost track of
-// its connections: they take all threads of the server and say nothing. The
-// operator who comes next waits for no longer than the timeout and is served;
-// without it, nobody could take a zone out at this node until it restarts.
+// Guards against silent connections that occupy all threads of the server, for example of a frozen
+// scraper or after a firewall dropped its connection state. They must time out so that the next
+// operator is served.
 #[test]
-fn silent_connections_do_not_keep_operators_out() {
-    let options = Options { connections: 2, timeout: Duration::from_millis(300) };
+fn silent_connections_do_not_block_operators() {
+    let options = Options { max_connections: 2, timeout: Duration::from_millis(300) };
     let fake = Fake::open(&Platform::open(FIRST), []);
     let address = "127.0.0.1:0".parse().unwrap();
-    let handle = Server::spawn_within(options, address, fake).unwrap();
+    let handle = Server::spawn_with_options(options, address, fake).unwrap();
     let mut silent: Vec<TcpStream> =
         (0..6).map(|_| TcpStream::connect(handle.address()).unwrap()).collect();
-    // Some have begun a request, the others never say a word.
+    // Three connections start a request, the others send nothing.
     for stream in &mut silent[..3] {
         stream.write_all(b"GET /v1/admin/nodes HTTP/1.1\r\nhost: ").unwrap();
     }
-    let answer = call(handle.address(), &get("after", "/v1/admin/owners"), "");
+    let answer = send(handle.address(), &get("after", "/v1/admin/owners"), "");
     assert!(answer.starts_with("200"), "{answer}");
 }
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -1,9 +1,9 @@
-//! Documents in JSON with comments, read with every finding and its place.
+//! Reading of JSON documents with comments that reports all findings with their locations.
 //!
-//! `serde` stops at the first thing that is wrong. Operators who send a long
-//! note, or start many hosts with one settings file, need all of them at
-//! once. [`read::Read`] walks the syntax tree of `jsonc-parser` instead and
-//! goes on after each finding.
+//! `serde` stops at the first error. Operators who send a long note, or start
+//! many hosts with one settings file, need all errors at once. [`read::Read`]
+//! therefore walks the syntax tree of `jsonc-parser` and continues after each
+//! finding.
 //!
 //! ```
 //! use hickory_document::{field::Fields, read::{Node, Read}, read_document};
@@ -24,8 +24,8 @@
 //!     }
 //! }
 //!
-//! let reading = read_document::<Point>("{ \"x\": true, // wrong\n \"z\": 1 }");
-//! let lines: Vec<String> = reading.findings.iter().map(|f| f.to_string()).collect();
+//! let parsed = read_document::<Point>("{ \"x\": true, // wrong\n \"z\": 1 }");
+//! let lines: Vec<String> = parsed.findings.iter().map(|f| f.to_string()).collect();
 //! assert_eq!(
 //!     lines,
 //!     [
@@ -37,50 +37,52 @@
 //! ```
 
 pub mod field;
-pub mod place;
+pub mod location;
 pub mod read;
 pub mod rule;
 
 use hickory_unit::finding::Finding;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
-use place::{Lines, Places};
+use location::{Lines, Locations};
 use read::{Node, Read};
 
-/// The path of the document itself.
+/// The path of the whole document in findings.
 pub const ROOT: &str = "document";
 
-/// What came of reading a document.
+/// The result of reading a document.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Reading<T> {
-    /// What could be read, also beside findings.
+pub struct Parsed<T> {
+    /// The parts that could be read, also if there are findings.
     pub value: Option<T>,
-    /// All that is wrong, by line.
+    /// The findings, sorted by line.
     pub findings: Vec<Finding>,
-    /// Where each field stands, for findings of later checks.
-    pub places: Places,
+    /// The lines of all fields, to locate findings of later checks.
+    pub locations: Locations,
 }
 
-impl<T> Reading<T> {
-    /// Adds findings of later checks, and fills in their lines.
+impl<T> Parsed<T> {
+    /// Adds findings of later checks and fills in their lines.
     ///
-    /// A field that has a finding, or stands within one that has, gets no
-    /// second one: what could not be read is stood in for by a default, and a
-    /// finding about that default would mislead.
-    pub fn extend(&mut self, later: Vec<Finding>) {
+    /// A later finding is dropped if its field, or an object that contains it, already has one: a
+    /// value that could not be read was replaced by a default, and a finding about that default
+    /// would be misleading.
+    pub fn add_findings(&mut self, new_findings: Vec<Finding>) {
         let known = &self.findings;
-        let mut later: Vec<Finding> =
-            later.into_iter().filter(|finding| !is_known(known, &finding.field)).collect();
-        self.places.locate(&mut later);
-        self.findings.append(&mut later);
+        let mut located: Vec<Finding> = new_findings
+            .into_iter()
+            .filter(|finding| !has_finding(known, &finding.field))
+            .collect();
+        self.locations.locate(&mut located);
+        self.findings.append(&mut located);
         self.findings.sort();
     }
 
-    /// Whether a field, or what it stands in, has a finding.
-    pub fn is_known(&self, field: &str) -> bool {
-        is_known(&self.findings, field)
+    /// Returns whether a field, or an object that contains it, has a finding.
+    pub fn has_finding(&self, field: &str) -> bool {
+        has_finding(&self.findings, field)
     }
 
-    /// The value, where nothing is wrong.
+    /// Returns the value if there are no findings.
     pub fn into_result(self) -> Result<T, Vec<Finding>> {
         match self.value {
             Some(value) if self.findings.is_empty() => Ok(value),
@@ -90,18 +92,21 @@
 }
 
 /// Reads a document.
-pub fn read_document<T: Read>(text: &str) -> Reading<T> {
+pub fn read_document<T: Read>(text: &str) -> Parsed<T> {
     match parse_to_ast(text, &CollectOptions::default(), &parse_options()) {
         Ok(parsed) => match &parsed.value {
             Some(root) => read_root(text, root),
-            None => fail(1, "is empty".to_owned()),
+            None => parse_failure(1, "is empty".to_owned()),
         },
-        // The parser counts a lone carriage return as the end of a line, too.
-        Err(error) => fail(Lines::of(text).line(error.range().start), error.kind().to_string()),
+        // The parser also counts a lone carriage return as a line end, so its line number is not
+        // used.
+        Err(error) => {
+            parse_failure(Lines::of(text).line(error.range().start), error.kind().to_string())
+        }
     }
 }
 
-fn is_known(findings: &[Finding], field: &str) -> bool {
+fn has_finding(findings: &[Finding], field: &str) -> bool {
     findings.iter().any(|known| {
         field
             .strip_prefix(known.field.as_str())
@@ -109,21 +114,21 @@
     })
 }
 
-fn read_root<T: Read>(text: &str, root: &jsonc_parser::ast::Value<'_>) -> Reading<T> {
+fn read_root<T: Read>(text: &str, root: &jsonc_parser::ast::Value<'_>) -> Parsed<T> {
     let lines = Lines::of(text);
     let mut findings = Vec::new();
     let value = T::read(&Node::root(root, &lines), &mut findings);
     findings.sort();
-    Reading { value, findings, places: Places::of(root, &lines) }
+    Parsed { value, findings, locations: Locations::of(root, &lines) }
 }
 
-fn fail<T>(line: usize, message: String) -> Reading<T> {
+fn parse_failure<T>(line: usize, message: String) -> Parsed<T> {
     let findings = vec![Finding { line, field: ROOT.to_owned(), message }];
-    Reading { value: None, findings, places: Places::default() }
+    Parsed { value: None, findings, locations: Locations::default() }
 }
 
-/// JSON with comments and trailing commas, and nothing looser: a note that
-/// another tool reads differently must not be accepted.
+/// Allows JSON with comments and trailing commas, and no further extensions: a note that another
+/// tool would parse differently must be rejected.
 fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
--- a/crates/document/src/read.rs
+++ b/crates/document/src/read.rs
@@ -1,7 +1,7 @@
-//! Values of a document as types.
+//! Conversion of document values to Rust types.
 
 use crate::ROOT;
-use crate::place::{self, Lines};
+use crate::location::{self, Lines};
 use compact_str::CompactString;
 use hickory_unit::finding::Finding;
 use hickory_unit::{id, size};
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::str::FromStr;
 
-/// Characters of a wrong value that a finding shows.
-const SHOWN_MAX: usize = 32;
+/// Maximum number of characters of an invalid value that a finding shows.
+const MAX_SHOWN_CHARS: usize = 32;
 
-/// A value with its place.
+/// A value with its location.
 #[derive(Clone, Debug)]
 pub struct Node<'a> {
     pub(crate) value: &'a Value<'a>,
@@ -32,18 +32,18 @@
         Self { value, path, line: lines.line(offset), lines }
     }
 
-    /// A finding at this place.
+    /// Creates a finding at this location.
     pub fn finding(&self, message: impl Into<String>) -> Finding {
         let field = if self.path.is_empty() { ROOT.to_owned() } else { self.path.clone() };
         Finding { line: self.line, field, message: message.into() }
     }
 
-    /// A finding that another type was expected.
-    pub fn expected(&self, what: &str) -> Finding {
-        self.finding(format!("expected {what}, found {}", describe(self.value)))
+    /// Creates a finding that the value is not what was expected.
+    pub fn mismatch(&self, expected: &str) -> Finding {
+        self.finding(format!("expected {expected}, found {}", describe_value(self.value)))
     }
 
-    /// The text, where it is one.
+    /// Returns the text of a string value.
     pub fn text(&self) -> Option<&'a str> {
         match self.value {
             Value::StringLit(text) => Some(&text.value),
@@ -52,10 +52,10 @@
     }
 }
 
-fn describe(value: &Value<'_>) -> String {
+fn describe_value(value: &Value<'_>) -> String {
     match value {
-        Value::StringLit(text) => format!("the text {:?}", shorten(&text.value)),
-        Value::NumberLit(number) => format!("the number {}", shorten(number.value)),
+        Value::StringLit(text) => format!("the text {:?}", truncate(&text.value)),
+        Value::NumberLit(number) => format!("the number {}", truncate(number.value)),
         Value::BooleanLit(literal) => literal.value.to_string(),
         Value::Object(_) => "an object".to_owned(),
         Value::Array(_) => "an array".to_owned(),
@@ -63,27 +63,26 @@
     }
 }
 
-/// The beginning of a text, so that a finding stays on one line.
-fn shorten(text: &str) -> &str {
-    text.char_indices().nth(SHOWN_MAX).map_or(text, |(end, _)| &text[..end])
+/// Returns the start of a text, so that a finding stays on one line.
+fn truncate(text: &str) -> &str {
+    text.char_indices().nth(MAX_SHOWN_CHARS).map_or(text, |(end, _)| &text[..end])
 }
 
 /// A type that can be read from a document.
 pub trait Read: Sized {
-    /// Reads the value, or says all that is wrong with it.
+    /// Reads the value and adds all findings about it.
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self>;
 }
 
-/// Reads a text that another type is parsed from; `what` says what is
-/// expected.
+/// Reads a string and parses it; `expected` describes the expected value in a finding.
 pub fn read_parsed<T: FromStr>(
     node: &Node<'_>,
     findings: &mut Vec<Finding>,
-    what: &str,
+    expected: &str,
 ) -> Option<T> {
     let parsed = node.text().and_then(|text| text.parse().ok());
     if parsed.is_none() {
-        findings.push(node.expected(what));
+        findings.push(node.mismatch(expected));
     }
     parsed
 }
@@ -93,7 +92,7 @@
         match node.value {
             Value::BooleanLit(literal) => Some(literal.value),
             _ => {
-                findings.push(node.expected("a boolean"));
+                findings.push(node.mismatch("a boolean"));
                 None
             }
         }
@@ -109,8 +108,8 @@
                     _ => None,
                 };
                 if parsed.is_none() {
-                    let what = format!("an integer from 0 to {}", Self::MAX);
-                    findings.push(node.expected(&what));
+                    let expected = format!("an integer from 0 to {}", Self::MAX);
+                    findings.push(node.mismatch(&expected));
                 }
                 parsed
             }
@@ -128,7 +127,7 @@
         };
         let finite = parsed.filter(|number| number.is_finite());
         if finite.is_none() {
-            findings.push(node.expected("a finite number"));
+            findings.push(node.mismatch("a finite number"));
         }
         finite
     }
@@ -173,45 +172,45 @@
     }
 }
 
-/// Entries that can't be read are left out, each with its findings.
+/// Entries that can't be read are skipped, with their findings.
 impl<K: for<'k> From<&'k str> + Ord, V: Read> Read for BTreeMap<K, V> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Object(object) = node.value else {
-            findings.push(node.expected("an object"));
+            findings.push(node.mismatch("an object"));
             return None;
         };
         let mut entries = Self::new();
         for property in &object.properties {
             let name = property.name.as_str();
-            let path = place::join_path(&node.path, name);
+            let path = location::join_path(&node.path, name);
             let entry = Node::at(&property.value, path, property.range.start, node.lines);
             let Some(value) = V::read(&entry, findings) else {
                 continue;
             };
             if entries.insert(K::from(name), value).is_some() {
-                findings.push(entry.finding("stands twice"));
+                findings.push(entry.finding("is a duplicate"));
             }
         }
         Some(entries)
     }
 }
 
-/// Elements that can't be read are left out, each with its findings.
+/// Elements that can't be read are skipped, with their findings.
 impl<T: Read + Ord> Read for BTreeSet<T> {
     fn read(node: &Node<'_>, findings: &mut Vec<Finding>) -> Option<Self> {
         let Value::Array(array) = node.value else {
-            findings.push(node.expected("an array"));
+            findings.push(node.mismatch("an array"));
             return None;
         };
         let mut elements = Self::new();
         for (index, value) in array.elements.iter().enumerate() {
-            let path = place::join_element(&node.path, index, value);
+            let path = location::join_element(&node.path, index, value);
             let element = Node::at(value, path, value.range().start, node.lines);
             let Some(value) = T::read(&element, findings) else {
                 continue;
             };
             if !elements.insert(value) {
-                findings.push(element.finding("stands twice"));
+                findings.push(element.finding("is a duplicate"));
             }
         }
         Some(elements)
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -8,7 +8,7 @@
 use hickory_state::config::Rejection;
 use hickory_store::host::{Kind, Standing};
 use hickory_unit::{id, size};
-use hickory_wire::message::{State, Weights};
+use hickory_wire::message::{TargetState, Weights};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::runtime::Handle;
@@ -96,7 +96,7 @@
             .values()
             .map(|host| {
                 let state = self.core.view.state(&host.target);
-                let count = |f: fn(&State) -> u32| state.as_ref().map_or(0, f);
+                let count = |f: fn(&TargetState) -> u32| state.as_ref().map_or(0, f);
                 view::Target {
                     target: host.target.clone(),
                     zone: host.zone.clone(),
@@ -109,8 +109,8 @@
                         Standing::Live => "live".to_owned(),
                         Standing::Leaving => "leaving".to_owned(),
                     },
-                    accepting: state.as_ref().is_some_and(|state| state.accepting),
-                    bound: count(|state| state.bound),
+                    accepting: state.as_ref().is_some_and(|state| state.is_accepting),
+                    bound: count(|state| state.stream_limit),
                     running: count(|state| state.running),
                     waiting: count(|state| state.waiting),
                     kv_free: state.as_ref().map_or(size::Tokens(0), |state| state.kv_free),
--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -302,7 +302,7 @@
             End::Complete(_) => Ending::Finished,
             // The permit belongs to the other node, which reports its outcome.
             End::TakenOver => return Attempt::CallerGone,
-            End::CallerGone => Ending::Left,
+            End::CallerGone => Ending::CallerDisconnected,
             End::TargetDied => Ending::TargetDied,
             End::Failed(Error::NotSent(_) | Error::Refused(_)) => Ending::NotSent,
             End::Deadline | End::Stalled | End::Failed(_) => Ending::Lost,
--- a/crates/node/src/event_id.rs
+++ b/crates/node/src/event_id.rs
@@ -21,7 +21,7 @@
 /// Encodes a position as an event id that is valid for this account only.
 pub(crate) fn encode_event_id(key: &Key, account: &id::Account, position: &Position) -> String {
     let text = format!("{}:{}:{}", position.seq, position.target, position.stream);
-    let seal = key.seal(&format!("{account}\n{text}")).to_hex();
+    let seal = key.compute_mac(&format!("{account}\n{text}")).to_hex();
     format!("{}:{text}", &seal[..SEAL_HEX_DIGITS])
 }
 
@@ -32,7 +32,7 @@
     event_id: &str,
 ) -> Option<Position> {
     let (seal, text) = event_id.split_once(':')?;
-    let wanted = key.seal(&format!("{account}\n{text}")).to_hex();
+    let wanted = key.compute_mac(&format!("{account}\n{text}")).to_hex();
     let same = subtle::ConstantTimeEq::ct_eq(seal.as_bytes(), wanted[..SEAL_HEX_DIGITS].as_bytes());
     if !bool::from(same) {
         return None;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -41,7 +41,7 @@
 
 use crate::core::{Core, LinkProbe, Stage};
 use hickory_release::note::Note;
-use hickory_settings::Node as Settings;
+use hickory_settings::Settings;
 use hickory_state::claim::{self, Ledger};
 use hickory_state::config::{Manager, Rejection};
 use hickory_state::member::{Info, Member};
@@ -130,7 +130,7 @@
     pub fn count_accepting_targets(&self) -> usize {
         let hosts = self.core.view.hosts();
         let states = hosts.keys().filter_map(|target| self.core.view.state(target));
-        states.filter(|state| state.accepting).count()
+        states.filter(|state| state.is_accepting).count()
     }
 
     /// Begins a planned stop; [`Node::wait_closed`] waits for its end.
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -12,7 +12,7 @@
 use hickory_store::store::{Expect, Lease, Store, Write};
 use hickory_store::weight;
 use hickory_target::Error;
-use hickory_target::engine::{Engines, Loaded, Order, Weights};
+use hickory_target::engine::{Engines, LoadedWeights, Order, Weights};
 use hickory_telemetry::label;
 use hickory_unit::id;
 use std::collections::BTreeSet;
@@ -50,7 +50,7 @@
 impl Slot {
     /// Returns whether the load may still be running. Reports lag, so a load that is missing
     /// from a report may have begun.
-    fn is_needed(&self, now: Instant, loaded: &[Loaded]) -> bool {
+    fn is_needed(&self, now: Instant, loaded: &[LoadedWeights]) -> bool {
         match loaded.iter().find(|loaded| loaded.weights == self.weights) {
             Some(loaded) => !loaded.ready,
             None => now.saturating_duration_since(self.acquired_at) < REPORT_LAG,
@@ -90,7 +90,7 @@
 /// Returns the weights to unload: no longer offered, and without running requests.
 pub(crate) fn plan_unloads(
     offered: &BTreeSet<Weights>,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     is_busy: impl Fn(&Weights) -> bool,
 ) -> Vec<Weights> {
     let surplus = loaded.iter().map(|loaded| &loaded.weights);
@@ -102,7 +102,7 @@
 /// target, so that engines which can't hold all weights load different ones.
 pub(crate) fn plan_load(
     offered: &BTreeSet<Weights>,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     target: &id::Target,
     replicas: impl Fn(&Weights) -> usize,
 ) -> Option<Weights> {
@@ -122,7 +122,7 @@
     core: &Core,
     host: &Host,
     epoch: id::Epoch,
-    loaded: &[Loaded],
+    loaded: &[LoadedWeights],
     configuration: &Configuration,
 ) {
     let offered = list_offered_weights(configuration);
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -12,7 +12,9 @@
 use hickory_release::configuration::Configuration;
 use hickory_target::engine::{self, Handle};
 use hickory_unit::{id, size};
-use hickory_wire::message::{Adopt, Ask, Ending, Outcome, Permit, Refusal, State, Weights};
+use hickory_wire::message::{
+    Adoption, Ending, Outcome, Permit, PermitRequest, Refusal, TargetState, Weights,
+};
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -58,7 +60,7 @@
     /// The configuration from which the limiter's shares and weights were set.
     pub(crate) release: id::Release,
     /// The state that was last published to peers, with its version.
-    pub(crate) published: Option<(u64, State)>,
+    pub(crate) published: Option<(u64, TargetState)>,
 }
 
 /// First ticket of adopted streams. The range is disjoint from the limiter's own tickets:
@@ -66,14 +68,14 @@
 const FIRST_ADOPTED_TICKET: Ticket = 1 << 63;
 
 pub(crate) fn refuse(reason: impl std::fmt::Display, retry_after: Duration) -> Refusal {
-    Refusal { reason: reason.to_string(), retry_after, not_owner: false }
+    Refusal { reason: reason.to_string(), retry_after, is_not_owner: false }
 }
 
 pub(crate) fn refuse_not_owner() -> Refusal {
     Refusal {
         reason: Reason::NoOwner.to_string(),
         retry_after: Duration::from_millis(200),
-        not_owner: true,
+        is_not_owner: true,
     }
 }
 
@@ -145,7 +147,12 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Instant, permit_lifetime: Duration, ask: &Ask) -> AskResult {
+    pub(crate) fn ask(
+        &mut self,
+        now: Instant,
+        permit_lifetime: Duration,
+        ask: &PermitRequest,
+    ) -> AskResult {
         // A repeated ask: its last answer was lost, or it is still queued.
         if let Some(ticket) = self.tickets.get(&ask.stream).copied() {
             return self.ask_again(now, permit_lifetime, ticket);
@@ -157,11 +164,11 @@
         let request = limit::PermitRequest {
             partner: ask.partner.clone(),
             account: ask.account.clone(),
-            class: if ask.batch { Class::Batch } else { Class::Interactive },
+            class: if ask.is_batch { Class::Batch } else { Class::Interactive },
             cost: Cost { prefill: ask.cost.prefill, decode: ask.cost.decode },
             deadline: request_deadline,
-            is_exclusive: ask.alone,
-            is_urgent: ask.urgent,
+            is_exclusive: ask.runs_alone,
+            is_urgent: ask.must_not_queue,
         };
         let priority = priority_of(request.lane());
         match self.limiter.request_permit(now, request) {
@@ -208,7 +215,7 @@
     }
 
     fn make_permit(&self, id: Ticket, priority: u8, life: Duration) -> Permit {
-        Permit { id, epoch: self.epoch, life, priority }
+        Permit { id, epoch: self.epoch, lifetime: life, priority }
     }
 
     fn insert_permit(&mut self, ticket: Ticket, granted: Granted) {
@@ -268,7 +275,7 @@
     }
 
     /// Returns whether a node other than the asking one serves the stream.
-    pub(crate) fn is_served_elsewhere(&self, adopt: &Adopt) -> bool {
+    pub(crate) fn is_served_elsewhere(&self, adopt: &Adoption) -> bool {
         let ticket = self.tickets.get(&adopt.stream);
         let granted = ticket.and_then(|ticket| self.permits.get(ticket));
         granted.is_some_and(|granted| granted.node != adopt.node)
@@ -276,7 +283,7 @@
 
     pub(crate) fn adopt(
         &mut self,
-        adopt: &Adopt,
+        adopt: &Adoption,
         request_deadline: Instant,
         permit_lifetime: Duration,
     ) -> Option<Permit> {
@@ -307,7 +314,7 @@
             return;
         }
         match outcome.ending {
-            Ending::Left => {
+            Ending::CallerDisconnected => {
                 if let Some(granted) = self.permits.get_mut(&outcome.permit) {
                     granted.caller_left_at = Some(now);
                 }
@@ -323,7 +330,7 @@
                 self.release_permit(
                     now,
                     outcome.permit,
-                    limit::Outcome::Completed(outcome.first_token),
+                    limit::Outcome::Completed(outcome.time_to_first_token),
                 );
             }
             Ending::Cancelled | Ending::NotSent => {
@@ -346,7 +353,7 @@
         let Some(stream) = &outcome.stream else { return };
         match outcome.ending {
             Ending::Lost => self.pending_cancels.push(stream.clone()),
-            Ending::Left => {
+            Ending::CallerDisconnected => {
                 self.foreign.insert(stream.clone(), Foreign { orphaned_since: Some(now) });
             }
             Ending::Finished | Ending::Cancelled | Ending::NotSent | Ending::TargetDied => {
@@ -366,7 +373,7 @@
 
     /// Returns the state for peers with the version of its last change; `next` allocates a new
     /// version if the state has changed.
-    pub(crate) fn publish(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, State)> {
+    pub(crate) fn publish(&mut self, next: impl FnOnce() -> u64) -> Option<(u64, TargetState)> {
         let state = self.state();
         if self.published.as_ref().is_none_or(|(_, published)| *published != state) {
             self.published = Some((next(), state));
@@ -375,9 +382,9 @@
     }
 
     /// Returns the current state for peers.
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn state(&self) -> TargetState {
         let used = self.kv_used.max(self.limiter.kv_used());
-        State {
+        TargetState {
             target: self.target.clone(),
             epoch: self.epoch,
             queued_prefill: self.limiter.prefill_queued(),
@@ -385,12 +392,12 @@
             kv_free: self.kv_capacity.saturating_sub(used),
             kv_capacity: self.kv_capacity,
             prefill_rate: self.limiter.prefill_rate(),
-            bound: self.limiter.stream_limit(),
+            stream_limit: self.limiter.stream_limit(),
             running: self.limiter.running() as u32,
             waiting: self.limiter.waiting() as u32,
             incarnation: self.incarnation.unwrap_or_default(),
             ready: self.ready.clone(),
-            accepting: self.is_accepting,
+            is_accepting: self.is_accepting,
             prefixes: Vec::new(),
         }
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -7,7 +7,7 @@
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
 use hickory_wire::link::{Handler, Links};
-use hickory_wire::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use hickory_wire::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
 use tokio::sync::Mutex;
@@ -27,7 +27,7 @@
     Refusal {
         reason: hickory_policy::refuse::Reason::Draining.to_string(),
         retry_after: std::time::Duration::from_secs(1),
-        not_owner: true,
+        is_not_owner: true,
     }
 }
 
@@ -44,7 +44,7 @@
         }
     }
 
-    async fn permit(&self, ask: Ask) -> Result<Permit, Refusal> {
+    async fn permit(&self, ask: PermitRequest) -> Result<Permit, Refusal> {
         let core = self.0.upgrade().ok_or_else(refuse_closed)?;
         table::permit(&core, &ask).await
     }
@@ -55,12 +55,12 @@
         }
     }
 
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal> {
+    fn adopt(&self, adopt: Adoption) -> Result<Permit, Refusal> {
         let core = self.0.upgrade().ok_or_else(refuse_closed)?;
         table::adopt(&core, &adopt)
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         let configuration = self.0.upgrade()?.configuration()?;
         let text = serde_json::to_string(&*configuration).ok()?;
         Some(Document { version: configuration.version.0, text })
@@ -78,13 +78,13 @@
     let (version, targets) = core.table.states_since(since);
     Gossip {
         version,
-        seen,
+        acknowledged_version: seen,
         targets,
         node: core.node_id().clone(),
         incarnation: core.incarnation,
-        release: core.configuration().map_or(id::Release(0), |c| c.version),
-        owners: core.owners.revision(),
-        draining: core.stage() != Stage::Serving,
+        configuration_version: core.configuration().map_or(id::Release(0), |c| c.version),
+        owners_revision: core.owners.revision(),
+        is_draining: core.stage() != Stage::Serving,
         suspects: core.retry_control.suspects_for_peer(core.now(), since == 0),
         connections: core.active.load(Ordering::Acquire) as u32,
     }
@@ -93,7 +93,7 @@
 fn apply_gossip(core: &Core, gossip: &Gossip) {
     core.view.merge(core.clock.now(), gossip);
     core.retry_control.merge(core.now(), &gossip.suspects);
-    core.owners.record_peer_revision(&gossip.node, gossip.owners);
+    core.owners.record_peer_revision(&gossip.node, gossip.owners_revision);
 }
 
 /// Exchanges gossip with every peer and fetches newer documents from them: while the platform
@@ -103,7 +103,7 @@
     loop {
         // This node's own state enters its view in the same way as a peer's.
         let own = make_gossip(&core, core.node_id());
-        apply_gossip(&core, &Gossip { seen: own.version, ..own });
+        apply_gossip(&core, &Gossip { acknowledged_version: own.version, ..own });
         core.view.note_nodes(core.now(), &core.member.nodes());
         for info in core.member.nodes().values() {
             // An exchange informs both sides, so the node with the lower id starts it. A node
@@ -149,8 +149,8 @@
 async fn fetch_release(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
     let Ok(_fetch) = core.fetch_locks.release.try_lock() else { return };
     let known = core.configuration().map_or(id::Release(0), |c| c.version);
-    if gossip.release > known
-        && let Ok(Some(document)) = links.release(info.peers, core.peer_timeout()).await
+    if gossip.configuration_version > known
+        && let Ok(Some(document)) = links.fetch_configuration(info.peers, core.peer_timeout()).await
         && let Ok(configuration) = serde_json::from_str(&document.text)
     {
         core.keeper.apply_if_newer(configuration);
@@ -159,8 +159,8 @@
 
 async fn fetch_owners(core: &Core, links: &Links, info: &Info, gossip: &Gossip) {
     let Ok(_fetch) = core.fetch_locks.owners.try_lock() else { return };
-    if gossip.owners > core.owners.revision()
-        && let Ok(Some(document)) = links.owners(info.peers, core.peer_timeout()).await
+    if gossip.owners_revision > core.owners.revision()
+        && let Ok(Some(document)) = links.fetch_owners(info.peers, core.peer_timeout()).await
     {
         core.owners.apply_if_newer(document.version, &document.text);
     }
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -14,7 +14,7 @@
 use hickory_unit::clock::Clock;
 use hickory_unit::{id, size};
 use hickory_wire::link;
-use hickory_wire::message::{self, Ask, Ending, Outcome, Permit};
+use hickory_wire::message::{self, Ending, Outcome, Permit, PermitRequest};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -242,7 +242,8 @@
         let Some(time_left) = spec.deadline.checked_duration_since(asked_at) else {
             return Err(Some(refuse(Reason::Deadline, "the deadline passed in the queue")));
         };
-        let ask = Ask { urgent: is_immediate, ..make_ask(spec, target, time_left) };
+        let ask =
+            PermitRequest { must_not_queue: is_immediate, ..make_ask(spec, target, time_left) };
         let answer = match send_ask(core, &ask).await {
             Ok(answer) => answer,
             Err(_) => {
@@ -251,7 +252,7 @@
             }
         };
         match answer {
-            Ok(permit) if core.now() < asked_at + permit.life => {
+            Ok(permit) if core.now() < asked_at + permit.lifetime => {
                 core.metrics.observe_permit_wait(core.now() - asked_at);
                 return Ok(permit);
             }
@@ -260,7 +261,7 @@
                 report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
             }
             Err(refused) if refused.reason == QUEUED_REASON => {}
-            Err(refused) if refused.not_owner => {
+            Err(refused) if refused.is_not_owner => {
                 core.metrics.count_retry(RetryReason::NotOwner);
                 return Err(None);
             }
@@ -283,24 +284,24 @@
 ) -> Option<Permit> {
     let asked_at = core.now();
     let time_left = spec.deadline.checked_duration_since(asked_at)?;
-    let ask = Ask { urgent: true, ..make_ask(spec, target, time_left) };
+    let ask = PermitRequest { must_not_queue: true, ..make_ask(spec, target, time_left) };
     let permit = send_ask(core, &ask).await.ok()?.ok()?;
     let configuration = core.configuration()?;
     let is_usable =
-        core.now() < asked_at + permit.life && core.view.may_send(target, &configuration);
+        core.now() < asked_at + permit.lifetime && core.view.may_send(target, &configuration);
     if !is_usable {
         report_outcome(core, target, &permit, spec.stream, Ending::NotSent, None);
     }
     is_usable.then_some(permit)
 }
 
-fn make_ask(spec: &AttemptSpec<'_>, target: &id::Target, time_left: Duration) -> Ask {
-    Ask {
+fn make_ask(spec: &AttemptSpec<'_>, target: &id::Target, time_left: Duration) -> PermitRequest {
+    PermitRequest {
         stream: spec.stream.clone(),
         target: target.clone(),
         partner: spec.partner.clone(),
         account: spec.account.clone(),
-        batch: spec.class == Class::Batch,
+        is_batch: spec.class == Class::Batch,
         cost: message::Cost {
             prefill: spec.cost.prefill,
             decode: spec.cost.decode,
@@ -311,10 +312,10 @@
             Capability::Service(_) => None,
         },
         time_left,
-        alone: spec.is_exclusive,
+        runs_alone: spec.is_exclusive,
         fingerprint: spec.fingerprint,
         prefix: spec.prefix,
-        urgent: false,
+        must_not_queue: false,
     }
 }
 
@@ -338,18 +339,21 @@
     link::Error::Connect("no owner known".into())
 }
 
-async fn send_ask(core: &Core, ask: &Ask) -> Result<Result<Permit, message::Refusal>, link::Error> {
+async fn send_ask(
+    core: &Core,
+    ask: &PermitRequest,
+) -> Result<Result<Permit, message::Refusal>, link::Error> {
     match find_owner(core, &ask.target).ok_or_else(no_owner_error)? {
         Owner::Local => Ok(table::permit(core, ask).await),
         Owner::Remote(address) => {
             let links = core.links.get().ok_or(link::Error::Closed)?;
-            links.permit(address, ask.clone(), core.peer_timeout()).await
+            links.request_permit(address, ask.clone(), core.peer_timeout()).await
         }
     }
 }
 
 /// Informs the owner of a target that this node serves the rest of a stream.
-pub(crate) async fn adopt(core: &Core, adopt: message::Adopt) -> Result<Permit, Refusal> {
+pub(crate) async fn adopt(core: &Core, adopt: message::Adoption) -> Result<Permit, Refusal> {
     // The owner may have failed together with the caller's node. Its successor will find the
     // stream on the target.
     let refuse_no_owner = || Refusal {
@@ -365,7 +369,7 @@
         }
     };
     answer.map_err(|refused| match refused.reason.as_str() {
-        _ if refused.not_owner => refuse_no_owner(),
+        _ if refused.is_not_owner => refuse_no_owner(),
         TAKEN_REASON => refuse(Reason::AlreadyClaimed, "another node serves the stream"),
         _ => refuse(Reason::StreamLost, "no target holds the stream any more"),
     })
@@ -377,7 +381,11 @@
 /// caller may have resumed through another node, and resuming here would disconnect that one.
 /// While the target has no owner, the answer is delayed by up to `limit`; after that, a broken
 /// connection is far likelier than a second reader.
-pub(crate) async fn can_keep_stream(core: &Core, request: message::Adopt, limit: Duration) -> bool {
+pub(crate) async fn can_keep_stream(
+    core: &Core,
+    request: message::Adoption,
+    limit: Duration,
+) -> bool {
     let end = core.now() + limit;
     loop {
         match adopt(core, request.clone()).await {
@@ -404,7 +412,7 @@
         permit: permit.id,
         epoch: permit.epoch,
         ending,
-        first_token,
+        time_to_first_token: first_token,
         stream: Some(stream.clone()),
     };
     match find_owner(core, target) {
@@ -414,7 +422,7 @@
             let timeout = core.peer_timeout();
             tokio::spawn(async move {
                 for _ in 0..MAX_OUTCOME_SENDS {
-                    if links.outcome(address, outcome.clone(), timeout).await.is_ok() {
+                    if links.report_outcome(address, outcome.clone(), timeout).await.is_ok() {
                         return;
                     }
                 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -15,7 +15,7 @@
 use hickory_target::engine::{Engines, Event};
 use hickory_target::http::Tokens;
 use hickory_unit::id;
-use hickory_wire::message::Adopt;
+use hickory_wire::message::Adoption;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -146,11 +146,11 @@
     /// Resumes the stream after the last delivered token, over a new connection.
     async fn reopen_once(&mut self) -> Result<Tokens, End> {
         let timeout = self.core.duration_ms(self.core.settings.times.progress_ms);
-        let request = Adopt {
+        let request = Adoption {
             target: self.target.clone(),
             stream: self.stream.clone(),
             node: self.core.node_id().clone(),
-            keep: true,
+            is_renewal: true,
         };
         let can_keep = tokio::select! {
             can_keep = permit::can_keep_stream(self.core, request, timeout) => can_keep,
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -8,7 +8,7 @@
 use crate::relay::{self, End, Relay};
 use hickory_policy::refuse::{Ran, Reason, Refusal};
 use hickory_target::engine::Engines;
-use hickory_wire::message::{Adopt, Ending, Permit};
+use hickory_wire::message::{Adoption, Ending, Permit};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -80,7 +80,7 @@
             (Ending::Finished, Ok(()))
         }
         End::TakenOver => return Ok(()),
-        End::CallerGone => (Ending::Left, Ok(())),
+        End::CallerGone => (Ending::CallerDisconnected, Ok(())),
         End::Deadline => (Ending::Lost, Err(refuse(Reason::Deadline, "the deadline passed"))),
         End::TargetDied => (Ending::TargetDied, Err(lost())),
         End::Stalled | End::Failed(_) => (Ending::Lost, Err(lost())),
@@ -94,7 +94,7 @@
 /// Informs the owner, as soon as there is one, that this node serves the rest of the stream.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
-    let adopt = Adopt { target, stream, node: core.node_id().clone(), keep: false };
+    let adopt = Adoption { target, stream, node: core.node_id().clone(), is_renewal: false };
     loop {
         match permit::adopt(core, adopt.clone()).await {
             Ok(permit) => return Some(permit),
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -7,7 +7,7 @@
 use crate::owned::Target;
 use hickory_policy::limit::{self, Capacity, Observed, Ticket};
 use hickory_policy::ramp::Sample;
-use hickory_target::engine::{Handle, Held, Report};
+use hickory_target::engine::{Handle, HeldStream, Report};
 use hickory_unit::{id, size};
 use std::time::{Duration, Instant};
 
@@ -95,7 +95,7 @@
 
     fn observe(&self, report: &Report) -> Observed {
         // An ended stream remains in reports until `REPORT_LAG` has passed.
-        let is_own = |held: &&Held| !self.is_foreign(&held.stream);
+        let is_own = |held: &&HeldStream| !self.is_foreign(&held.stream);
         let foreign = report.streams.iter().filter(|held| self.is_foreign(&held.stream));
         let streams: size::Tokens = report.streams.iter().filter(is_own).map(|held| held.kv).sum();
         // When the stream of one part of a split prompt ends, its KV cache stays on the engine
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -9,7 +9,7 @@
 use hickory_telemetry::label;
 use hickory_unit::clock::Clock;
 use hickory_unit::id;
-use hickory_wire::message::{Adopt, Ask, Outcome, Permit, Refusal, State};
+use hickory_wire::message::{Adoption, Outcome, Permit, PermitRequest, Refusal, TargetState};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -72,7 +72,7 @@
     }
 
     /// Returns the current states of all targets.
-    pub(crate) fn states(&self) -> Vec<State> {
+    pub(crate) fn states(&self) -> Vec<TargetState> {
         let shards = self.shards.iter();
         shards
             .flat_map(|shard| lock(shard).values().map(Target::state).collect::<Vec<_>>())
@@ -84,7 +84,7 @@
     ///
     /// Only changes are sent: sending all states in every exchange made up two thirds of a
     /// node's control traffic, almost none of it changed on an idle fleet.
-    pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<State>) {
+    pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<TargetState>) {
         let mut changed = Vec::new();
         for shard in &self.shards {
             for owned in lock(shard).values_mut() {
@@ -125,7 +125,7 @@
 
 /// Answers an ask for a permit as owner: immediately, when its turn comes, or with
 /// [`QUEUED_REASON`] after half a permit's lifetime.
-pub(crate) async fn permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
+pub(crate) async fn permit(core: &Core, ask: &PermitRequest) -> Result<Permit, Refusal> {
     let answer = decide_permit(core, ask).await;
     core.metrics.count_permit(match &answer {
         Ok(_) => label::Permit::Granted,
@@ -135,7 +135,7 @@
     answer
 }
 
-async fn decide_permit(core: &Core, ask: &Ask) -> Result<Permit, Refusal> {
+async fn decide_permit(core: &Core, ask: &PermitRequest) -> Result<Permit, Refusal> {
     let permit_lifetime = core.permit_lifetime();
     let now = core.now();
     let result = core.table.with(&ask.target, |owned| owned.ask(now, permit_lifetime, ask));
@@ -155,12 +155,12 @@
 }
 
 /// Transfers a stream to the asking node.
-pub(crate) fn adopt(core: &Core, adopt: &Adopt) -> Result<Permit, Refusal> {
+pub(crate) fn adopt(core: &Core, adopt: &Adoption) -> Result<Permit, Refusal> {
     let permit_lifetime = core.permit_lifetime();
     let left = adopt.stream.deadline_ms.saturating_sub(core.clock.wall_ms());
     let until = core.now() + Duration::from_millis(left);
     let adopted = core.table.with(&adopt.target, |owned| match owned.incarnation {
-        Some(_) if adopt.keep && owned.is_served_elsewhere(adopt) => {
+        Some(_) if adopt.is_renewal && owned.is_served_elsewhere(adopt) => {
             Err(refuse(TAKEN_REASON, Duration::ZERO))
         }
         Some(_) => Ok(owned.adopt(adopt, until, permit_lifetime)),
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -9,7 +9,7 @@
 use hickory_store::host::{Host, Kind, Standing};
 use hickory_target::engine::Weights;
 use hickory_unit::{id, size};
-use hickory_wire::message::{Gossip, State};
+use hickory_wire::message::{Gossip, TargetState};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
 /// since.
 #[derive(Clone, Debug)]
 struct TargetView {
-    state: State,
+    state: TargetState,
     owner: id::Node,
     /// The target's hash, for placement.
     key: u64,
@@ -128,13 +128,13 @@
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
         let view = PeerView {
             last_heard: now,
-            release: gossip.release,
+            release: gossip.configuration_version,
             connections: gossip.connections,
-            draining: gossip.draining,
+            draining: gossip.is_draining,
             incarnation: gossip.incarnation,
             // The version must not decrease when answers arrive out of order.
             received_version: known.map_or(0, |known| known.received_version).max(gossip.version),
-            acknowledged_version: gossip.seen,
+            acknowledged_version: gossip.acknowledged_version,
         };
         // Target states in a gossip message that arrives after a newer one are ignored: they
         // would reset targets to an outdated state, and the newer state isn't sent again.
@@ -156,7 +156,7 @@
 
     /// Merges a target's state. A state with an older epoch comes from a replaced owner and is
     /// ignored.
-    fn merge_state(&self, owner: &id::Node, state: State) {
+    fn merge_state(&self, owner: &id::Node, state: TargetState) {
         let mut shard = self.shard(&state.target);
         let known = shard.get(&state.target);
         if known.is_some_and(|known| known.state.epoch > state.epoch) {
@@ -190,7 +190,7 @@
         self.peers().clone()
     }
 
-    pub(crate) fn state(&self, target: &id::Target) -> Option<State> {
+    pub(crate) fn state(&self, target: &id::Target) -> Option<TargetState> {
         self.shard(target).get(target).map(|target_view| target_view.state.clone())
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Replaces the gossiped states of this node's own targets by their current states.
-    pub(crate) fn apply_own_states(candidates: &mut [Candidate], own: &[State]) {
+    pub(crate) fn apply_own_states(candidates: &mut [Candidate], own: &[TargetState]) {
         for state in own {
             let found = candidates.iter_mut().find(|c| c.target == state.target);
             let Some(candidate) = found else { continue };
@@ -243,7 +243,7 @@
             candidate.queued_long = state.queued_long;
             candidate.queued_prefill = state.queued_prefill;
             candidate.kv_free = state.kv_free;
-            candidate.max_streams = state.bound;
+            candidate.max_streams = state.stream_limit;
             candidate.running = state.running;
             candidate.waiting = state.waiting;
         }
@@ -268,7 +268,7 @@
             (Capability::Service(service), Kind::Service(name)) => service == name,
             _ => false,
         };
-        (is_capable && state.accepting && is_reachable(&target_view.owner)).then(|| Candidate {
+        (is_capable && state.is_accepting && is_reachable(&target_view.owner)).then(|| Candidate {
             target: host.target.clone(),
             hash: target_view.key,
             is_same_zone: host.zone == self.zone,
@@ -279,7 +279,7 @@
             kv_free: state.kv_free.saturating_sub(target_view.sent_prefill),
             kv_capacity: state.kv_capacity,
             prefill_rate: state.prefill_rate,
-            max_streams: state.bound,
+            max_streams: state.stream_limit,
             running: state.running + target_view.sent_count,
             waiting: state.waiting,
         })
@@ -308,7 +308,7 @@
 }
 
 fn is_in_service(host: &Host, configuration: &Configuration) -> bool {
-    host.standing == Standing::Live && !configuration.zone_out(&host.zone)
+    host.standing == Standing::Live && !configuration.is_zone_out(&host.zone)
 }
 
 fn is_equal(ready: &hickory_wire::message::Weights, wanted: &Weights) -> bool {
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -7,7 +7,7 @@
     Account, Configuration, Model, Partner, Service, Weight, digest_token,
 };
 use hickory_release::note::{Entries, Note};
-use hickory_settings::{Node as Settings, Platform, Times};
+use hickory_settings::{Platform, Settings, Times};
 use hickory_standin::fleet::{self, Fleet};
 use hickory_state::member::{Info, Member};
 use hickory_store::http::Platform as Store;
@@ -15,7 +15,7 @@
 use hickory_unit::clock::System;
 use hickory_unit::{id, size};
 use hickory_wire::link::{Handler, Links};
-use hickory_wire::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use hickory_wire::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -96,11 +96,11 @@
         Gossip {
             node: node.clone(),
             incarnation: id::Incarnation(1),
-            release: id::Release(self.release.load(Ordering::SeqCst)),
-            owners: self.owners.load(Ordering::SeqCst),
-            draining: false,
+            configuration_version: id::Release(self.release.load(Ordering::SeqCst)),
+            owners_revision: self.owners.load(Ordering::SeqCst),
+            is_draining: false,
             version: 0,
-            seen: 0,
+            acknowledged_version: 0,
             targets: Vec::new(),
             suspects: Vec::new(),
             connections: 0,
@@ -115,7 +115,7 @@
 }
 
 fn refuse() -> Refusal {
-    Refusal { reason: "draining".into(), retry_after: Duration::ZERO, not_owner: true }
+    Refusal { reason: "draining".into(), retry_after: Duration::ZERO, is_not_owner: true }
 }
 
 impl Handler for Peer {
@@ -123,17 +123,17 @@
         self.peers.make_gossip(&self.node)
     }
 
-    async fn permit(&self, _: Ask) -> Result<Permit, Refusal> {
+    async fn permit(&self, _: PermitRequest) -> Result<Permit, Refusal> {
         Err(refuse())
     }
 
     fn outcome(&self, _: Outcome) {}
 
-    fn adopt(&self, _: Adopt) -> Result<Permit, Refusal> {
+    fn adopt(&self, _: Adoption) -> Result<Permit, Refusal> {
         Err(refuse())
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         let document = self.peers.document.lock().unwrap().clone();
         self.peers.releases.respond(self.peers.delay(), document)
     }
--- a/crates/release/src/check.rs
+++ b/crates/release/src/check.rs
@@ -1,6 +1,6 @@
-//! What must hold of a note and of the configuration it makes.
+//! Validation of release notes and of the configurations they create.
 
-use crate::configuration::{Account, BYTES_MAX, Configuration, Model, Service, Weight};
+use crate::configuration::{Account, Configuration, MAX_SIZE, Model, Service, Weight};
 use crate::note::{Entries, Note};
 use hickory_document::rule::{check_digest, check_name};
 use hickory_unit::finding::Finding;
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
 
-/// The longest path of a plain service.
-const PATH_MAX: usize = 256;
+/// Maximum length of a path of a plain service in bytes.
+const MAX_PATH_LENGTH: usize = 256;
 
-/// The greatest share or weight: sums over all accounts stay exact enough.
-const SHARE_MAX: f64 = 1e9;
+/// Maximum share or weight. The limit keeps sums over all accounts sufficiently precise.
+const MAX_SHARE: f64 = 1e9;
 
-/// All that is wrong with a note by itself.
+/// Returns the findings that do not depend on a configuration.
 pub(crate) fn check_values(note: &Note) -> Vec<Finding> {
     let mut findings = Vec::new();
     if !note.operation.is_empty() {
@@ -88,26 +88,27 @@
 }
 
 fn check_service(path: &str, service: &Service, findings: &mut Vec<Finding>) {
-    let well_formed = |call: &str| {
-        call.starts_with('/')
-            && call.len() <= PATH_MAX
-            && call.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
+    let well_formed = |call_path: &str| {
+        call_path.starts_with('/')
+            && call_path.len() <= MAX_PATH_LENGTH
+            && call_path.bytes().all(|b| b.is_ascii_graphic() && !matches!(b, b'?' | b'#'))
     };
-    for call in service.once.iter().filter(|call| !well_formed(call)) {
+    for call_path in service.once.iter().filter(|call_path| !well_formed(call_path)) {
         let message = format!(
-            "expected a path with a leading slash, without query, of at most {PATH_MAX} characters"
+            "expected a path with a leading slash, without query, of at most \
+             {MAX_PATH_LENGTH} characters"
         );
-        findings.push(Finding::at(format!("{path}.once.{call}"), message));
+        findings.push(Finding::at(format!("{path}.once.{call_path}"), message));
     }
 }
 
 fn check_share(path: &str, share: f64, findings: &mut Vec<Finding>) {
-    if !(share > 0.0 && share <= SHARE_MAX) {
-        findings.push(Finding::at(path, format!("must be greater than 0 and at most {SHARE_MAX}")));
+    if !(share > 0.0 && share <= MAX_SHARE) {
+        findings.push(Finding::at(path, format!("must be greater than 0 and at most {MAX_SHARE}")));
     }
 }
 
-/// What is added must be new; what is changed or withdrawn must be there.
+/// Checks that added entries are new and that changed and withdrawn entries exist.
 pub(crate) fn check_existence(present: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     macro_rules! check {
         ($($section:ident)*) => {$(
@@ -144,7 +145,7 @@
         findings.push(Finding::at(format!("{part}.{section}.{name}"), message));
     };
     for name in added.filter(|name| exists(name)) {
-        push("added", name, "exists already");
+        push("added", name, "already exists");
     }
     for name in changed {
         if !exists(name) {
@@ -159,24 +160,24 @@
     }
 }
 
-/// What accounts name must be there in the configuration that the note makes.
+/// Checks that all entries that accounts refer to exist in the new configuration.
 pub(crate) fn check_references(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
     for (account, entry) in &next.accounts {
         let missing = list_references(entry, next, note).into_iter().filter(|r| !r.exists);
-        findings.extend(missing.map(|reference| reference.explain(account, note)));
+        findings.extend(missing.map(|reference| reference.to_finding(account, note)));
     }
 }
 
-/// The name of another entry within an account's entry.
+/// A reference from an account to another entry.
 struct Reference {
-    /// The field within the account's entry.
+    /// The field of the account that contains the reference.
     field: String,
-    /// The section and name of the other entry.
+    /// The section and the name of the other entry.
     section: &'static str,
     name: String,
-    /// Whether the other entry will be there.
+    /// Whether the other entry exists in the new configuration.
     exists: bool,
-    /// Whether the note withdraws it.
+    /// Whether the note withdraws the other entry.
     withdrawn: bool,
 }
 
@@ -204,9 +205,9 @@
 }
 
 impl Reference {
-    /// The finding stands at the account where the note has it, else at what
-    /// the note withdraws from under it.
-    fn explain(&self, account: &id::Account, note: &Note) -> Finding {
+    /// Creates the finding about a broken reference. It is located at the account if the note
+    /// contains the account, and otherwise at the withdrawal of the entry that the account uses.
+    fn to_finding(&self, account: &id::Account, note: &Note) -> Finding {
         let Self { field, section, name, withdrawn, .. } = self;
         let Some(part) = find_part(note, account) else {
             let path = format!("withdrawn.{section}.{name}");
@@ -217,16 +218,17 @@
     }
 }
 
-/// A token must tell its account.
+/// Checks that no two accounts have the same token.
 pub(crate) fn check_tokens(next: &Configuration, note: &Note, findings: &mut Vec<Finding>) {
-    let mut owners: BTreeMap<&str, &id::Account> = BTreeMap::new();
+    let mut accounts_by_token: BTreeMap<&str, &id::Account> = BTreeMap::new();
     for (name, account) in &next.accounts {
-        let Some(other) = owners.insert(&account.token_digest, name) else {
+        let Some(other) = accounts_by_token.insert(&account.token_digest, name) else {
             continue;
         };
-        // One of the two is in the note: the present configuration is sound.
-        let both = [(name, other), (other, name)];
-        for (name, other) in both {
+        // At least one of the two accounts is in the note, because the current configuration is
+        // valid.
+        let pairs = [(name, other), (other, name)];
+        for (name, other) in pairs {
             if let Some(part) = find_part(note, name) {
                 let field = format!("{part}.accounts.{name}.token_digest");
                 findings.push(Finding::at(field, format!("is the token of account {other}")));
@@ -236,7 +238,7 @@
     }
 }
 
-/// The part of a note that has an account.
+/// Returns the section of the note that contains the account.
 fn find_part(note: &Note, name: &id::Account) -> Option<&'static str> {
     if note.added.accounts.contains_key(name) {
         Some("added")
@@ -247,25 +249,25 @@
     }
 }
 
-/// The last operator stays: without one, the token of the nodes' settings,
-/// meant for the first note only, would be good again.
+/// Checks that at least one operator remains. Without any operator the token in the nodes'
+/// settings, which is only meant for the first note, would become valid again.
 pub(crate) fn check_operators(
     present: &Configuration,
     next: &Configuration,
     findings: &mut Vec<Finding>,
 ) {
     if next.operators.is_empty() && !present.operators.is_empty() {
-        let message = "no operator would be left; nobody could accept the next note";
+        let message = "no operator would remain, so no further note could be accepted";
         findings.push(Finding::at("withdrawn.operators", message));
     }
 }
 
-/// The whole must fit into one value of the platform's service.
+/// Checks that the configuration fits into one value of the platform's key-value service.
 pub(crate) fn check_size(next: &Configuration, findings: &mut Vec<Finding>) {
-    let bytes = next.bytes();
-    if bytes > BYTES_MAX {
+    let bytes = next.json_size();
+    if bytes > MAX_SIZE {
         let message = format!(
-            "the configuration would have {bytes} bytes; the platform holds at most {BYTES_MAX}"
+            "the configuration would have {bytes} bytes; the platform holds at most {MAX_SIZE}"
         );
         findings.push(Finding::at(hickory_document::ROOT, message));
     }
--- a/crates/release/tests/notes.rs
+++ b/crates/release/tests/notes.rs
@@ -1,7 +1,7 @@
-//! Notes under `data/` with what is said of them.
+//! Snapshot tests of the notes under `data/`.
 //!
-//! `data/shape` holds notes that are wrong by themselves, `data/against`
-//! notes that meet the configuration that `data/present.jsonc` makes.
+//! `data/shape` contains notes that are invalid in themselves. The notes in `data/against` are
+//! applied to the configuration created by `data/present.jsonc`.
 
 use hickory_release::accept::{Acceptance, Rejection, accept_note};
 use hickory_release::configuration::Configuration;
@@ -15,7 +15,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(path)
 }
 
-/// The documents of a directory by name, sorted.
+/// Returns the documents of a directory with their names, sorted.
 fn read_documents(directory: &str) -> Vec<(String, String)> {
     let mut documents: Vec<(String, String)> = std::fs::read_dir(data(directory))
         .unwrap()
@@ -33,7 +33,7 @@
     let text = std::fs::read_to_string(data("present.jsonc")).unwrap();
     let Draft { note, .. } = parse_draft(&text).unwrap();
     match accept_note(&Configuration::default(), &note).unwrap() {
-        Acceptance::Next(next) => *next,
+        Acceptance::NewConfiguration(next) => *next,
         Acceptance::Repeated(version) => panic!("repeated as {version}"),
     }
 }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn every_finding_of_a_note_by_itself_is_reported_with_its_place() {
+fn invalid_notes_report_all_findings() {
     let mut report = String::new();
     for (name, text) in read_documents("shape") {
         writeln!(report, "{name}").unwrap();
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn notes_are_decided_against_the_present_configuration() {
+fn notes_are_checked_against_a_configuration() {
     let present = read_present();
     let mut report = String::new();
     for (name, text) in read_documents("against") {
-        let Draft { note, places } = parse_draft(&text).unwrap();
+        let Draft { note, locations } = parse_draft(&text).unwrap();
         write!(report, "{name}: ").unwrap();
         match accept_note(&present, &note) {
-            Ok(Acceptance::Next(next)) => {
+            Ok(Acceptance::NewConfiguration(next)) => {
                 writeln!(report, "version {}", next.version).unwrap();
                 for change in diff_configurations(&present, &next) {
                     writeln!(report, "  {change}").unwrap();
@@ -74,7 +74,7 @@
             }
             Err(Rejection::Invalid(mut findings)) => {
                 writeln!(report, "invalid").unwrap();
-                places.locate(&mut findings);
+                locations.locate(&mut findings);
                 write_findings(&mut report, &name, &findings);
             }
         }
@@ -82,9 +82,8 @@
     insta::assert_snapshot!(report);
 }
 
-// The operator sees findings for one entry and expects that nothing of the
-// note is in force. The note holds good entries beside the wrong one; were
-// they merged one by one, the good ones would stay behind.
+// Guards against partial application: a note with one invalid entry must not apply its valid
+// entries either.
 #[test]
 fn nothing_of_an_invalid_note_is_applied() {
     let present = read_present();
@@ -96,11 +95,11 @@
     assert_eq!(present, before);
 }
 
-// An operator's answer was lost and other notes were accepted since. Sent
-// again, the note must be told as accepted with the version that it made, as
+// Guards against reporting a repeated note as a conflict. If the answer to a note was lost and
+// other notes were accepted since, sending it again must return the version that it created, as
 // long as its operation is kept.
 #[test]
-fn a_repeated_operation_names_the_version_it_made() {
+fn a_repeated_operation_returns_its_version() {
     let mut present = read_present();
     let note = |version: u64| {
         let text = format!(
--- a/crates/release/tests/size.rs
+++ b/crates/release/tests/size.rs
@@ -1,7 +1,7 @@
-//! The size of the configuration, which must fit into one value.
+//! Tests that the configuration fits into one value of the platform's key-value service.
 
 use hickory_release::configuration::{
-    Account, BYTES_MAX, Configuration, Model, Partner, Weight, digest_token,
+    Account, Configuration, MAX_SIZE, Model, Partner, Weight, digest_token,
 };
 use hickory_release::note::{Entries, Note, apply_note};
 use hickory_unit::size::Bytes;
@@ -36,18 +36,17 @@
     Note { operation: "op".to_owned(), added, ..Note::default() }
 }
 
-// 680 accounts that may each use all of 12 models: the size asked for within
-// two years. The configuration is one value of the platform's service.
+// The required size within two years is 680 accounts that may each use all of 12 models.
 #[test]
-fn the_size_to_come_fits_into_a_quarter_of_the_bound() {
+fn the_required_size_is_below_a_quarter_of_the_limit() {
     let next = apply_note(&Configuration::default(), &build_note(680, 12)).unwrap();
-    let bytes = next.bytes();
+    let bytes = next.json_size();
     insta::assert_snapshot!(bytes, @"193215");
-    assert!(bytes.0 * 4 < BYTES_MAX.0, "{bytes}");
+    assert!(bytes.0 * 4 < MAX_SIZE.0, "{bytes}");
 }
 
 #[test]
-fn a_configuration_over_the_bound_is_refused() {
+fn an_oversized_configuration_is_rejected() {
     let findings = apply_note(&Configuration::default(), &build_note(4_000, 12)).unwrap_err();
     assert_eq!(findings.len(), 1);
     assert_eq!(findings[0].field, "document");
@@ -55,6 +54,6 @@
 }
 
 #[test]
-fn the_bound_is_that_of_the_platform() {
-    assert_eq!(BYTES_MAX, hickory_store::store::MAX_VALUE_SIZE);
+fn the_limit_equals_that_of_the_platform() {
+    assert_eq!(MAX_SIZE, hickory_store::store::MAX_VALUE_SIZE);
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,20 +1,20 @@
-//! What must hold of settings beyond their types.
+//! Validation of settings beyond the types of their fields.
 
-use crate::node::{Node, Times};
+use crate::node::{Settings, Times};
 use derive_more::Display;
 use hickory_document::read_document;
-use hickory_document::rule::{HEX_LENGTH, check_digest, check_name, is_hex};
+use hickory_document::rule::{HEX_DIGITS, check_digest, check_name, is_hex};
 use hickory_unit::finding::{self, Finding};
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// A field of [`Times`] and the range that it may lie in.
+/// The allowed range of a field of [`Times`].
 struct Range {
     name: &'static str,
     read: fn(&Times) -> u64,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 }
 
 impl Range {
@@ -23,39 +23,37 @@
     }
 }
 
-/// The bounds keep a node from flooding the platform or its targets at the
-/// one end, and from noticing faults too late to end requests in time at the
-/// other.
+/// Too small values would let a node flood the platform or its targets with requests. With too
+/// large values it would detect faults too late to finish requests in time.
 const RANGES: &[Range] = &[
-    Range { name: "lease_ms", read: |t| t.lease_ms, least: 500, most: 60_000 },
-    Range { name: "permit_ms", read: |t| t.permit_ms, least: 50, most: 10_000 },
-    Range { name: "gossip_ms", read: |t| t.gossip_ms, least: 20, most: 5_000 },
-    Range { name: "report_ms", read: |t| t.report_ms, least: 20, most: 5_000 },
-    Range { name: "hosts_ms", read: |t| t.hosts_ms, least: 50, most: 30_000 },
-    Range { name: "entry_keep_ms", read: |t| t.entry_keep_ms, least: 100, most: 600_000 },
-    Range { name: "resume_ms", read: |t| t.resume_ms, least: 0, most: 60_000 },
-    Range { name: "progress_ms", read: |t| t.progress_ms, least: 100, most: 600_000 },
-    Range { name: "platform_ms", read: |t| t.platform_ms, least: 50, most: 30_000 },
+    Range { name: "lease_ms", read: |t| t.lease_ms, min: 500, max: 60_000 },
+    Range { name: "permit_ms", read: |t| t.permit_ms, min: 50, max: 10_000 },
+    Range { name: "gossip_ms", read: |t| t.gossip_ms, min: 20, max: 5_000 },
+    Range { name: "report_ms", read: |t| t.report_ms, min: 20, max: 5_000 },
+    Range { name: "hosts_ms", read: |t| t.hosts_ms, min: 50, max: 30_000 },
+    Range { name: "entry_keep_ms", read: |t| t.entry_keep_ms, min: 100, max: 600_000 },
+    Range { name: "resume_ms", read: |t| t.resume_ms, min: 0, max: 60_000 },
+    Range { name: "progress_ms", read: |t| t.progress_ms, min: 100, max: 600_000 },
+    Range { name: "platform_ms", read: |t| t.platform_ms, min: 50, max: 30_000 },
 ];
 
-/// All that a check of settings found.
+/// The result of checking settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Check {
-    /// The settings, where nothing is wrong.
-    pub node: Option<Node>,
-    /// What keeps a node from starting.
+    /// The settings, if there are no findings.
+    pub settings: Option<Settings>,
+    /// Errors that keep a node from starting.
     pub findings: Vec<Finding>,
-    /// What a node starts with, though it is probably not meant.
+    /// Settings that are valid but probably not intended.
     pub warnings: Vec<Finding>,
 }
 
-/// Settings that a node can't start with: each finding on a line of its own,
-/// with file, line and field.
+/// Invalid settings. The displayed text has one line per finding, with file, line and field.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Error)]
 pub struct Invalid {
     /// The file.
     pub file: PathBuf,
-    /// What is wrong.
+    /// The findings.
     pub findings: Vec<Finding>,
 }
 
@@ -67,7 +65,7 @@
     }
 }
 
-/// Why settings could not be opened.
+/// Why settings could not be loaded.
 #[derive(Debug, Display, derive_more::Error)]
 pub enum Error {
     /// The file can't be read.
@@ -75,7 +73,7 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The I/O error.
         #[error(source)]
         error: std::io::Error,
     },
@@ -85,65 +83,70 @@
     Invalid(Invalid),
 }
 
-/// Reads the settings of a node from a file.
-pub fn open(file: &Path) -> Result<Node, Error> {
+/// Loads the settings of a node from a file.
+pub fn open(file: &Path) -> Result<Settings, Error> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| Error::Unreadable { file: file.to_owned(), error })?;
     let invalid = |findings| Error::Invalid(Invalid { file: file.to_owned(), findings });
-    parse_node(&text).map_err(invalid)
+    parse_settings(&text).map_err(invalid)
 }
 
-/// Reads settings from JSON with comments, with every finding.
-pub fn parse_node(text: &str) -> Result<Node, Vec<Finding>> {
-    let check = check_node(text);
-    check.node.ok_or(check.findings)
+/// Parses settings from JSON with comments and returns either the settings or all findings.
+pub fn parse_settings(text: &str) -> Result<Settings, Vec<Finding>> {
+    let check = check_settings(text);
+    check.settings.ok_or(check.findings)
 }
 
-/// Checks settings, with every finding and warning.
-pub fn check_node(text: &str) -> Check {
-    let mut reading = read_document::<Node>(text);
+/// Parses and checks settings and returns all findings and warnings.
+pub fn check_settings(text: &str) -> Check {
+    let mut parsed = read_document::<Settings>(text);
     let mut later = Vec::new();
     let mut warnings = Vec::new();
-    if let Some(node) = &reading.value {
-        check_name("node", node.node.as_str(), &mut later);
-        check_name("zone", node.zone.as_str(), &mut later);
-        check_addresses(node, &mut later, &mut warnings);
-        check_secrets(node, &mut later, &mut warnings);
-        check_ranges(&node.times, &mut later);
-        // A time that can't be read would be compared by its default.
-        if !RANGES.iter().any(|range| reading.is_known(&range.field())) {
-            check_contradictions(&node.times, &mut later, &mut warnings);
+    if let Some(settings) = &parsed.value {
+        check_name("node", settings.node.as_str(), &mut later);
+        check_name("zone", settings.zone.as_str(), &mut later);
+        check_addresses(settings, &mut later, &mut warnings);
+        check_secrets(settings, &mut later, &mut warnings);
+        check_ranges(&settings.times, &mut later);
+        // Skipped if any time is invalid, since the comparison would use its default.
+        if !RANGES.iter().any(|range| parsed.has_finding(&range.field())) {
+            check_contradictions(&settings.times, &mut later, &mut warnings);
         }
     }
-    // What stands in for a field that can't be read is no choice of anybody's.
-    warnings.retain(|warning| !reading.is_known(&warning.field));
-    reading.extend(later);
-    reading.places.locate(&mut warnings);
-    match reading.into_result() {
-        Ok(node) => Check { node: Some(node), findings: Vec::new(), warnings },
-        Err(findings) => Check { node: None, findings, warnings },
+    // Drops warnings about defaults that replace invalid fields, because the user did not choose
+    // these values.
+    warnings.retain(|warning| !parsed.has_finding(&warning.field));
+    parsed.add_findings(later);
+    parsed.locations.locate(&mut warnings);
+    match parsed.into_result() {
+        Ok(settings) => Check { settings: Some(settings), findings: Vec::new(), warnings },
+        Err(findings) => Check { settings: None, findings, warnings },
     }
 }
 
-fn check_addresses(node: &Node, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    let listeners = [("callers", node.callers), ("admin", node.admin), ("peers", node.peers)];
+fn check_addresses(settings: &Settings, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
+    let listeners =
+        [("callers", settings.callers), ("admin", settings.admin), ("peers", settings.peers)];
     let services = [
-        ("platform.store", node.platform.store),
-        ("platform.hosts", node.platform.hosts),
-        ("platform.weights", node.platform.weights),
+        ("platform.store", settings.platform.store),
+        ("platform.hosts", settings.platform.hosts),
+        ("platform.weights", settings.platform.weights),
     ];
-    // A listener may take any free port, which the node prints when it is
-    // ready; a service of the platform can't be found at port 0.
+    // A listener may use port 0; the node prints the port that it bound when it is ready. A service
+    // of the platform can't be reached at port 0.
     for (field, _) in listeners.iter().filter(|(_, address)| address.port() == 0) {
-        warnings.push(Finding::at(*field, "port 0: another port is taken at each start"));
+        warnings.push(Finding::at(*field, "port 0: a free port is chosen at each start"));
     }
     for (field, _) in services.iter().filter(|(_, address)| address.port() == 0) {
         findings.push(Finding::at(*field, "the port must not be 0"));
     }
     for (field, address) in listeners.iter().chain(&services) {
-        // Callers and other nodes are told these addresses.
+        // Callers and other nodes receive these addresses to connect to.
         if address.ip().is_unspecified() && *field != "admin" {
-            findings.push(Finding::at(*field, "must be an address that others can connect to"));
+            findings.push(Finding::at(
+                *field,
+                "must be an address that callers and other nodes can connect to",
+            ));
         }
     }
     for (index, (field, address)) in listeners.iter().enumerate() {
@@ -166,7 +169,7 @@
     }
 }
 
-/// Whether two listeners would stand in each other's way.
+/// Returns whether two listeners can't be bound at the same time.
 fn overlaps(one: SocketAddr, other: SocketAddr) -> bool {
     let (a, b) = (one.ip(), other.ip());
     one.port() == other.port()
@@ -174,14 +177,18 @@
         && (a == b || a.is_unspecified() || b.is_unspecified())
 }
 
-fn check_secrets(node: &Node, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    if !is_hex(&node.fleet_key) {
-        let message = format!("expected 32 bytes: {HEX_LENGTH} hexadecimal digits");
+fn check_secrets(settings: &Settings, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
+    if !is_hex(&settings.fleet_key) {
+        let message = format!("expected 32 bytes: {HEX_DIGITS} hexadecimal digits");
         findings.push(Finding::at("fleet_key", message));
-    } else if node.fleet_key.bytes().all(|digit| Some(digit) == node.fleet_key.bytes().next()) {
-        warnings.push(Finding::at("fleet_key", "is one digit repeated; draw it at random"));
-    }
-    if let Some(digest) = &node.first_operator {
+    } else if settings
+        .fleet_key
+        .bytes()
+        .all(|digit| Some(digit) == settings.fleet_key.bytes().next())
+    {
+        warnings.push(Finding::at("fleet_key", "is one digit repeated; generate a random key"));
+    }
+    if let Some(digest) = &settings.first_operator {
         check_digest("first_operator", digest, findings);
     }
 }
@@ -189,36 +196,35 @@
 fn check_ranges(times: &Times, findings: &mut Vec<Finding>) {
     for range in RANGES {
         let time = (range.read)(times);
-        if time < range.least || time > range.most {
-            let message = format!("must be from {} to {}", range.least, range.most);
+        if time < range.min || time > range.max {
+            let message = format!("must be from {} to {}", range.min, range.max);
             findings.push(Finding::at(range.field(), message));
         }
     }
 }
 
-/// Times that contradict each other. Each would break a guarantee without
-/// any error at run time, so that a node must not start with them.
+/// Checks times against each other. Each contradiction would break a guarantee without any error at
+/// run time, so a node must not start with it.
 fn check_contradictions(times: &Times, findings: &mut Vec<Finding>, warnings: &mut Vec<Finding>) {
-    // A new owner waits for one permit's life after the old lease: permits
-    // must not outlive the lease under which they are given.
+    // A new owner waits for the lifetime of one permit after the previous lease has expired, so a
+    // permit must not outlive the lease in which it was granted.
     if times.permit_ms >= times.lease_ms {
         let message = format!("must be less than lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.permit_ms", message));
     }
-    // One slow call must leave time to renew the lease by another.
+    // After one slow call there must be time left to renew the lease with another.
     if times.platform_ms.saturating_mul(2) > times.lease_ms {
         let message = format!("must be at most half of lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.platform_ms", message));
     }
-    // Nodes that hear of each other less often than a lease lasts would take
-    // a live owner for gone.
+    // If nodes exchange gossip less often than a lease lasts, they would consider a live owner
+    // dead.
     if times.gossip_ms >= times.lease_ms {
         let message = format!("must be less than lease_ms ({})", times.lease_ms);
         findings.push(Finding::at("times.gossip_ms", message));
     }
     if times.report_ms > times.permit_ms {
-        let message = "load is reported less often than a permit lives; a target that turns \
-                       cold is noticed late";
+        let message = "longer than permit_ms; a target that turns cold is detected late";
         warnings.push(Finding::at("times.report_ms", message));
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
-//! Settings under `data/` with what is said of them.
+//! Tests of the settings files under `data/`.
 
-use hickory_settings::{Check, Error, Times, check_node, open};
+use hickory_settings::{Check, Error, Times, check_settings, open};
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
 
@@ -9,17 +9,17 @@
 }
 
 #[test]
-fn every_finding_and_warning_is_reported_with_its_place() {
+fn all_findings_and_warnings_are_reported() {
     let mut files: Vec<PathBuf> =
         std::fs::read_dir(data()).unwrap().map(|entry| entry.unwrap().path()).collect();
     files.sort();
     let mut report = String::new();
     for file in files {
         let name = file.file_name().unwrap().to_string_lossy().into_owned();
-        let Check { node, findings, warnings } =
-            check_node(&std::fs::read_to_string(&file).unwrap());
-        assert_eq!(node.is_some(), findings.is_empty(), "{name}");
-        writeln!(report, "{name}: {}", if node.is_some() { "good" } else { "bad" }).unwrap();
+        let Check { settings, findings, warnings } =
+            check_settings(&std::fs::read_to_string(&file).unwrap());
+        assert_eq!(settings.is_some(), findings.is_empty(), "{name}");
+        writeln!(report, "{name}: {}", if settings.is_some() { "good" } else { "bad" }).unwrap();
         for finding in findings {
             writeln!(report, "  {}", finding.in_file(&name)).unwrap();
         }
@@ -31,16 +31,16 @@
 }
 
 #[test]
-fn all_that_is_set_arrives() {
+fn all_settings_are_read() {
     insta::assert_debug_snapshot!(open(&data().join("whole.jsonc")).unwrap());
 }
 
 #[test]
-fn what_is_left_out_has_its_default() {
-    let node = open(&data().join("good.jsonc")).unwrap();
-    assert_eq!(node.times, Times::default());
-    assert_eq!(node.logs, Default::default());
-    assert_eq!(node.first_operator, None);
+fn omitted_settings_have_defaults() {
+    let settings = open(&data().join("good.jsonc")).unwrap();
+    assert_eq!(settings.times, Times::default());
+    assert_eq!(settings.logs, Default::default());
+    assert_eq!(settings.first_operator, None);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_told_apart() {
+fn a_missing_file_is_a_separate_error() {
     let error = open(Path::new("/nowhere/settings.jsonc")).unwrap_err();
     assert!(matches!(error, Error::Unreadable { .. }), "{error}");
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,16 +1,16 @@
 //! Connections between nodes.
 //!
-//! Cap'n Proto objects can't leave their thread, so one thread keeps all
-//! links; the rest of the node talks to it through a channel. A link whose
-//! call times out is closed and the next call opens a new one: a connection
-//! that something between the hosts has forgotten stays silent for good
-//! while new ones work, so the old connection says nothing of the peer.
+//! Cap'n Proto objects are bound to one thread, so a dedicated thread runs all links and the rest
+//! of the node sends it calls through a channel. If a call times out, its link is closed and the
+//! next call opens a new one. A firewall or router that drops the state of a connection leaves that
+//! connection silent forever while new ones work, so a silent connection does not show that the
+//! peer is down.
 
-use crate::answer::serve;
 use crate::codec;
-use crate::message::{Adopt, Ask, Document, Gossip, Outcome, Permit, Refusal};
+use crate::message::{Adoption, Document, Gossip, Outcome, Permit, PermitRequest, Refusal};
 use crate::peer_capnp::{login, peer};
-use crate::proof::{Key, Side, is_same, make_nonce};
+use crate::proof::{Key, Side, generate_nonce, is_valid_proof};
+use crate::server::serve;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp, twoparty};
 use derive_more::Display;
 use futures::AsyncReadExt;
@@ -26,48 +26,51 @@
 use tokio_util::compat::TokioAsyncReadCompatExt;
 use tokio_util::sync::CancellationToken;
 
-/// How long connecting and the mutual proof may take.
+/// Timeout for connecting and mutual authentication.
 const LOGIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call to a peer brought no answer.
+/// Why a call to a peer failed.
 #[derive(Clone, Debug, Display, PartialEq, Eq, derive_more::Error)]
 pub enum Error {
-    /// No connection could be made.
+    /// Connecting or authenticating failed.
     #[display("can't connect: {_0}")]
     #[error(ignore)]
     Connect(String),
-    /// The connection broke, or the answer did not come in time.
+    /// The connection broke, or the answer did not arrive in time.
     #[display("no answer: {_0}")]
     #[error(ignore)]
     NoAnswer(String),
-    /// This node is closing its links.
+    /// This node has closed its links.
     #[display("closed")]
     Closed,
 }
 
-/// What a node answers to its peers.
+/// The calls that a node serves for its peers.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Takes in a peer's gossip and answers with its own.
+    /// Processes a peer's gossip and returns this node's own.
     fn exchange(&self, gossip: Gossip) -> Gossip;
 
-    /// Grants or refuses a permit. The future is dropped when the asker no
-    /// longer waits, which takes the ask out of the queue.
-    fn permit(&self, ask: Ask) -> impl Future<Output = Result<Permit, Refusal>> + Send;
+    /// Grants or refuses a permit. If the requester stops waiting, the future is dropped, which
+    /// must remove the request from the queue.
+    fn permit(
+        &self,
+        permit_request: PermitRequest,
+    ) -> impl Future<Output = Result<Permit, Refusal>> + Send;
 
-    /// Takes in the end of a permitted attempt.
+    /// Processes the result of a permitted attempt.
     fn outcome(&self, outcome: Outcome);
 
-    /// Takes over a stream for the asking node.
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal>;
+    /// Transfers a stream to the requesting node.
+    fn adopt(&self, adoption: Adoption) -> Result<Permit, Refusal>;
 
-    /// The configuration in force.
-    fn release(&self) -> Option<Document>;
+    /// Returns the configuration in force.
+    fn configuration(&self) -> Option<Document>;
 
-    /// The ownership table known.
+    /// Returns the latest known ownership table.
     fn owners(&self) -> Option<Document>;
 }
 
-/// The links of a node: a server for its peers and clients to them.
+/// The links of a node: a server for its peers and a client for each of them.
 #[derive(Clone, Debug)]
 pub struct Links {
     calls: mpsc::UnboundedSender<Call>,
@@ -78,17 +81,17 @@
 #[derive(Debug)]
 enum Call {
     Exchange(SocketAddr, Gossip, oneshot::Sender<Result<Gossip, Error>>),
-    Permit(SocketAddr, Box<Ask>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
+    Permit(SocketAddr, Box<PermitRequest>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
     Outcome(SocketAddr, Box<Outcome>, oneshot::Sender<Result<(), Error>>),
     Release(SocketAddr, oneshot::Sender<Result<Option<Document>, Error>>),
     Owners(SocketAddr, oneshot::Sender<Result<Option<Document>, Error>>),
-    Adopt(SocketAddr, Box<Adopt>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
+    Adopt(SocketAddr, Box<Adoption>, oneshot::Sender<Result<Result<Permit, Refusal>, Error>>),
     Probe(SocketAddr, oneshot::Sender<Result<(), Error>>),
     Close(SocketAddr),
 }
 
 impl Links {
-    /// Serves peers on `listener` and starts the thread of the links.
+    /// Serves peers on `listener` and starts the thread that runs the links.
     pub fn spawn<H: Handler>(
         listener: std::net::TcpListener,
         key: Key,
@@ -96,22 +99,28 @@
     ) -> std::io::Result<Self> {
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
-        let (calls, inbox) = mpsc::unbounded_channel();
+        let (calls, call_receiver) = mpsc::unbounded_channel();
         let (stop, stopped) = watch::channel(false);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new().name("links".into()).spawn(move || {
             let local = LocalSet::new();
-            runtime.block_on(local.run_until(run(listener, key, handler, inbox, stopped)));
+            runtime.block_on(local.run_until(run_links(
+                listener,
+                key,
+                handler,
+                call_receiver,
+                stopped,
+            )));
         })?;
         Ok(Self { calls, address, stop })
     }
 
-    /// Where peers connect.
+    /// Returns the address at which peers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Exchanges gossip with a peer; a silent link is closed.
+    /// Exchanges gossip with a peer; closes the link if the peer does not answer in time.
     pub async fn exchange(
         &self,
         to: SocketAddr,
@@ -121,16 +130,16 @@
         self.call(to, timeout, |answer| Call::Exchange(to, gossip, answer)).await
     }
 
-    /// Asks the owner at `to` for a permit, and waits as long as `timeout`;
-    /// dropping the future withdraws the ask.
-    pub async fn permit(
+    /// Requests a permit from the owner at `to` and waits up to `timeout`. Dropping the future
+    /// withdraws the request.
+    pub async fn request_permit(
         &self,
         to: SocketAddr,
-        ask: Ask,
+        permit_request: PermitRequest,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
         let (answer, wait) = oneshot::channel();
-        let call = Call::Permit(to, Box::new(ask), answer);
+        let call = Call::Permit(to, Box::new(permit_request), answer);
         self.calls.send(call).map_err(|_| Error::Closed)?;
         match tokio::time::timeout(timeout, wait).await {
             Ok(answer) => answer.unwrap_or(Err(Error::Closed)),
@@ -138,8 +147,8 @@
         }
     }
 
-    /// Tells the owner how a permitted attempt ended.
-    pub async fn outcome(
+    /// Reports to the owner how a permitted attempt ended.
+    pub async fn report_outcome(
         &self,
         to: SocketAddr,
         outcome: Outcome,
@@ -149,7 +158,7 @@
     }
 
     /// Fetches the configuration that a peer has in force.
-    pub async fn release(
+    pub async fn fetch_configuration(
         &self,
         to: SocketAddr,
         timeout: Duration,
@@ -157,8 +166,8 @@
         self.call(to, timeout, |answer| Call::Release(to, answer)).await
     }
 
-    /// Fetches the ownership table that a peer knows.
-    pub async fn owners(
+    /// Fetches the ownership table that a peer has.
+    pub async fn fetch_owners(
         &self,
         to: SocketAddr,
         timeout: Duration,
@@ -166,18 +175,18 @@
         self.call(to, timeout, |answer| Call::Owners(to, answer)).await
     }
 
-    /// Tells the owner that this node serves the rest of a stream that another
-    /// node opened.
+    /// Requests from the owner that this node takes over the rest of a stream that another node
+    /// opened.
     pub async fn adopt(
         &self,
         to: SocketAddr,
-        adopt: Adopt,
+        adoption: Adoption,
         timeout: Duration,
     ) -> Result<Result<Permit, Refusal>, Error> {
-        self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adopt), answer)).await
+        self.call(to, timeout, |answer| Call::Adopt(to, Box::new(adoption), answer)).await
     }
 
-    /// Whether a new connection to the peer can be made and proves itself.
+    /// Checks that a new connection to the peer can be opened and authenticated.
     pub async fn probe(&self, to: SocketAddr, timeout: Duration) -> Result<(), Error> {
         self.call(to, timeout, |answer| Call::Probe(to, answer)).await
     }
@@ -191,10 +200,10 @@
         &self,
         to: SocketAddr,
         timeout: Duration,
-        make: impl FnOnce(oneshot::Sender<Result<T, Error>>) -> Call,
+        make_call: impl FnOnce(oneshot::Sender<Result<T, Error>>) -> Call,
     ) -> Result<T, Error> {
         let (answer, wait) = oneshot::channel();
-        self.calls.send(make(answer)).map_err(|_| Error::Closed)?;
+        self.calls.send(make_call(answer)).map_err(|_| Error::Closed)?;
         match tokio::time::timeout(timeout, wait).await {
             Ok(answer) => answer.unwrap_or(Err(Error::Closed)),
             Err(_) => {
@@ -205,28 +214,28 @@
     }
 }
 
-async fn run<H: Handler>(
+async fn run_links<H: Handler>(
     listener: std::net::TcpListener,
     key: Key,
     handler: H,
-    mut inbox: mpsc::UnboundedReceiver<Call>,
+    mut call_receiver: mpsc::UnboundedReceiver<Call>,
     mut stopped: watch::Receiver<bool>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
-    let accepted_stop = stopped.clone();
+    let server_stopped = stopped.clone();
     let clients = Rc::new(Clients { key: key.clone(), open: RefCell::default() });
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     let (key, handler) = (key.clone(), handler.clone());
-                    let stopped = accepted_stop.clone();
+                    let stopped = server_stopped.clone();
                     tokio::task::spawn_local(serve(stream, key, handler, stopped));
                 }
-                // Out of file descriptors, most likely: let some be closed.
+                // Most likely the process has no file descriptors left; wait until some are closed.
                 Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
             },
-            call = inbox.recv() => match call {
+            call = call_receiver.recv() => match call {
                 Some(call) => {
                     let clients = clients.clone();
                     tokio::task::spawn_local(async move { clients.handle(call).await });
@@ -238,7 +247,7 @@
     }
 }
 
-/// The client side of the links, one a peer.
+/// The client side of the links, one connection per peer.
 struct Clients {
     key: Key,
     open: RefCell<HashMap<SocketAddr, Rc<Link>>>,
@@ -260,66 +269,68 @@
                 let run = async |peer: peer::Client| {
                     let mut request = peer.exchange_request();
                     codec::write_gossip(&gossip, request.get().init_gossip());
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let gossip = response.get().and_then(|r| r.get_gossip()).map_err(no_answer)?;
-                    codec::read_gossip(gossip).map_err(no_answer)
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let gossip = response.get().and_then(|r| r.get_gossip()).map_err(call_error)?;
+                    codec::read_gossip(gossip).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
-            Call::Permit(to, ask, answer) => {
+            Call::Permit(to, permit_request, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.permit_request();
-                    codec::write_ask(&ask, request.get().init_ask());
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(no_answer)?;
-                    codec::read_answer(found).map_err(no_answer)
+                    codec::write_permit_request(&permit_request, request.get().init_ask());
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let peer_answer =
+                        response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(peer_answer).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Outcome(to, outcome, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.outcome_request();
                     codec::write_outcome(&outcome, request.get().init_outcome());
-                    request.send().promise.await.map_err(no_answer).map(drop)
+                    request.send().promise.await.map_err(call_error).map(drop)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Release(to, answer) => {
                 let run = async |peer: peer::Client| {
                     let request = peer.release_request();
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(no_answer)?).map_err(no_answer)
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let document = response.get().and_then(|r| r.get_document());
+                    codec::read_document(document.map_err(call_error)?).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Owners(to, answer) => {
                 let run = async |peer: peer::Client| {
                     let request = peer.owners_request();
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_document());
-                    codec::read_document(found.map_err(no_answer)?).map_err(no_answer)
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let document = response.get().and_then(|r| r.get_document());
+                    codec::read_document(document.map_err(call_error)?).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
-            Call::Adopt(to, adopt, answer) => {
+            Call::Adopt(to, adoption, answer) => {
                 let run = async |peer: peer::Client| {
                     let mut request = peer.adopt_request();
-                    request.get().set_target(adopt.target.as_str());
-                    request.get().set_stream(adopt.stream.to_string());
-                    request.get().set_node(adopt.node.as_str());
-                    request.get().set_keep(adopt.keep);
-                    let response = request.send().promise.await.map_err(no_answer)?;
-                    let found = response.get().and_then(|r| r.get_answer()).map_err(no_answer)?;
-                    codec::read_answer(found).map_err(no_answer)
+                    request.get().set_target(adoption.target.as_str());
+                    request.get().set_stream(adoption.stream.to_string());
+                    request.get().set_node(adoption.node.as_str());
+                    request.get().set_keep(adoption.is_renewal);
+                    let response = request.send().promise.await.map_err(call_error)?;
+                    let peer_answer =
+                        response.get().and_then(|r| r.get_answer()).map_err(call_error)?;
+                    codec::read_answer(peer_answer).map_err(call_error)
                 };
-                self.answer(to, answer, run).await;
+                self.run_call(to, answer, run).await;
             }
             Call::Probe(to, mut answer) => {
                 let link = Link::default();
                 tokio::select! {
-                    made = link.open(to, &self.key) => {
-                        let _ = answer.send(made.map(drop));
+                    opened = link.open(to, &self.key) => {
+                        let _ = answer.send(opened.map(drop));
                     }
                     () = answer.closed() => {}
                 }
@@ -328,9 +339,8 @@
         }
     }
 
-    /// Runs a call until its answer is there, its link is closed, or no one
-    /// waits for it any more.
-    async fn answer<T>(
+    /// Runs a call until it completes, its link is closed, or its receiver is dropped.
+    async fn run_call<T>(
         &self,
         to: SocketAddr,
         mut answer: oneshot::Sender<Result<T, Error>>,
@@ -343,8 +353,8 @@
         };
         let result = tokio::select! {
             result = call => result,
-            // The library leaves promises of an aborted system pending for
-            // good, so the end of the link has to be waited for beside them.
+            // After an RPC system is aborted, the library leaves its promises pending forever, so
+            // the closing of the link must be awaited as well.
             () = link.closed.cancelled() => Err(Error::NoAnswer("link closed".into())),
             () = answer.closed() => return,
         };
@@ -372,15 +382,15 @@
 
     async fn open(&self, to: SocketAddr, key: &Key) -> Result<&peer::Client, Error> {
         let login = self.peer.get_or_try_init(|| async {
-            let stream = TcpStream::connect(to).await.map_err(cant_connect)?;
-            stream.set_nodelay(true).map_err(cant_connect)?;
+            let stream = TcpStream::connect(to).await.map_err(connect_error)?;
+            stream.set_nodelay(true).map_err(connect_error)?;
             let mut system = make_system(stream, rpc_twoparty_capnp::Side::Client, None);
             let login: login::Client = system.bootstrap(rpc_twoparty_capnp::Side::Server);
             let task = tokio::task::spawn_local(async move {
                 let _ = system.await;
             });
             *self.task.borrow_mut() = Some(task.abort_handle());
-            log_in(login, key).await
+            authenticate(login, key).await
         });
         tokio::time::timeout(LOGIN_TIMEOUT, login)
             .await
@@ -388,21 +398,21 @@
     }
 }
 
-async fn log_in(login: login::Client, key: &Key) -> Result<peer::Client, Error> {
-    let nonce = make_nonce();
+async fn authenticate(login: login::Client, key: &Key) -> Result<peer::Client, Error> {
+    let nonce = generate_nonce();
     let mut request = login.challenge_request();
     request.get().set_nonce(&nonce);
-    let response = request.send().promise.await.map_err(cant_connect)?;
-    let challenge = response.get().map_err(cant_connect)?;
-    let theirs = challenge.get_nonce().map_err(cant_connect)?;
-    let proof = challenge.get_proof().map_err(cant_connect)?;
-    if !is_same(proof, key.prove(Side::Answerer, &nonce, theirs)) {
+    let response = request.send().promise.await.map_err(connect_error)?;
+    let challenge = response.get().map_err(connect_error)?;
+    let server_nonce = challenge.get_nonce().map_err(connect_error)?;
+    let proof = challenge.get_proof().map_err(connect_error)?;
+    if !is_valid_proof(proof, key.compute_proof(Side::Server, &nonce, server_nonce)) {
         return Err(Error::Connect("the peer does not have the fleet's key".into()));
     }
     let mut request = login.enter_request();
-    request.get().set_proof(key.prove(Side::Asker, &nonce, theirs).as_bytes());
-    let response = request.send().promise.await.map_err(cant_connect)?;
-    response.get().and_then(|r| r.get_peer()).map_err(cant_connect)
+    request.get().set_proof(key.compute_proof(Side::Client, &nonce, server_nonce).as_bytes());
+    let response = request.send().promise.await.map_err(connect_error)?;
+    response.get().and_then(|r| r.get_peer()).map_err(connect_error)
 }
 
 pub(crate) fn make_system(
@@ -417,10 +427,10 @@
     RpcSystem::new(Box::new(network), bootstrap)
 }
 
-fn cant_connect(error: impl std::fmt::Display) -> Error {
+fn connect_error(error: impl std::fmt::Display) -> Error {
     Error::Connect(error.to_string())
 }
 
-fn no_answer(error: capnp::Error) -> Error {
+fn call_error(error: capnp::Error) -> Error {
     Error::NoAnswer(error.to_string())
 }
--- a/crates/wire/src/answer.rs
+++ b/crates/wire/src/server.rs
@@ -1,23 +1,22 @@
-//! The answering side of a link: mutual proof first, then the calls of a
-//! proved peer.
+//! The server side of a link: mutual authentication, then the calls of an authenticated peer.
 
 use crate::codec;
 use crate::link::{Handler, make_system};
-use crate::message::Adopt;
+use crate::message::Adoption;
 use crate::peer_capnp::{login, peer};
-use crate::proof::{Key, Side, is_same, make_nonce};
+use crate::proof::{Key, Side, generate_nonce, is_valid_proof};
 use capnp_rpc::rpc_twoparty_capnp;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// Serves one connection until it ends or the node closes its links.
+/// Serves one connection until the peer closes it or the node closes its links.
 pub(crate) async fn serve<H: Handler>(
     stream: TcpStream,
     key: Key,
     handler: H,
-    mut stopped: watch::Receiver<bool>,
+    mut closed: watch::Receiver<bool>,
 ) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -27,11 +26,11 @@
     let system = make_system(stream, rpc_twoparty_capnp::Side::Server, Some(login.client));
     tokio::select! {
         _ = system => {}
-        _ = stopped.wait_for(|stop| *stop) => {}
+        _ = closed.wait_for(|stop| *stop) => {}
     }
 }
 
-/// The first object of a connection: proves both sides.
+/// The bootstrap object of a connection, which authenticates both sides.
 struct Login<H> {
     key: Key,
     handler: H,
@@ -44,12 +43,12 @@
         params: login::ChallengeParams,
         mut results: login::ChallengeResults,
     ) -> Result<(), capnp::Error> {
-        let theirs = params.get()?.get_nonce()?.to_vec();
-        let nonce = make_nonce();
-        let proof = self.key.prove(Side::Answerer, &theirs, &nonce);
+        let client_nonce = params.get()?.get_nonce()?.to_vec();
+        let nonce = generate_nonce();
+        let proof = self.key.compute_proof(Side::Server, &client_nonce, &nonce);
         results.get().set_nonce(&nonce);
         results.get().set_proof(proof.as_bytes());
-        *self.nonces.borrow_mut() = Some((theirs, nonce));
+        *self.nonces.borrow_mut() = Some((client_nonce, nonce));
         Ok(())
     }
 
@@ -59,9 +58,9 @@
         mut results: login::EnterResults,
     ) -> Result<(), capnp::Error> {
         let denied = || capnp::Error::failed("proof does not hold".into());
-        let (theirs, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
-        let wanted = self.key.prove(Side::Asker, &theirs, &nonce);
-        if !is_same(params.get()?.get_proof()?, wanted) {
+        let (client_nonce, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
+        let expected = self.key.compute_proof(Side::Client, &client_nonce, &nonce);
+        if !is_valid_proof(params.get()?.get_proof()?, expected) {
             return Err(denied());
         }
         results.get().set_peer(capnp_rpc::new_client(Peer(self.handler.clone())));
@@ -69,7 +68,7 @@
     }
 }
 
-/// What a proved peer may call.
+/// The methods that an authenticated peer may call.
 struct Peer<H>(H);
 
 impl<H: Handler> peer::Server for Peer<H> {
@@ -88,8 +87,8 @@
         params: peer::PermitParams,
         mut results: peer::PermitResults,
     ) -> Result<(), capnp::Error> {
-        let ask = codec::read_ask(params.get()?.get_ask()?)?;
-        let answer = self.0.permit(ask).await;
+        let permit_request = codec::read_permit_request(params.get()?.get_ask()?)?;
+        let answer = self.0.permit(permit_request).await;
         codec::write_answer(&answer, results.get().init_answer());
         Ok(())
     }
@@ -110,11 +109,11 @@
         mut results: peer::AdoptResults,
     ) -> Result<(), capnp::Error> {
         let params = params.get()?;
-        let answer = self.0.adopt(Adopt {
+        let answer = self.0.adopt(Adoption {
             target: codec::read_text(params.get_target())?.into(),
             stream: codec::read_stream(params.get_stream())?,
             node: codec::read_text(params.get_node())?.into(),
-            keep: params.get_keep(),
+            is_renewal: params.get_keep(),
         });
         codec::write_answer(&answer, results.get().init_answer());
         Ok(())
@@ -125,7 +124,7 @@
         _: peer::ReleaseParams,
         mut results: peer::ReleaseResults,
     ) -> Result<(), capnp::Error> {
-        codec::write_document(self.0.release().as_ref(), results.get().init_document());
+        codec::write_document(self.0.configuration().as_ref(), results.get().init_document());
         Ok(())
     }
 
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -1,10 +1,11 @@
-//! The contract between nodes: proofs of the fleet's key, links that break or
-//! go silent, and asks that are withdrawn.
+//! Tests of the protocol between nodes: authentication by the fleet key, broken and silent links,
+//! and withdrawn permit requests.
 
 use hickory_unit::{id, size};
 use hickory_wire::link::{Error, Handler, Links};
 use hickory_wire::message::{
-    Adopt, Ask, Cost, Document, Ending, Gossip, Outcome, Permit, Refusal, State, Suspect, Weights,
+    Adoption, Cost, Document, Ending, Gossip, Outcome, Permit, PermitRequest, Refusal, Suspect,
+    TargetState, Weights,
 };
 use hickory_wire::proof::Key;
 use std::net::{SocketAddr, TcpListener};
@@ -15,22 +16,22 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers as it is told to, and remembers what it was told.
+/// A handler that returns fixed answers and records the outcomes it receives.
 #[derive(Clone, Debug, Default)]
 struct Node {
     outcomes: Arc<Mutex<Vec<Outcome>>>,
-    /// Asks under way.
-    asked: Arc<AtomicUsize>,
-    /// Lets asks be granted.
+    /// Number of permit requests in progress.
+    pending: Arc<AtomicUsize>,
+    /// Signals that a blocked permit request may be granted.
     grant: Arc<Notify>,
-    /// Whether asks wait for `grant`.
-    waits: bool,
+    /// Whether permit requests block until `grant` is signalled.
+    blocks_permits: bool,
 }
 
-/// Counts an ask while it is under way.
-struct Asked(Arc<AtomicUsize>);
+/// Counts a permit request while it is in progress.
+struct PendingRequest(Arc<AtomicUsize>);
 
-impl Drop for Asked {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
@@ -41,18 +42,18 @@
         gossip
     }
 
-    async fn permit(&self, ask: Ask) -> Result<Permit, Refusal> {
-        self.asked.fetch_add(1, Ordering::SeqCst);
-        let _asked = Asked(self.asked.clone());
-        if self.waits {
+    async fn permit(&self, request: PermitRequest) -> Result<Permit, Refusal> {
+        self.pending.fetch_add(1, Ordering::SeqCst);
+        let _pending = PendingRequest(self.pending.clone());
+        if self.blocks_permits {
             self.grant.notified().await;
         }
-        match ask.batch {
-            false => Ok(Permit { id: 7, epoch: id::Epoch(3), life: TIMEOUT, priority: 2 }),
+        match request.is_batch {
+            false => Ok(Permit { id: 7, epoch: id::Epoch(3), lifetime: TIMEOUT, priority: 2 }),
             true => Err(Refusal {
                 reason: "overloaded".into(),
                 retry_after: Duration::from_millis(250),
-                not_owner: true,
+                is_not_owner: true,
             }),
         }
     }
@@ -61,12 +62,12 @@
         self.outcomes.lock().expect("no test panics with the lock").push(outcome);
     }
 
-    fn adopt(&self, adopt: Adopt) -> Result<Permit, Refusal> {
-        let id = u64::from(adopt.keep);
-        Ok(Permit { id, epoch: id::Epoch(1), life: TIMEOUT, priority: 0 })
+    fn adopt(&self, adoption: Adoption) -> Result<Permit, Refusal> {
+        let id = u64::from(adoption.is_renewal);
+        Ok(Permit { id, epoch: id::Epoch(1), lifetime: TIMEOUT, priority: 0 })
     }
 
-    fn release(&self) -> Option<Document> {
+    fn configuration(&self) -> Option<Document> {
         Some(Document { version: 4, text: "{}".into() })
     }
 
@@ -93,26 +94,26 @@
     }
 }
 
-fn ask(batch: bool) -> Ask {
-    Ask {
+fn permit_request(batch: bool) -> PermitRequest {
+    PermitRequest {
         stream: stream(),
         target: "engine-1".into(),
         partner: "mawe".into(),
         account: "shop".into(),
-        batch,
+        is_batch: batch,
         cost: Cost { prefill: size::Tokens(1), decode: size::Tokens(2), kv: size::Tokens(3) },
         weights: Some(Weights { model: "m".into(), version: "1".into(), adapter: None }),
         time_left: TIMEOUT,
-        alone: true,
+        runs_alone: true,
         fingerprint: 5,
         prefix: 6,
-        urgent: true,
+        must_not_queue: true,
     }
 }
 
 fn gossip() -> Gossip {
     let ready = vec![Weights { model: "m".into(), version: "1".into(), adapter: Some("a".into()) }];
-    let state = State {
+    let state = TargetState {
         target: "engine-1".into(),
         epoch: id::Epoch(1),
         queued_prefill: size::Tokens(2),
@@ -120,69 +121,75 @@
         kv_free: size::Tokens(4),
         kv_capacity: size::Tokens(5),
         prefill_rate: 6,
-        bound: 7,
+        stream_limit: 7,
         running: 8,
         incarnation: id::Incarnation(9),
         waiting: 10,
         ready,
-        accepting: true,
+        is_accepting: true,
         prefixes: vec![11, 12],
     };
     Gossip {
         node: "node-1".into(),
         incarnation: id::Incarnation(1),
-        release: id::Release(2),
-        owners: 3,
-        draining: true,
+        configuration_version: id::Release(2),
+        owners_revision: 3,
+        is_draining: true,
         version: 4,
-        seen: 5,
+        acknowledged_version: 5,
         targets: vec![state],
         suspects: vec![Suspect { fingerprint: 6, deaths: 1, age: Duration::from_millis(7) }],
         connections: 8,
     }
 }
 
-/// Everything that nodes say arrives as it was said.
+/// Guards against fields that are lost or mixed up in encoding: every message must arrive as it was
+/// sent.
 #[tokio::test]
-async fn what_is_said_arrives() {
+async fn every_message_arrives_unchanged() {
     let node = Node::default();
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to = server.address();
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
-    let granted = client.permit(to, ask(false), TIMEOUT).await.expect("an answer");
+    let granted =
+        client.request_permit(to, permit_request(false), TIMEOUT).await.expect("an answer");
     assert_eq!(granted.map(|permit| (permit.id, permit.epoch.0, permit.priority)), Ok((7, 3, 2)));
-    let refused = client.permit(to, ask(true), TIMEOUT).await.expect("an answer");
-    assert!(refused.is_err_and(|refusal| refusal.not_owner && refusal.reason == "overloaded"));
-    for ending in [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::Left] {
+    let refused =
+        client.request_permit(to, permit_request(true), TIMEOUT).await.expect("an answer");
+    assert!(refused.is_err_and(|refusal| refusal.is_not_owner && refusal.reason == "overloaded"));
+    for ending in
+        [Ending::Finished, Ending::Cancelled, Ending::TargetDied, Ending::CallerDisconnected]
+    {
         let outcome = Outcome {
             target: "engine-1".into(),
             permit: 7,
             epoch: id::Epoch(3),
             ending,
-            first_token: Some(Duration::from_millis(9)),
+            time_to_first_token: Some(Duration::from_millis(9)),
             stream: Some(stream()),
         };
-        assert_eq!(client.outcome(to, outcome.clone(), TIMEOUT).await, Ok(()));
+        assert_eq!(client.report_outcome(to, outcome.clone(), TIMEOUT).await, Ok(()));
         assert_eq!(node.outcomes.lock().expect("no panic").pop(), Some(outcome));
     }
-    let document = client.release(to, TIMEOUT).await.expect("an answer");
+    let document = client.fetch_configuration(to, TIMEOUT).await.expect("an answer");
     assert_eq!(document, Some(Document { version: 4, text: "{}".into() }));
-    assert_eq!(client.owners(to, TIMEOUT).await, Ok(None));
-    for keep in [false, true] {
-        let adopt = Adopt { target: "t".into(), stream: stream(), node: "node-1".into(), keep };
-        let permit = client.adopt(to, adopt, TIMEOUT).await.expect("an answer");
-        assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(keep)));
+    assert_eq!(client.fetch_owners(to, TIMEOUT).await, Ok(None));
+    for is_renewal in [false, true] {
+        let adoption =
+            Adoption { target: "t".into(), stream: stream(), node: "node-1".into(), is_renewal };
+        let permit = client.adopt(to, adoption, TIMEOUT).await.expect("an answer");
+        assert_eq!(permit.map(|permit| permit.id), Ok(u64::from(is_renewal)));
     }
 }
 
-/// A process without the fleet's key gets nothing, whichever side it stands
-/// on.
+/// Guards against links that authenticate only one side: a process with another fleet key must be
+/// rejected both as client and as server.
 #[tokio::test]
-async fn without_the_key_nothing_is_said() {
+async fn peers_without_the_fleet_key_are_rejected() {
     let server = listen(Node::default(), "2a");
-    let stranger = listen(Node::default(), "2b");
-    for (from, to) in [(&stranger, &server), (&server, &stranger)] {
+    let foreign_node = listen(Node::default(), "2b");
+    for (from, to) in [(&foreign_node, &server), (&server, &foreign_node)] {
         let answer = from.exchange(to.address(), gossip(), TIMEOUT).await;
         assert!(matches!(answer, Err(Error::Connect(_))), "{answer:?}");
         let probe = from.probe(to.address(), TIMEOUT).await;
@@ -190,10 +197,10 @@
     }
 }
 
-/// A peer that accepts and says nothing is given up on within the login's
-/// time, and one that does not listen at once.
+/// Guards against connecting without a timeout: a peer that accepts connections but never answers
+/// must fail with a login timeout, and one that does not listen must fail immediately.
 #[tokio::test]
-async fn silent_and_absent_peers_are_given_up_on() {
+async fn connecting_to_a_silent_or_absent_peer_fails() {
     let client = listen(Node::default(), "2a");
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let to = silent.local_addr().expect("it is bound");
@@ -204,45 +211,46 @@
     assert!(matches!(answer, Err(Error::Connect(_))), "{answer:?}");
 }
 
-async fn eventually(what: &str, holds: impl Fn() -> bool) {
+async fn eventually(what: &str, condition: impl Fn() -> bool) {
     let wait = async {
-        while !holds() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(tokio::time::timeout(TIMEOUT, wait).await.is_ok(), "never came: {what}");
+    assert!(tokio::time::timeout(TIMEOUT, wait).await.is_ok(), "timed out waiting: {what}");
 }
 
-/// An asker that stops waiting takes its ask out of the owner's queue; the
-/// link stays good for the next call.
+/// Guards against requests that stay queued after their sender stopped waiting. The link must stay
+/// usable for the next call.
 #[tokio::test]
-async fn a_dropped_ask_is_withdrawn_at_its_owner() {
-    let node = Node { waits: true, ..Node::default() };
+async fn a_dropped_permit_request_is_withdrawn_from_its_owner() {
+    let node = Node { blocks_permits: true, ..Node::default() };
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to: SocketAddr = server.address();
     let waiting = tokio::spawn({
         let client = client.clone();
-        async move { client.permit(to, ask(false), TIMEOUT).await }
+        async move { client.request_permit(to, permit_request(false), TIMEOUT).await }
     });
-    eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
+    eventually("the request is queued", || node.pending.load(Ordering::SeqCst) == 1).await;
     waiting.abort();
-    eventually("the ask is withdrawn", || node.asked.load(Ordering::SeqCst) == 0).await;
+    eventually("the request is withdrawn", || node.pending.load(Ordering::SeqCst) == 0).await;
     assert_eq!(client.exchange(to, gossip(), TIMEOUT).await, Ok(gossip()));
 }
 
-/// The owner's process goes while an ask waits there: the asker is told at
-/// once and not at its timeout.
+/// Guards against waiting for the timeout when the owner's process ends while a permit request is
+/// queued there.
 #[tokio::test]
-async fn an_ask_at_a_closed_peer_ends() {
-    let node = Node { waits: true, ..Node::default() };
+async fn a_queued_permit_request_fails_when_the_peer_closes() {
+    let node = Node { blocks_permits: true, ..Node::default() };
     let server = listen(node.clone(), "2a");
     let client = listen(Node::default(), "2a");
     let to = server.address();
     let closing = async {
-        eventually("the ask waits", || node.asked.load(Ordering::SeqCst) == 1).await;
+        eventually("the request is queued", || node.pending.load(Ordering::SeqCst) == 1).await;
         server.close();
     };
-    let (answer, ()) = tokio::join!(client.permit(to, ask(false), TIMEOUT * 100), closing);
+    let (answer, ()) =
+        tokio::join!(client.request_permit(to, permit_request(false), TIMEOUT * 100), closing);
     assert!(matches!(answer, Err(Error::NoAnswer(_))), "{answer:?}");
 }
