--- a/apps/hickory-node/src/main.rs
+++ b/apps/hickory-node/src/main.rs
@@ -9,7 +9,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// How long the last log lines are given to be written.
-const LAST_LINES: Duration = Duration::from_millis(100);
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(100);
 
 /// Serves callers beside the other nodes of a fleet.
 ///
@@ -37,19 +37,19 @@
 fn main() -> eyre::Result<()> {
     let options = Options::parse();
     let settings = hickory_settings::open(&options.settings)?;
-    let level = options.log.unwrap_or_else(|| read_level(settings.logs.level));
+    let level = options.log.unwrap_or_else(|| to_level_filter(settings.logs.level));
     let file = options.log_file.as_deref().or(settings.logs.file.as_deref());
     let first = hickory_telemetry::logs::open_with_first(level, file)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(options.threads)
         .enable_all()
         .build()?;
-    let ended = runtime.block_on(run(settings, first));
-    std::thread::sleep(LAST_LINES);
-    ended
+    let result = runtime.block_on(run(settings, first));
+    std::thread::sleep(LOG_FLUSH_TIME);
+    result
 }
 
-fn read_level(level: Level) -> log::LevelFilter {
+fn to_level_filter(level: Level) -> log::LevelFilter {
     match level {
         Level::Off => log::LevelFilter::Off,
         Level::Error => log::LevelFilter::Error,
--- a/apps/hickory-node/tests/proofs/config.rs
+++ b/apps/hickory-node/tests/proofs/config.rs
@@ -1,9 +1,9 @@
 //! An accepted configuration is in force everywhere within seconds and never
 //! reverts.
 
-use crate::passage::Passage;
+use crate::link::Mode;
 use crate::process::Node;
-use crate::support::{OPERATOR, Scene, eventually, options, times};
+use crate::support::{Cluster, OPERATOR, eventually, options, times};
 use serde_json::{Value, json};
 
 fn share_note(against: u64, share: f64) -> Value {
@@ -14,7 +14,7 @@
     })
 }
 
-impl Scene {
+impl Cluster {
     async fn version(&self, node: &Node) -> Option<u64> {
         self.get(node.admin, "/health", OPERATOR).await?["version"].as_u64()
     }
@@ -23,41 +23,41 @@
 /// The write of a note takes effect and its answer is lost. The operator gets
 /// an answer that agrees with what is in force, and the note stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_note_whose_write_lost_its_answer_is_in_force_once() {
-    let scene = Scene::start(3, options()).await;
-    scene.standins.store.faults().lose_write_answers(1);
+async fn a_note_whose_write_response_is_lost_is_applied_once() {
+    let cluster = Cluster::start(3, options()).await;
+    cluster.standins.store.faults().lose_write_answers(1);
     let note = share_note(1, 2.0);
-    let (status, answer) = scene.post_note(&scene.nodes[0], &note).await;
+    let (status, answer) = cluster.post_note(&cluster.nodes[0], &note).await;
     assert_eq!(status, 200, "{answer}");
-    for node in &scene.nodes {
+    for node in &cluster.nodes {
         eventually("the note is in force", || async {
-            (scene.version(node).await? == 2).then_some(())
+            (cluster.version(node).await? == 2).then_some(())
         })
         .await;
     }
     // The same operation again changes nothing more.
-    let (status, answer) = scene.post_note(&scene.nodes[1], &note).await;
+    let (status, answer) = cluster.post_note(&cluster.nodes[1], &note).await;
     assert_eq!((status, &answer["version"]), (200, &json!(2)), "{answer}");
-    assert_eq!(scene.version(&scene.nodes[0]).await, Some(2));
+    assert_eq!(cluster.version(&cluster.nodes[0]).await, Some(2));
 }
 
 /// The key-value service answers reads with an old state after a note was
 /// accepted. No node that has the new version goes back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stale_read_reverts_nothing() {
-    let scene = Scene::start(2, options()).await;
-    scene.standins.store.service().set_stale(true);
-    let (status, _) = scene.post_note(&scene.nodes[0], &share_note(1, 2.0)).await;
-    scene.standins.store.service().set_stale(false);
+    let cluster = Cluster::start(2, options()).await;
+    cluster.standins.store.service().set_stale(true);
+    let (status, _) = cluster.post_note(&cluster.nodes[0], &share_note(1, 2.0)).await;
+    cluster.standins.store.service().set_stale(false);
     if status == 200 {
-        let after = || async { (scene.version(&scene.nodes[1]).await? == 2).then_some(()) };
+        let after = || async { (cluster.version(&cluster.nodes[1]).await? == 2).then_some(()) };
         eventually("the note is in force", after).await;
     }
-    scene.accept(&share_note(if status == 200 { 2 } else { 1 }, 3.0)).await;
-    scene.standins.store.service().set_stale(true);
+    cluster.apply_note(&share_note(if status == 200 { 2 } else { 1 }, 3.0)).await;
+    cluster.standins.store.service().set_stale(true);
     for _ in 0..20 {
-        for node in &scene.nodes {
-            let version = scene.version(node).await.expect("the node answers");
+        for node in &cluster.nodes {
+            let version = cluster.version(node).await.expect("the node answers");
             assert!(version >= if status == 200 { 3 } else { 2 });
         }
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -69,18 +69,18 @@
 /// serves once the service is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_started_in_an_outage_refuses_until_it_has_a_configuration() {
-    let mut scene = Scene::start(1, options()).await;
-    scene.standins.store.faults().kill();
-    scene.nodes.push(Node::start("node-late", "b", &scene.standins, &times()));
-    let late = &scene.nodes[1];
-    let mut refused = scene.complete(late.callers, "too early", 3).await.unwrap();
-    refused.rest().await;
+    let mut cluster = Cluster::start(1, options()).await;
+    cluster.standins.store.faults().kill();
+    cluster.nodes.push(Node::start("node-late", "b", &cluster.standins, &times()));
+    let late = &cluster.nodes[1];
+    let mut refused = cluster.complete(late.callers, "too early", 3).await.unwrap();
+    refused.read_to_end().await;
     let problem = refused.problem.expect("a refusal");
     assert_eq!(problem["reason"], json!("not-ready"), "{problem}");
     assert!(problem["retry_after_ms"].as_u64().is_some());
-    scene.standins.store.faults().restart();
+    cluster.standins.store.faults().restart();
     eventually("the late node has the configuration", || async {
-        (scene.version(late).await? == 1).then_some(())
+        (cluster.version(late).await? == 1).then_some(())
     })
     .await;
 }
@@ -90,24 +90,24 @@
 /// no peer's list any more. It fetches both from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_learns_notes_from_its_peers() {
-    let (scene, paths) = Scene::start_apart(3, options()).await;
-    paths[2].set(Passage::Silent);
+    let (cluster, links) = Cluster::start_with_links(3, options()).await;
+    links[2].set(Mode::Silent);
     let learns = |version: u64| {
-        let scene = &scene;
+        let cluster = &cluster;
         async move {
             let note = share_note(version - 1, version as f64);
-            let (status, answer) = scene.post_note(&scene.nodes[0], &note).await;
+            let (status, answer) = cluster.post_note(&cluster.nodes[0], &note).await;
             assert_eq!(status, 200, "{answer}");
             eventually("the note is in force", || async {
-                (scene.version(&scene.nodes[2]).await? == version).then_some(())
+                (cluster.version(&cluster.nodes[2]).await? == version).then_some(())
             })
             .await;
         }
     };
     learns(2).await;
-    for node in &scene.nodes[..2] {
+    for node in &cluster.nodes[..2] {
         eventually("its lease has lapsed", || async {
-            let nodes = scene.get(node.admin, "/v1/admin/nodes", OPERATOR).await?;
+            let nodes = cluster.get(node.admin, "/v1/admin/nodes", OPERATOR).await?;
             nodes.as_array()?.iter().all(|node| node["node"] != "node-2").then_some(())
         })
         .await;
--- a/apps/hickory-node/tests/proofs/path.rs
+++ b/apps/hickory-node/tests/proofs/end_to_end.rs
@@ -1,6 +1,6 @@
 //! The whole path, without faults.
 
-use crate::support::{Scene, eventually, expected, options};
+use crate::support::{Cluster, eventually, expected_text, options};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,31 +9,31 @@
 /// whole streamed answer to its own prompt; afterwards no engine holds memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_is_served_end_to_end() {
-    let scene = Scene::start(3, options()).await;
-    for asked in &scene.nodes {
-        let entry = scene.get(asked.callers, "/v1/entry", "").await.expect("an entry answer");
+    let cluster = Cluster::start(3, options()).await;
+    for asked in &cluster.nodes {
+        let entry = cluster.get(asked.callers, "/v1/entry", "").await.expect("an entry answer");
         let address: SocketAddr = entry["address"].as_str().unwrap().parse().unwrap();
-        assert!(scene.nodes.iter().any(|node| node.callers == address));
+        assert!(cluster.nodes.iter().any(|node| node.callers == address));
         let prompt = format!("which primer for lime plaster, asked through {address}?");
-        let mut stream = scene.complete(address, &prompt, 12).await.unwrap();
-        stream.rest().await;
+        let mut stream = cluster.complete(address, &prompt, 12).await.unwrap();
+        stream.read_to_end().await;
         assert_eq!(stream.problem, None);
-        assert_eq!(stream.text, expected(&prompt, 12));
+        assert_eq!(stream.text, expected_text(&prompt, 12));
         assert!(stream.done);
     }
-    eventually("all memory is free", || async { (scene.kv_used() == 0).then_some(()) }).await;
+    eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
 /// A call of the plain service is answered, and its resend gets the stored
 /// answer without a second run.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_is_taken_once() {
-    let scene = Scene::start(2, options()).await;
+async fn an_order_runs_once() {
+    let cluster = Cluster::start(2, options()).await;
     let key = uuid::Uuid::now_v7().to_string();
     let wait = Duration::from_secs(10);
-    for node in &scene.nodes {
-        let answer = scene.call(node.callers, "/place", &key, wait).await.expect("an answer");
+    for node in &cluster.nodes {
+        let answer = cluster.call(node.callers, "/place", &key, wait).await.expect("an answer");
         assert_ne!(answer.1, Value::Null);
     }
-    assert_eq!(scene.runs(&key), 1);
+    assert_eq!(cluster.count_runs(&key), 1);
 }
--- a/apps/hickory-node/tests/proofs/logs.rs
+++ b/apps/hickory-node/tests/proofs/logs.rs
@@ -1,7 +1,7 @@
 //! What the log tells of a request that met a failure, and where lines go.
 
-use crate::process::{Node, configure, launch, wait_exit, write_settings};
-use crate::support::{OPERATOR, PATIENCE, Scene, eventually, expected, options, times};
+use crate::process::{Node, build_settings, send_settings, spawn_process, wait_exit};
+use crate::support::{Cluster, OPERATOR, WAIT_TIMEOUT, eventually, expected_text, options, times};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader};
@@ -11,10 +11,10 @@
 
 /// What a pipe is taken to be full with: the kernel's usual size, less the page
 /// that a line doesn't fit in.
-const PIPE_FULL: u64 = (64 - 4) << 10;
+const FULL_PIPE_BYTES: u64 = (64 - 4) << 10;
 
 /// Requests whose lines neither a pipe nor the daemon's queue can hold.
-const FLOOD: usize = 1_500;
+const FLOOD_REQUESTS: usize = 1_500;
 
 /// Reads lines by a thread of its own, since a pipe can't be waited for.
 fn read_lines(output: BufReader<ChildStdout>) -> mpsc::Receiver<String> {
@@ -42,7 +42,7 @@
     /// Waits for a line whose message ends with `end`, in whatever order with
     /// others.
     async fn find(&mut self, end: &str) -> Value {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let parse = |line: String| serde_json::from_str(&line).expect("a line is JSON");
             self.seen.extend(self.source.try_iter().map(parse));
@@ -56,17 +56,17 @@
     }
 }
 
-impl Scene {
+impl Cluster {
     /// Asks for what can't be answered in time, which the log has a line about.
-    async fn ask_too_late(&self, node: &Node) {
+    async fn send_expired_request(&self, node: &Node) {
         let answer = self.complete_within(node.callers, "late", 100, Duration::from_millis(1));
-        answer.await.expect("the node answers").rest().await;
+        answer.await.expect("the node answers").read_to_end().await;
     }
 
     async fn assert_serves(&self, node: &Node) {
         let mut stream = self.complete(node.callers, "still served", 5).await.expect("an answer");
-        stream.rest().await;
-        assert_eq!(stream.text, expected("still served", 5), "{:?}", stream.problem);
+        stream.read_to_end().await;
+        assert_eq!(stream.text, expected_text("still served", 5), "{:?}", stream.problem);
     }
 }
 
@@ -75,15 +75,16 @@
 /// output, behind the line that tells who started the node that it is ready,
 /// up to the last one before the process ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn lines_come_on_standard_output_behind_the_addresses() {
-    let scene = Scene::start(1, options()).await;
-    let (mut node, output) = Node::start_printing("node-out", "b", &scene.standins, "info");
+async fn log_lines_follow_the_addresses_on_standard_output() {
+    let cluster = Cluster::start(1, options()).await;
+    let (mut node, output) =
+        Node::start_logging_to_stdout("node-out", "b", &cluster.standins, "info");
     let mut lines = Lines::read(output);
     let line = lines.find(&format!("serving callers on {}", node.callers)).await;
     assert_eq!(line["level"], "INFO");
     lines.find("configuration in force").await;
     node.signal(Signal::TERM);
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
     lines.find("planned stop done").await;
 }
 
@@ -93,22 +94,24 @@
 /// before, a planned stop must end the process, and who reads on must find how
 /// many lines are missing.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_pipe_that_nobody_reads_holds_up_no_caller() {
-    let scene = Scene::start(1, options()).await;
-    let (mut unread, output) = Node::start_printing("node-full", "b", &scene.standins, "debug");
-    let (late, late_output) = Node::start_printing("node-late", "c", &scene.standins, "debug");
+async fn an_unread_pipe_does_not_block_callers() {
+    let cluster = Cluster::start(1, options()).await;
+    let (mut unread, output) =
+        Node::start_logging_to_stdout("node-full", "b", &cluster.standins, "debug");
+    let (late, late_output) =
+        Node::start_logging_to_stdout("node-late", "c", &cluster.standins, "debug");
     for (node, output) in [(&unread, &output), (&late, &late_output)] {
-        scene.ready(node, options().engines + options().replicas).await;
-        for _ in 0..FLOOD {
-            scene.ask_too_late(node).await;
+        cluster.wait_until_ready(node, options().engines + options().replicas).await;
+        for _ in 0..FLOOD_REQUESTS {
+            cluster.send_expired_request(node).await;
         }
         let waits = rustix::io::ioctl_fionread(output.get_ref()).expect("a pipe tells its size");
-        assert!(waits >= PIPE_FULL, "the pipe is not full: {waits} bytes");
-        scene.assert_serves(node).await;
+        assert!(waits >= FULL_PIPE_BYTES, "the pipe is not full: {waits} bytes");
+        cluster.assert_serves(node).await;
     }
     let lines = read_lines(late_output);
     let dropped = eventually("a line about dropped ones", || async {
-        scene.ask_too_late(&late).await;
+        cluster.send_expired_request(&late).await;
         let messages = lines.try_iter().filter_map(|line| {
             let line: Value = serde_json::from_str(&line).expect("a line is JSON");
             Some(line["message"].as_str()?.to_owned())
@@ -119,7 +122,7 @@
     });
     assert!(dropped.await > 0);
     unread.signal(Signal::TERM);
-    assert!(unread.exited().await.success());
+    assert!(unread.wait_for_exit().await.success());
     drop(output);
 }
 
@@ -127,25 +130,26 @@
 /// one is left to tell anything, and the node has callers: it must serve and
 /// stop as if it were read.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_closed_pipe_ends_no_node() {
-    let scene = Scene::start(1, options()).await;
-    let (mut node, output) = Node::start_printing("node-shut", "b", &scene.standins, "debug");
+async fn a_closed_pipe_does_not_end_the_node() {
+    let cluster = Cluster::start(1, options()).await;
+    let (mut node, output) =
+        Node::start_logging_to_stdout("node-shut", "b", &cluster.standins, "debug");
     drop(output);
-    scene.ready(&node, options().engines + options().replicas).await;
+    cluster.wait_until_ready(&node, options().engines + options().replicas).await;
     for _ in 0..20 {
-        scene.ask_too_late(&node).await;
+        cluster.send_expired_request(&node).await;
     }
-    scene.assert_serves(&node).await;
+    cluster.assert_serves(&node).await;
     node.signal(Signal::TERM);
-    assert!(node.exited().await.success());
+    assert!(node.wait_for_exit().await.success());
 
-    let mut child = launch();
+    let mut child = spawn_process();
     drop(child.stdout.take());
-    let platform = scene.standins.platform();
+    let platform = cluster.standins.platform();
     let logs = json!({ "level": "debug" });
-    configure(&mut child, &write_settings("node-mute", "c", platform, &times(), &logs));
+    send_settings(&mut child, &build_settings("node-mute", "c", platform, &times(), &logs));
     let registered = eventually("the node is registered", || async {
-        let nodes = scene.get(scene.nodes[0].admin, "/v1/admin/nodes", OPERATOR).await?;
+        let nodes = cluster.get(cluster.nodes[0].admin, "/v1/admin/nodes", OPERATOR).await?;
         let mut nodes = nodes.as_array()?.iter();
         nodes.any(|node| node["node"] == "node-mute").then_some(())
     });
@@ -154,7 +158,7 @@
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(child.try_wait().expect("the node can be waited for"), None, "it runs");
     kill_process(Pid::from_child(&child), Signal::TERM).expect("the node can be signalled");
-    let status = tokio::time::timeout(PATIENCE, wait_exit(&mut child)).await;
+    let status = tokio::time::timeout(WAIT_TIMEOUT, wait_exit(&mut child)).await;
     assert!(status.expect("the node ends").success());
 }
 
@@ -162,20 +166,20 @@
 /// caller sees nothing of it; the operator finds one line that names the
 /// request, the attempt, the account, the target and its zone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failed_attempt_is_logged_with_what_it_was_about() {
+async fn a_failed_attempt_is_logged_with_its_context() {
     let mut options = options();
     options.engine.model.speed = 0.5;
-    let scene = Scene::start(1, options).await;
-    let mut stream = scene.complete(scene.nodes[0].callers, "logged", 30).await.unwrap();
+    let cluster = Cluster::start(1, options).await;
+    let mut stream = cluster.complete(cluster.nodes[0].callers, "logged", 30).await.unwrap();
     assert!(stream.next().await);
     let holds = |engine: &&hickory_standin::engine::Handle| engine.service().kv_used().0 > 0;
-    let engine = scene.standins.engines.iter().position(|e| holds(&e)).expect("one holds it");
-    scene.standins.engines[engine].faults().kill();
-    stream.rest().await;
-    assert_eq!(stream.text, expected("logged", 30));
+    let engine = cluster.standins.engines.iter().position(|e| holds(&e)).expect("one holds it");
+    cluster.standins.engines[engine].faults().kill();
+    stream.read_to_end().await;
+    assert_eq!(stream.text, expected_text("logged", 30));
 
     let line = eventually("a line about the attempt", || async {
-        let text = std::fs::read_to_string(&scene.nodes[0].log).ok()?;
+        let text = std::fs::read_to_string(&cluster.nodes[0].log).ok()?;
         let mut lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         lines.find(|line| line["message"].as_str().is_some_and(|m| m.starts_with("attempt failed")))
     })
--- a/apps/hickory-node/tests/proofs/death.rs
+++ b/apps/hickory-node/tests/proofs/node_failure.rs
@@ -1,7 +1,7 @@
 //! Nodes that die or freeze: callers resume through another node, and engines
 //! get their memory back.
 
-use crate::support::{Scene, eventually, expected, options};
+use crate::support::{Cluster, eventually, expected_text, options};
 use std::time::Duration;
 
 /// The caller's node is killed in the middle of a stream. The caller connects
@@ -11,25 +11,25 @@
 async fn a_killed_node_loses_no_token() {
     let mut options = options();
     options.engine.model.speed = 0.2;
-    let mut scene = Scene::start(3, options).await;
+    let mut cluster = Cluster::start(3, options).await;
     let prompt = "the season report of all agencies";
-    let mut stream = scene.complete(scene.nodes[0].callers, prompt, 60).await.unwrap();
+    let mut stream = cluster.complete(cluster.nodes[0].callers, prompt, 60).await.unwrap();
     for _ in 0..5 {
         assert!(stream.next().await);
     }
-    scene.nodes[0].kill();
+    cluster.nodes[0].kill();
     while stream.next().await {}
     let mut text = stream.text.clone();
-    let at = scene.nodes[1].callers;
+    let at = cluster.nodes[1].callers;
     let mut rest = eventually("the stream is taken up", || async {
-        let rest = scene.resume(at, &stream.request, &stream.event).await.ok()?;
+        let rest = cluster.resume(at, &stream.request, &stream.event).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
     .await;
-    rest.rest().await;
+    rest.read_to_end().await;
     text.push_str(&rest.text);
-    assert_eq!(text, expected(prompt, 60));
-    eventually("all memory is free", || async { (scene.kv_used() == 0).then_some(()) }).await;
+    assert_eq!(text, expected_text(prompt, 60));
+    eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
 /// The caller hangs up and never comes back: the stream is cancelled on the
@@ -38,12 +38,12 @@
 async fn a_stream_without_caller_is_cancelled() {
     let mut options = options();
     options.engine.model.speed = 0.1;
-    let scene = Scene::start(2, options).await;
-    let mut stream = scene.complete(scene.nodes[0].callers, "hang up", 300).await.unwrap();
+    let cluster = Cluster::start(2, options).await;
+    let mut stream = cluster.complete(cluster.nodes[0].callers, "hang up", 300).await.unwrap();
     assert!(stream.next().await);
-    assert!(scene.kv_used() > 0);
+    assert!(cluster.kv_used() > 0);
     drop(stream);
-    eventually("all memory is free", || async { (scene.kv_used() == 0).then_some(()) }).await;
+    eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
 /// A node is killed that serves streams on targets of its own, and no caller
@@ -55,11 +55,11 @@
     let mut options = options();
     options.engine.model.speed = 0.1;
     options.engines = 1;
-    let mut scene = Scene::start(2, options).await;
-    let owner = scene.owner("engine-0").await;
-    let (at, time_left) = (scene.nodes[owner].callers, Duration::from_secs(600));
-    let mut stream = scene.complete_within(at, "never resumed", 3_000, time_left).await.unwrap();
+    let mut cluster = Cluster::start(2, options).await;
+    let owner = cluster.owner("engine-0").await;
+    let (at, time_left) = (cluster.nodes[owner].callers, Duration::from_secs(600));
+    let mut stream = cluster.complete_within(at, "never resumed", 3_000, time_left).await.unwrap();
     assert!(stream.next().await);
-    scene.nodes[owner].kill();
-    eventually("all memory is free", || async { (scene.kv_used() == 0).then_some(()) }).await;
+    cluster.nodes[owner].kill();
+    eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
--- a/apps/hickory-node/tests/proofs/poison.rs
+++ b/apps/hickory-node/tests/proofs/poison.rs
@@ -1,6 +1,6 @@
 //! A request that crashes each target that runs it.
 
-use crate::support::{Scene, eventually, expected, options};
+use crate::support::{Cluster, eventually, expected_text, options};
 use serde_json::json;
 
 const MARKER: &str = "CRASHES-ENGINES";
@@ -10,65 +10,65 @@
 /// is refused at once. Innocent requests that ran beside it get their whole
 /// answers, and no third engine dies.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crashing_request_costs_two_engines_at_most() {
+async fn a_crashing_request_crashes_at_most_two_engines() {
     let mut options = options();
     options.engines = 6;
     options.engine.model.speed = 2.0;
     options.engine.crash_marker = Some(MARKER.to_owned());
-    let scene = Scene::start(3, options).await;
-    let innocents = (0..12).map(|i| {
-        let scene = &scene;
+    let cluster = Cluster::start(3, options).await;
+    let other_requests = (0..12).map(|i| {
+        let cluster = &cluster;
         async move {
             let prompt = format!("innocent {i}");
-            let at = scene.nodes[i % 3].callers;
-            let mut stream = scene.complete(at, &prompt, 60).await.unwrap();
-            stream.rest().await;
+            let at = cluster.nodes[i % 3].callers;
+            let mut stream = cluster.complete(at, &prompt, 60).await.unwrap();
+            stream.read_to_end().await;
             assert_eq!(stream.problem, None);
-            assert_eq!(stream.text, expected(&prompt, 60));
+            assert_eq!(stream.text, expected_text(&prompt, 60));
         }
     });
     let crash = async {
-        let busy = || async { (scene.kv_used() > 0).then_some(()) };
+        let busy = || async { (cluster.kv_used() > 0).then_some(()) };
         eventually("innocent requests run", busy).await;
         let prompt = format!("{MARKER} in the middle of a prompt");
-        let mut first = scene.complete(scene.nodes[0].callers, &prompt, 10).await.unwrap();
-        first.rest().await;
+        let mut first = cluster.complete(cluster.nodes[0].callers, &prompt, 10).await.unwrap();
+        first.read_to_end().await;
         let problem = first.problem.expect("a refusal");
         assert_eq!(problem["reason"], json!("quarantined"), "{problem}");
-        for node in &scene.nodes {
-            let mut again = scene.complete(node.callers, &prompt, 10).await.unwrap();
-            again.rest().await;
+        for node in &cluster.nodes {
+            let mut again = cluster.complete(node.callers, &prompt, 10).await.unwrap();
+            again.read_to_end().await;
             let problem = again.problem.expect("a refusal");
             assert_eq!(problem["reason"], json!("quarantined"), "{problem}");
             assert_eq!(problem["ran"], json!("no"), "{problem}");
         }
     };
-    let (_, ()) = tokio::join!(futures::future::join_all(innocents), crash);
-    assert!(scene.dead_engines() <= 2, "{} engines died", scene.dead_engines());
+    let (_, ()) = tokio::join!(futures::future::join_all(other_requests), crash);
+    assert!(cluster.dead_engines() <= 2, "{} engines died", cluster.dead_engines());
 }
 
 /// Two engines freeze under one request, one after the other. Neither of them
 /// died: the third goes on with the stream, and its content is not quarantined.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_met_two_frozen_engines_is_not_quarantined() {
+async fn a_request_that_hits_two_frozen_engines_is_not_quarantined() {
     let mut options = options();
     options.engine.model.speed = 0.5;
-    let scene = Scene::start(2, options).await;
+    let cluster = Cluster::start(2, options).await;
     let prompt = "met frozen engines";
-    let mut stream = scene.complete(scene.nodes[0].callers, prompt, 40).await.unwrap();
+    let mut stream = cluster.complete(cluster.nodes[0].callers, prompt, 40).await.unwrap();
     let mut frozen: Vec<usize> = Vec::new();
     for _ in 0..2 {
-        let count = scene.standins.engines.len();
+        let count = cluster.standins.engines.len();
         let holder = eventually("an engine runs the stream", || async {
-            let runs = |i: &usize| scene.standins.engines[*i].service().kv_used().0 > 0;
+            let runs = |i: &usize| cluster.standins.engines[*i].service().kv_used().0 > 0;
             (0..count).filter(|i| !frozen.contains(i)).find(runs)
         })
         .await;
         assert!(stream.next().await, "{:?}", stream.problem);
-        scene.standins.engines[holder].faults().freeze();
+        cluster.standins.engines[holder].faults().freeze();
         frozen.push(holder);
     }
-    stream.rest().await;
+    stream.read_to_end().await;
     assert_eq!(stream.problem, None);
-    assert_eq!(stream.text, expected(prompt, 40));
+    assert_eq!(stream.text, expected_text(prompt, 40));
 }
--- a/apps/hickory-node/tests/proofs/process.rs
+++ b/apps/hickory-node/tests/proofs/process.rs
@@ -1,6 +1,6 @@
 //! A node as a process of its own, ended by id when the test ends.
 
-use crate::support::{OPERATOR, PATIENCE, times};
+use crate::support::{OPERATOR, WAIT_TIMEOUT, times};
 use hickory_release::configuration::digest_token;
 use hickory_standin::fleet::Fleet;
 use hickory_store::http::Address;
@@ -26,12 +26,12 @@
     callers: SocketAddr,
     admin: SocketAddr,
 }
-fn name_log() -> PathBuf {
+fn new_log_path() -> PathBuf {
     std::env::temp_dir().join(format!("hickory-proof-{}.jsonl", uuid::Uuid::now_v7()))
 }
 
 /// The settings of a node.
-pub fn write_settings(
+pub fn build_settings(
     name: &str,
     zone: &str,
     platform: Address,
@@ -55,7 +55,7 @@
 }
 
 /// Starts the program, which waits for its settings.
-pub fn launch() -> Child {
+pub fn spawn_process() -> Child {
     Command::new(env!("CARGO_BIN_EXE_hickory-node"))
         .arg("/dev/stdin")
         .stdin(Stdio::piped())
@@ -65,14 +65,14 @@
 }
 
 /// Gives a started program its settings.
-pub fn configure(child: &mut Child, settings: &Value) {
+pub fn send_settings(child: &mut Child, settings: &Value) {
     let mut stdin = child.stdin.take().expect("stdin is piped");
     stdin.write_all(settings.to_string().as_bytes()).expect("settings are read");
 }
 
 /// Waits for a process to end by itself.
 pub async fn wait_exit(child: &mut Child) -> ExitStatus {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(status) = child.try_wait().expect("the node can be waited for") {
             return status;
@@ -89,26 +89,26 @@
 
     /// Starts a node that finds the platform's services at the addresses given.
     pub fn start_at(name: &str, zone: &str, platform: Address, times: &Value) -> Self {
-        let log = name_log();
+        let log = new_log_path();
         let logs = json!({ "level": "warn", "file": log });
-        let mut child = launch();
-        configure(&mut child, &write_settings(name, zone, platform, times, &logs));
+        let mut child = spawn_process();
+        send_settings(&mut child, &build_settings(name, zone, platform, times, &logs));
         Self::read_ready(child, log).0
     }
 
     /// Starts a node whose log lines go to standard output, and returns it with
     /// what it prints behind its first line.
-    pub fn start_printing(
+    pub fn start_logging_to_stdout(
         name: &str,
         zone: &str,
         standins: &Fleet,
         level: &str,
     ) -> (Self, BufReader<ChildStdout>) {
         let logs = json!({ "level": level });
-        let mut child = launch();
-        let settings = write_settings(name, zone, standins.platform(), &times(), &logs);
-        configure(&mut child, &settings);
-        Self::read_ready(child, name_log())
+        let mut child = spawn_process();
+        let settings = build_settings(name, zone, standins.platform(), &times(), &logs);
+        send_settings(&mut child, &settings);
+        Self::read_ready(child, new_log_path())
     }
 
     fn read_ready(mut child: Child, log: PathBuf) -> (Self, BufReader<ChildStdout>) {
@@ -130,7 +130,7 @@
     }
 
     /// Waits for the process to end by itself.
-    pub async fn exited(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         wait_exit(&mut self.child).await
     }
 }
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -1,6 +1,6 @@
 //! A small fleet: stand-ins in this process, and nodes as processes of their own.
 
-use crate::passage::Path;
+use crate::link::Link;
 use crate::process::Node;
 use bytes::Bytes;
 use hickory_model::answer::Answer;
@@ -19,7 +19,7 @@
 
 /// The bound of every wait on a condition. It only ends a test that has
 /// failed; none passes or fails by how long something took below it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const OPERATOR: &str = "operator-token";
 pub const ACCOUNT: &str = "account-token";
@@ -30,7 +30,7 @@
 type Http = Client<HttpConnector, Full<Bytes>>;
 
 /// A fleet of nodes with the stand-ins before and behind them.
-pub struct Scene {
+pub struct Cluster {
     pub standins: Fleet,
     pub nodes: Vec<Node>,
     pub http: Http,
@@ -41,7 +41,7 @@
     what: &str,
     mut check: impl FnMut() -> F,
 ) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = check().await {
             return value;
@@ -73,7 +73,7 @@
 }
 
 /// A note that sets the usual tests up.
-pub fn first_note() -> Value {
+pub fn initial_note() -> Value {
     json!({
         "against": 0,
         "operation": uuid::Uuid::now_v7().to_string(),
@@ -95,16 +95,16 @@
     })
 }
 
-impl Scene {
+impl Cluster {
     /// Starts stand-ins and `count` nodes and waits until every node can send
     /// work to every target.
     pub async fn start(count: usize, options: fleet::Options) -> Self {
         let targets = options.engines + options.replicas;
-        let scene = Self::start_unready(count, options).await;
-        for node in &scene.nodes {
-            scene.ready(node, targets).await;
+        let cluster = Self::start_unready(count, options).await;
+        for node in &cluster.nodes {
+            cluster.wait_until_ready(node, targets).await;
         }
-        scene
+        cluster
     }
 
     /// As `start`, with the first note in force but no wait for the targets.
@@ -122,27 +122,27 @@
     }
 
     /// As `start`, with a path of its own between each node and the platform.
-    pub async fn start_apart(count: usize, options: fleet::Options) -> (Self, Vec<Path>) {
+    pub async fn start_with_links(count: usize, options: fleet::Options) -> (Self, Vec<Link>) {
         let targets = options.engines + options.replicas;
         let standins = Fleet::spawn(options).expect("the stand-ins start");
-        let (mut nodes, mut paths) = (Vec::new(), Vec::new());
+        let (mut nodes, mut links) = (Vec::new(), Vec::new());
         for i in 0..count {
-            let (path, platform) = Path::open(standins.platform()).await;
+            let (link, platform) = Link::open(standins.platform()).await;
             nodes.push(Node::start_at(&format!("node-{i}"), ZONES[i % 3], platform, &times()));
-            paths.push(path);
+            links.push(link);
         }
-        let scene = Self::open(standins, nodes).await;
-        for node in &scene.nodes {
-            scene.ready(node, targets).await;
+        let cluster = Self::open(standins, nodes).await;
+        for node in &cluster.nodes {
+            cluster.wait_until_ready(node, targets).await;
         }
-        (scene, paths)
+        (cluster, links)
     }
 
     async fn open(standins: Fleet, nodes: Vec<Node>) -> Self {
         let http = Client::builder(TokioExecutor::new()).build_http();
-        let scene = Self { standins, nodes, http };
-        scene.accept(&first_note()).await;
-        scene
+        let cluster = Self { standins, nodes, http };
+        cluster.apply_note(&initial_note()).await;
+        cluster
     }
 
     /// Which node owns a target, by its place among the nodes.
@@ -168,7 +168,7 @@
     }
 
     /// Waits until a node knows `count` targets that take work.
-    pub async fn ready(&self, node: &Node, count: usize) {
+    pub async fn wait_until_ready(&self, node: &Node, count: usize) {
         eventually("all targets take work", || async {
             let targets = self.get(node.admin, "/v1/admin/targets", OPERATOR).await?;
             let accepting =
@@ -179,7 +179,7 @@
     }
 
     /// Sends a note to the first node and waits until it is in force on all.
-    pub async fn accept(&self, note: &Value) {
+    pub async fn apply_note(&self, note: &Value) {
         let (status, answer) = self.post_note(&self.nodes[0], note).await;
         assert_eq!(status, 200, "{answer}");
         let version = answer["version"].clone();
@@ -210,7 +210,7 @@
         prompt: &str,
         max_tokens: u64,
     ) -> Result<Stream, hyper_util::client::legacy::Error> {
-        self.complete_within(at, prompt, max_tokens, PATIENCE).await
+        self.complete_within(at, prompt, max_tokens, WAIT_TIMEOUT).await
     }
 
     /// Asks for a streamed completion that leaves a time for its answer.
@@ -229,7 +229,7 @@
             .header("x-time-left-ms", time_left.as_millis().to_string())
             .body(Full::from(body.to_string()))
             .expect("the request is well-formed");
-        Ok(Stream::of(self.http.request(request).await?))
+        Ok(Stream::from_response(self.http.request(request).await?))
     }
 
     /// Takes up a stream through any node.
@@ -244,7 +244,7 @@
             .header("last-event-id", event)
             .body(Full::default())
             .expect("the request is well-formed");
-        Ok(Stream::of(self.http.request(request).await?))
+        Ok(Stream::from_response(self.http.request(request).await?))
     }
 
     /// Calls the plain service.
@@ -268,7 +268,7 @@
     }
 
     /// How often calls with `key` ran; all replicas share their books.
-    pub fn runs(&self, key: &str) -> u32 {
+    pub fn count_runs(&self, key: &str) -> u32 {
         self.standins.replicas[0].service().runs().of(key)
     }
 
@@ -301,7 +301,7 @@
 }
 
 impl Stream {
-    fn of(response: http::Response<Incoming>) -> Self {
+    fn from_response(response: http::Response<Incoming>) -> Self {
         let request = response.headers().get("x-request-id");
         let request = request.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let status = response.status().as_u16();
@@ -318,7 +318,7 @@
     }
 
     async fn frame(&mut self) -> Option<Result<hyper::body::Frame<Bytes>, hyper::Error>> {
-        let frame = tokio::time::timeout(2 * PATIENCE, self.body.frame());
+        let frame = tokio::time::timeout(2 * WAIT_TIMEOUT, self.body.frame());
         frame.await.expect("the stream moves on or ends")
     }
 
@@ -327,7 +327,7 @@
         loop {
             if let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
                 let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
-                self.take(&String::from_utf8(event).expect("events are text"));
+                self.apply_event(&String::from_utf8(event).expect("events are text"));
                 return true;
             }
             match self.frame().await {
@@ -341,7 +341,7 @@
         }
     }
 
-    fn take(&mut self, event: &str) {
+    fn apply_event(&mut self, event: &str) {
         let failed = event.lines().any(|line| line == "event: error");
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
@@ -362,7 +362,7 @@
     }
 
     /// Reads to the end.
-    pub async fn rest(&mut self) {
+    pub async fn read_to_end(&mut self) {
         if self.status != 200 {
             while let Some(Ok(frame)) = self.frame().await {
                 self.buffer.extend_from_slice(&frame.into_data().unwrap_or_default());
@@ -375,6 +375,6 @@
 }
 
 /// The text that a prompt must be answered with.
-pub fn expected(prompt: &str, tokens: u64) -> String {
+pub fn expected_text(prompt: &str, tokens: u64) -> String {
     Answer::of(prompt).text(tokens)
 }
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -1,15 +1,15 @@
 //! A zone that operators have taken out, and a target that is leaving, get no
 //! new work after a few seconds; a note in force never reverts.
 
-use crate::passage::Passage;
-use crate::support::{MODEL, OPERATOR, Scene, eventually, expected, options};
+use crate::link::Mode;
+use crate::support::{Cluster, MODEL, OPERATOR, eventually, expected_text, options};
 use hickory_store::host::Standing;
 use serde_json::{Value, json};
 use std::time::Duration;
 
 /// How long after the change new work may still arrive: the note or the list
 /// reaches the owner, and permits that are out run off.
-const BOUND: Duration = Duration::from_secs(3);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 
 fn zone_note(against: u64, out: bool) -> Value {
     json!({
@@ -19,9 +19,9 @@
     })
 }
 
-impl Scene {
+impl Cluster {
     /// Prompt tokens that the engines have taken in since they started.
-    fn begun(&self, engines: &[usize]) -> u64 {
+    fn count_prompt_tokens(&self, engines: &[usize]) -> u64 {
         let engines = engines.iter().map(|i| &self.standins.engines[*i]);
         let counts = engines.map(|engine| engine.service().with_engine(|e| e.counts()));
         counts.map(|counts| counts.cache_hits + counts.cache_misses).sum()
@@ -32,9 +32,9 @@
             let asks = self.nodes.iter().enumerate().map(|(i, node)| async move {
                 let prompt = format!("round {round} node {i}");
                 let mut stream = self.complete(node.callers, &prompt, 3).await.unwrap();
-                stream.rest().await;
+                stream.read_to_end().await;
                 assert_eq!(stream.problem, None);
-                assert_eq!(stream.text, expected(&prompt, 3));
+                assert_eq!(stream.text, expected_text(&prompt, 3));
             });
             futures::future::join_all(asks).await;
         }
@@ -45,18 +45,18 @@
 /// bound has passed, no work arrives in the zone; after its return work does.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_taken_out_gets_no_new_work() {
-    let scene = Scene::start(3, options()).await;
-    scene.load(5).await;
+    let cluster = Cluster::start(3, options()).await;
+    cluster.load(5).await;
     let note = zone_note(1, true);
-    let ((), ()) = tokio::join!(scene.accept(&note), scene.load(5));
-    tokio::time::sleep(BOUND).await;
-    let before = scene.begun(&[0]);
-    scene.load(10).await;
-    assert_eq!(scene.begun(&[0]), before);
-    scene.accept(&zone_note(2, false)).await;
+    let ((), ()) = tokio::join!(cluster.apply_note(&note), cluster.load(5));
+    tokio::time::sleep(PROPAGATION_BOUND).await;
+    let before = cluster.count_prompt_tokens(&[0]);
+    cluster.load(10).await;
+    assert_eq!(cluster.count_prompt_tokens(&[0]), before);
+    cluster.apply_note(&zone_note(2, false)).await;
     eventually("the zone gets work again", || async {
-        scene.load(1).await;
-        (scene.begun(&[0]) > before).then_some(())
+        cluster.load(1).await;
+        (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
     .await;
 }
@@ -66,47 +66,47 @@
 /// once the bound has passed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_although_the_platform_goes_down() {
-    let scene = Scene::start(3, options()).await;
-    let (status, _) = scene.post_note(&scene.nodes[0], &zone_note(1, true)).await;
+    let cluster = Cluster::start(3, options()).await;
+    let (status, _) = cluster.post_note(&cluster.nodes[0], &zone_note(1, true)).await;
     assert_eq!(status, 200);
-    scene.standins.store.faults().kill();
-    tokio::time::sleep(BOUND).await;
-    let before = scene.begun(&[0]);
-    scene.load(10).await;
-    assert_eq!(scene.begun(&[0]), before);
+    cluster.standins.store.faults().kill();
+    tokio::time::sleep(PROPAGATION_BOUND).await;
+    let before = cluster.count_prompt_tokens(&[0]);
+    cluster.load(10).await;
+    assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
 /// The platform lists an engine as leaving: no work arrives there once the
 /// bound has passed, and no request fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
-    let scene = Scene::start(3, options()).await;
-    scene.load(3).await;
-    scene.standins.hosts.service().stand(&"engine-1".into(), Standing::Leaving);
-    let ((), ()) = tokio::join!(tokio::time::sleep(BOUND), scene.load(5));
-    let before = scene.begun(&[1]);
-    scene.load(10).await;
-    assert_eq!(scene.begun(&[1]), before);
+    let cluster = Cluster::start(3, options()).await;
+    cluster.load(3).await;
+    cluster.standins.hosts.service().stand(&"engine-1".into(), Standing::Leaving);
+    let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.load(5));
+    let before = cluster.count_prompt_tokens(&[1]);
+    cluster.load(10).await;
+    assert_eq!(cluster.count_prompt_tokens(&[1]), before);
 }
 
 /// Two operators change the same version through two nodes at once: one note
 /// is accepted, the other is told the present version; no node ever shows a
 /// lower version than it showed before.
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_one_wins_and_nothing_reverts() {
-    let scene = Scene::start(3, options()).await;
+async fn one_of_two_racing_operators_wins_and_nothing_reverts() {
+    let cluster = Cluster::start(3, options()).await;
     for version in 1..=5 {
         let (a, b) = (zone_note(version, true), zone_note(version, false));
         let (a, b) = tokio::join!(
-            scene.post_note(&scene.nodes[0], &a),
-            scene.post_note(&scene.nodes[1], &b)
+            cluster.post_note(&cluster.nodes[0], &a),
+            cluster.post_note(&cluster.nodes[1], &b)
         );
         let mut statuses = [a.0, b.0];
         statuses.sort_unstable();
         assert_eq!(statuses, [200, 409], "{a:?} {b:?}");
-        for node in &scene.nodes {
+        for node in &cluster.nodes {
             eventually("the note is in force", || async {
-                let health = scene.get(node.admin, "/health", OPERATOR).await?;
+                let health = cluster.get(node.admin, "/health", OPERATOR).await?;
                 let shown = health["version"].as_u64()?;
                 assert!(shown >= version, "{shown} after {version}");
                 (shown == version + 1).then_some(())
@@ -119,12 +119,12 @@
 /// A note withdraws a model while a stream of it runs: the stream is whole, a
 /// new request is refused at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_withdrawn_model_ends_its_running_streams_first() {
+async fn a_withdrawn_model_finishes_its_running_streams() {
     let mut options = options();
     options.engine.model.speed = 0.5;
-    let scene = Scene::start(2, options).await;
-    let at = scene.nodes[0].callers;
-    let mut stream = scene.complete(at, "withdrawn", 40).await.unwrap();
+    let cluster = Cluster::start(2, options).await;
+    let at = cluster.nodes[0].callers;
+    let mut stream = cluster.complete(at, "withdrawn", 40).await.unwrap();
     assert!(stream.next().await);
     let shop = json!({
         "partner": "mawe", "models": [], "services": ["orders"],
@@ -136,25 +136,25 @@
         "changed": { "accounts": { "shop": shop } },
         "withdrawn": { "models": [MODEL] },
     });
-    scene.accept(&note).await;
-    let mut refused = scene.complete(at, "too late", 3).await.unwrap();
-    refused.rest().await;
+    cluster.apply_note(&note).await;
+    let mut refused = cluster.complete(at, "too late", 3).await.unwrap();
+    refused.read_to_end().await;
     assert_eq!(refused.status, 404);
     assert_eq!(refused.problem.expect("a refusal")["ran"], json!("no"));
-    stream.rest().await;
-    assert_eq!(stream.text, expected("withdrawn", 40));
+    stream.read_to_end().await;
+    assert_eq!(stream.text, expected_text("withdrawn", 40));
 }
 
-impl Scene {
+impl Cluster {
     /// Asks through one node, which may refuse what it can't place: whole
     /// answers or true refusals.
-    async fn load_or_refuse(&self, node: usize, count: usize) {
+    async fn load_or_expect_refusals(&self, node: usize, count: usize) {
         for i in 0..count {
             let (at, prompt) = (self.nodes[node].callers, format!("perhaps {i}"));
             let mut stream = self.complete(at, &prompt, 3).await.unwrap();
-            stream.rest().await;
+            stream.read_to_end().await;
             let refused = stream.problem.as_ref().is_some_and(|p| p["ran"] == json!("no"));
-            assert!(refused || stream.text == expected(&prompt, 3), "{:?}", stream.problem);
+            assert!(refused || stream.text == expected_text(&prompt, 3), "{:?}", stream.problem);
         }
     }
 }
@@ -170,30 +170,30 @@
 }
 
 async fn take_out_beside_a_cut_off_node(lapse: Duration) {
-    let (scene, paths) = Scene::start_apart(3, options()).await;
-    let cut_off = scene.owner("engine-0").await;
+    let (cluster, links) = Cluster::start_with_links(3, options()).await;
+    let cut_off = cluster.owner("engine-0").await;
     let others = [(cut_off + 1) % 3, (cut_off + 2) % 3];
-    paths[cut_off].set(Passage::Silent);
+    links[cut_off].set(Mode::Silent);
     tokio::time::sleep(lapse).await;
-    let (status, answer) = scene.post_note(&scene.nodes[others[0]], &zone_note(1, true)).await;
+    let (status, answer) = cluster.post_note(&cluster.nodes[others[0]], &zone_note(1, true)).await;
     assert_eq!(status, 200, "{answer}");
-    tokio::time::sleep(BOUND).await;
-    let before = scene.begun(&[0]);
+    tokio::time::sleep(PROPAGATION_BOUND).await;
+    let before = cluster.count_prompt_tokens(&[0]);
     for node in 0..3 {
-        scene.load_or_refuse(node, 10).await;
+        cluster.load_or_expect_refusals(node, 10).await;
     }
     // Its own word says so as well: it has the note from its peers.
     eventually("the owner takes no work for the zone", || async {
-        let at = scene.nodes[others[0]].admin;
-        let targets = scene.get(at, "/v1/admin/targets", OPERATOR).await?;
+        let at = cluster.nodes[others[0]].admin;
+        let targets = cluster.get(at, "/v1/admin/targets", OPERATOR).await?;
         let engine = targets.as_array()?.iter().find(|t| t["target"] == "engine-0")?;
         (engine["accepting"] == json!(false)).then_some(())
     })
     .await;
     for node in 0..3 {
-        scene.load_or_refuse(node, 10).await;
+        cluster.load_or_expect_refusals(node, 10).await;
     }
-    assert_eq!(scene.begun(&[0]), before);
+    assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
 /// The owner of a zone's engine is killed as the zone is taken out. Its
@@ -201,28 +201,28 @@
 /// dead node's other targets have their next owners, no request fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_while_its_owner_dies() {
-    let mut scene = Scene::start(3, options()).await;
-    let owner = scene.owner("engine-0").await;
+    let mut cluster = Cluster::start(3, options()).await;
+    let owner = cluster.owner("engine-0").await;
     let (dead, mut left) = (owner, vec![0, 1, 2]);
     left.retain(|node| *node != dead);
     let note = zone_note(1, true);
-    scene.nodes[dead].kill();
-    let (status, answer) = scene.post_note(&scene.nodes[left[0]], &note).await;
+    cluster.nodes[dead].kill();
+    let (status, answer) = cluster.post_note(&cluster.nodes[left[0]], &note).await;
     assert_eq!(status, 200, "{answer}");
-    tokio::time::sleep(BOUND).await;
-    let before = scene.begun(&[0]);
+    tokio::time::sleep(PROPAGATION_BOUND).await;
+    let before = cluster.count_prompt_tokens(&[0]);
     for node in left {
-        scene.ready(&scene.nodes[node], 3).await;
-        let at = scene.nodes[node].callers;
+        cluster.wait_until_ready(&cluster.nodes[node], 3).await;
+        let at = cluster.nodes[node].callers;
         for i in 0..10 {
             let prompt = format!("node {node} ask {i}");
-            let mut stream = scene.complete(at, &prompt, 3).await.unwrap();
-            stream.rest().await;
+            let mut stream = cluster.complete(at, &prompt, 3).await.unwrap();
+            stream.read_to_end().await;
             assert_eq!(stream.problem, None);
-            assert_eq!(stream.text, expected(&prompt, 3));
+            assert_eq!(stream.text, expected_text(&prompt, 3));
         }
     }
-    assert_eq!(scene.begun(&[0]), before);
+    assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
 /// One node is cut off from the platform until its lease has lapsed; its peers
@@ -230,36 +230,36 @@
 /// get work from the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_of_an_owner_cut_off_from_the_platform_get_work() {
-    let (scene, paths) = Scene::start_apart(3, options()).await;
-    let owners = scene.get(scene.nodes[0].admin, "/v1/admin/owners", OPERATOR).await.unwrap();
+    let (cluster, links) = Cluster::start_with_links(3, options()).await;
+    let owners = cluster.get(cluster.nodes[0].admin, "/v1/admin/owners", OPERATOR).await.unwrap();
     let owner = |target: &str| {
         let rows = owners["owners"].as_array().unwrap();
         rows.iter().find(|row| row["target"] == target).unwrap()["node"].clone()
     };
     // The cut goes to whichever node owns the first engine.
     let cut = owner("engine-0").as_str().unwrap()["node-".len()..].parse::<usize>().unwrap();
-    paths[cut].set(Passage::Silent);
-    let other = &scene.nodes[(cut + 1) % 3];
+    links[cut].set(Mode::Silent);
+    let other = &cluster.nodes[(cut + 1) % 3];
     let name = format!("node-{cut}");
     eventually("its lease has lapsed", || async {
-        let nodes = scene.get(other.admin, "/v1/admin/nodes", OPERATOR).await?;
+        let nodes = cluster.get(other.admin, "/v1/admin/nodes", OPERATOR).await?;
         nodes.as_array()?.iter().all(|node| node["node"] != name.as_str()).then_some(())
     })
     .await;
-    let before = scene.begun(&[0]);
+    let before = cluster.count_prompt_tokens(&[0]);
     eventually("its target gets work from another node", || async {
         // Enough work that the other targets alone would be slower.
         let asks = (0..24).map(|i| {
-            let (scene, at) = (&scene, other.callers);
+            let (cluster, at) = (&cluster, other.callers);
             async move {
                 let prompt = format!("beside a cut {i} ").repeat(500);
-                let mut stream = scene.complete(at, &prompt, 3).await.unwrap();
-                stream.rest().await;
+                let mut stream = cluster.complete(at, &prompt, 3).await.unwrap();
+                stream.read_to_end().await;
                 assert_eq!(stream.problem, None);
             }
         });
         futures::future::join_all(asks).await;
-        (scene.begun(&[0]) > before).then_some(())
+        (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
     .await;
 }
