--- a/apps/hickory-node/src/main.rs
+++ b/apps/hickory-node/src/main.rs
@@ -1,4 +1,4 @@
-//! The hickoryrun node daemon: settings in, a node that runs until SIGTERM.
+//! The hickoryrun node daemon: reads its settings and runs a node until SIGTERM.
 
 use clap::Parser;
 use hickory_node::Node;
@@ -8,28 +8,28 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How long the last log lines are given to be written.
+/// Time for the log writer thread to flush its queue before the process exits.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// Serves callers beside the other nodes of a fleet.
+/// Runs one node of a fleet, which serves callers.
 ///
-/// Prints one JSON line with its addresses on standard output when it is ready,
-/// and its log behind that. SIGTERM and SIGINT begin a planned stop, which cuts
-/// no request; the exit status is 0 after one.
+/// When the node is ready, prints one JSON line with its addresses to standard
+/// output, followed by its log lines. SIGTERM and SIGINT start a graceful
+/// shutdown, which interrupts no request and ends with exit status 0.
 #[derive(Debug, Parser)]
 #[command(name = "hickory-node", version)]
 struct Options {
-    /// Settings, in JSON with comments.
+    /// Path of the settings file, in JSON with comments.
     settings: PathBuf,
-    /// Least level of log lines, in place of the one in the settings: off,
-    /// error, warn, info, debug or trace.
+    /// Minimum log level, which overrides the settings: off, error, warn, info,
+    /// debug or trace.
     #[arg(long)]
     log: Option<log::LevelFilter>,
-    /// File that log lines are appended to, in place of the one in the
-    /// settings; without either they go to standard output.
+    /// File to append log lines to, which overrides the settings; without a file
+    /// in either place they are written to standard output.
     #[arg(long)]
     log_file: Option<PathBuf>,
-    /// Threads that serve.
+    /// Number of worker threads.
     #[arg(long, default_value_t = 2)]
     threads: usize,
 }
--- a/apps/hickory-node/tests/proofs/burst.rs
+++ b/apps/hickory-node/tests/proofs/burst.rs
@@ -1,19 +1,18 @@
-//! A burst is spread over the targets.
+//! A burst of requests is spread over the targets.
 
 use crate::support::{Cluster, expected_text, options};
 use hickory_unit::size;
 
-/// Requests of the burst: three times what all engines hold at once.
+/// Requests in the burst: three times as many as all engines hold at once.
 const BURST_REQUESTS: usize = 36;
 
-/// Tokens of each prompt.
+/// Prompt length in tokens.
 const PROMPT_TOKENS: usize = 1_000;
 
-/// A burst comes to one node; each engine has room for four of its requests.
-/// The first fill the engines, the others have to wait at an owner. Were only
-/// sent work counted, all that wait would see the same three full engines and
-/// join the queue of the same one, while the others fall idle: the callers
-/// would wait as long as if the fleet had one engine.
+/// A burst arrives at one node and each engine has room for four of its requests,
+/// so most of them wait at an owner. If owners counted only the requests already
+/// sent, every waiting request would see the same three full engines and join the
+/// queue of the same one while the others become idle.
 #[tokio::test(flavor = "multi_thread")]
 async fn queued_requests_are_spread_over_the_targets() {
     let mut options = options();
--- a/apps/hickory-node/tests/proofs/cold.rs
+++ b/apps/hickory-node/tests/proofs/cold.rs
@@ -1,12 +1,12 @@
-//! A target that has just started, or has turned cold, receives no more load
-//! than it can bear.
+//! A target that has just started or has turned cold receives no more requests than
+//! it can handle.
 
 use crate::support::{Cluster, OPERATOR, eventually, expected_text, options};
 use hickory_standin::fleet;
 use rustix::process::Signal;
 use std::time::Duration;
 
-/// Engines that start cold and fall over under more than they bear.
+/// Returns options for engines that start cold and crash when overloaded.
 fn cold_engines() -> fleet::Options {
     let mut options = options();
     options.engine.model.speed = 4.0;
@@ -18,14 +18,14 @@
 }
 
 impl Cluster {
-    /// Times that any engine was given more than it bore.
+    /// Counts how often any engine was sent more than its capacity.
     fn count_overloads(&self) -> u64 {
         let engines = self.standins.engines.iter();
         engines.map(|engine| engine.service().with_engine(|e| e.counts().overloads)).sum()
     }
 
-    /// Sends `count` requests at once through the nodes named, and counts the
-    /// whole answers; refusals are allowed, wrong answers are not.
+    /// Sends `count` requests at once, in turn through the given nodes, and returns
+    /// the number of complete answers. Refusals are allowed, wrong answers are not.
     async fn burst(&self, name: &str, count: usize, nodes: &[usize]) -> usize {
         let asks = (0..count).map(|i| async move {
             let prompt = format!("{name} {i}");
@@ -41,9 +41,9 @@
     }
 }
 
-/// All nodes send a burst at engines that have just started. Their owners let
-/// through what a cold engine bears and more as it warms: none is ever over
-/// its bound, and every request is answered in the end.
+/// All nodes send a burst to engines that have just started. Their owners admit
+/// what a cold engine can handle, and more as it warms up: no engine is overloaded,
+/// and every request is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn cold_engines_are_not_overloaded() {
     let cluster = Cluster::start(3, cold_engines()).await;
@@ -51,15 +51,15 @@
     assert_eq!(cluster.count_overloads(), 0);
 }
 
-/// An owner is killed in the middle of the ramp. Its successor knows nothing
-/// of what it granted, and still no engine is given more than it bears.
+/// An owner is killed during the warm-up of its engine. Its successor doesn't know
+/// what was granted before, and still must not overload any engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_owner_killed_during_warm_up_overloads_no_engine() {
     let mut cluster = Cluster::start(3, cold_engines()).await;
     let dead = cluster.owner("engine-0").await;
     let left = [(dead + 1) % 3, (dead + 2) % 3];
-    // Streams that outlast the owner: its successor has not granted them and
-    // must count them all the same.
+    // These streams outlive the owner. The successor didn't grant them, but
+    // must count them too.
     let mut running = Vec::new();
     while cluster.standins.engines[0].service().kv_used().0 == 0 {
         let prompt = format!("running {}", running.len());
@@ -78,9 +78,9 @@
     }
 }
 
-/// An owner is paused for longer than its lease, another takes its targets
-/// over, and the paused one goes on and still thinks itself owner. The permits
-/// of both together never exceed what an engine bears.
+/// An owner is paused for longer than its lease and another node takes over its
+/// targets. The paused node then resumes and still believes that it is the owner.
+/// The permits of both nodes together must not exceed the engine's capacity.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_owner_that_resumes_overloads_no_engine() {
     let cluster = Cluster::start(3, cold_engines()).await;
@@ -94,8 +94,8 @@
     assert!(first > 0 && second > 0);
 }
 
-/// The key-value service is down while engines are cold: owners go on at half
-/// of what the engines bear, and none is over its bound.
+/// The key-value service is down while engines are cold. Owners continue with half
+/// of each engine's capacity, and no engine is overloaded.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_outage_of_the_platform_overloads_no_engine() {
     let cluster = Cluster::start(3, cold_engines()).await;
@@ -105,9 +105,9 @@
     assert!(whole > 0);
 }
 
-/// The key-value service is down and its owners can't confirm themselves:
-/// another one may take itself for the owner as well, so each keeps to half of
-/// what the engines bear.
+/// The key-value service is down, so owners can't confirm their ownership. Another
+/// node may also believe that it is the owner, so each one admits only half of the
+/// engine's capacity.
 #[tokio::test(flavor = "multi_thread")]
 async fn unconfirmed_owners_use_half_of_the_bound() {
     let mut options = options();
@@ -123,16 +123,16 @@
             (bounds.len() == 3 && bounds.iter().all(|bound| *bound == expected)).then_some(())
         }
     };
-    eventually("all engines are open in full", all_bounds_equal(32)).await;
+    eventually("all engines have their full bound", all_bounds_equal(32)).await;
     cluster.standins.store.faults().kill();
-    eventually("all engines are open by half", all_bounds_equal(16)).await;
+    eventually("all engines have half of their bound", all_bounds_equal(16)).await;
     cluster.standins.store.faults().restart();
-    eventually("all engines are open in full again", all_bounds_equal(32)).await;
+    eventually("all engines have their full bound again", all_bounds_equal(32)).await;
 }
 
-/// Warm engines turn cold without a word in the middle of their work. What
-/// was on its way may be too much for a moment; their owners see it and let
-/// work in step by step again, so that none falls over and all is answered.
+/// Warm engines turn cold under load without reporting it. Requests already in
+/// flight may overload them for a moment; then their owners detect the slowdown and
+/// raise the load in steps again. No engine crashes, and every request is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_turn_cold_unannounced_do_not_crash() {
     let mut options = cold_engines();
@@ -141,11 +141,11 @@
     let cluster = Cluster::start(3, options).await;
     assert_eq!(cluster.burst("warm", 60, &[0, 1, 2]).await, 60);
     cluster.standins.engines.iter().for_each(|engine| engine.service().turn_cold());
-    // The first bursts meet engines of which nobody can know yet that they are
-    // cold; the later ones must not.
+    // The first bursts arrive before any node can detect that the engines are
+    // cold; the later ones must not overload them.
     for round in 0..4 {
         let whole = cluster.burst(&format!("cold {round}"), 90, &[0, 1, 2]).await;
-        assert_eq!(cluster.dead_engines(), 0, "an engine fell over in round {round}");
+        assert_eq!(cluster.dead_engines(), 0, "an engine crashed in round {round}");
         assert_eq!(whole, 90);
     }
 }
--- a/apps/hickory-node/tests/proofs/config.rs
+++ b/apps/hickory-node/tests/proofs/config.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never
+//! An accepted configuration is in force on all nodes within seconds and never
 //! reverts.
 
 use crate::link::Mode;
@@ -20,8 +20,8 @@
     }
 }
 
-/// The write of a note takes effect and its answer is lost. The operator gets
-/// an answer that agrees with what is in force, and the note stays.
+/// The write of a note succeeds, but its response is lost. The operator receives an
+/// answer that agrees with the configuration in force, and the note stays in force.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_note_whose_write_response_is_lost_is_applied_once() {
     let cluster = Cluster::start(3, options()).await;
@@ -35,14 +35,14 @@
         })
         .await;
     }
-    // The same operation again changes nothing more.
+    // Repeating the operation changes nothing.
     let (status, answer) = cluster.post_note(&cluster.nodes[1], &note).await;
     assert_eq!((status, &answer["version"]), (200, &json!(2)), "{answer}");
     assert_eq!(cluster.version(&cluster.nodes[0]).await, Some(2));
 }
 
-/// The key-value service answers reads with an old state after a note was
-/// accepted. No node that has the new version goes back.
+/// The key-value service answers reads with an old state after a note was accepted.
+/// No node that has the new version reverts to the old one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stale_read_reverts_nothing() {
     let cluster = Cluster::start(2, options()).await;
@@ -64,9 +64,8 @@
     }
 }
 
-/// A node that is started while the key-value service is down has no
-/// configuration: it refuses callers as not ready instead of guessing, and
-/// serves once the service is back.
+/// A node that starts while the key-value service is down has no configuration. It
+/// refuses callers as not ready, and serves them once the service is back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_started_in_an_outage_refuses_until_it_has_a_configuration() {
     let mut cluster = Cluster::start(1, options()).await;
@@ -85,9 +84,9 @@
     .await;
 }
 
-/// One node can't reach the platform, while notes are accepted through another
-/// one: a first at once, a second when its lease has lapsed and it stands on
-/// no peer's list any more. It fetches both from its peers.
+/// One node can't reach the platform while two notes are accepted through another
+/// node: the first at once, the second after the node's lease has expired and its
+/// peers no longer list it. The node fetches both from its peers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_learns_notes_from_its_peers() {
     let (cluster, links) = Cluster::start_with_links(3, options()).await;
@@ -106,7 +105,7 @@
     };
     learns(2).await;
     for node in &cluster.nodes[..2] {
-        eventually("its lease has lapsed", || async {
+        eventually("its lease has expired", || async {
             let nodes = cluster.get(node.admin, "/v1/admin/nodes", OPERATOR).await?;
             nodes.as_array()?.iter().all(|node| node["node"] != "node-2").then_some(())
         })
--- a/apps/hickory-node/tests/proofs/end_to_end.rs
+++ b/apps/hickory-node/tests/proofs/end_to_end.rs
@@ -1,12 +1,12 @@
-//! The whole path, without faults.
+//! Requests from callers to targets, without faults.
 
 use crate::support::{Cluster, eventually, expected_text, options};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A caller asks any node which address to use, connects there, and gets the
-/// whole streamed answer to its own prompt; afterwards no engine holds memory.
+/// A caller asks any node which address to use, connects there, and receives the
+/// complete streamed answer to its own prompt. Afterwards no engine holds memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_is_served_end_to_end() {
     let cluster = Cluster::start(3, options()).await;
@@ -24,8 +24,8 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// A call of the plain service is answered, and its resend gets the stored
-/// answer without a second run.
+/// A call to the plain service is answered. A resend with the same key gets the
+/// stored answer without a second run.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_runs_once() {
     let cluster = Cluster::start(2, options()).await;
--- a/apps/hickory-node/tests/proofs/failover.rs
+++ b/apps/hickory-node/tests/proofs/failover.rs
@@ -1,5 +1,5 @@
-//! A caller receives the whole answer to its own request, and in time, when
-//! connections and engines fail under it.
+//! A caller receives the complete answer to its own request, before its deadline,
+//! when connections and engines fail.
 
 use crate::support::{
     ACCOUNT, Cluster, MODEL, OPERATOR, Stream, WAIT_TIMEOUT, eventually, expected_text, options,
@@ -13,7 +13,8 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// Streams of a few seconds, so that a fault finds them under way.
+/// Returns options for streams that take a few seconds, so that a fault hits them
+/// while they run.
 fn slow_engine_options() -> fleet::Options {
     let mut options = options();
     options.engine.model.speed = 0.5;
@@ -37,8 +38,8 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// All connections between node and engines break in the middle of a stream,
-/// while the engines go on. The caller sees nothing of it.
+/// All connections between nodes and engines break in mid-stream, while the engines
+/// keep running. The caller doesn't notice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_engine_connection_is_hidden_from_the_caller() {
     let cluster = Cluster::start(2, slow_engine_options()).await;
@@ -47,8 +48,9 @@
     assert_complete(&cluster, "cut", 40, stream).await;
 }
 
-/// The connections break again and again, each time after a few tokens. The
-/// stream moves on and costs no retry, so it is not given up on.
+/// The connections break repeatedly, each time after a few tokens. The stream makes
+/// progress in between, so no break uses up a retry and the stream is not
+/// abandoned.
 #[tokio::test(flavor = "multi_thread")]
 async fn repeated_connection_cuts_are_hidden_from_the_caller() {
     let cluster = Cluster::start(2, slow_engine_options()).await;
@@ -60,8 +62,8 @@
     assert_complete(&cluster, "cut often", 60, stream).await;
 }
 
-/// All open connections to the engines go silent for good in the middle of a
-/// stream, while new ones work. The stream is taken up over a new one.
+/// All open connections to the engines go silent for good in mid-stream, while new
+/// connections work. The stream is resumed over a new connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_connection_to_the_engine_is_replaced() {
     let cluster = Cluster::start(2, slow_engine_options()).await;
@@ -70,25 +72,32 @@
     assert_complete(&cluster, "silent", 40, stream).await;
 }
 
-/// The engine dies in the middle of a stream. Another one goes on after the
-/// last token that the caller has.
+/// The engine crashes in mid-stream. Another one continues after the last token
+/// that the caller received.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_engine_is_replaced_in_mid_stream() {
     let cluster = Cluster::start(2, slow_engine_options()).await;
     let stream = begin_stream(&cluster, "dead", 40).await;
     let holds = |engine: &&hickory_standin::engine::Handle| engine.service().kv_used().0 > 0;
-    cluster.standins.engines.iter().find(holds).expect("one holds it").faults().kill();
+    cluster
+        .standins
+        .engines
+        .iter()
+        .find(holds)
+        .expect("an engine holds the stream")
+        .faults()
+        .kill();
     assert_complete(&cluster, "dead", 40, stream).await;
 }
 
-/// The engine freezes in the middle of a stream. The stream goes on elsewhere;
-/// when the engine thaws, what it still held is cancelled.
+/// The engine freezes in mid-stream and another one continues the stream. When the
+/// engine thaws, the stream that it still holds is cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_engine_is_replaced_and_freed_when_it_thaws() {
     let cluster = Cluster::start(2, slow_engine_options()).await;
     let mut stream = begin_stream(&cluster, "frozen", 40).await;
     let holds = |engine: &&hickory_standin::engine::Handle| engine.service().kv_used().0 > 0;
-    let engine = cluster.standins.engines.iter().find(holds).expect("one holds it");
+    let engine = cluster.standins.engines.iter().find(holds).expect("an engine holds the stream");
     engine.faults().freeze();
     stream.read_to_end().await;
     assert_eq!(stream.text, expected_text("frozen", 40));
@@ -96,16 +105,16 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// The caller's node freezes in the middle of a stream. The caller gives up on
-/// it and takes the stream up through another node; when the first one goes on
-/// it finds its stream superseded and does the caller's stream no harm.
+/// The caller's node freezes in mid-stream. The caller gives up on it and resumes
+/// through another node. When the first node resumes, it finds that its stream was
+/// superseded and doesn't disturb the caller's new stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_node_does_not_block_its_callers() {
     let cluster = Cluster::start(3, slow_engine_options()).await;
     let stream = begin_stream(&cluster, "node", 60).await;
     cluster.nodes[0].signal(Signal::STOP);
     let at = cluster.nodes[1].callers;
-    let mut rest = eventually("the stream is taken up", || async {
+    let mut rest = eventually("the stream is resumed", || async {
         let rest = cluster.resume(at, &stream.request, &stream.event).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
@@ -118,12 +127,12 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// No engine moves on: the caller gets its final answer when the deadline
-/// passes, not later, and the engines get their memory back.
+/// All engines stall. The caller gets its final answer at the deadline, not later,
+/// and the engines free their memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_stalls_everywhere_ends_at_its_deadline() {
-    // Streams may stand still for longer than the request has time: nothing
-    // but its deadline ends it.
+    // The progress timeout is longer than the deadline, so that only the
+    // deadline can end the request.
     let mut times = times();
     times["progress_ms"] = json!(120_000);
     let cluster = Cluster::start_with(2, options(), &times).await;
@@ -138,15 +147,17 @@
         stream.read_to_end().await;
         stream
     };
-    let stream = tokio::time::timeout(WAIT_TIMEOUT, ask).await.expect("the final answer comes");
+    let stream = tokio::time::timeout(WAIT_TIMEOUT, ask)
+        .await
+        .expect("the final answer is received before the timeout");
     let problem = stream.problem.expect("a refusal");
     assert_eq!(problem["ran"], json!("unknown"), "{problem}");
     cluster.standins.engines.iter().for_each(|engine| engine.faults().thaw());
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// Many streams at once through all nodes, while engines' connections are cut
-/// again and again: each caller gets its own answer, whole.
+/// Many streams run at once through all nodes while the connections to the engines
+/// are cut repeatedly. Each caller gets its own answer, complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_not_mixed_up() {
     let mut options = options();
@@ -173,8 +184,9 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// The only engine that serves the model loses a request before it reads it, once
-/// and again and again: the request is sent there until it is read.
+/// The only engine that serves the model loses a request before reading it, once
+/// and several times in a row. The node retries there until the engine reads the
+/// request.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_only_engine_is_retried_after_a_lost_request() {
     let mut options = options();
@@ -188,8 +200,8 @@
     }
 }
 
-/// Two engines lose a request and then their load reports. Neither of them
-/// died: the request isn't blamed for a death.
+/// Two engines lose a request and then their load reports. Neither crashed, so the
+/// request is not counted as the cause of a crash.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_load_report_is_not_an_engine_failure() {
     let mut options = options();
@@ -212,8 +224,8 @@
     .await;
 }
 
-/// The engine loses the cancel of a stream whose caller hung up: the owner
-/// cancels again until the engine confirms it.
+/// The engine loses the cancellation of a stream whose caller disconnected. The
+/// owner retries until the engine confirms it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_cancel_is_retried() {
     let mut options = options();
@@ -224,10 +236,10 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// Engines stop moving on, before the first token or in mid-stream, and answer
-/// all else. The stream goes on elsewhere, and what stands still on the first
-/// engine is cancelled there, although the first cancels are lost: it would
-/// hold its memory until long after the caller has gone.
+/// Streams on an engine stall, before the first token or in mid-stream, while the
+/// engine answers all other calls. The stream continues on another engine and is
+/// cancelled on the first one, even though the first cancellations are lost;
+/// otherwise it would hold memory until long after the caller is gone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_engine_is_replaced_and_freed() {
     tokio::join!(stall_one_engine(0), stall_one_engine(10));
@@ -258,8 +270,8 @@
     engine.service().kv_used().0 > 0
 }
 
-/// An engine resumes a stream from its first token on, not from where it was
-/// asked to. The caller sees no token twice.
+/// An engine resumes a stream from its first token, not from the requested
+/// position. The caller receives no token twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn replayed_tokens_are_not_sent_again() {
     let mut options = slow_engine_options();
@@ -270,8 +282,8 @@
     assert_complete(&cluster, "replayed", 40, stream).await;
 }
 
-/// An engine freezes: its owner misses its reports, and new work goes to the
-/// others at once instead of waiting there. Once it thaws, it serves again.
+/// An engine freezes and its owner misses its load reports. New requests go to the
+/// other engines at once instead of waiting for it. When it thaws, it serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_engine_gets_no_new_work() {
     let cluster = Cluster::start(2, options()).await;
@@ -285,14 +297,14 @@
         }
     };
     cluster.standins.engines[0].faults().freeze();
-    eventually("the frozen engine takes no work", accepts(false)).await;
+    eventually("the frozen engine accepts no requests", accepts(false)).await;
     cluster.standins.engines[0].faults().thaw();
-    eventually("the engine takes work again", accepts(true)).await;
+    eventually("the engine accepts requests again", accepts(true)).await;
 }
 
-/// A caller asks for a long answer and reads none of it, with its connection
-/// open. Its stream is given up on and the engine gets its memory back, long
-/// before the deadline.
+/// A caller requests a long answer and keeps its connection open without reading.
+/// Its stream is abandoned and the engine frees its memory, long before the
+/// deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_never_reads_does_not_hold_its_stream() {
     let mut options = options();
--- a/apps/hickory-node/tests/proofs/link.rs
+++ b/apps/hickory-node/tests/proofs/link.rs
@@ -1,19 +1,19 @@
-//! A path between a node and the platform that can go silent.
+//! A proxy between one node and the platform, which can stop forwarding.
 
 use hickory_store::http::Address;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What passes between a node and the platform.
+/// How the link handles connections.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     Open,
-    /// Connections stay open, nothing passes, and no new one gets through.
+    /// Connections stay open but forward nothing, and new ones aren't connected.
     Silent,
 }
 
-/// The path between one node and the platform's services.
+/// The connections between one node and the platform's services.
 pub struct Link {
     mode: watch::Sender<Mode>,
 }
@@ -34,7 +34,7 @@
         self.mode.send_replace(mode);
     }
 
-    /// Forwards connections to `far`; returns where it listens.
+    /// Forwards connections to `far`; returns the address to connect to.
     async fn forward(&self, far: SocketAddr) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("it is bound");
@@ -57,7 +57,7 @@
         _ = tokio::io::copy_bidirectional(&mut near, &mut far) => return,
         _ = mode.wait_for(|mode| *mode == Mode::Silent) => {}
     }
-    // What has lost track of a connection never brings it back: it stays
-    // silent for as long as the test runs.
+    // A connection that went silent stays silent until the test ends, as with a
+    // firewall that has lost its connection state.
     while mode.changed().await.is_ok() {}
 }
--- a/apps/hickory-node/tests/proofs/logs.rs
+++ b/apps/hickory-node/tests/proofs/logs.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a request that met a failure, and where lines go.
+//! Log output: the lines about a failed request, and where lines are written.
 
 use crate::process::{Node, build_settings, send_settings, spawn_process, wait_exit};
 use crate::support::{Cluster, OPERATOR, WAIT_TIMEOUT, eventually, expected_text, options, times};
@@ -9,14 +9,15 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// What a pipe is taken to be full with: the kernel's usual size, less the page
-/// that a line doesn't fit in.
+/// Number of unread bytes from which a pipe counts as full: the kernel's default
+/// capacity less one page, in which a line may not fit.
 const FULL_PIPE_BYTES: u64 = (64 - 4) << 10;
 
-/// Requests whose lines neither a pipe nor the daemon's queue can hold.
+/// Number of requests whose log lines exceed the capacity of the pipe and of the
+/// daemon's queue together.
 const FLOOD_REQUESTS: usize = 1_500;
 
-/// Reads lines by a thread of its own, since a pipe can't be waited for.
+/// Reads lines on a separate thread, since reads from a pipe block.
 fn read_lines(output: BufReader<ChildStdout>) -> mpsc::Receiver<String> {
     let (sender, lines) = mpsc::channel();
     std::thread::spawn(move || {
@@ -28,7 +29,7 @@
     lines
 }
 
-/// The lines of a node, all of which must be JSON.
+/// The log lines of a node, each of which must be JSON.
 struct Lines {
     source: mpsc::Receiver<String>,
     seen: Vec<Value>,
@@ -39,8 +40,8 @@
         Self { source: read_lines(output), seen: Vec::new() }
     }
 
-    /// Waits for a line whose message ends with `end`, in whatever order with
-    /// others.
+    /// Waits for a line whose message ends with `end`; other lines may come before
+    /// it.
     async fn find(&mut self, end: &str) -> Value {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -50,14 +51,14 @@
             if let Some(line) = self.seen.iter().find(ends) {
                 return line.clone();
             }
-            assert!(Instant::now() < until, "{end:?} never came, but {:?}", self.seen);
+            assert!(Instant::now() < until, "no message ends with {end:?}; got {:?}", self.seen);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
 impl Cluster {
-    /// Asks for what can't be answered in time, which the log has a line about.
+    /// Sends a request whose deadline is too short to be met, which the node logs.
     async fn send_expired_request(&self, node: &Node) {
         let answer = self.complete_within(node.callers, "late", 100, Duration::from_millis(1));
         answer.await.expect("the node answers").read_to_end().await;
@@ -70,10 +71,10 @@
     }
 }
 
-/// The operators' collector reads standard output of every daemon, and had no
-/// line of a node: they went to standard error. They must come on standard
-/// output, behind the line that tells who started the node that it is ready,
-/// up to the last one before the process ends.
+/// The operators' log collector reads the standard output of every daemon, but
+/// nodes used to log to standard error. All lines, up to the last one before the
+/// process exits, must be on standard output, after the line that announces that
+/// the node is ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn log_lines_follow_the_addresses_on_standard_output() {
     let cluster = Cluster::start(1, options()).await;
@@ -88,11 +89,11 @@
     lines.find("planned stop done").await;
 }
 
-/// Who started a node reads its first line and then nothing more, while many
-/// requests are refused and logged: the pipe fills. Were a line waited for, the
-/// threads that serve would stand still with it. Callers must be answered as
-/// before, a planned stop must end the process, and who reads on must find how
-/// many lines are missing.
+/// The process that started a node reads its first line and then stops reading
+/// while many requests are refused and logged, so the pipe fills. If writing a log
+/// line blocked, the serving threads would block too. Callers must be answered as
+/// before, a graceful shutdown must end the process, and a reader that continues
+/// must see how many lines were dropped.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unread_pipe_does_not_block_callers() {
     let cluster = Cluster::start(1, options()).await;
@@ -105,12 +106,13 @@
         for _ in 0..FLOOD_REQUESTS {
             cluster.send_expired_request(node).await;
         }
-        let waits = rustix::io::ioctl_fionread(output.get_ref()).expect("a pipe tells its size");
+        let waits = rustix::io::ioctl_fionread(output.get_ref())
+            .expect("the pipe reports its unread bytes");
         assert!(waits >= FULL_PIPE_BYTES, "the pipe is not full: {waits} bytes");
         cluster.assert_serves(node).await;
     }
     let lines = read_lines(late_output);
-    let dropped = eventually("a line about dropped ones", || async {
+    let dropped = eventually("a line reports dropped lines", || async {
         cluster.send_expired_request(&late).await;
         let messages = lines.try_iter().filter_map(|line| {
             let line: Value = serde_json::from_str(&line).expect("a line is JSON");
@@ -126,9 +128,8 @@
     drop(output);
 }
 
-/// Who started a node closes the pipe, behind its first line or before it. No
-/// one is left to tell anything, and the node has callers: it must serve and
-/// stop as if it were read.
+/// The process that started a node closes the pipe after the first line, or before
+/// it. The node still has callers, so it must serve and shut down as usual.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_closed_pipe_does_not_end_the_node() {
     let cluster = Cluster::start(1, options()).await;
@@ -154,17 +155,17 @@
         nodes.any(|node| node["node"] == "node-mute").then_some(())
     });
     registered.await;
-    // A node that ends for want of a reader does so by itself, soon after.
+    // A node that fails without a reader would exit within this time.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(child.try_wait().expect("the node can be waited for"), None, "it runs");
+    assert_eq!(child.try_wait().expect("the node can be waited for"), None, "the node runs");
     kill_process(Pid::from_child(&child), Signal::TERM).expect("the node can be signalled");
     let status = tokio::time::timeout(WAIT_TIMEOUT, wait_exit(&mut child)).await;
     assert!(status.expect("the node ends").success());
 }
 
-/// The engine dies in the middle of a stream and another one goes on. The
-/// caller sees nothing of it; the operator finds one line that names the
-/// request, the attempt, the account, the target and its zone.
+/// The engine crashes in mid-stream and another one continues. The caller doesn't
+/// notice; the operator finds one log line with the request, the attempt, the
+/// account, the target and its zone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failed_attempt_is_logged_with_its_context() {
     let mut options = options();
@@ -178,7 +179,7 @@
     stream.read_to_end().await;
     assert_eq!(stream.text, expected_text("logged", 30));
 
-    let line = eventually("a line about the attempt", || async {
+    let line = eventually("a line reports the failed attempt", || async {
         let text = std::fs::read_to_string(&cluster.nodes[0].log).ok()?;
         let mut lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         lines.find(|line| line["message"].as_str().is_some_and(|m| m.starts_with("attempt failed")))
--- a/apps/hickory-node/tests/proofs/long_prompts.rs
+++ b/apps/hickory-node/tests/proofs/long_prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts greater than one engine's memory.
+//! Prompts that exceed the memory of one engine.
 
 use crate::support::{Cluster, eventually, expected_text, options};
 use hickory_standin::fleet;
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// Engines that hold 4,000 tokens each.
+/// Returns options for engines that hold 4,000 tokens each.
 fn small_engines() -> fleet::Options {
     let mut options = options();
     options.engines = 4;
@@ -16,7 +16,7 @@
     options
 }
 
-/// A prompt of `tokens` tokens that no other has.
+/// Returns a prompt of `tokens` tokens that is unique for each `salt`.
 fn long_prompt(tokens: usize, salt: &str) -> String {
     let words = (0..).map(|i| format!("{salt} word {i} "));
     let mut prompt = String::new();
@@ -31,7 +31,7 @@
 }
 
 impl Cluster {
-    /// KV caches kept on all engines beside streams.
+    /// Counts the KV caches that engines keep outside of streams.
     fn count_handles(&self) -> usize {
         let engines = self.standins.engines.iter();
         engines.map(|engine| engine.service().with_engine(|e| e.handle_count())).sum()
@@ -45,8 +45,8 @@
     }
 }
 
-/// A prompt of more than twice an engine's memory is answered whole by several
-/// engines, short requests beside it too, and nothing stays on any engine.
+/// A prompt larger than the memory of two engines is answered by several engines,
+/// while short requests run too. Afterwards no engine holds memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_larger_than_two_engines_is_answered() {
     let cluster = Cluster::start(2, small_engines()).await;
@@ -69,8 +69,9 @@
     cluster.assert_memory_is_free().await;
 }
 
-/// Two such prompts come at once and can't run side by side: neither holds
-/// what the other needs while it waits, so both are answered in turn.
+/// Two such prompts arrive at once and can't run at the same time. Neither holds
+/// memory that the other needs while it waits, so there is no deadlock and both are
+/// answered in turn.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_long_prompts_at_once_do_not_block_each_other() {
     let cluster = Cluster::start(2, small_engines()).await;
@@ -88,8 +89,8 @@
     cluster.assert_memory_is_free().await;
 }
 
-/// A prompt that all engines together can't hold is refused at once as not
-/// run, with no time to come back, since coming back is no use.
+/// A prompt that exceeds the memory of all engines together is refused at once as
+/// not run, without a retry interval, since a retry can't succeed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_prompt_larger_than_the_fleet_is_refused_at_once() {
     let cluster = Cluster::start(1, small_engines()).await;
@@ -102,9 +103,9 @@
     assert_eq!(problem.get("retry_after_ms"), None);
 }
 
-/// The node is killed while the parts of a long prompt are being prefilled.
-/// The owners find streams and kept KV caches whose node is gone and release
-/// them, long before the deadline that stands in them.
+/// The node is killed while the parts of a long prompt are prefilled. The owners
+/// find the streams and KV caches whose node is gone and release them, long before
+/// their deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_interrupted_placement_leaks_no_memory() {
     let mut options = small_engines();
@@ -114,10 +115,11 @@
     let at = cluster.nodes[0].callers;
     {
         let ask = cluster.complete_within(at, &prompt, 5, Duration::from_secs(600));
-        let kept =
-            eventually("a part is kept", || async { (cluster.count_handles() > 0).then_some(()) });
+        let kept = eventually("an engine keeps the KV cache of a part", || async {
+            (cluster.count_handles() > 0).then_some(())
+        });
         tokio::select! {
-            _ = ask => panic!("answered before a part was kept"),
+            _ = ask => panic!("answered before a KV cache was kept"),
             () = kept => {}
         }
     }
--- a/apps/hickory-node/tests/proofs/main.rs
+++ b/apps/hickory-node/tests/proofs/main.rs
@@ -1,6 +1,6 @@
-//! Proofs between processes: real nodes and stand-ins on loopback, under the
-//! failures that the brief names. Waits are on conditions, never on guessed
-//! times.
+//! Failure tests with real processes: nodes and stand-ins on loopback, under the
+//! failures that the project's brief names. Tests wait for conditions, never for
+//! estimated times.
 
 mod burst;
 mod cold;
--- a/apps/hickory-node/tests/proofs/node_failure.rs
+++ b/apps/hickory-node/tests/proofs/node_failure.rs
@@ -1,12 +1,12 @@
-//! Nodes that die or freeze: callers resume through another node, and engines
-//! get their memory back.
+//! Nodes that crash: callers resume through another node, and engines free the
+//! memory of abandoned streams.
 
 use crate::support::{Cluster, eventually, expected_text, options};
 use std::time::Duration;
 
-/// The caller's node is killed in the middle of a stream. The caller connects
-/// to another node with the id of the last event it saw and gets the rest: no
-/// token twice, none missing. The engine's memory is free afterwards.
+/// The caller's node is killed in mid-stream. The caller connects to another node
+/// with the id of the last event it received and gets the remaining tokens, with no
+/// duplicate and no gap. Afterwards the engine's memory is free.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_node_loses_no_token() {
     let mut options = options();
@@ -21,7 +21,7 @@
     while stream.next().await {}
     let mut text = stream.text.clone();
     let at = cluster.nodes[1].callers;
-    let mut rest = eventually("the stream is taken up", || async {
+    let mut rest = eventually("the stream is resumed", || async {
         let rest = cluster.resume(at, &stream.request, &stream.event).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
@@ -32,8 +32,8 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// The caller hangs up and never comes back: the stream is cancelled on the
-/// engine once the time for a resume is over, well before its deadline.
+/// The caller disconnects and doesn't return. The stream is cancelled on the engine
+/// when the resume window ends, well before its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_without_caller_is_cancelled() {
     let mut options = options();
@@ -46,10 +46,10 @@
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
-/// A node is killed that serves streams on targets of its own, and no caller
-/// comes back. The targets' next owners did not grant these streams and find
-/// them in the load reports: they cancel them once the time for a resume is
-/// over, well before the deadline.
+/// A node is killed while it serves a stream on a target that it owns, and the
+/// caller doesn't return. The target's next owner didn't grant the stream but finds
+/// it in the load report, and cancels it when the resume window ends, well before
+/// the deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_of_a_killed_owner_are_cancelled() {
     let mut options = options();
--- a/apps/hickory-node/tests/proofs/once.rs
+++ b/apps/hickory-node/tests/proofs/once.rs
@@ -1,4 +1,5 @@
-//! A non-idempotent request runs at most once, and "not run" is true.
+//! A non-idempotent request runs at most once, and an answer that says "not run" is
+//! true.
 
 use crate::support::{Cluster, WAIT_TIMEOUT, eventually, options};
 use hickory_standin::fault::Loss;
@@ -13,13 +14,13 @@
 }
 
 impl Cluster {
-    /// Whether a claim stands in the ledger.
+    /// Returns whether the ledger in the store has a claim on `key`.
     fn is_claimed(&self, key: &str) -> bool {
         let pages = self.standins.store.service().with(|core, now| core.list(now, "ledger/"));
         pages.0.iter().any(|page| page.value.contains(key))
     }
 
-    /// Sends an order to every node and notes what was said.
+    /// Sends an order to every node and returns the answers.
     async fn order_through_every_node(&self, key: &str, wait: Duration) -> Vec<(u16, Value)> {
         let mut answers = Vec::new();
         for node in &self.nodes {
@@ -28,7 +29,7 @@
         answers
     }
 
-    /// What was said must agree with what ran.
+    /// Checks that the order ran at most once and that the answers agree with that.
     fn assert_at_most_one_run(&self, key: &str, answers: &[(u16, Value)]) {
         let runs = self.count_runs(key);
         assert!(runs <= 1, "ran {runs} times");
@@ -39,9 +40,9 @@
     }
 }
 
-/// A thousand sends of one order reach all nodes at once, as from a client
-/// that retries without mercy. One runs; the others get its answer or are told
-/// at once that it was sent before.
+/// A client retries aggressively: a thousand sends of one order reach all nodes at
+/// once. One runs; the others get its answer, or learn at once that it was sent
+/// before.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_thousand_sends_of_one_order_run_once() {
     let cluster = Cluster::start(3, options()).await;
@@ -54,8 +55,8 @@
     cluster.assert_at_most_one_run(&key, &answers);
 }
 
-/// The write that claims an order takes effect and its answer is lost. The
-/// node reads the claim back; the order runs once or not at all, and resends
+/// The write that claims an order succeeds, but its response is lost. The node
+/// reads the claim back. The order runs at most once, and the answers to resends
 /// through all nodes agree with that.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_claim_response_causes_no_second_run() {
@@ -69,9 +70,8 @@
     }
 }
 
-/// The claimant is killed while its order is at the target, which has begun
-/// to run it. The caller resends through the other nodes and is told that it
-/// may have run; it does not run again.
+/// The claimant is killed while a target runs its order. The caller resends through
+/// the other nodes, which answer that the order may have run; it doesn't run again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claimant_killed_after_sending_leaves_one_run() {
     let mut cluster = Cluster::start(3, options()).await;
@@ -81,7 +81,7 @@
     let answers = {
         let first = cluster.call(at, "/place", &key, CALL_TIMEOUT);
         let claimed =
-            eventually("the claim stands", || async { cluster.is_claimed(&key).then_some(()) });
+            eventually("the order is claimed", || async { cluster.is_claimed(&key).then_some(()) });
         let (first, ()) = tokio::join!(
             async { tokio::time::timeout(Duration::from_millis(500), first).await.ok().flatten() },
             claimed
@@ -97,8 +97,8 @@
 }
 
 /// The claimant is frozen between its claim and the send, its caller resends
-/// through another node, and then the claimant goes on. The resend is told
-/// that it may have run; the order runs at most once.
+/// through another node, and then the claimant resumes. The resend is answered with
+/// "may have run", and the order runs at most once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_claimant_that_resumes_causes_no_second_run() {
     let cluster = Cluster::start(3, options()).await;
@@ -107,7 +107,8 @@
     let at = cluster.nodes[0].callers;
     let first = cluster.call(at, "/place", &key, CALL_TIMEOUT);
     let freeze = async {
-        eventually("the claim stands", || async { cluster.is_claimed(&key).then_some(()) }).await;
+        eventually("the order is claimed", || async { cluster.is_claimed(&key).then_some(()) })
+            .await;
         cluster.nodes[0].signal(Signal::STOP);
         cluster.standins.store.faults().slow(Duration::ZERO);
         let resent = cluster.call(cluster.nodes[1].callers, "/place", &key, CALL_TIMEOUT).await;
@@ -121,9 +122,9 @@
     cluster.assert_at_most_one_run(&key, &answers);
 }
 
-/// The key-value service is down for the whole time of an order: it is refused
-/// at once and does not run. Whether an earlier attempt ran can't be read, so
-/// the refusal does not claim that none did. After the outage the key works.
+/// The key-value service is down for the whole duration of an order: the order is
+/// refused at once and doesn't run. The ledger can't be read, so the refusal
+/// doesn't state that no earlier attempt ran. After the outage the same key works.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_during_an_outage_is_refused_at_once() {
     let cluster = Cluster::start(2, options()).await;
@@ -139,7 +140,7 @@
     cluster.assert_at_most_one_run(&key, &answers);
     cluster.standins.store.faults().restart();
     let at = cluster.nodes[0].callers;
-    eventually("orders are taken again", || async {
+    eventually("orders are accepted again", || async {
         let (status, _) = cluster.call(at, "/place", &key, CALL_TIMEOUT).await?;
         (status == 200).then_some(())
     })
@@ -147,8 +148,8 @@
     assert_eq!(cluster.count_runs(&key), 1);
 }
 
-/// The target takes the bytes of an order and its connection breaks before the
-/// answer. The caller is told that it may have run; resends don't run it.
+/// The target receives an order and its connection breaks before the answer. The
+/// caller learns that the order may have run; resends don't run it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_is_not_resent_after_its_target_fails() {
     let cluster = Cluster::start(2, options()).await;
@@ -164,8 +165,8 @@
     }
 }
 
-/// A key older than the ledger keeps can't be looked up any more: it is
-/// refused, without the claim that it has not run, and does not run.
+/// A key older than the retention time of the ledger can't be looked up any more.
+/// It is refused and doesn't run, and the refusal doesn't state that it never ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_old_key_is_refused_and_not_run() {
     let cluster = Cluster::start(1, options()).await;
@@ -182,9 +183,9 @@
     assert_eq!(cluster.count_runs(&key), 0);
 }
 
-/// The key-value service answers, but later than the order has time. The
-/// caller gets its final answer, which does not say more than is known; the
-/// order does not run, and not after the service is well again either.
+/// The key-value service responds, but only after the order's deadline. The caller
+/// gets its final answer, which states no more than is known. The order doesn't
+/// run, not even after the service has recovered.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_during_slowness_is_refused_and_not_run() {
     let cluster = Cluster::start(2, options()).await;
@@ -199,7 +200,7 @@
     cluster.standins.store.faults().clear();
     let next = new_key();
     let at = cluster.nodes[0].callers;
-    eventually("orders are taken again", || async {
+    eventually("orders are accepted again", || async {
         let (status, _) = cluster.call(at, "/place", &next, CALL_TIMEOUT).await?;
         (status == 200).then_some(())
     })
@@ -207,9 +208,9 @@
     assert_eq!(cluster.count_runs(&key), 0);
 }
 
-/// A caller sends one order to all nodes again and again, while the node that
-/// claimed it is killed with the order at the target. It runs once at most,
-/// and no answer says that it has not run.
+/// A caller sends one order to all nodes repeatedly, and the node that claimed it
+/// is killed while a target has the order. The order runs at most once, and no
+/// answer states that it didn't run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claimant_killed_during_resends_leaves_one_run() {
     let mut cluster = Cluster::start(3, options()).await;
@@ -218,7 +219,7 @@
     {
         let first = cluster.call(cluster.nodes[0].callers, "/place", &key, CALL_TIMEOUT);
         let claimed =
-            eventually("the claim stands", || async { cluster.is_claimed(&key).then_some(()) });
+            eventually("the order is claimed", || async { cluster.is_claimed(&key).then_some(()) });
         tokio::select! {
             answers = first => panic!("a frozen service answered: {answers:?}"),
             () = claimed => {}
--- a/apps/hickory-node/tests/proofs/poison.rs
+++ b/apps/hickory-node/tests/proofs/poison.rs
@@ -1,14 +1,14 @@
-//! A request that crashes each target that runs it.
+//! A request that crashes every target that runs it.
 
 use crate::support::{Cluster, eventually, expected_text, options};
 use serde_json::json;
 
 const MARKER: &str = "CRASHES-ENGINES";
 
-/// One request kills the engine that runs it, is tried again alone, kills that
-/// one, and is quarantined. Its caller sends it again through every node and
-/// is refused at once. Innocent requests that ran beside it get their whole
-/// answers, and no third engine dies.
+/// A request crashes the engine that runs it, is retried alone on another engine,
+/// crashes that one too, and is quarantined. Its caller resends it through every
+/// node and is refused at once. Other requests that ran on the same engines are
+/// answered completely, and no third engine crashes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crashing_request_crashes_at_most_two_engines() {
     let mut options = options();
@@ -29,7 +29,7 @@
     });
     let crash = async {
         let busy = || async { (cluster.kv_used() > 0).then_some(()) };
-        eventually("innocent requests run", busy).await;
+        eventually("other requests run", busy).await;
         let prompt = format!("{MARKER} in the middle of a prompt");
         let mut first = cluster.complete(cluster.nodes[0].callers, &prompt, 10).await.unwrap();
         first.read_to_end().await;
@@ -47,8 +47,9 @@
     assert!(cluster.dead_engines() <= 2, "{} engines died", cluster.dead_engines());
 }
 
-/// Two engines freeze under one request, one after the other. Neither of them
-/// died: the third goes on with the stream, and its content is not quarantined.
+/// Two engines freeze one after the other while they run the same request. Neither
+/// crashed, so the third engine continues the stream and the content is not
+/// quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_hits_two_frozen_engines_is_not_quarantined() {
     let mut options = options();
--- a/apps/hickory-node/tests/proofs/process.rs
+++ b/apps/hickory-node/tests/proofs/process.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own, ended by id when the test ends.
+//! A node as a child process, which is killed when the test ends.
 
 use crate::support::{OPERATOR, WAIT_TIMEOUT, times};
 use hickory_release::configuration::digest_token;
@@ -16,7 +16,7 @@
 pub struct Node {
     pub callers: SocketAddr,
     pub admin: SocketAddr,
-    /// Its log lines.
+    /// Path of its log file.
     pub log: PathBuf,
     child: Child,
 }
@@ -26,11 +26,12 @@
     callers: SocketAddr,
     admin: SocketAddr,
 }
+
 fn new_log_path() -> PathBuf {
     std::env::temp_dir().join(format!("hickory-proof-{}.jsonl", uuid::Uuid::now_v7()))
 }
 
-/// The settings of a node.
+/// Returns the settings of a node.
 pub fn build_settings(
     name: &str,
     zone: &str,
@@ -54,7 +55,7 @@
     })
 }
 
-/// Starts the program, which waits for its settings.
+/// Starts the program, which reads its settings from standard input.
 pub fn spawn_process() -> Child {
     Command::new(env!("CARGO_BIN_EXE_hickory-node"))
         .arg("/dev/stdin")
@@ -64,20 +65,20 @@
         .expect("the node starts")
 }
 
-/// Gives a started program its settings.
+/// Writes the settings to the standard input of a started process.
 pub fn send_settings(child: &mut Child, settings: &Value) {
     let mut stdin = child.stdin.take().expect("stdin is piped");
     stdin.write_all(settings.to_string().as_bytes()).expect("settings are read");
 }
 
-/// Waits for a process to end by itself.
+/// Waits until a process exits by itself.
 pub async fn wait_exit(child: &mut Child) -> ExitStatus {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(status) = child.try_wait().expect("the node can be waited for") {
             return status;
         }
-        assert!(Instant::now() < end, "the node never ended");
+        assert!(Instant::now() < end, "the node did not exit");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -87,7 +88,7 @@
         Self::start_at(name, zone, standins.platform(), times)
     }
 
-    /// Starts a node that finds the platform's services at the addresses given.
+    /// Starts a node that uses the platform's services at the given addresses.
     pub fn start_at(name: &str, zone: &str, platform: Address, times: &Value) -> Self {
         let log = new_log_path();
         let logs = json!({ "level": "warn", "file": log });
@@ -96,8 +97,8 @@
         Self::read_ready(child, log).0
     }
 
-    /// Starts a node whose log lines go to standard output, and returns it with
-    /// what it prints behind its first line.
+    /// Starts a node that logs to standard output. Returns it with a reader for the
+    /// output after its first line.
     pub fn start_logging_to_stdout(
         name: &str,
         zone: &str,
@@ -114,8 +115,8 @@
     fn read_ready(mut child: Child, log: PathBuf) -> (Self, BufReader<ChildStdout>) {
         let mut line = String::new();
         let mut stdout = BufReader::new(child.stdout.take().expect("stdout is piped"));
-        stdout.read_line(&mut line).expect("the node says that it is ready");
-        let ready: Ready = serde_json::from_str(&line).expect("the node's line is JSON");
+        stdout.read_line(&mut line).expect("the node prints its addresses");
+        let ready: Ready = serde_json::from_str(&line).expect("the first line of the node is JSON");
         (Self { callers: ready.callers, admin: ready.admin, log, child }, stdout)
     }
 
@@ -129,7 +130,7 @@
         self.child.wait().expect("the node has ended");
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
         wait_exit(&mut self.child).await
     }
--- a/apps/hickory-node/tests/proofs/stop.rs
+++ b/apps/hickory-node/tests/proofs/stop.rs
@@ -1,13 +1,13 @@
-//! Every planned stop is a graceful shutdown that cuts off no request.
+//! A planned stop is a graceful shutdown that interrupts no request.
 
 use crate::support::{Cluster, eventually, expected_text, options, times};
 use rustix::process::Signal;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// A caller is in the middle of a stream when its node gets SIGTERM; a second
-/// caller still has the node's address and connects during the stop. Both get
-/// their whole answers, and the process ends with status 0.
+/// A node gets SIGTERM during a stream, and a second caller that has cached the
+/// node's address connects during the shutdown. Both get complete answers, and the
+/// process exits with status 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_cuts_no_request() {
     let mut options = options();
@@ -26,9 +26,9 @@
     assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
-/// Two nodes of three are stopped at once under streams; the third takes their
-/// targets over. No stream is cut, both end with status 0, and the third
-/// still serves.
+/// Two of three nodes are stopped at once during streams, and the third takes over
+/// their targets. No stream is interrupted, both processes exit with status 0, and
+/// the third node still serves.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_planned_stops_at_once_cut_no_request() {
     let mut options = options();
@@ -56,8 +56,8 @@
 }
 
 /// A node is stopped while the key-value service is down, so it can neither
-/// say that it leaves nor hand its targets over. Its stream is not cut, it
-/// still ends with status 0, and the others go on.
+/// announce that it is draining nor hand over its targets. Its stream is not
+/// interrupted, it still exits with status 0, and the other nodes keep serving.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_during_an_outage_cuts_no_request() {
     let mut options = options();
@@ -79,8 +79,8 @@
     assert_eq!(other.text, expected_text("the others", 5));
 }
 
-/// A node without any request is stopped. For as long as callers may keep an
-/// answer that names it, they connect there and are served.
+/// A node without any requests is stopped. Callers that have cached its address can
+/// connect and are served for as long as the cached answer is valid.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_node_serves_cached_addresses() {
     let keep = Duration::from_secs(2);
@@ -90,8 +90,8 @@
     cluster.wait_until_ready(&cluster.nodes[0], 5).await;
     let at = cluster.nodes[0].callers;
     cluster.nodes[0].signal(Signal::TERM);
-    // Half of the time: a request that is begun just before its end may come
-    // after it.
+    // Use only half of the time: a request sent just before the end could
+    // arrive after it.
     let end = Instant::now() + keep / 2;
     for i in 0.. {
         if Instant::now() >= end {
@@ -99,7 +99,7 @@
         }
         let prompt = format!("kept {i}");
         let mut stream =
-            cluster.complete(at, &prompt, 2).await.expect("the node still takes callers");
+            cluster.complete(at, &prompt, 2).await.expect("the node still accepts callers");
         stream.read_to_end().await;
         assert_eq!(stream.text, expected_text(&prompt, 2));
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -107,9 +107,10 @@
     assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
-/// One node is stopped and another one killed at the same time, both with a
-/// stream. The stream of the first is not cut and its process ends with status
-/// 0; the caller of the second resumes through the third and gets the rest.
+/// One node is stopped and another one is killed at the same time, each during a
+/// stream. The first node's stream is not interrupted and its process exits with
+/// status 0; the caller of the second node resumes through the third and gets the
+/// remaining tokens.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_beside_a_kill_cuts_no_request() {
     let mut options = options();
@@ -126,7 +127,7 @@
     let (mut killed, mut stopped) = (streams.remove(1), streams.remove(0));
     while killed.next().await {}
     let at = cluster.nodes[2].callers;
-    let mut rest = eventually("the stream is taken up", || async {
+    let mut rest = eventually("the stream is resumed", || async {
         let rest = cluster.resume(at, &killed.request, &killed.event).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
@@ -139,8 +140,9 @@
     assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
-/// Two of three nodes are stopped at once while the key-value service is down:
-/// neither can hand over, no stream is cut, both end with status 0.
+/// Two of three nodes are stopped at once while the key-value service is down.
+/// Neither can hand over its targets; still no stream is interrupted and both
+/// processes exit with status 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_planned_stops_during_an_outage_cut_no_request() {
     let mut options = options();
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet: stand-ins in this process, and nodes as processes of their own.
+//! A test cluster: stand-ins in this process, and one child process for each node.
 
 use crate::link::Link;
 use crate::process::Node;
@@ -17,8 +17,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The bound of every wait on a condition. It only ends a test that has
-/// failed; none passes or fails by how long something took below it.
+/// Timeout of every wait for a condition. It only ends a test that has already
+/// failed: no test passes or fails by how long a wait takes below it.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const OPERATOR: &str = "operator-token";
@@ -29,14 +29,14 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// A fleet of nodes with the stand-ins before and behind them.
+/// Nodes, with stand-ins for the platform and for the targets.
 pub struct Cluster {
     pub standins: Fleet,
     pub nodes: Vec<Node>,
     pub http: Http,
 }
 
-/// Waits until `check` brings a value.
+/// Polls `check` until it returns a value; panics after [`WAIT_TIMEOUT`].
 pub async fn eventually<T, F: Future<Output = Option<T>>>(
     what: &str,
     mut check: impl FnMut() -> F,
@@ -46,7 +46,7 @@
         if let Some(value) = check().await {
             return value;
         }
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -55,7 +55,8 @@
     Weights { model: MODEL.into(), version: "1".into(), adapter: None }
 }
 
-/// Stand-ins that run faster than real ones, so that tests are short.
+/// Returns options for stand-ins that run faster than the modelled engines, to keep
+/// tests short.
 pub fn options() -> fleet::Options {
     let mut options = fleet::Options::default();
     options.engine.model.speed = 20.0;
@@ -63,7 +64,8 @@
     options
 }
 
-/// Times of a node that suit a test: everything soon, nothing in a hurry.
+/// Returns a node's time settings: shorter than in production, but long enough for
+/// a busy machine.
 pub fn times() -> Value {
     json!({
         "lease_ms": 1500, "permit_ms": 500, "gossip_ms": 100, "report_ms": 50,
@@ -72,7 +74,7 @@
     })
 }
 
-/// A note that sets the usual tests up.
+/// Returns the release note that most tests start with.
 pub fn initial_note() -> Value {
     json!({
         "against": 0,
@@ -96,8 +98,8 @@
 }
 
 impl Cluster {
-    /// Starts stand-ins and `count` nodes and waits until every node can send
-    /// work to every target.
+    /// Starts the stand-ins and `count` nodes, and waits until every node can send
+    /// requests to every target.
     pub async fn start(count: usize, options: fleet::Options) -> Self {
         let targets = options.engines + options.replicas;
         let cluster = Self::start_unready(count, options).await;
@@ -107,12 +109,13 @@
         cluster
     }
 
-    /// As `start`, with the first note in force but no wait for the targets.
+    /// Like `start`, but doesn't wait for the targets; the initial note is in
+    /// force.
     pub async fn start_unready(count: usize, options: fleet::Options) -> Self {
         Self::start_with(count, options, &times()).await
     }
 
-    /// As `start_unready`, with other times.
+    /// Like `start_unready`, with the given time settings.
     pub async fn start_with(count: usize, options: fleet::Options, times: &Value) -> Self {
         let standins = Fleet::spawn(options).expect("the stand-ins start");
         let nodes = (0..count)
@@ -121,7 +124,7 @@
         Self::open(standins, nodes).await
     }
 
-    /// As `start`, with a path of its own between each node and the platform.
+    /// Like `start`, with a separate link between each node and the platform.
     pub async fn start_with_links(count: usize, options: fleet::Options) -> (Self, Vec<Link>) {
         let targets = options.engines + options.replicas;
         let standins = Fleet::spawn(options).expect("the stand-ins start");
@@ -145,7 +148,7 @@
         cluster
     }
 
-    /// Which node owns a target, by its place among the nodes.
+    /// Returns the index of the node that owns `target`.
     pub async fn owner(&self, target: &str) -> usize {
         let owner = eventually("the target has an owner", || async {
             let owners = self.get(self.nodes[0].admin, "/v1/admin/owners", OPERATOR).await?;
@@ -167,9 +170,9 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Waits until a node knows `count` targets that take work.
+    /// Waits until the node lists `count` targets that accept requests.
     pub async fn wait_until_ready(&self, node: &Node, count: usize) {
-        eventually("all targets take work", || async {
+        eventually("all targets accept requests", || async {
             let targets = self.get(node.admin, "/v1/admin/targets", OPERATOR).await?;
             let accepting =
                 targets.as_array()?.iter().filter(|t| t["accepting"] == json!(true)).count();
@@ -178,7 +181,7 @@
         .await;
     }
 
-    /// Sends a note to the first node and waits until it is in force on all.
+    /// Posts a note to the first node and waits until it is in force on all nodes.
     pub async fn apply_note(&self, note: &Value) {
         let (status, answer) = self.post_note(&self.nodes[0], note).await;
         assert_eq!(status, 200, "{answer}");
@@ -203,7 +206,7 @@
         (status, serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null))
     }
 
-    /// Asks for a streamed completion.
+    /// Requests a streamed completion.
     pub async fn complete(
         &self,
         at: SocketAddr,
@@ -213,7 +216,7 @@
         self.complete_within(at, prompt, max_tokens, WAIT_TIMEOUT).await
     }
 
-    /// Asks for a streamed completion that leaves a time for its answer.
+    /// Requests a streamed completion with the given time to its deadline.
     pub async fn complete_within(
         &self,
         at: SocketAddr,
@@ -232,7 +235,7 @@
         Ok(Stream::from_response(self.http.request(request).await?))
     }
 
-    /// Takes up a stream through any node.
+    /// Resumes a stream through the node at `at`.
     pub async fn resume(
         &self,
         at: SocketAddr,
@@ -247,7 +250,7 @@
         Ok(Stream::from_response(self.http.request(request).await?))
     }
 
-    /// Calls the plain service.
+    /// Calls the plain service; `None` if there is no complete response.
     pub async fn call(
         &self,
         at: SocketAddr,
@@ -267,36 +270,37 @@
         Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
     }
 
-    /// How often calls with `key` ran; all replicas share their books.
+    /// Returns how often calls with `key` ran. All replicas share one record of
+    /// runs.
     pub fn count_runs(&self, key: &str) -> u32 {
         self.standins.replicas[0].service().runs().of(key)
     }
 
-    /// Engines whose port is closed.
+    /// Counts the engines whose port is closed.
     pub fn dead_engines(&self) -> usize {
         let engines = self.standins.engines.iter();
         engines.filter(|engine| std::net::TcpStream::connect(engine.address()).is_err()).count()
     }
 
-    /// KV cache that all engines hold.
+    /// Returns the KV cache in use on all engines, in tokens.
     pub fn kv_used(&self) -> u64 {
         self.standins.engines.iter().map(|engine| engine.service().kv_used().0).sum()
     }
 }
 
-/// A streamed answer.
+/// A streamed response.
 pub struct Stream {
     pub status: u16,
     pub request: String,
     body: Incoming,
     buffer: Vec<u8>,
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
-    /// The id of the last event.
+    /// The id of the last event received.
     pub event: String,
-    /// Whether the explicit end came.
+    /// Whether the end marker was received.
     pub done: bool,
-    /// The problem that ended the stream, or that refused it.
+    /// The problem that ended the stream or refused the request.
     pub problem: Option<Value>,
 }
 
@@ -322,7 +326,8 @@
         frame.await.expect("the stream moves on or ends")
     }
 
-    /// Reads the next event; false at the end or a cut.
+    /// Reads the next event. Returns false at the end of the stream or if the
+    /// connection breaks.
     pub async fn next(&mut self) -> bool {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
@@ -361,7 +366,7 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the stream.
     pub async fn read_to_end(&mut self) {
         if self.status != 200 {
             while let Some(Ok(frame)) = self.frame().await {
@@ -374,7 +379,7 @@
     }
 }
 
-/// The text that a prompt must be answered with.
+/// Returns the text of the correct answer to a prompt.
 pub fn expected_text(prompt: &str, tokens: u64) -> String {
     Answer::of(prompt).text(tokens)
 }
--- a/apps/hickory-node/tests/proofs/versions.rs
+++ b/apps/hickory-node/tests/proofs/versions.rs
@@ -1,5 +1,5 @@
-//! Weights on engines follow the configuration: a new version goes out beside
-//! the old one, and what is withdrawn goes after its last stream.
+//! Engines load and unload weights as configured: a new version is loaded while the
+//! old one serves, and a withdrawn version is unloaded after its last stream.
 
 use crate::support::{Cluster, MODEL, OPERATOR, eventually, expected_text, options, weights};
 use hickory_target::engine::Weights;
@@ -18,7 +18,7 @@
 }
 
 impl Cluster {
-    /// Engines that serve with the version.
+    /// Counts the engines that have the version loaded and ready.
     fn count_serving(&self, version: &str) -> usize {
         let wanted = Weights { version: version.into(), ..weights() };
         let engines = self.standins.engines.iter();
@@ -28,9 +28,9 @@
     }
 }
 
-/// A new version goes out and the old one is withdrawn, while callers who name
-/// no version ask all the time. No request is refused: the old version serves
-/// until the new one is ready, and a stream that runs on it ends whole before
+/// A new version is rolled out and the old one is withdrawn while callers keep
+/// sending requests that name no version. No request is refused: the old version
+/// serves until the new one is ready, and a stream that runs on it finishes before
 /// it is unloaded.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_rollout_refuses_no_request() {
@@ -63,8 +63,8 @@
     eventually("the old version is unloaded", unloaded).await;
 }
 
-/// All engines are empty, as after a zone's return. They load one after the
-/// other, no more at once than the weight store bears, until all serve.
+/// No engine has weights, as after a zone outage. They load one after the other,
+/// within the weight store's limit of concurrent loads, until all serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn empty_engines_load_within_the_limit_of_the_weight_store() {
     let mut options = options();
@@ -81,13 +81,13 @@
         (cluster.count_serving("1") == 5).then_some(())
     })
     .await;
-    assert!(max_loading.into_inner() <= 2, "more loads at once than the store bears");
+    assert!(max_loading.into_inner() <= 2, "more concurrent loads than the weight store allows");
 }
 
-/// The owner of an engine is paused, a version replaces the old one in the
-/// meantime, and the owner goes on with its old configuration: it would load
-/// the old version and unload the new one. Whether the engine checks fencing
-/// numbers or ignores them, no such order lasts.
+/// The owner of an engine is paused while a new version replaces the old one, and
+/// then resumes with its old configuration, by which it would load the old version
+/// and unload the new one. Such orders have no lasting effect, whether or not the
+/// engine checks fencing epochs.
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_orders_of_a_paused_owner_do_not_last() {
     for fencing in [true, false] {
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -1,5 +1,5 @@
-//! A zone that operators have taken out, and a target that is leaving, get no
-//! new work after a few seconds; a note in force never reverts.
+//! A zone that operators have taken out of service and a target that is leaving get
+//! no new requests after a few seconds, and a note in force never reverts.
 
 use crate::link::Mode;
 use crate::support::{Cluster, MODEL, OPERATOR, eventually, expected_text, options};
@@ -7,8 +7,8 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// How long after the change new work may still arrive: the note or the list
-/// reaches the owner, and permits that are out run off.
+/// Time after the change in which new requests may still arrive: the note or the
+/// host list has to reach the owner, and permits already granted have to expire.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 
 fn zone_note(against: u64, out: bool) -> Value {
@@ -20,7 +20,7 @@
 }
 
 impl Cluster {
-    /// Prompt tokens that the engines have taken in since they started.
+    /// Counts the prompt tokens that the engines have received since they started.
     fn count_prompt_tokens(&self, engines: &[usize]) -> u64 {
         let engines = engines.iter().map(|i| &self.standins.engines[*i]);
         let counts = engines.map(|engine| engine.service().with_engine(|e| e.counts()));
@@ -41,8 +41,9 @@
     }
 }
 
-/// A zone is taken out under load and comes back. No request fails; once the
-/// bound has passed, no work arrives in the zone; after its return work does.
+/// A zone is taken out of service under load and put back. No request fails, no
+/// request reaches the zone once the bound has passed, and requests reach it again
+/// after it is put back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_taken_out_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
@@ -54,7 +55,7 @@
     cluster.load(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
     cluster.apply_note(&zone_note(2, false)).await;
-    eventually("the zone gets work again", || async {
+    eventually("the zone gets requests again", || async {
         cluster.load(1).await;
         (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
@@ -62,8 +63,8 @@
 }
 
 /// The key-value service goes down just after a zone was taken out through one
-/// node: the others learn it from their peers, and no work arrives in the zone
-/// once the bound has passed.
+/// node. The other nodes learn of it from their peers, and no request reaches the
+/// zone once the bound has passed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_although_the_platform_goes_down() {
     let cluster = Cluster::start(3, options()).await;
@@ -76,8 +77,8 @@
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
-/// The platform lists an engine as leaving: no work arrives there once the
-/// bound has passed, and no request fails.
+/// The platform lists an engine as leaving. No request reaches it once the bound
+/// has passed, and no request fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
@@ -89,9 +90,9 @@
     assert_eq!(cluster.count_prompt_tokens(&[1]), before);
 }
 
-/// Two operators change the same version through two nodes at once: one note
-/// is accepted, the other is told the present version; no node ever shows a
-/// lower version than it showed before.
+/// Two operators change the same version through two nodes at once. One note is
+/// accepted, the other is refused with the current version, and no node ever
+/// reports a lower version than before.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_two_racing_operators_wins_and_nothing_reverts() {
     let cluster = Cluster::start(3, options()).await;
@@ -116,8 +117,8 @@
     }
 }
 
-/// A note withdraws a model while a stream of it runs: the stream is whole, a
-/// new request is refused at once.
+/// A note withdraws a model during one of its streams. The stream completes; a new
+/// request is refused at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_withdrawn_model_finishes_its_running_streams() {
     let mut options = options();
@@ -146,8 +147,8 @@
 }
 
 impl Cluster {
-    /// Asks through one node, which may refuse what it can't place: whole
-    /// answers or true refusals.
+    /// Sends requests through one node, which may refuse those that it can't place.
+    /// Each must get a complete answer or a refusal that says it didn't run.
     async fn load_or_expect_refusals(&self, node: usize, count: usize) {
         for i in 0..count {
             let (at, prompt) = (self.nodes[node].callers, format!("perhaps {i}"));
@@ -159,10 +160,10 @@
     }
 }
 
-/// A node loses its path to the platform, and a zone is taken out: at once, or
-/// when the node's lease has lapsed. It owns the zone's engine and would go on
-/// to grant by the configuration that it has. Once the bound has passed, it
-/// sends no new work there, and neither do the others.
+/// A node loses its link to the platform and a zone is taken out of service, either
+/// at once or after the node's lease has expired. The node owns the zone's engine
+/// and would keep granting permits by its old configuration. Once the bound has
+/// passed, neither this node nor the others send new requests there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_sends_nothing_to_a_zone_taken_out() {
     let lapses = [Duration::ZERO, Duration::from_millis(2_000)];
@@ -182,8 +183,8 @@
     for node in 0..3 {
         cluster.load_or_expect_refusals(node, 10).await;
     }
-    // Its own word says so as well: it has the note from its peers.
-    eventually("the owner takes no work for the zone", || async {
+    // The owner itself reports this: it got the note from its peers.
+    eventually("the owner accepts no requests for the zone", || async {
         let at = cluster.nodes[others[0]].admin;
         let targets = cluster.get(at, "/v1/admin/targets", OPERATOR).await?;
         let engine = targets.as_array()?.iter().find(|t| t["target"] == "engine-0")?;
@@ -196,9 +197,9 @@
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
-/// The owner of a zone's engine is killed as the zone is taken out. Its
-/// successor takes the engine over and grants nothing there; as soon as the
-/// dead node's other targets have their next owners, no request fails.
+/// The owner of a zone's engine is killed while the zone is taken out of service.
+/// Its successor takes over the engine and grants no permits for it. No request
+/// fails once the other targets of the dead node have new owners.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_while_its_owner_dies() {
     let mut cluster = Cluster::start(3, options()).await;
@@ -225,9 +226,9 @@
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
-/// One node is cut off from the platform until its lease has lapsed; its peers
-/// still reach it, so they don't take its targets over. Its targets go on to
-/// get work from the other nodes.
+/// One node is cut off from the platform until its lease has expired. Its peers
+/// still reach it, so they don't take over its targets, which keep getting requests
+/// from the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_of_an_owner_cut_off_from_the_platform_get_work() {
     let (cluster, links) = Cluster::start_with_links(3, options()).await;
@@ -236,19 +237,19 @@
         let rows = owners["owners"].as_array().unwrap();
         rows.iter().find(|row| row["target"] == target).unwrap()["node"].clone()
     };
-    // The cut goes to whichever node owns the first engine.
+    // Cut off the node that owns the first engine.
     let cut = owner("engine-0").as_str().unwrap()["node-".len()..].parse::<usize>().unwrap();
     links[cut].set(Mode::Silent);
     let other = &cluster.nodes[(cut + 1) % 3];
     let name = format!("node-{cut}");
-    eventually("its lease has lapsed", || async {
+    eventually("its lease has expired", || async {
         let nodes = cluster.get(other.admin, "/v1/admin/nodes", OPERATOR).await?;
         nodes.as_array()?.iter().all(|node| node["node"] != name.as_str()).then_some(())
     })
     .await;
     let before = cluster.count_prompt_tokens(&[0]);
-    eventually("its target gets work from another node", || async {
-        // Enough work that the other targets alone would be slower.
+    eventually("its target gets requests from another node", || async {
+        // Enough requests that using only the other targets would be slower.
         let asks = (0..24).map(|i| {
             let (cluster, at) = (&cluster, other.callers);
             async move {
