--- a/apps/hickory-node/tests/proofs/cold.rs
+++ b/apps/hickory-node/tests/proofs/cold.rs
@@ -11,9 +11,9 @@
     let mut options = options();
     options.engine.model.speed = 4.0;
     options.engine.model.warmth = 0;
-    options.engine.model.warm_time = Duration::from_secs(40);
-    options.engine.model.falls_over = true;
-    options.engine.model.streams_max = 32;
+    options.engine.model.warm_up_time = Duration::from_secs(40);
+    options.engine.model.crashes_on_overload = true;
+    options.engine.model.max_streams = 32;
     options
 }
 
@@ -111,7 +111,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn unconfirmed_owners_use_half_of_the_bound() {
     let mut options = options();
-    options.engine.model.streams_max = 32;
+    options.engine.model.max_streams = 32;
     let cluster = Cluster::start(2, options).await;
     let at = cluster.nodes[0].admin;
     let all_bounds_equal = |expected: u64| {
--- a/apps/hickory-node/tests/proofs/versions.rs
+++ b/apps/hickory-node/tests/proofs/versions.rs
@@ -92,7 +92,7 @@
 async fn stale_orders_of_a_paused_owner_do_not_last() {
     for fencing in [true, false] {
         let mut options = options();
-        options.engine.model.fencing = fencing;
+        options.engine.model.checks_fence = fencing;
         options.weights.bytes_per_second = size::Bytes(40_000_000_000);
         let cluster = Cluster::start(3, options).await;
         let paused = cluster.owner("engine-0").await;
--- a/apps/hickory-standin/src/argument.rs
+++ b/apps/hickory-standin/src/argument.rs
@@ -119,7 +119,7 @@
     prefill_rate: u64,
 
     /// Streams decoded at once.
-    #[arg(long, default_value_t = Model::default().streams_max)]
+    #[arg(long, default_value_t = Model::default().max_streams)]
     streams_max: u32,
 
     /// How warm it is at its first start, from 0 to 100; 0 after a restart.
@@ -127,7 +127,7 @@
     warmth: u8,
 
     /// Time from cold to warm under work, in milliseconds.
-    #[arg(long, default_value_t = Model::default().warm_time.as_millis() as u64)]
+    #[arg(long, default_value_t = Model::default().warm_up_time.as_millis() as u64)]
     warm_ms: u64,
 
     /// How many times faster than the modelled engine it runs.
@@ -153,11 +153,11 @@
         let model = Model {
             kv_capacity: size::Tokens(self.kv_capacity),
             prefill_rate: self.prefill_rate,
-            streams_max: self.streams_max,
+            max_streams: self.streams_max,
             warmth: self.warmth,
-            warm_time: Duration::from_millis(self.warm_ms),
+            warm_up_time: Duration::from_millis(self.warm_ms),
             speed: self.speed,
-            fencing: !self.ignore_fences,
+            checks_fence: !self.ignore_fences,
             ..Model::default()
         };
         engine::Options {
--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -80,7 +80,7 @@
     options: &Options,
 ) -> Option<Step> {
     let mut step = Step { ends: now, prefill: Vec::new(), decode: Vec::new() };
-    let mut budget = options.chunk.0;
+    let mut budget = options.prefill_chunk.0;
     let mut seconds = 0.0;
     let mut kv_read = 0;
     for (key, run) in batch.iter().filter(|(_, run)| !run.is_stalled(stall)) {
@@ -106,7 +106,7 @@
 /// `context`.
 pub fn prefill_seconds(context: u64, chunk: u64, options: &Options) -> f64 {
     let middle = context as f64 + chunk as f64 / 2.0;
-    let factor = 1.0 + middle / options.attention.0.max(1) as f64;
+    let factor = 1.0 + middle / options.double_cost_context.0.max(1) as f64;
     chunk as f64 * factor / options.prefill_rate.max(1) as f64
 }
 
@@ -116,8 +116,10 @@
     match streams {
         0 => Duration::ZERO,
         n => {
-            let further = options.step_stream * (n as u32 - 1);
-            options.step + further + options.step_kv.mul_f64(kv_read as f64 / 1e6)
+            let further = options.step_time_per_stream * (n as u32 - 1);
+            options.step_time
+                + further
+                + options.step_time_per_million_kv_tokens.mul_f64(kv_read as f64 / 1e6)
         }
     }
 }
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -70,7 +70,7 @@
             role: Role::Both,
             fence: id::Epoch(0),
             warmth: Warmth::open(now, &options),
-            log: Log::open(options.event_gap),
+            log: Log::open(options.event_loss_interval),
             reports: VecDeque::new(),
             order: 0,
             step: None,
@@ -90,7 +90,7 @@
         let held = self.waiting.len() + self.batch.len() + 1;
         if self.warmth.is_over(held as u32, &self.options) {
             self.counts.overloads += 1;
-            if self.options.falls_over && !self.warmth.is_unnoticed(now, &self.options) {
+            if self.options.crashes_on_overload && !self.warmth.is_unnoticed(now, &self.options) {
                 self.crashed = true;
                 return Err(Refused::Crashed);
             }
@@ -224,14 +224,14 @@
             kv_capacity: self.options.kv_capacity,
             kv_used: self.kv_used(),
             prefill_rate: self.options.prefill_rate,
-            streams_max: self.options.streams_max,
+            streams_max: self.options.max_streams,
             warmth: self.warmth.level(),
             streams: runs.map(report_run).collect(),
             handles: self.handles.keys().cloned().collect(),
             pins: self.memory.pins(),
             loaded: self.shelf.list(),
             role: self.role,
-            fence: self.options.fencing.then_some(self.fence),
+            fence: self.options.checks_fence.then_some(self.fence),
             cache_hits: self.counts.cache_hits,
             cache_misses: self.counts.cache_misses,
         }
@@ -251,7 +251,7 @@
         order: &Order,
     ) -> Result<Option<Fetch>, Refused> {
         self.advance(now);
-        if self.options.fencing && fence < self.fence {
+        if self.options.checks_fence && fence < self.fence {
             return Err(Refused::Stale);
         }
         self.fence = self.fence.max(fence);
@@ -342,7 +342,7 @@
         let wrong = match self.role {
             Role::Both => false,
             Role::Prefill => job.keep.is_none(),
-            Role::Decode => job.keep.is_some() || prefill > self.options.chunk.0,
+            Role::Decode => job.keep.is_some() || prefill > self.options.prefill_chunk.0,
         };
         if wrong {
             return Err(Refused::Role);
--- a/crates/model/src/loading.rs
+++ b/crates/model/src/loading.rs
@@ -35,7 +35,7 @@
         if self.held.contains_key(weights) {
             return Ok(None);
         }
-        if self.held.len() >= options.weights_max {
+        if self.held.len() >= options.max_weights {
             return Err(Full);
         }
         let base = |held: &&Weights| held.model == weights.model && held.version == weights.version;
--- a/crates/model/src/option.rs
+++ b/crates/model/src/option.rs
@@ -12,43 +12,43 @@
     /// Prompt tokens prefilled a second at the start of a prompt.
     pub prefill_rate: u64,
     /// Context at which a prompt token costs twice as much as at the start.
-    pub attention: size::Tokens,
+    pub double_cost_context: size::Tokens,
     /// Streams in the batch at once.
-    pub streams_max: u32,
+    pub max_streams: u32,
     /// Prompt tokens prefilled at most in one step.
-    pub chunk: size::Tokens,
+    pub prefill_chunk: size::Tokens,
     /// Time of a step that decodes one stream.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Time that each further stream adds to a step.
-    pub step_stream: Duration,
+    pub step_time_per_stream: Duration,
     /// Time that reading a million tokens of KV cache adds to a step.
-    pub step_kv: Duration,
+    pub step_time_per_million_kv_tokens: Duration,
     /// KV cache copied from another engine, tokens a second.
     pub transfer_rate: u64,
     /// How warm the engine is at its start, from 0 to 100.
     pub warmth: u8,
     /// Time from cold to warm under work; four times as long when idle.
-    pub warm_time: Duration,
+    pub warm_up_time: Duration,
     /// Part of its speed that a cold engine has.
-    pub cold_speed: f64,
+    pub cold_speed_fraction: f64,
     /// Part of `streams_max` that a cold engine bears.
-    pub cold_streams: f64,
+    pub cold_streams_fraction: f64,
     /// Whether it crashes when it is given more than it bears while not warm.
-    pub falls_over: bool,
+    pub crashes_on_overload: bool,
     /// How long after a silent return to cold it does not yet fall over.
-    pub cold_notice: Duration,
+    pub cold_detection_time: Duration,
     /// How far the load report lags behind.
     pub report_lag: Duration,
     /// How late cache events come.
     pub event_lag: Duration,
     /// Each so-many-th cache event is lost; 0 for none.
-    pub event_gap: u64,
+    pub event_loss_interval: u64,
     /// How long an ended stream still answers a resume.
-    pub keep_ended: Duration,
+    pub ended_retention: Duration,
     /// Whether orders with an old fencing number are refused.
-    pub fencing: bool,
+    pub checks_fence: bool,
     /// Weights held at once.
-    pub weights_max: usize,
+    pub max_weights: usize,
     /// Bytes of a model's weights.
     pub model_bytes: size::Bytes,
     /// Bytes of an adapter.
@@ -66,25 +66,25 @@
         Self {
             kv_capacity: size::Tokens(450_000),
             prefill_rate: 40_000,
-            attention: size::Tokens(500_000),
-            streams_max: 64,
-            chunk: size::Tokens(2_048),
-            step: Duration::from_millis(12),
-            step_stream: Duration::from_micros(150),
-            step_kv: Duration::from_millis(20),
+            double_cost_context: size::Tokens(500_000),
+            max_streams: 64,
+            prefill_chunk: size::Tokens(2_048),
+            step_time: Duration::from_millis(12),
+            step_time_per_stream: Duration::from_micros(150),
+            step_time_per_million_kv_tokens: Duration::from_millis(20),
             transfer_rate: 400_000,
             warmth: 100,
-            warm_time: Duration::from_secs(30),
-            cold_speed: 0.2,
-            cold_streams: 0.1,
-            falls_over: true,
-            cold_notice: Duration::from_secs(1),
+            warm_up_time: Duration::from_secs(30),
+            cold_speed_fraction: 0.2,
+            cold_streams_fraction: 0.1,
+            crashes_on_overload: true,
+            cold_detection_time: Duration::from_secs(1),
             report_lag: Duration::from_millis(200),
             event_lag: Duration::from_millis(300),
-            event_gap: 50,
-            keep_ended: Duration::from_secs(5),
-            fencing: true,
-            weights_max: 4,
+            event_loss_interval: 50,
+            ended_retention: Duration::from_secs(5),
+            checks_fence: true,
+            max_weights: 4,
             model_bytes: size::Bytes(16_000_000_000),
             adapter_bytes: size::Bytes(200_000_000),
             loaded: Vec::new(),
--- a/crates/model/src/step.rs
+++ b/crates/model/src/step.rs
@@ -11,7 +11,7 @@
     /// Takes streams from the queue into the batch, in order. The first that
     /// does not fit holds up those behind it, as engines do to be fair.
     fn admit(&mut self, now: Instant) {
-        while self.batch.len() < self.options.streams_max as usize {
+        while self.batch.len() < self.options.max_streams as usize {
             let Some(mut entry) = self.waiting.first_entry() else { return };
             let run = entry.get_mut();
             let cached = self.memory.count_cached(&run.blocks);
@@ -110,7 +110,7 @@
     }
 
     pub(crate) fn forget(&mut self, now: Instant) {
-        let keep = self.options.keep_ended;
+        let keep = self.options.ended_retention;
         while let Some((_, stream)) = self.ended.pop_front_if(|(at, _)| *at + keep <= now) {
             self.places.remove(&stream);
         }
--- a/crates/model/src/warmth.rs
+++ b/crates/model/src/warmth.rs
@@ -26,7 +26,7 @@
     pub fn pass(&mut self, now: Instant, busy: bool, options: &Options) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
         let part = if busy { 1.0 } else { IDLE_PART };
-        let whole = options.scale(options.warm_time).as_secs_f64();
+        let whole = options.scale(options.warm_up_time).as_secs_f64();
         if whole > 0.0 {
             self.level = (self.level + 100.0 * part * passed / whole).min(100.0);
         } else {
@@ -48,13 +48,14 @@
 
     /// The part of its speed that the engine has.
     pub fn speed(&self, options: &Options) -> f64 {
-        options.cold_speed + (1.0 - options.cold_speed) * self.level / 100.0
+        options.cold_speed_fraction + (1.0 - options.cold_speed_fraction) * self.level / 100.0
     }
 
     /// Streams, running and waiting, that the engine bears.
     pub fn streams(&self, options: &Options) -> u32 {
-        let part = options.cold_streams + (1.0 - options.cold_streams) * self.level / 100.0;
-        ((f64::from(options.streams_max) * part).ceil() as u32).max(1)
+        let part = options.cold_streams_fraction
+            + (1.0 - options.cold_streams_fraction) * self.level / 100.0;
+        ((f64::from(options.max_streams) * part).ceil() as u32).max(1)
     }
 
     /// Whether `streams` are more than the engine bears. A warm engine
@@ -66,6 +67,6 @@
     /// Whether a silent return to cold is so recent that no caller can know
     /// of it.
     pub fn is_unnoticed(&self, now: Instant, options: &Options) -> bool {
-        self.turned_cold.is_some_and(|at| now < at + options.cold_notice)
+        self.turned_cold.is_some_and(|at| now < at + options.cold_detection_time)
     }
 }
--- a/crates/model/tests/cache.rs
+++ b/crates/model/tests/cache.rs
@@ -13,7 +13,7 @@
 
 fn small(blocks: u64) -> Options {
     let kv_capacity = size::Tokens(blocks * BLOCK.0);
-    Options { kv_capacity, event_lag: Duration::ZERO, event_gap: 0, ..options() }
+    Options { kv_capacity, event_lag: Duration::ZERO, event_loss_interval: 0, ..options() }
 }
 
 fn run(bench: &mut Bench, number: u128, prompt: &str) -> u64 {
@@ -107,7 +107,7 @@
 
 #[test]
 fn events_come_late_and_with_gaps() {
-    let late = Options { event_lag: Duration::from_secs(60), event_gap: 4, ..small(100) };
+    let late = Options { event_lag: Duration::from_secs(60), event_loss_interval: 4, ..small(100) };
     let mut bench = Bench::open(late);
     run(&mut bench, 1, &text('a', 10));
     assert!(bench.engine.cache_events(bench.now, 0).is_empty());
--- a/crates/model/tests/schedule.rs
+++ b/crates/model/tests/schedule.rs
@@ -104,7 +104,7 @@
 
 #[test]
 fn streams_beyond_the_batch_wait() {
-    let mut bench = Bench::open(Options { streams_max: 2, ..options() });
+    let mut bench = Bench::open(Options { max_streams: 2, ..options() });
     (0..3).for_each(|n| bench.begin(job(n, 100, 5)));
     bench.run_to_first_token(1);
     assert_eq!(bench.state(2), Some(State::Waiting));
@@ -136,7 +136,7 @@
     bench.begin(job(1, 1_000, 10));
     bench.run_to_end(1);
     assert_eq!((bench.used(), bench.state(1)), (0, Some(State::Ended)));
-    bench.pass(options().keep_ended);
+    bench.pass(options().ended_retention);
     assert_eq!(bench.state(1), None);
     assert_eq!(bench.engine.cancel(bench.now, &stream(1)), Cancelled::Ended);
 }
@@ -168,7 +168,7 @@
 
 #[test]
 fn poisoned_prompt_crashes_the_engine_when_it_runs() {
-    let mut bench = Bench::open(Options { streams_max: 1, ..options() });
+    let mut bench = Bench::open(Options { max_streams: 1, ..options() });
     bench.begin(job(1, 1_000, 10));
     bench.begin(Job { crash: true, ..job(2, 1_000, 10) });
     bench.run_to_end(1);
--- a/crates/model/tests/start.rs
+++ b/crates/model/tests/start.rs
@@ -50,7 +50,7 @@
 
 #[test]
 fn sturdy_cold_engine_counts_overloads() {
-    let mut bench = Bench::open(Options { falls_over: false, ..cold() });
+    let mut bench = Bench::open(Options { crashes_on_overload: false, ..cold() });
     (0..10).for_each(|n| bench.begin(job(n, 100, 100)));
     assert_eq!(bench.engine.counts().overloads, 3);
     assert!(!bench.engine.is_crashed());
@@ -70,7 +70,7 @@
     (0..30).for_each(|n| bench.begin(job(n, 100, 10_000)));
     bench.engine.turn_cold(bench.now);
     bench.begin(job(30, 100, 10_000));
-    bench.pass(options().cold_notice);
+    bench.pass(options().cold_detection_time);
     assert_eq!(bench.engine.begin(bench.now, job(31, 100, 100)), Err(Refused::Crashed));
 }
 
@@ -122,7 +122,7 @@
 
 #[test]
 fn holds_a_bounded_number_of_weights() {
-    let mut bench = Bench::open(Options { weights_max: 1, ..options() });
+    let mut bench = Bench::open(Options { max_weights: 1, ..options() });
     assert_eq!(order(&mut bench, 1, Order::Load(other(None))), Err(Refused::NoRoom));
     order(&mut bench, 1, Order::Unload(weights())).unwrap();
     assert!(order(&mut bench, 1, Order::Load(other(None))).is_ok());
@@ -131,7 +131,7 @@
 #[test]
 fn fencing_numbers_are_checked_or_ignored() {
     for (fencing, late) in [(true, Err(Refused::Stale)), (false, Ok(None))] {
-        let mut bench = Bench::open(Options { fencing, ..options() });
+        let mut bench = Bench::open(Options { checks_fence: fencing, ..options() });
         order(&mut bench, 5, Order::Pin(1)).unwrap();
         assert_eq!(order(&mut bench, 4, Order::Unpin(1)), late);
         assert_eq!(order(&mut bench, 5, Order::Pin(2)), Ok(None));
--- a/crates/model/tests/walk.rs
+++ b/crates/model/tests/walk.rs
@@ -99,7 +99,7 @@
     #[test]
     fn memory_is_never_overbooked_and_comes_back(acts in prop::collection::vec(act(), 1..60)) {
         let kv_capacity = size::Tokens(20 * prefix::BLOCK.0);
-        let options = Options { kv_capacity, streams_max: 4, falls_over: false, ..options() };
+        let options = Options { kv_capacity, max_streams: 4, crashes_on_overload: false, ..options() };
         let mut bench = Bench::open(options);
         for act in acts {
             apply(&mut bench, act);
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -368,7 +368,7 @@
 
 fn capacity(options: &Options) -> Capacity {
     Capacity {
-        streams: options.streams_max,
+        streams: options.max_streams,
         kv: options.kv_capacity,
         prefill_rate: options.prefill_rate,
     }
--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -89,7 +89,7 @@
     let mut group = c.benchmark_group("engine_tokens");
     group.sample_size(10).measurement_time(Duration::from_secs(4));
     // All tokens as fast as the stand-in can make and send them.
-    let unpaced = spawn_engine(Model { speed: 1e6, streams_max: 256, ..Model::default() });
+    let unpaced = spawn_engine(Model { speed: 1e6, max_streams: 256, ..Model::default() });
     group.throughput(Throughput::Elements(256 * 200));
     group.bench_function("unpaced_256_streams", |b| {
         b.iter_custom(|n| {
@@ -98,9 +98,15 @@
     });
     // One token a stream each 10 ms, so that each token is a write of its
     // own: at most 51,200 a second from 512 streams.
-    let step = Duration::from_millis(10);
-    let (step_stream, step_kv) = (Duration::ZERO, Duration::ZERO);
-    let paced = Model { step, step_stream, step_kv, streams_max: 512, ..Model::default() };
+    let step_time = Duration::from_millis(10);
+    let (step_time_per_stream, step_time_per_million_kv_tokens) = (Duration::ZERO, Duration::ZERO);
+    let paced = Model {
+        step_time,
+        step_time_per_stream,
+        step_time_per_million_kv_tokens,
+        max_streams: 512,
+        ..Model::default()
+    };
     let paced = spawn_engine(paced);
     group.throughput(Throughput::Elements(512 * 100));
     group.bench_function("paced_512_streams_of_100_a_second", |b| {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -44,8 +44,8 @@
 impl Options {
     /// The part of an engine's options by which a replica warms.
     fn model(&self, warmth: u8) -> Model {
-        let (streams_max, warm_time) = (self.calls_max, self.warm_time);
-        Model { streams_max, warm_time, warmth, ..Model::default() }
+        let (max_streams, warm_up_time) = (self.calls_max, self.warm_time);
+        Model { max_streams, warm_up_time, warmth, ..Model::default() }
     }
 }
 
--- a/crates/target/tests/contract.rs
+++ b/crates/target/tests/contract.rs
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn engine_without_fencing_takes_a_stale_order() {
     let mut options = scene::options();
-    options.model.fencing = false;
+    options.model.checks_fence = false;
     let scene = Scene::open_with(options).await;
     let at = scene.engine.address();
     assert_eq!(scene.targets.order(at, id::Epoch(1), &Order::Pin(1)).await, Ok(()));
--- a/crates/target/tests/stream.rs
+++ b/crates/target/tests/stream.rs
@@ -154,7 +154,7 @@
 #[tokio::test]
 async fn ended_stream_can_be_read_for_a_while() {
     let mut options = scene::options();
-    options.model.keep_ended = Duration::from_millis(100);
+    options.model.ended_retention = Duration::from_millis(100);
     let scene = Scene::open_with(options).await;
     let at = scene.engine.address();
     let started = std::time::Instant::now();
