--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -381,5 +381,5 @@
 
 /// Returns the text of the correct answer to a prompt.
 pub fn expected_text(prompt: &str, tokens: u64) -> String {
-    Answer::of(prompt).text(tokens)
+    Answer::for_prompt(prompt).text(tokens)
 }
--- a/apps/hickory-node/tests/proofs/versions.rs
+++ b/apps/hickory-node/tests/proofs/versions.rs
@@ -22,7 +22,7 @@
     fn count_serving(&self, version: &str) -> usize {
         let wanted = Weights { version: version.into(), ..weights() };
         let engines = self.standins.engines.iter();
-        let reports = engines.map(|engine| engine.service().with_engine(|e| e.take_report()));
+        let reports = engines.map(|engine| engine.service().with_engine(|e| e.current_report()));
         let has = |l: &hickory_target::engine::Loaded| l.ready && l.weights == wanted;
         reports.filter(|report| report.loaded.iter().any(has)).count()
     }
@@ -75,7 +75,7 @@
     let max_loading = std::sync::atomic::AtomicUsize::new(0);
     eventually("all engines serve", || async {
         let engines = cluster.standins.engines.iter();
-        let reports = engines.map(|engine| engine.service().with_engine(|e| e.take_report()));
+        let reports = engines.map(|engine| engine.service().with_engine(|e| e.current_report()));
         let loading = reports.filter(|report| report.loaded.iter().any(|l| !l.ready)).count();
         max_loading.fetch_max(loading, std::sync::atomic::Ordering::Relaxed);
         (cluster.count_serving("1") == 5).then_some(())
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -55,7 +55,7 @@
         Self {
             token: token.into(),
             body: serde_json::to_vec(&body).unwrap_or_default().into(),
-            answer: Answer::of(prompt),
+            answer: Answer::for_prompt(prompt),
             max_tokens,
             deadline: Duration::from_secs(60),
             hang_up: None,
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -15,7 +15,7 @@
 const PROMPT: &str = "which primer for lime plaster?";
 
 fn text(seq: u64) -> String {
-    Answer::of(PROMPT).token(seq).to_string()
+    Answer::for_prompt(PROMPT).token(seq).to_string()
 }
 
 fn tokens(range: std::ops::Range<u64>) -> String {
--- a/crates/load/tests/run.rs
+++ b/crates/load/tests/run.rs
@@ -36,7 +36,7 @@
             return problem(429, "overloaded", "no", None);
         }
         let (_, rest) = seen.body.split_once("\"prompt\":\"").expect("prompt");
-        let answer = Answer::of(rest.split_once('"').expect("prompt").0);
+        let answer = Answer::for_prompt(rest.split_once('"').expect("prompt").0);
         let tokens: String = (0..2).map(|seq| token(seq, &answer.token(seq))).collect();
         respond(200, STREAM, &(tokens + &end(2)))
     })
--- a/crates/model/benches/step.rs
+++ b/crates/model/benches/step.rs
@@ -23,8 +23,8 @@
         max_tokens: size::Tokens(max_tokens),
         priority: Priority(1),
         import: None,
-        keep: None,
-        crash: false,
+        keep_as: None,
+        crashes_engine: false,
     }
 }
 
@@ -34,7 +34,7 @@
 
 fn open(now: Instant) -> Engine {
     let options = Options { loaded: vec![weights()], ..Options::default() };
-    Engine::open(now, id::Incarnation(1), options)
+    Engine::new(now, id::Incarnation(1), options)
 }
 
 fn decode(c: &mut Criterion) {
@@ -45,7 +45,7 @@
     let mut next = 0;
     group.bench_function("step_of_64_streams", |b| {
         b.iter(|| {
-            while engine.streams() < 64 {
+            while engine.stream_count() < 64 {
                 next += 1;
                 let _ = engine.begin(now, job(next, 1_000, Vec::new(), 1_000));
             }
--- a/crates/model/src/answer.rs
+++ b/crates/model/src/answer.rs
@@ -4,7 +4,7 @@
 //! ```
 //! use hickory_model::answer::{Answer, token};
 //!
-//! let answer = Answer::of("which primer for lime plaster?");
+//! let answer = Answer::for_prompt("which primer for lime plaster?");
 //! assert_eq!(answer.token(3), token("which primer for lime plaster?", 3));
 //! assert_ne!(answer.token(3), answer.token(4));
 //! ```
@@ -17,7 +17,7 @@
 
 impl Answer {
     /// The answer to `prompt`; reads the whole prompt once.
-    pub fn of(prompt: &str) -> Self {
+    pub fn for_prompt(prompt: &str) -> Self {
         let hash = blake3::hash(prompt.as_bytes());
         let (head, _) = hash.as_bytes().split_first_chunk().expect("a hash has 32 bytes");
         Self(u64::from_le_bytes(*head))
@@ -38,7 +38,7 @@
 ///
 /// Hashes the whole prompt; keep an [`Answer`] where many tokens are wanted.
 pub fn token(prompt: &str, seq: u64) -> CompactString {
-    Answer::of(prompt).token(seq)
+    Answer::for_prompt(prompt).token(seq)
 }
 
 /// The finalizer of SplitMix64 over the hash and the index.
--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -30,8 +30,8 @@
     pub(crate) max_tokens: u64,
     pub(crate) blocks: Vec<u64>,
     pub(crate) import: Option<Handle>,
-    pub(crate) keep: Option<Handle>,
-    pub(crate) crash: bool,
+    pub(crate) keep_as: Option<Handle>,
+    pub(crate) crashes_engine: bool,
     /// Leading blocks held in the prefix cache.
     pub(crate) shared: usize,
     /// Tokens reserved beside them.
@@ -44,7 +44,7 @@
     /// Whether it holds cached blocks and shares its own; one whose KV cache
     /// goes to or comes from a handle keeps it apart.
     pub(crate) fn is_shared(&self) -> bool {
-        self.import.is_none() && self.keep.is_none()
+        self.import.is_none() && self.keep_as.is_none()
     }
 
     fn context(&self) -> u64 {
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -4,8 +4,8 @@
 use crate::batch::{Key, Run, Stall, Step};
 use crate::event::Log;
 use crate::handle::Kept;
-pub use crate::job::{Counts, Failure, Job, Progress, Refused, State};
-use crate::loading::{Fetch, Shelf};
+pub use crate::job::{Counts, Failure, Job, Progress, Refusal, State};
+use crate::loading::{Fetch, WeightSet};
 use crate::memory::Memory;
 use crate::seen::Seen;
 use crate::warmth::Warmth;
@@ -40,7 +40,7 @@
     refused: Seen,
     pub(crate) memory: Memory,
     pub(crate) handles: BTreeMap<Handle, Kept>,
-    shelf: Shelf,
+    weights: WeightSet,
     role: Role,
     fence: id::Epoch,
     pub(crate) warmth: Warmth,
@@ -55,7 +55,7 @@
 
 impl Engine {
     /// An idle engine that has just started.
-    pub fn open(now: Instant, incarnation: id::Incarnation, options: Options) -> Self {
+    pub fn new(now: Instant, incarnation: id::Incarnation, options: Options) -> Self {
         let mut engine = Self {
             incarnation,
             waiting: BTreeMap::new(),
@@ -64,13 +64,13 @@
             ended: VecDeque::new(),
             past: Seen::default(),
             refused: Seen::default(),
-            memory: Memory::open(options.kv_capacity.0),
+            memory: Memory::new(options.kv_capacity.0),
             handles: BTreeMap::new(),
-            shelf: Shelf::open(&options),
+            weights: WeightSet::new(&options),
             role: Role::Both,
             fence: id::Epoch(0),
-            warmth: Warmth::open(now, &options),
-            log: Log::open(options.event_loss_interval),
+            warmth: Warmth::new(now, &options),
+            log: Log::new(options.event_loss_interval),
             reports: VecDeque::new(),
             order: 0,
             step: None,
@@ -79,20 +79,22 @@
             counts: Counts::default(),
             options,
         };
-        engine.reports.push_back((now, engine.take_report()));
+        engine.reports.push_back((now, engine.current_report()));
         engine
     }
 
     /// Takes a stream into the queue.
-    pub fn begin(&mut self, now: Instant, job: Job) -> Result<(), Refused> {
+    pub fn begin(&mut self, now: Instant, job: Job) -> Result<(), Refusal> {
         self.advance(now);
         let covered = self.check(&job)?;
         let held = self.waiting.len() + self.batch.len() + 1;
-        if self.warmth.is_over(held as u32, &self.options) {
+        if self.warmth.is_overloaded(held as u32, &self.options) {
             self.counts.overloads += 1;
-            if self.options.crashes_on_overload && !self.warmth.is_unnoticed(now, &self.options) {
+            if self.options.crashes_on_overload
+                && !self.warmth.is_within_detection_time(now, &self.options)
+            {
                 self.crashed = true;
-                return Err(Refused::Crashed);
+                return Err(Refusal::Crashed);
             }
         }
         self.order += 1;
@@ -105,11 +107,11 @@
             stream: job.stream.clone(),
             weights: job.weights,
             prompt,
-            max_tokens: if job.keep.is_some() { 0 } else { job.max_tokens.0 },
+            max_tokens: if job.keep_as.is_some() { 0 } else { job.max_tokens.0 },
             blocks: job.blocks,
             import: job.import,
-            keep: job.keep,
-            crash: job.crash,
+            keep_as: job.keep_as,
+            crashes_engine: job.crashes_engine,
             shared: 0,
             reserved: 0,
             prefill_left: (prompt - covered).max(1),
@@ -153,17 +155,17 @@
         }
         while let Some(step) = self.step.take_if(|step| step.ends <= now) {
             let ends = step.ends;
-            self.warmth.pass(ends, true, &self.options);
+            self.warmth.advance(ends, true, &self.options);
             self.end_step(step);
             if self.crashed {
                 return;
             }
             self.start_step(ends);
-            self.note_report(ends);
+            self.record_report(ends);
         }
-        self.warmth.pass(now, self.step.is_some(), &self.options);
+        self.warmth.advance(now, self.step.is_some(), &self.options);
         self.start_step(now);
-        self.note_report(now);
+        self.record_report(now);
         self.forget(now);
     }
 
@@ -195,29 +197,29 @@
         self.advance(now);
         let lag = self.options.report_lag;
         if lag.is_zero() {
-            return self.take_report();
+            return self.current_report();
         }
-        self.note_report(now);
+        self.record_report(now);
         let seen = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
         let seen = seen.or(self.reports.front()).map(|(_, report)| report.clone());
-        seen.unwrap_or_else(|| self.take_report())
+        seen.unwrap_or_else(|| self.current_report())
     }
 
     /// Keeps what a later, lagging report will show.
-    fn note_report(&mut self, now: Instant) {
+    fn record_report(&mut self, now: Instant) {
         let every = self.options.report_lag / REPORTS_A_LAG;
         let last = self.reports.back().map(|(at, _)| *at);
         if last.is_some_and(|last| now < last + every) || every.is_zero() {
             return;
         }
-        self.reports.push_back((now, self.take_report()));
+        self.reports.push_back((now, self.current_report()));
         if self.reports.len() > 2 * REPORTS_A_LAG as usize {
             self.reports.pop_front();
         }
     }
 
     /// The load report as it is now.
-    pub fn take_report(&self) -> Report {
+    pub fn current_report(&self) -> Report {
         let runs = self.batch.values().chain(self.waiting.values());
         Report {
             incarnation: self.incarnation,
@@ -229,7 +231,7 @@
             streams: runs.map(report_run).collect(),
             handles: self.handles.keys().cloned().collect(),
             pins: self.memory.pins(),
-            loaded: self.shelf.list(),
+            loaded: self.weights.list(),
             role: self.role,
             fence: self.options.checks_fence.then_some(self.fence),
             cache_hits: self.counts.cache_hits,
@@ -244,20 +246,20 @@
 
     /// Does what an order says; gives what must be read before weights can
     /// serve.
-    pub fn order(
+    pub fn apply_order(
         &mut self,
         now: Instant,
         fence: id::Epoch,
         order: &Order,
-    ) -> Result<Option<Fetch>, Refused> {
+    ) -> Result<Option<Fetch>, Refusal> {
         self.advance(now);
         if self.options.checks_fence && fence < self.fence {
-            return Err(Refused::Stale);
+            return Err(Refusal::StaleFence);
         }
         self.fence = self.fence.max(fence);
         match order {
             Order::Load(weights) => {
-                return self.shelf.load(weights, &self.options).map_err(|_| Refused::NoRoom);
+                return self.weights.load(weights, &self.options).map_err(|_| Refusal::NoRoom);
             }
             Order::Unload(weights) => self.unload(now, weights),
             Order::Role(role) => self.role = *role,
@@ -269,12 +271,12 @@
 
     /// Says that weights have been read.
     pub fn finish_load(&mut self, weights: &Weights) {
-        self.shelf.finish(weights);
+        self.weights.finish(weights);
     }
 
     /// Whether weights are held or being loaded.
-    pub fn holds_weights(&self, weights: &Weights) -> bool {
-        self.shelf.holds(weights)
+    pub fn has_weights(&self, weights: &Weights) -> bool {
+        self.weights.contains(weights)
     }
 
     /// Turns cold without a word: slow again, and the prefix cache is gone.
@@ -302,13 +304,13 @@
     }
 
     /// Streams that run or wait.
-    pub fn streams(&self) -> usize {
+    pub fn stream_count(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
     /// Streams, running and waiting, that it bears now.
-    pub fn bears(&self) -> u32 {
-        self.warmth.streams(&self.options)
+    pub fn stream_capacity(&self) -> u32 {
+        self.warmth.stream_capacity(&self.options)
     }
 
     /// What went on since the start.
@@ -318,44 +320,44 @@
 
     /// Whether a job may begin; gives the leading tokens that its import
     /// covers.
-    fn check(&self, job: &Job) -> Result<u64, Refused> {
+    fn check(&self, job: &Job) -> Result<u64, Refusal> {
         if self.crashed {
-            return Err(Refused::Crashed);
+            return Err(Refusal::Crashed);
         }
         if self.refused.contains(&job.stream) {
-            return Err(Refused::Cancelled);
+            return Err(Refusal::Cancelled);
         }
         if self.places.contains_key(&job.stream) || self.past.contains(&job.stream) {
-            return Err(Refused::Known);
+            return Err(Refusal::Duplicate);
         }
-        if job.keep.as_ref().is_some_and(|handle| self.handles.contains_key(handle)) {
-            return Err(Refused::Known);
+        if job.keep_as.as_ref().is_some_and(|handle| self.handles.contains_key(handle)) {
+            return Err(Refusal::Duplicate);
         }
-        if !self.shelf.is_ready(&job.weights) {
-            return Err(Refused::NotLoaded);
+        if !self.weights.is_ready(&job.weights) {
+            return Err(Refusal::NotLoaded);
         }
         let (covered, own) = match &job.import {
-            Some(handle) => self.count_covered(handle, job).ok_or(Refused::NoHandle)?,
+            Some(handle) => self.count_covered(handle, job).ok_or(Refusal::UnknownHandle)?,
             None => (0, 0),
         };
         let prefill = job.prompt.0 - covered;
         let wrong = match self.role {
             Role::Both => false,
-            Role::Prefill => job.keep.is_none(),
-            Role::Decode => job.keep.is_some() || prefill > self.options.prefill_chunk.0,
+            Role::Prefill => job.keep_as.is_none(),
+            Role::Decode => job.keep_as.is_some() || prefill > self.options.prefill_chunk.0,
         };
         if wrong {
-            return Err(Refused::Role);
+            return Err(Refusal::RoleMismatch);
         }
-        let decode = if job.keep.is_some() { 0 } else { job.max_tokens.0 };
+        let decode = if job.keep_as.is_some() { 0 } else { job.max_tokens.0 };
         if own + prefill + decode > self.options.kv_capacity.0 {
-            return Err(Refused::TooLong);
+            return Err(Refusal::TooLong);
         }
         Ok(covered)
     }
 
     fn unload(&mut self, now: Instant, weights: &Weights) {
-        self.shelf.unload(weights);
+        self.weights.unload(weights);
         self.fail(now, Failure::Unloaded, |run| run.weights == *weights);
     }
 }
--- a/crates/model/src/event.rs
+++ b/crates/model/src/event.rs
@@ -17,7 +17,7 @@
 
 impl Log {
     /// An empty log that loses each `gap`-th event; 0 for none.
-    pub fn open(gap: u64) -> Self {
+    pub fn new(gap: u64) -> Self {
         Self { events: VecDeque::new(), seq: 0, gap }
     }
 
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -22,14 +22,14 @@
     /// A KV cache held here, from which the prefill starts.
     pub import: Option<Handle>,
     /// Prefill only, and keep the KV cache under this handle.
-    pub keep: Option<Handle>,
+    pub keep_as: Option<Handle>,
     /// Crashes the engine as soon as it runs.
-    pub crash: bool,
+    pub crashes_engine: bool,
 }
 
 impl Job {
     /// The job that a call asks for; hashes the whole prompt.
-    pub fn of(generate: &Generate) -> Self {
+    pub fn from_call(generate: &Generate) -> Self {
         Self {
             stream: generate.stream.clone(),
             weights: generate.weights.clone(),
@@ -38,22 +38,22 @@
             max_tokens: generate.max_tokens,
             priority: generate.priority,
             import: generate.import.clone(),
-            keep: generate.prefill_only.clone(),
-            crash: false,
+            keep_as: generate.prefill_only.clone(),
+            crashes_engine: false,
         }
     }
 }
 
 /// Why the engine does not do what it is asked.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, derive_more::Error)]
-pub enum Refused {
+pub enum Refusal {
     /// The prompt and its answer are greater than the KV memory.
     #[display("too long")]
     TooLong,
     /// A stream with this id has begun before, or a KV cache is held under
     /// the handle.
     #[display("begun before")]
-    Known,
+    Duplicate,
     /// The stream was cancelled before it came.
     #[display("cancelled before it began")]
     Cancelled,
@@ -62,13 +62,13 @@
     NotLoaded,
     /// The role of the engine does not take such work.
     #[display("role")]
-    Role,
+    RoleMismatch,
     /// The KV cache to start from is not held, or is not of this prompt.
     #[display("no such KV cache")]
-    NoHandle,
+    UnknownHandle,
     /// The order carries a fencing number below the greatest seen.
     #[display("stale fencing number")]
-    Stale,
+    StaleFence,
     /// No room for further weights or a further KV cache.
     #[display("no room")]
     NoRoom,
@@ -98,7 +98,7 @@
     Unloaded,
     /// A part of its KV cache, which lay on another engine, is gone.
     #[display("KV cache of another engine lost")]
-    PartLost,
+    LinkedCacheLost,
 }
 
 /// How far a stream is, and what it brought.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -8,7 +8,7 @@
 //! engine has after a start, [`batch`] makes steps, [`loading`] holds weights.
 //!
 //! A prompt greater than one engine is prefilled in parts. Engine A gets the
-//! leading part with [`engine::Job::keep`] and holds its KV cache under that
+//! leading part with [`engine::Job::keep_as`] and holds its KV cache under that
 //! handle; engine B imports the handle and gets the prompt up to the end of
 //! the second part with [`engine::Job::import`], and so on; the last engine
 //! imports the last handle, gets the whole prompt and generates. A handle
@@ -24,7 +24,7 @@
 pub mod loading;
 pub mod memory;
 pub mod option;
-pub mod pipe;
+pub mod read_limiter;
 mod seen;
 mod step;
 mod transfer;
--- a/crates/model/src/loading.rs
+++ b/crates/model/src/loading.rs
@@ -7,7 +7,7 @@
 
 /// The weights of an engine, and whether each can serve.
 #[derive(Clone, Debug)]
-pub struct Shelf {
+pub struct WeightSet {
     held: BTreeMap<Weights, bool>,
 }
 
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
-impl Shelf {
+impl WeightSet {
     /// With what is held at the start.
-    pub fn open(options: &Options) -> Self {
+    pub fn new(options: &Options) -> Self {
         Self { held: options.loaded.iter().map(|weights| (weights.clone(), true)).collect() }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Whether weights are held or being loaded.
-    pub fn holds(&self, weights: &Weights) -> bool {
+    pub fn contains(&self, weights: &Weights) -> bool {
         self.held.contains_key(weights)
     }
 
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -35,7 +35,7 @@
 
 impl Memory {
     /// Empty memory.
-    pub fn open(capacity: u64) -> Self {
+    pub fn new(capacity: u64) -> Self {
         Self {
             capacity,
             reserved: 0,
--- a/crates/model/src/pipe.rs
+++ b/crates/model/src/read_limiter.rs
@@ -6,9 +6,9 @@
 /// The reads of a weight store: they share one rate in the order in which
 /// they come, and only so many may run at once.
 #[derive(Clone, Debug)]
-pub struct Pipe {
+pub struct ReadLimiter {
     bytes_per_second: size::Bytes,
-    reads_max: usize,
+    max_reads: usize,
     /// When each running read ends, oldest first.
     ends: Vec<Instant>,
 }
@@ -17,16 +17,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
-impl Pipe {
+impl ReadLimiter {
     /// A pipe with no reads.
-    pub fn open(bytes_per_second: size::Bytes, reads_max: usize) -> Self {
-        Self { bytes_per_second, reads_max, ends: Vec::new() }
+    pub fn new(bytes_per_second: size::Bytes, max_reads: usize) -> Self {
+        Self { bytes_per_second, max_reads, ends: Vec::new() }
     }
 
     /// Begins a read; gives the time until it ends.
-    pub fn read(&mut self, now: Instant, bytes: size::Bytes) -> Result<Duration, Busy> {
+    pub fn start_read(&mut self, now: Instant, bytes: size::Bytes) -> Result<Duration, Busy> {
         self.ends.retain(|end| *end > now);
-        if self.ends.len() >= self.reads_max {
+        if self.ends.len() >= self.max_reads {
             return Err(Busy);
         }
         let rate = self.bytes_per_second.0.max(1) as f64;
--- a/crates/model/src/step.rs
+++ b/crates/model/src/step.rs
@@ -49,7 +49,7 @@
         for (key, chunk) in step.prefill {
             let Some(run) = self.batch.get_mut(&key) else { continue };
             run.prefill_left -= chunk;
-            if run.crash {
+            if run.crashes_engine {
                 self.crashed = true;
                 return;
             }
@@ -87,7 +87,7 @@
         self.places.insert(run.stream.clone(), Place::Done(progress));
         self.past.insert(run.stream.clone());
         self.ended.push_back((now, run.stream.clone()));
-        if state == State::Ended && run.keep.is_some() {
+        if state == State::Ended && run.keep_as.is_some() {
             self.keep(now, &mut run);
         }
         self.free(run);
--- a/crates/model/src/transfer.rs
+++ b/crates/model/src/transfer.rs
@@ -3,7 +3,7 @@
 use crate::batch::Run;
 use crate::engine::Engine;
 use crate::handle::{Export, Kept, Link};
-use crate::job::{Failure, Job, Refused};
+use crate::job::{Failure, Job, Refusal};
 use crate::prefix::BLOCK;
 use hickory_target::engine::Handle;
 use hickory_unit::size;
@@ -31,7 +31,7 @@
         handle: &Handle,
         mut export: Export,
         from: SocketAddr,
-    ) -> Result<Duration, Refused> {
+    ) -> Result<Duration, Refusal> {
         self.advance(now);
         if self.handles.contains_key(handle) {
             return Ok(Duration::ZERO);
@@ -42,7 +42,7 @@
         }
         let own = export.own.0;
         if !self.memory.reserve(now, &[], own, &mut self.log) {
-            return Err(Refused::NoRoom);
+            return Err(Refusal::NoRoom);
         }
         let seconds = own as f64 / self.options.transfer_rate.max(1) as f64;
         let kept =
@@ -81,7 +81,7 @@
         let broken: Vec<Handle> =
             self.handles.iter().filter(|(_, kept)| has(kept)).map(|(h, _)| h.clone()).collect();
         let uses = |run: &Run| run.import.as_ref().is_some_and(|h| broken.contains(h));
-        self.fail(now, Failure::PartLost, uses);
+        self.fail(now, Failure::LinkedCacheLost, uses);
         self.start_step(now);
     }
 
@@ -102,7 +102,7 @@
     pub(crate) fn keep(&mut self, now: Instant, run: &mut Run) {
         // Another stream may have kept its own under the same handle while
         // this one was prefilled; the first stays, for streams may use it.
-        let handle = run.keep.clone().filter(|handle| !self.handles.contains_key(handle));
+        let handle = run.keep_as.clone().filter(|handle| !self.handles.contains_key(handle));
         let Some(handle) = handle else { return };
         let base = run.import.as_ref().and_then(|import| self.handles.get_mut(import));
         let (below, links) = match base {
--- a/crates/model/tests/cache.rs
+++ b/crates/model/tests/cache.rs
@@ -67,16 +67,16 @@
 fn pinned_prefix_stays_until_it_is_released() {
     let mut bench = Bench::open(small(30));
     let pinned = prefix::hash_blocks(&text('a', 10))[9];
-    bench.engine.order(bench.now, FENCE, &Order::Pin(pinned)).unwrap();
+    bench.engine.apply_order(bench.now, FENCE, &Order::Pin(pinned)).unwrap();
     assert_eq!(bench.used(), 0, "not there yet");
     run(&mut bench, 1, &text('a', 10));
     assert_eq!(bench.used(), 10 * BLOCK.0);
     run(&mut bench, 2, &text('b', 19));
     run(&mut bench, 3, &text('c', 19));
     assert_eq!(run(&mut bench, 4, &text('a', 10)), 10 * BLOCK.0 - 1);
-    assert_eq!(bench.engine.take_report().pins, vec![pinned]);
-    bench.engine.order(bench.now, FENCE, &Order::Unpin(pinned)).unwrap();
-    assert_eq!((bench.used(), bench.engine.take_report().pins.len()), (0, 0));
+    assert_eq!(bench.engine.current_report().pins, vec![pinned]);
+    bench.engine.apply_order(bench.now, FENCE, &Order::Unpin(pinned)).unwrap();
+    assert_eq!((bench.used(), bench.engine.current_report().pins.len()), (0, 0));
 }
 
 #[test]
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -41,8 +41,8 @@
         max_tokens: size::Tokens(max_tokens),
         priority: Priority(1),
         import: None,
-        keep: None,
-        crash: false,
+        keep_as: None,
+        crashes_engine: false,
     }
 }
 
@@ -60,7 +60,7 @@
 impl Bench {
     pub fn open(options: Options) -> Self {
         let now = Instant::now();
-        let engine = Engine::open(now, id::Incarnation(1), options);
+        let engine = Engine::new(now, id::Incarnation(1), options);
         Self { engine, now, start: now }
     }
 
--- a/crates/model/tests/schedule.rs
+++ b/crates/model/tests/schedule.rs
@@ -4,7 +4,7 @@
 
 use common::{Bench, generated, job, options, stream};
 use hickory_model::batch::Stall;
-use hickory_model::engine::{Job, Options, Refused, State};
+use hickory_model::engine::{Job, Options, Refusal, State};
 use hickory_target::engine::{Cancelled, Priority};
 use std::time::Duration;
 
@@ -115,11 +115,11 @@
 #[test]
 fn refuses_what_it_can_never_hold_and_what_it_knows() {
     let mut bench = Bench::open(options());
-    assert_eq!(bench.engine.begin(bench.now, job(1, 450_000, 1)), Err(Refused::TooLong));
+    assert_eq!(bench.engine.begin(bench.now, job(1, 450_000, 1)), Err(Refusal::TooLong));
     bench.begin(job(2, 100, 1));
-    assert_eq!(bench.engine.begin(bench.now, job(2, 100, 1)), Err(Refused::Known));
+    assert_eq!(bench.engine.begin(bench.now, job(2, 100, 1)), Err(Refusal::Duplicate));
     bench.run_to_end(2);
-    assert_eq!(bench.engine.begin(bench.now, job(2, 100, 1)), Err(Refused::Known));
+    assert_eq!(bench.engine.begin(bench.now, job(2, 100, 1)), Err(Refusal::Duplicate));
 }
 
 #[test]
@@ -127,7 +127,7 @@
     let mut bench = Bench::open(options());
     assert_eq!(bench.engine.cancel(bench.now, &stream(1)), Cancelled::NeverBegun);
     bench.pass(Duration::from_secs(3_600));
-    assert_eq!(bench.engine.begin(bench.now, job(1, 100, 1)), Err(Refused::Cancelled));
+    assert_eq!(bench.engine.begin(bench.now, job(1, 100, 1)), Err(Refusal::Cancelled));
 }
 
 #[test]
@@ -170,10 +170,10 @@
 fn poisoned_prompt_crashes_the_engine_when_it_runs() {
     let mut bench = Bench::open(Options { max_streams: 1, ..options() });
     bench.begin(job(1, 1_000, 10));
-    bench.begin(Job { crash: true, ..job(2, 1_000, 10) });
+    bench.begin(Job { crashes_engine: true, ..job(2, 1_000, 10) });
     bench.run_to_end(1);
     assert!(!bench.engine.is_crashed());
     bench.run_until(|engine| engine.is_crashed());
     assert_eq!(bench.engine.next_step(), None);
-    assert_eq!(bench.engine.begin(bench.now, job(3, 1, 1)), Err(Refused::Crashed));
+    assert_eq!(bench.engine.begin(bench.now, job(3, 1, 1)), Err(Refusal::Crashed));
 }
--- a/crates/model/tests/walk.rs
+++ b/crates/model/tests/walk.rs
@@ -54,7 +54,7 @@
             let job = Job {
                 priority: Priority(priority),
                 import: held(import),
-                keep: held(keep),
+                keep_as: held(keep),
                 ..job_of(number.into(), &prompt(seed, blocks), max.into())
             };
             let _ = bench.engine.begin(now, job);
@@ -64,10 +64,10 @@
         }
         Act::Drop(number) => bench.engine.drop_handle(now, &handle(number.into(), 0)),
         Act::Pin(seed, blocks) => {
-            let _ = bench.engine.order(now, fence, &Order::Pin(pin_of(seed, blocks)));
+            let _ = bench.engine.apply_order(now, fence, &Order::Pin(pin_of(seed, blocks)));
         }
         Act::Unpin(seed, blocks) => {
-            let _ = bench.engine.order(now, fence, &Order::Unpin(pin_of(seed, blocks)));
+            let _ = bench.engine.apply_order(now, fence, &Order::Unpin(pin_of(seed, blocks)));
         }
         Act::TurnCold => bench.engine.turn_cold(now),
         Act::Pass(millis) => bench.pass(Duration::from_millis(millis.into())),
@@ -107,6 +107,6 @@
         }
         give_all_back(&mut bench);
         prop_assert_eq!(bench.used(), 0);
-        prop_assert_eq!(bench.engine.streams(), 0);
+        prop_assert_eq!(bench.engine.stream_count(), 0);
     }
 }
--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -96,7 +96,7 @@
             limit.set_shares(&shares);
             Target {
                 id: format!("engine-{index}").as_str().into(),
-                engine: Engine::open(start, id::Incarnation(1), options.clone()),
+                engine: Engine::new(start, id::Incarnation(1), options.clone()),
                 limit,
                 zone: index % 3,
                 incarnation: 1,
@@ -199,7 +199,7 @@
         let cold = Options { warmth: 0, ..self.options.clone() };
         let t = &mut self.targets[target];
         t.incarnation += 1;
-        t.engine = Engine::open(now, id::Incarnation(t.incarnation), cold);
+        t.engine = Engine::new(now, id::Incarnation(t.incarnation), cold);
         t.restart = None;
         t.accepting = true;
         // The owner opens a target that is back only once its report shows
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -129,8 +129,8 @@
             max_tokens: flight.record.request.cost.decode,
             priority: Priority(L::priority(lane)),
             import: None,
-            keep: None,
-            crash: false,
+            keep_as: None,
+            crashes_engine: false,
         };
         t.running.insert(index);
         // A refusal shows in the engine's state, which the next look finds.
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -5,7 +5,7 @@
 use crate::reader::Readers;
 use crate::server::{self, Call, Reply};
 use hickory_model::batch::Stall;
-use hickory_model::engine::{Engine, Job, Options as Model, Refused};
+use hickory_model::engine::{Engine, Job, Options as Model, Refusal};
 use hickory_model::loading::Fetch;
 use hickory_target::engine::{Generate, Handle as Cache, Weights};
 use hickory_target::http::{Fenced, Import, Resume};
@@ -73,7 +73,7 @@
 pub fn spawn(listen: SocketAddr, mut options: Options) -> std::io::Result<Handle> {
     options.model.loaded.append(&mut options.loaded);
     let faults = Faults::none();
-    let engine = Engine::open(faults.now(), faults.incarnation(), options.model.clone());
+    let engine = Engine::new(faults.now(), faults.incarnation(), options.model.clone());
     let crash_marker = options.crash_marker.clone();
     let held = Held { engine, readers: Readers::default(), crash_marker, crash_seen: false };
     let inner = Inner {
@@ -184,10 +184,10 @@
     }
 
     fn generate(&self, generate: &Generate) -> Reply {
-        let mut job = Job::of(generate);
+        let mut job = Job::from_call(generate);
         let mut held = self.lock();
         let marker = held.crash_marker.as_deref();
-        job.crash = marker.is_some_and(|marker| generate.prompt.contains(marker));
+        job.crashes_engine = marker.is_some_and(|marker| generate.prompt.contains(marker));
         if let Err(refused) = held.engine.begin(self.inner.faults.now(), job) {
             drop(held);
             self.die_if_crashed();
@@ -229,7 +229,7 @@
 
     fn order(&self, fenced: &Fenced) -> Reply {
         let now = self.inner.faults.now();
-        let done = self.with_engine(|engine| engine.order(now, fenced.fence, &fenced.order));
+        let done = self.with_engine(|engine| engine.apply_order(now, fenced.fence, &fenced.order));
         self.inner.work.notify_one();
         match done {
             Ok(None) => Reply::json(&()),
@@ -248,7 +248,7 @@
         if let Some(at) = self.inner.options.weights {
             while !self.inner.peers.read_weights(at, fetch.bytes).await {
                 tokio::time::sleep(WEIGHTS_RETRY).await;
-                let wanted = self.with_engine(|engine| engine.holds_weights(&fetch.weights));
+                let wanted = self.with_engine(|engine| engine.has_weights(&fetch.weights));
                 if !wanted || self.inner.faults.incarnation() != incarnation {
                     return;
                 }
@@ -313,10 +313,10 @@
     }
 }
 
-fn refuse(refused: Refused) -> Reply {
+fn refuse(refused: Refusal) -> Reply {
     match refused {
-        Refused::Stale => Reply::status(409, &refused.to_string()),
-        Refused::Crashed => Reply::cut(),
+        Refusal::StaleFence => Reply::status(409, &refused.to_string()),
+        Refusal::Crashed => Reply::cut(),
         _ => Reply::status(422, &refused.to_string()),
     }
 }
@@ -350,7 +350,7 @@
     fn reset(&self, faults: &Faults) {
         let model = Model { warmth: 0, ..self.inner.options.model.clone() };
         let mut held = self.lock();
-        held.engine = Engine::open(faults.now(), faults.incarnation(), model);
+        held.engine = Engine::new(faults.now(), faults.incarnation(), model);
         held.readers = Readers::default();
         held.crash_seen = false;
         drop(held);
--- a/crates/standin/src/reader.rs
+++ b/crates/standin/src/reader.rs
@@ -29,7 +29,7 @@
 impl Readers {
     /// Adds a stream without a reader.
     pub(crate) fn add(&mut self, generate: &Generate, engine: &Engine) {
-        let reader = Reader { answer: Answer::of(&generate.prompt), number: 0 };
+        let reader = Reader { answer: Answer::for_prompt(&generate.prompt), number: 0 };
         self.all.insert(generate.stream.clone(), reader);
         if self.all.len() > self.sweep_at.max(SWEEP_AT) {
             self.all.retain(|stream, _| engine.progress(stream).is_some());
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -91,7 +91,7 @@
 pub fn spawn(listen: SocketAddr, options: Options) -> std::io::Result<Handle> {
     let faults = Faults::none();
     let model = options.model(options.warmth);
-    let warmth = Arc::new(Mutex::new((Warmth::open(faults.now(), &model), model)));
+    let warmth = Arc::new(Mutex::new((Warmth::new(faults.now(), &model), model)));
     let replica = Replica { options, running: Arc::default(), faults: faults.clone(), warmth };
     server::spawn_with(listen, replica, faults)
 }
@@ -132,8 +132,9 @@
     fn warm_up(&self, running: u32) -> Option<f64> {
         let now = self.faults.now();
         let (warmth, model) = &mut *self.lock_warmth();
-        warmth.pass(now, running > 1, model);
-        let over = warmth.is_over(running, model) && !warmth.is_unnoticed(now, model);
+        warmth.advance(now, running > 1, model);
+        let over =
+            warmth.is_overloaded(running, model) && !warmth.is_within_detection_time(now, model);
         (!over || !self.options.falls_over).then(|| warmth.speed(model))
     }
 
@@ -191,7 +192,7 @@
 
     fn reset(&self, faults: &Faults) {
         let model = self.options.model(0);
-        *self.lock_warmth() = (Warmth::open(faults.now(), &model), model);
+        *self.lock_warmth() = (Warmth::new(faults.now(), &model), model);
     }
 
     fn switch(&self, switch: &Switch) -> bool {
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,7 +1,7 @@
 //! The weight store: its limit, and the reads that engines make under it.
 
 use crate::server::{self, Call, Reply};
-use hickory_model::pipe::{Busy, Pipe};
+use hickory_model::read_limiter::{Busy, ReadLimiter};
 use hickory_store::weight::Limit;
 use hickory_unit::size;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Weights {
     limit: Limit,
-    pipe: Arc<Mutex<Pipe>>,
+    pipe: Arc<Mutex<ReadLimiter>>,
 }
 
 /// A running weight store.
@@ -21,14 +21,14 @@
 
 /// Serves under `limit`.
 pub fn spawn(listen: SocketAddr, limit: Limit) -> std::io::Result<Handle> {
-    let pipe = Pipe::open(limit.bytes_per_second, limit.loads as usize);
+    let pipe = ReadLimiter::new(limit.bytes_per_second, limit.loads as usize);
     server::spawn(listen, Weights { limit, pipe: Arc::new(Mutex::new(pipe)) })
 }
 
 impl Weights {
     fn book(&self, bytes: size::Bytes) -> Result<Duration, Busy> {
         let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
-        pipe.read(Instant::now(), bytes)
+        pipe.start_read(Instant::now(), bytes)
     }
 
     async fn read(&self, bytes: size::Bytes) -> Reply {
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -142,7 +142,7 @@
         })
         .await;
         let after = read(&targets, at, &generate(number + 10, "harmless")).await;
-        assert_eq!(after, Ok(Text::of("harmless").text(5)));
+        assert_eq!(after, Ok(Text::for_prompt("harmless").text(5)));
     }
 }
 
@@ -166,7 +166,7 @@
         targets.import(at[place + 1], at[place], &handle(part)).await.unwrap();
     }
     let last = Generate { import: Some(handle(1)), ..whole.clone() };
-    assert_eq!(read(&targets, at[2], &last).await, Ok(Text::of(&prompt).text(5)));
+    assert_eq!(read(&targets, at[2], &last).await, Ok(Text::for_prompt(&prompt).text(5)));
     let used: Vec<u64> = fleet.engines.iter().map(|e| e.service().kv_used().0).collect();
     assert_eq!(used, [350_000, 350_000, 0]);
 }
--- a/crates/standin/tests/fleet.rs
+++ b/crates/standin/tests/fleet.rs
@@ -72,7 +72,7 @@
             Event::Failed { reason } => panic!("{reason}"),
         }
     }
-    assert_eq!(text, Answer::of(&generate.prompt).text(20));
+    assert_eq!(text, Answer::for_prompt(&generate.prompt).text(20));
 }
 
 #[tokio::test]
--- a/crates/target/tests/scene/mod.rs
+++ b/crates/target/tests/scene/mod.rs
@@ -201,7 +201,7 @@
         let generate = generate(number, 10);
         let mut tokens = self.targets.generate(self.engine.address(), &generate).await.unwrap();
         let text = read_tokens(&mut tokens, 5).await;
-        assert_eq!(text, Answer::of(&generate.prompt).text(5));
+        assert_eq!(text, Answer::for_prompt(&generate.prompt).text(5));
         tokens
     }
 
--- a/crates/target/tests/stream.rs
+++ b/crates/target/tests/stream.rs
@@ -104,7 +104,7 @@
         scene.targets.resume(scene.engine.address(), &stream(3), 5).await.unwrap();
     scene.engine.service().stall(Stall::None);
     let text = read_tokens(&mut rest, 5).await;
-    let answer = Answer::of(&generate(3, 10).prompt);
+    let answer = Answer::for_prompt(&generate(3, 10).prompt);
     assert_eq!(answer.text(5) + &text, answer.text(10));
     assert!(matches!(
         rest.next().await,
@@ -120,7 +120,7 @@
     let again = Generate { from: 7, ..generate(3, 10) };
     let mut tokens = scene.targets.generate(scene.engine.address(), &again).await.unwrap();
     let first = tokens.next().await.unwrap().unwrap();
-    let text = Answer::of(&again.prompt).token(7);
+    let text = Answer::for_prompt(&again.prompt).token(7);
     assert_eq!(first, hickory_target::engine::Event::Token { seq: 7, text });
 }
 
