--- a/apps/hickory-soak/src/caller.rs
+++ b/apps/hickory-soak/src/caller.rs
@@ -1,7 +1,7 @@
 //! Callers that go on using their connections until the process is gone.
 
-use crate::check::{Asked, Kind, Record};
-use crate::scene::Scene;
+use crate::check::{Kind, Record, Request};
+use crate::run::Run;
 use hickory_adapter_standin::caller::{Response, read_with_timeout, request_with_attempt_id};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -12,24 +12,24 @@
 use tokio::net::TcpStream;
 
 /// How long callers wait for answers.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(3_000);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// How long a connect may take.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Calls until the scene ends.
-pub(crate) async fn run(scene: Arc<Scene>, number: usize) {
-    let mut random = StdRng::seed_from_u64(scene.seed ^ (number as u64) << 32);
+pub(crate) async fn send_requests(run: Arc<Run>, number: usize) {
+    let mut random = StdRng::seed_from_u64(run.seed ^ (number as u64) << 32);
     let mut kept: Option<(usize, TcpStream)> = None;
     let mut count = 0_u32;
-    while !scene.ended.load(Ordering::Relaxed) {
+    while !run.ended.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(5..60))).await;
         let (host, mut stream) = match kept.take() {
             Some(kept) => kept,
             None => {
-                let host = random.random_range(0..scene.hosts.len());
-                let address = scene.hosts[host].settings.callers;
-                match tokio::time::timeout(CONNECT, TcpStream::connect(address)).await {
+                let host = random.random_range(0..run.hosts.len());
+                let address = run.hosts[host].settings.callers;
+                match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
                     Ok(Ok(stream)) => (host, stream),
                     _ => continue,
                 }
@@ -37,13 +37,13 @@
         };
         count += 1;
         let attempt = format!("a{number}-{count}");
-        let kind = pick_kind(&mut random, &scene);
-        let asked = Asked {
+        let kind = pick_kind(&mut random, &run);
+        let request = Request {
             attempt: attempt.clone(),
             kind,
             host,
-            incarnation: scene.hosts[host].incarnation(),
-            at: Instant::now(),
+            incarnation: run.hosts[host].incarnation(),
+            sent_at: Instant::now(),
         };
         let (method, path) = match kind {
             Kind::Read => ("GET", "/read/1".to_owned()),
@@ -53,22 +53,22 @@
         };
         let text = request_with_attempt_id(&attempt, method, &path, "body");
         let answer = match stream.write_all(text.as_bytes()).await {
-            Ok(()) => read_with_timeout(&mut stream, PATIENCE + Duration::from_secs(2)).await,
+            Ok(()) => read_with_timeout(&mut stream, ANSWER_TIMEOUT + Duration::from_secs(2)).await,
             Err(_) => Response::default(),
         };
         let closes = answer.header("connection") == Some("close");
         if answer.is_complete && !closes && random.random_bool(0.8) {
             kept = Some((host, stream));
         }
-        scene.note(Record { asked, answer, took_until: Instant::now() });
+        run.record(Record { request, answer, ended_at: Instant::now() });
     }
 }
 
-fn pick_kind(random: &mut StdRng, scene: &Scene) -> Kind {
+fn pick_kind(random: &mut StdRng, run: &Run) -> Kind {
     match random.random_range(0..10) {
         0..=3 => Kind::Read,
         4..=5 => Kind::Once,
         6..=7 => Kind::Stream,
-        _ => Kind::Version(random.random_range(1..=scene.version.load(Ordering::Relaxed))),
+        _ => Kind::Version(random.random_range(1..=run.version.load(Ordering::Relaxed))),
     }
 }
--- a/apps/hickory-soak/src/check.rs
+++ b/apps/hickory-soak/src/check.rs
@@ -1,7 +1,7 @@
 //! The promises, checked from what callers and replicas saw.
 
-use crate::caller::PATIENCE;
-use crate::scene::Scene;
+use crate::caller::ANSWER_TIMEOUT;
+use crate::run::Run;
 use hickory_adapter_standin::caller::Response;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -21,49 +21,50 @@
 
 /// A request.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct Request {
     pub(crate) attempt: String,
     pub(crate) kind: Kind,
     pub(crate) host: usize,
     pub(crate) incarnation: u32,
-    pub(crate) at: Instant,
+    pub(crate) sent_at: Instant,
 }
 
 /// A request with what came of it.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
-    pub(crate) asked: Asked,
+    pub(crate) request: Request,
     pub(crate) answer: Response,
-    pub(crate) took_until: Instant,
+    pub(crate) ended_at: Instant,
 }
 
 /// How late an answer may be: the scheduling of some dozen processes.
-const SLACK: Duration = Duration::from_millis(700);
+const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(700);
 
 /// Statuses that promise that a request has not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
 /// Everything that was broken.
-pub(crate) fn check(scene: &Scene) -> Vec<String> {
-    let records = scene.records();
+pub(crate) fn check(run: &Run) -> Vec<String> {
+    let records = run.records();
     let mut runs: HashMap<String, usize> = HashMap::new();
-    for seen in scene.replicas.iter().flat_map(|(replica, _)| replica.requests()) {
+    for seen in run.replicas.iter().flat_map(|(replica, _)| replica.requests()) {
         *runs.entry(seen.attempt_id().to_owned()).or_default() += usize::from(seen.was_run);
     }
-    let mut broken: Vec<String> = Vec::new();
+    let mut violations: Vec<String> = Vec::new();
     let mut newest: HashMap<(usize, u32), u64> = HashMap::new();
     for record in &records {
-        let ran = runs.get(&record.asked.attempt).copied().unwrap_or(0);
+        let ran = runs.get(&record.request.attempt).copied().unwrap_or(0);
         let findings = [
-            check_answer(record, scene.events),
+            check_answer(record, run.events),
             check_runs(record, ran),
-            check_time(record, scene),
+            check_duration(record, run),
             check_version(record, &mut newest),
         ];
-        let name = |finding| format!("{} {:?}: {finding}", record.asked.attempt, record.asked.kind);
-        broken.extend(findings.into_iter().flatten().map(name));
+        let name =
+            |finding| format!("{} {:?}: {finding}", record.request.attempt, record.request.kind);
+        violations.extend(findings.into_iter().flatten().map(name));
     }
-    broken
+    violations
 }
 
 /// Each answer is whole or looks incomplete, and is the caller's own.
@@ -73,11 +74,11 @@
     if !is_success {
         return None;
     }
-    if !answer.is_signed_response_to(&record.asked.attempt) {
+    if !answer.is_signed_response_to(&record.request.attempt) {
         return Some("the answer is another's, or not signed".into());
     }
     let ids = answer.event_ids();
-    match record.asked.kind {
+    match record.request.kind {
         Kind::Stream if !ids.iter().copied().eq(1..=ids.len() as u64) => {
             Some(format!("events out of order: {ids:?}"))
         }
@@ -94,7 +95,7 @@
 
 /// What may run once does, and a refusal says the truth.
 fn check_runs(record: &Record, ran: usize) -> Option<String> {
-    match record.asked.kind {
+    match record.request.kind {
         Kind::Once if ran > 1 => Some(format!("ran {ran} times")),
         Kind::Once if NOT_RUN.contains(&record.answer.status) && ran > 0 => {
             Some(format!("status {} although it ran", record.answer.status))
@@ -104,18 +105,18 @@
 }
 
 /// Every request has its final answer in time, unless its host was disturbed.
-fn check_time(record: &Record, scene: &Scene) -> Option<String> {
-    let took = record.took_until.duration_since(record.asked.at);
-    let is_late = took > PATIENCE + SLACK;
-    let host = &scene.hosts[record.asked.host];
-    let excused = host.was_disturbed(record.asked.at, record.took_until);
-    (is_late && !excused).then(|| format!("an answer after {took:?}"))
+fn check_duration(record: &Record, run: &Run) -> Option<String> {
+    let took = record.ended_at.duration_since(record.request.sent_at);
+    let is_late = took > ANSWER_TIMEOUT + SCHEDULING_TOLERANCE;
+    let host = &run.hosts[record.request.host];
+    let is_excused = host.was_disturbed(record.request.sent_at, record.ended_at);
+    (is_late && !is_excused).then(|| format!("an answer after {took:?}"))
 }
 
 /// A process that has served a configuration never serves an older one.
 fn check_version(record: &Record, newest: &mut HashMap<(usize, u32), u64>) -> Option<String> {
-    let Kind::Version(version) = record.asked.kind else { return None };
-    let known = newest.entry((record.asked.host, record.asked.incarnation)).or_default();
+    let Kind::Version(version) = record.request.kind else { return None };
+    let known = newest.entry((record.request.host, record.request.incarnation)).or_default();
     match record.answer.status {
         200 => *known = (*known).max(version),
         404 if version <= *known => {
--- a/apps/hickory-soak/src/fault.rs
+++ b/apps/hickory-soak/src/fault.rs
@@ -1,7 +1,7 @@
 //! Faults, drawn from the seed: alone, in series and overlapping.
 
 use crate::proxy::{Mode, Proxy};
-use crate::scene::Scene;
+use crate::run::Run;
 use hickory_adapter_standin::store::Fault;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -12,111 +12,111 @@
 use std::time::{Duration, Instant};
 
 /// Between two faults at most; they last longer, so that they overlap.
-const GAP_MS: u64 = 900;
+const MAX_GAP_MS: u64 = 900;
 
 /// How long a fault lasts, in milliseconds.
-const LASTS_MS: std::ops::Range<u64> = 200..2_500;
+const DURATION_MS: std::ops::Range<u64> = 200..2_500;
 
 /// How long a node may take to come back after a fault.
-const AFTER: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// What a stopped process may take beyond its grace time.
-const GRACE: Duration = Duration::from_millis(5_300);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(5_300);
 
 /// Causes faults for a time.
-pub(crate) async fn run(scene: Arc<Scene>, time: Duration) {
-    let mut random = StdRng::seed_from_u64(scene.seed);
+pub(crate) async fn inject_faults(run: Arc<Run>, time: Duration) {
+    let mut random = StdRng::seed_from_u64(run.seed);
     let end = Instant::now() + time;
-    let mut under_way = Vec::new();
+    let mut running = Vec::new();
     while Instant::now() < end {
-        tokio::time::sleep(Duration::from_millis(random.random_range(50..GAP_MS))).await;
-        let lasts = Duration::from_millis(random.random_range(LASTS_MS));
-        under_way.push(tokio::spawn(cause(scene.clone(), random.random(), lasts)));
+        tokio::time::sleep(Duration::from_millis(random.random_range(50..MAX_GAP_MS))).await;
+        let duration = Duration::from_millis(random.random_range(DURATION_MS));
+        running.push(tokio::spawn(inject_fault(run.clone(), random.random(), duration)));
     }
-    for fault in under_way {
+    for fault in running {
         // A fault that panicked has printed why.
         let _ = fault.await;
     }
 }
 
-async fn cause(scene: Arc<Scene>, seed: u64, lasts: Duration) {
+async fn inject_fault(run: Arc<Run>, seed: u64, duration: Duration) {
     let mut random = StdRng::seed_from_u64(seed);
     match random.random_range(0..10) {
-        0..=1 => harm_link(&scene, &mut random, lasts).await,
-        2 => pause(&scene, &mut random, lasts).await,
-        3 => kill(&scene, &mut random, lasts).await,
-        4 => stop(&scene, &mut random).await,
-        5..=6 => harm_store(&scene, &mut random, lasts).await,
-        7 => drain(&scene, &mut random, lasts).await,
-        _ => change_configuration(&scene),
+        0..=1 => disturb_link(&run, &mut random, duration).await,
+        2 => pause(&run, &mut random, duration).await,
+        3 => kill(&run, &mut random, duration).await,
+        4 => stop(&run, &mut random).await,
+        5..=6 => disturb_store(&run, &mut random, duration).await,
+        7 => drain(&run, &mut random, duration).await,
+        _ => change_configuration(&run),
     }
 }
 
-async fn harm_link(scene: &Scene, random: &mut StdRng, lasts: Duration) {
+async fn disturb_link(run: &Run, random: &mut StdRng, duration: Duration) {
     let modes = [Mode::Delay(Duration::from_millis(150)), Mode::Reset, Mode::Silence, Mode::OneWay];
     let mode = *modes.choose(random).unwrap_or(&Mode::Pass);
-    let links: Vec<&Proxy> = scene.links().collect();
+    let links: Vec<&Proxy> = run.links().collect();
     let Some(link) = links.choose(random) else { return };
-    scene.say(&format!("link {} {mode:?} for {lasts:?}", link.address));
+    run.print_event(&format!("link {} {mode:?} for {duration:?}", link.address));
     link.set(mode);
-    tokio::time::sleep(lasts).await;
+    tokio::time::sleep(duration).await;
     link.set(Mode::Pass);
 }
 
-async fn pause(scene: &Scene, random: &mut StdRng, lasts: Duration) {
-    let Some(host) = scene.hosts.choose(random) else { return };
-    scene.say(&format!("{} paused for {lasts:?}", host.settings.node));
-    host.disturb(lasts + AFTER);
+async fn pause(run: &Run, random: &mut StdRng, duration: Duration) {
+    let Some(host) = run.hosts.choose(random) else { return };
+    run.print_event(&format!("{} paused for {duration:?}", host.settings.node));
+    host.disturb(duration + RECOVERY_TIME);
     host.signal(Signal::STOP);
-    tokio::time::sleep(lasts).await;
+    tokio::time::sleep(duration).await;
     host.signal(Signal::CONT);
 }
 
-async fn kill(scene: &Scene, random: &mut StdRng, lasts: Duration) {
-    let Some(host) = scene.hosts.choose(random) else { return };
-    scene.say(&format!("{} killed, back after {lasts:?}", host.settings.node));
-    host.disturb(lasts + AFTER);
+async fn kill(run: &Run, random: &mut StdRng, duration: Duration) {
+    let Some(host) = run.hosts.choose(random) else { return };
+    run.print_event(&format!("{} killed, back after {duration:?}", host.settings.node));
+    host.disturb(duration + RECOVERY_TIME);
     host.signal(Signal::KILL);
-    let Ok(_turn) = host.turn.try_lock() else { return };
+    let Ok(_guard) = host.restart_lock.try_lock() else { return };
     host.wait(Duration::from_secs(1)).await;
-    tokio::time::sleep(lasts).await;
-    scene.start(host);
+    tokio::time::sleep(duration).await;
+    run.restart(host);
 }
 
-async fn stop(scene: &Scene, random: &mut StdRng) {
-    let Some(host) = scene.hosts.choose(random) else { return };
-    scene.say(&format!("{} stopped", host.settings.node));
-    host.disturb(GRACE + AFTER);
+async fn stop(run: &Run, random: &mut StdRng) {
+    let Some(host) = run.hosts.choose(random) else { return };
+    run.print_event(&format!("{} stopped", host.settings.node));
+    host.disturb(SHUTDOWN_TIMEOUT + RECOVERY_TIME);
     host.signal(Signal::TERM);
-    let Ok(_turn) = host.turn.try_lock() else { return };
-    if !host.wait(GRACE).await {
-        scene.say(&format!("{} did not end within its grace time", host.settings.node));
+    let Ok(_guard) = host.restart_lock.try_lock() else { return };
+    if !host.wait(SHUTDOWN_TIMEOUT).await {
+        run.print_event(&format!("{} did not end within its grace time", host.settings.node));
     }
-    scene.start(host);
+    run.restart(host);
 }
 
-async fn harm_store(scene: &Scene, random: &mut StdRng, lasts: Duration) {
+async fn disturb_store(run: &Run, random: &mut StdRng, duration: Duration) {
     let faults = [Fault::Status(503), Fault::Status(429), Fault::ResponseLost, Fault::Unresponsive];
     let fault = *faults.choose(random).unwrap_or(&Fault::None);
-    scene.say(&format!("store {fault:?} for {lasts:?}"));
-    scene.store.set_fault(fault);
+    run.print_event(&format!("store {fault:?} for {duration:?}"));
+    run.store.set_fault(fault);
     if random.random_bool(0.3) {
-        scene.store.compact();
+        run.store.compact();
     }
-    tokio::time::sleep(lasts).await;
-    scene.store.set_fault(Fault::None);
+    tokio::time::sleep(duration).await;
+    run.store.set_fault(Fault::None);
 }
 
-async fn drain(scene: &Scene, random: &mut StdRng, lasts: Duration) {
-    let Some((replica, _)) = scene.replicas.choose(random) else { return };
-    scene.say(&format!("{} leaves for {lasts:?}", replica.name));
-    scene.store.put(&scene.entry_key(replica), &replica.entry("draining"));
-    tokio::time::sleep(lasts).await;
-    scene.store.put(&scene.entry_key(replica), &replica.entry("ready"));
+async fn drain(run: &Run, random: &mut StdRng, duration: Duration) {
+    let Some((replica, _)) = run.replicas.choose(random) else { return };
+    run.print_event(&format!("{} leaves for {duration:?}", replica.name));
+    run.store.put(&run.entry_key(replica), &replica.entry("draining"));
+    tokio::time::sleep(duration).await;
+    run.store.put(&run.entry_key(replica), &replica.entry("ready"));
 }
 
-fn change_configuration(scene: &Scene) {
-    let version = scene.version.fetch_add(1, Ordering::Relaxed) + 1;
-    scene.say(&format!("configuration {version}"));
-    scene.write_configuration(version);
+fn change_configuration(run: &Run) {
+    let version = run.version.fetch_add(1, Ordering::Relaxed) + 1;
+    run.print_event(&format!("configuration {version}"));
+    run.write_configuration(version);
 }
--- a/apps/hickory-soak/src/host.rs
+++ b/apps/hickory-soak/src/host.rs
@@ -18,7 +18,7 @@
     state: Mutex<State>,
     /// Held by whoever ends the process and starts it again; others may only
     /// send signals meanwhile.
-    pub(crate) turn: tokio::sync::Mutex<()>,
+    pub(crate) restart_lock: tokio::sync::Mutex<()>,
 }
 
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
             program,
             directory,
             state: Mutex::default(),
-            turn: tokio::sync::Mutex::default(),
+            restart_lock: tokio::sync::Mutex::default(),
         }
     }
 
--- a/apps/hickory-soak/src/main.rs
+++ b/apps/hickory-soak/src/main.rs
@@ -11,7 +11,7 @@
 mod fault;
 mod host;
 mod proxy;
-mod scene;
+mod run;
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -47,22 +47,22 @@
 fn main() -> eyre::Result<()> {
     let options = Options::parse();
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let mut broken = 0;
+    let mut violations = 0;
     for seed in options.seed..options.seed + options.seeds {
-        let plan = scene::Plan {
+        let plan = run::Plan {
             seed,
-            faults_for: Duration::from_secs(options.seconds),
+            fault_duration: Duration::from_secs(options.seconds),
             nodes: options.nodes,
             callers: options.callers,
             program: options.program.clone(),
             print: options.events,
         };
-        let report = runtime.block_on(scene::play(&plan))?;
+        let report = runtime.block_on(run::run_seed(&plan))?;
         println!("seed {seed}: {report}");
-        broken += report.broken.len();
+        violations += report.violations.len();
     }
-    if broken > 0 {
-        eyre::bail!("{broken} promises broken");
+    if violations > 0 {
+        eyre::bail!("{violations} promises broken");
     }
     Ok(())
 }
--- a/apps/hickory-soak/src/scene.rs
+++ b/apps/hickory-soak/src/run.rs
@@ -19,20 +19,20 @@
 const REPLICAS: [(&str, u8); 2] = [("plain", 3), ("model", 4)];
 
 /// Events of a whole stream.
-const EVENTS: u64 = 12;
+const EVENTS_PER_STREAM: u64 = 12;
 
 /// The part of requests that meet a fault at their replica.
-const REPLICA_FAULTS: f64 = 0.08;
+const REPLICA_FAULT_RATE: f64 = 0.08;
 
 /// How long the scene is left alone before what was seen is judged: callers'
 /// last requests end in it.
-const QUIET: Duration = Duration::from_secs(6);
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
 /// What a seed is played with.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
-    pub(crate) faults_for: Duration,
+    pub(crate) fault_duration: Duration,
     pub(crate) nodes: u8,
     pub(crate) callers: usize,
     pub(crate) program: PathBuf,
@@ -41,7 +41,7 @@
 
 /// The stand-ins, the hosts, and what callers saw.
 #[derive(Debug)]
-pub(crate) struct Scene {
+pub(crate) struct Run {
     pub(crate) seed: u64,
     pub(crate) store: Store,
     pub(crate) replicas: Vec<(Replica, Proxy)>,
@@ -52,7 +52,7 @@
     pub(crate) version: AtomicU64,
     pub(crate) ended: AtomicBool,
     records: Mutex<Vec<Record>>,
-    began: Instant,
+    started_at: Instant,
     print: bool,
 }
 
@@ -61,39 +61,40 @@
 pub(crate) struct Report {
     pub(crate) requests: usize,
     pub(crate) served: usize,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { requests, served, broken } = self;
-        write!(f, "{requests} requests, {served} served, {} promises broken", broken.len())?;
-        broken.iter().take(10).try_for_each(|finding| write!(f, "\n  {finding}"))
+        let Self { requests, served, violations } = self;
+        write!(f, "{requests} requests, {served} served, {} promises broken", violations.len())?;
+        violations.iter().take(10).try_for_each(|finding| write!(f, "\n  {finding}"))
     }
 }
 
 /// Plays a seed.
-pub(crate) async fn play(plan: &Plan) -> eyre::Result<Report> {
+pub(crate) async fn run_seed(plan: &Plan) -> eyre::Result<Report> {
     let directory = std::env::temp_dir().join(format!("soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&directory).wrap_err_with(|| directory.display().to_string())?;
-    let scene = Arc::new(Scene::open(plan, directory.clone()).await?);
-    for host in &scene.hosts {
+    let run = Arc::new(Run::open(plan, directory.clone()).await?);
+    for host in &run.hosts {
         host.start().wrap_err("an entry daemon can't be started")?;
     }
-    for host in &scene.hosts {
+    for host in &run.hosts {
         standin::wait_until_ready(host.settings.ready).await;
     }
-    let callers: Vec<_> =
-        (0..plan.callers).map(|number| tokio::spawn(caller::run(scene.clone(), number))).collect();
-    fault::run(scene.clone(), plan.faults_for).await;
-    tokio::time::sleep(QUIET).await;
-    scene.ended.store(true, std::sync::atomic::Ordering::Relaxed);
+    let callers: Vec<_> = (0..plan.callers)
+        .map(|number| tokio::spawn(caller::send_requests(run.clone(), number)))
+        .collect();
+    fault::inject_faults(run.clone(), plan.fault_duration).await;
+    tokio::time::sleep(SETTLE_TIME).await;
+    run.ended.store(true, std::sync::atomic::Ordering::Relaxed);
     for caller in callers {
         // A caller that panicked has printed why.
         let _ = caller.await;
     }
-    let report = scene.report();
-    if report.broken.is_empty() {
+    let report = run.report();
+    if report.violations.is_empty() {
         // What is left behind is the machine's to clean.
         let _ = std::fs::remove_dir_all(&directory);
     } else {
@@ -102,17 +103,18 @@
     Ok(report)
 }
 
-impl Scene {
+impl Run {
     async fn open(plan: &Plan, directory: PathBuf) -> eyre::Result<Self> {
         let store = Store::spawn().await;
         let mut replicas = Vec::new();
         for (service, count) in REPLICAS {
             for number in 1..=count {
                 let mut replica =
-                    Replica::spawn(&format!("{service}-{number}"), service, EVENTS).await;
+                    Replica::spawn(&format!("{service}-{number}"), service, EVENTS_PER_STREAM)
+                        .await;
                 let link = Proxy::spawn(replica.address.ip(), replica.address).await?;
                 replica.advertised_address = Some(link.address);
-                replica.inject_faults(REPLICA_FAULTS, plan.seed ^ u64::from(number));
+                replica.inject_faults(REPLICA_FAULT_RATE, plan.seed ^ u64::from(number));
                 store.put(&entry_key(&replica.name), &replica.entry("ready"));
                 replicas.push((replica, link));
             }
@@ -145,11 +147,11 @@
             replicas,
             store_links,
             hosts,
-            events: EVENTS,
+            events: EVENTS_PER_STREAM,
             version: AtomicU64::new(1),
             ended: AtomicBool::new(false),
             records: Mutex::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             print: plan.print,
         })
     }
@@ -167,25 +169,25 @@
     }
 
     /// Starts a host's process again.
-    pub(crate) fn start(&self, host: &Host) {
+    pub(crate) fn restart(&self, host: &Host) {
         if let Err(error) = host.start() {
-            self.say(&format!("{} can't be started: {error}", host.settings.node));
+            self.print_event(&format!("{} can't be started: {error}", host.settings.node));
         }
     }
 
-    pub(crate) fn say(&self, what: &str) {
+    pub(crate) fn print_event(&self, event: &str) {
         if self.print {
-            println!("{:>7.3} s  {what}", self.began.elapsed().as_secs_f64());
+            println!("{:>7.3} s  {event}", self.started_at.elapsed().as_secs_f64());
         }
     }
 
-    pub(crate) fn note(&self, record: Record) {
+    pub(crate) fn record(&self, record: Record) {
         self.records.lock().unwrap_or_else(PoisonError::into_inner).push(record);
     }
 
     pub(crate) fn records(&self) -> Vec<Record> {
         let mut records = self.records.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        records.sort_by_key(|record| record.took_until);
+        records.sort_by_key(|record| record.ended_at);
         records
     }
 
@@ -195,7 +197,7 @@
         Report {
             requests: records.len(),
             served: records.iter().filter(is_served).count(),
-            broken: check::check(self),
+            violations: check::check(self),
         }
     }
 }
