--- a/apps/hickory-load/src/main.rs
+++ b/apps/hickory-load/src/main.rs
@@ -10,35 +10,37 @@
 use std::process::ExitCode;
 
 /// A request neither got its whole answer nor a refusal.
-const EXIT_LOST: u8 = 3;
+const EXIT_REQUEST_LOST: u8 = 3;
 
 /// A measured figure misses its goal, and the caller asked to be told.
-const EXIT_MISSED: u8 = 4;
+const EXIT_GOAL_MISSED: u8 = 4;
 
 fn main() -> Result<ExitCode> {
     match Arguments::parse().command {
         Command::Run(run) => send_workload(run),
-        Command::Experiment { name, seed, json, strict } => measure(name, seed, json, strict),
+        Command::Experiment { name, seed, json, strict } => {
+            run_experiment(name, seed, json, strict)
+        }
     }
 }
 
 fn send_workload(arguments: Run) -> Result<ExitCode> {
-    let options = arguments.plan()?;
+    let options = arguments.to_options()?;
     let json = arguments.json;
     let report = run::run(options, arguments.entries, arguments.tokens).wrap_err("callers")?;
     match json {
         true => println!("{}", serde_json::to_string_pretty(&report)?),
         false => print!("{report}"),
     }
-    Ok(if report.lost() > 0 { ExitCode::from(EXIT_LOST) } else { ExitCode::SUCCESS })
+    Ok(if report.lost() > 0 { ExitCode::from(EXIT_REQUEST_LOST) } else { ExitCode::SUCCESS })
 }
 
-fn measure(name: Name, seed: u64, json: bool, strict: bool) -> Result<ExitCode> {
+fn run_experiment(name: Name, seed: u64, json: bool, strict: bool) -> Result<ExitCode> {
     let sheet = experiment::run_experiment(name, seed)?;
     match json {
         true => println!("{}", serde_json::to_string_pretty(&sheet)?),
         false => print!("{sheet}"),
     }
-    let missed = sheet.figures.iter().any(|figure| figure.met == Some(false));
-    Ok(if strict && missed { ExitCode::from(EXIT_MISSED) } else { ExitCode::SUCCESS })
+    let has_missed_goal = sheet.figures.iter().any(|figure| figure.met == Some(false));
+    Ok(if strict && has_missed_goal { ExitCode::from(EXIT_GOAL_MISSED) } else { ExitCode::SUCCESS })
 }
--- a/apps/hickory-load/src/options.rs
+++ b/apps/hickory-load/src/options.rs
@@ -100,7 +100,7 @@
 
 impl Run {
     /// The workload that the arguments describe.
-    pub(crate) fn plan(&self) -> Result<Options> {
+    pub(crate) fn to_options(&self) -> Result<Options> {
         ensure!((0.0..=1.0).contains(&self.hang_up), "--hang-up: between 0 and 1");
         let duration = Duration::try_from_secs_f64(self.seconds)?;
         let deadline = self.deadline.map(Duration::try_from_secs_f64).transpose()?;
@@ -126,8 +126,8 @@
 }
 
 fn parse_name(text: &str) -> Result<Name, String> {
-    let known = || Name::ALL.iter().map(Name::to_string).collect::<Vec<_>>().join(", ");
-    Name::parse(text).ok_or_else(|| format!("no such experiment; there are: {}", known()))
+    let names = || Name::ALL.iter().map(Name::to_string).collect::<Vec<_>>().join(", ");
+    Name::parse(text).ok_or_else(|| format!("no such experiment; there are: {}", names()))
 }
 
 fn parse_token(text: &str) -> Result<Credential, String> {
@@ -136,11 +136,11 @@
 }
 
 fn parse_part(text: &str) -> Result<Part, String> {
-    let words: Vec<_> = text.split(':').collect();
-    let [length, class, rate] = words[..] else {
+    let fields: Vec<_> = text.split(':').collect();
+    let [length, class, rate] = fields[..] else {
         return Err("write length:class:rate".into());
     };
-    let length = Length::ALL.iter().find(|known| known.to_string() == length);
+    let length = Length::ALL.iter().find(|candidate| candidate.to_string() == length);
     let class = [Class::Interactive, Class::Batch].into_iter().find(|c| c.to_string() == class);
     Ok(Part::of(
         *length.ok_or("the length is 1k, 10k, 100k or 1M")?,
@@ -150,12 +150,12 @@
 }
 
 fn parse_calls(text: &str) -> Result<Calls, String> {
-    let words: Vec<_> = text.split(':').collect();
-    let [target, rate, repeat] = words[..] else {
+    let fields: Vec<_> = text.split(':').collect();
+    let [target, rate, repetition] = fields[..] else {
         return Err("write service/path:rate:once or service/path:rate:many".into());
     };
     let (service, path) = target.split_once('/').ok_or("write service/path")?;
-    let once = match repeat {
+    let once = match repetition {
         "once" => true,
         "many" => false,
         _ => return Err("a call is made once or many times".into()),
--- a/apps/hickory-standin/src/argument.rs
+++ b/apps/hickory-standin/src/argument.rs
@@ -173,8 +173,8 @@
 
 fn parse_speed(text: &str) -> Result<f64, String> {
     let speed: f64 = text.parse().map_err(|_| "expected a number".to_owned())?;
-    let usable = speed.is_finite() && speed > 0.0;
-    usable.then_some(speed).ok_or_else(|| "expected a number above 0".into())
+    let is_positive = speed.is_finite() && speed > 0.0;
+    is_positive.then_some(speed).ok_or_else(|| "expected a number above 0".into())
 }
 
 fn parse_weights(text: &str) -> Result<Weights, String> {
--- a/apps/hickory-standin/src/main.rs
+++ b/apps/hickory-standin/src/main.rs
@@ -50,18 +50,18 @@
     let mut board = Board::default();
     board.add(name, &handle);
     let control = board.spawn(arguments.control)?;
-    stay(&Ready::one(name, handle.address(), control.address()))
+    run_until_signal(&Ready::for_standin(name, handle.address(), control.address()))
 }
 
 fn serve_fleet(arguments: &Arguments, fleet: Fleet) -> eyre::Result<()> {
     let control = fleet.board().spawn(arguments.control)?;
-    stay(&Ready::fleet(&fleet, control.address()))
+    run_until_signal(&Ready::for_fleet(&fleet, control.address()))
 }
 
 /// Says where everything listens, and waits for the signal to stop. The
 /// signals are taken before that: whoever reads the line may send one at
 /// once, and the process would die of it.
-fn stay(ready: &Ready) -> eyre::Result<()> {
+fn run_until_signal(ready: &Ready) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
--- a/apps/hickory-standin/src/ready.rs
+++ b/apps/hickory-standin/src/ready.rs
@@ -16,11 +16,11 @@
 }
 
 impl Ready {
-    pub(crate) fn one(name: &str, address: SocketAddr, control: SocketAddr) -> Self {
+    pub(crate) fn for_standin(name: &str, address: SocketAddr, control: SocketAddr) -> Self {
         Self { control, addresses: [(name.to_owned(), address)].into() }
     }
 
-    pub(crate) fn fleet(fleet: &Fleet, control: SocketAddr) -> Self {
+    pub(crate) fn for_fleet(fleet: &Fleet, control: SocketAddr) -> Self {
         Self { control, addresses: fleet.addresses().into_iter().collect() }
     }
 
--- a/apps/hickory-standin/tests/process.rs
+++ b/apps/hickory-standin/tests/process.rs
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn each_kind_serves_and_ends_with_status_0() {
+async fn each_kind_serves_and_exits_with_status_0() {
     let kinds = [
         ("store", "/kv/get?key=k"),
         ("hosts", "/hosts"),
@@ -132,23 +132,23 @@
 }
 
 #[tokio::test]
-async fn switches_that_can_not_be_applied_are_refused() {
+async fn inapplicable_switches_are_refused() {
     let process = Process::start(&["store"]);
-    let rows = [
+    let cases = [
         ("store", "\"turn_cold\"", 422),
         ("store", "\"explode\"", 400),
         ("store", "{", 400),
         ("engine-0", "\"kill\"", 404),
     ];
-    for (name, switch, status) in rows {
+    for (name, switch, status) in cases {
         assert_eq!(process.fault(name, switch).await, status, "{name} {switch}");
     }
     assert_eq!(process.stop(), Some(0));
 }
 
 #[test]
-fn wrong_command_lines_end_with_a_status() {
-    let rows: &[(&[&str], i32)] = &[
+fn command_line_errors_set_the_exit_status() {
+    let cases: &[(&[&str], i32)] = &[
         (&[], 2),
         (&["balancer"], 2),
         (&["engine", "--speed", "0"], 2),
@@ -159,8 +159,8 @@
         (&["store", "--listen", "192.0.2.1:1"], 1),
         (&["--help"], 0),
     ];
-    for (arguments, status) in rows {
-        let ended = command(arguments).status().unwrap();
-        assert_eq!(ended.code(), Some(*status), "{arguments:?}");
+    for (arguments, expected) in cases {
+        let status = command(arguments).status().unwrap();
+        assert_eq!(status.code(), Some(*expected), "{arguments:?}");
     }
 }
