--- a/apps/hickory-load/src/main.rs
+++ b/apps/hickory-load/src/main.rs
@@ -1,4 +1,4 @@
-//! Callers and experiments against a hickoryrun fleet.
+//! Simulated callers and experiments against a hickoryrun fleet.
 
 mod options;
 
@@ -9,10 +9,10 @@
 use options::{Arguments, Command, Run};
 use std::process::ExitCode;
 
-/// A request neither got its whole answer nor a refusal.
+/// Exit status if a request got neither a complete answer nor a refusal.
 const EXIT_REQUEST_LOST: u8 = 3;
 
-/// A measured figure misses its goal, and the caller asked to be told.
+/// Exit status with `--strict` if a measured figure misses its goal.
 const EXIT_GOAL_MISSED: u8 = 4;
 
 fn main() -> Result<ExitCode> {
--- a/apps/hickory-load/src/options.rs
+++ b/apps/hickory-load/src/options.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Seeded callers against a fleet, and the experiments that measure one.
+/// Sends seeded workloads to a fleet, and runs experiments that measure one.
 ///
-/// Exit codes: 0 done; 1 could not be run; 2 bad arguments; 3 (run) a request
-/// neither got its whole answer nor a refusal; 4 (experiment --strict) a
-/// figure misses its goal.
+/// Exit statuses: 0 done; 1 could not run; 2 invalid arguments; 3 (run) a
+/// request got neither a complete answer nor a refusal; 4 (experiment --strict)
+/// a figure misses its goal.
 #[derive(Debug, Parser)]
 #[command(name = "hickory-load", version)]
 pub(crate) struct Arguments {
@@ -22,24 +22,24 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Sends a seeded workload to a fleet and prints what the callers saw.
+    /// Send a seeded workload to a fleet and print what the callers observed.
     Run(Run),
-    /// Runs one experiment on processes of its own and prints its figures.
+    /// Run one experiment with its own processes and print its figures.
     ///
-    /// Nodes are started from the `hickory-node` program that lies beside this
-    /// one; build all programs first. Every process is ended by its id.
+    /// Nodes are started from the `hickory-node` program in the directory of
+    /// this one; build all programs first. Every process is ended by its id.
     Experiment {
-        /// Which: stream-server, short-beside-long, first-token, zone, shares,
-        /// overload, relay, control-cost or config.
+        /// One of stream-server, short-beside-long, first-token, zone,
+        /// shares, overload, relay, control-cost or config.
         #[arg(value_parser = parse_name)]
         name: Name,
         /// Seed of the workload: the same seed gives the same requests.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Print JSON in place of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
-        /// Exit with 4 where a figure misses its goal.
+        /// Exit with status 4 if a figure misses its goal.
         #[arg(long)]
         strict: bool,
     },
@@ -47,61 +47,66 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct Run {
-    /// A node to ask which address to use; give several.
+    /// Node to ask which address to use; may be repeated.
     #[arg(long = "entry", required = true, value_name = "IP:PORT")]
     pub(crate) entries: Vec<SocketAddr>,
-    /// An account and its token; give several, the one that sends most first.
+    /// Account and its token; may be repeated, in order of decreasing load.
     #[arg(long = "token", required = true, value_name = "ACCOUNT=TOKEN", value_parser = parse_token)]
     pub(crate) tokens: Vec<Credential>,
     /// Seed of the workload: the same seed gives the same requests.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seconds in which requests are sent.
+    /// Duration of the workload in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// A part of the workload: prompt length (1k, 10k, 100k, 1M), class
-    /// (interactive, batch) and requests a second, as in 1k:interactive:20;
-    /// give several. Without any, a mix of all lengths at 20 requests a second.
+    /// Part of the workload: prompt length (1k, 10k, 100k, 1M), class
+    /// (interactive, batch) and requests per second, as in 1k:interactive:20;
+    /// may be repeated. Without it, a mix of all lengths at 20 requests per
+    /// second.
     #[arg(long = "part", value_name = "LENGTH:CLASS:RATE", value_parser = parse_part)]
     parts: Vec<Part>,
-    /// Calls of a plain service: service and path, requests a second, and once
-    /// or many for whether a call must not be repeated, as in
-    /// orders/place:2:once; give several.
+    /// Calls to a plain service: service and path, requests per second, and
+    /// once (a call must not be repeated) or many, as in orders/place:2:once;
+    /// may be repeated.
     #[arg(long = "calls", value_name = "SERVICE/PATH:RATE:once|many", value_parser = parse_calls)]
     calls: Vec<Calls>,
-    /// Requests that arrive together, at the same mean rate; 1 is Poisson.
+    /// Requests that arrive together, at the same mean rate; 1 means Poisson
+    /// arrivals.
     #[arg(long, default_value_t = 1)]
     burst: u32,
-    /// Tokens of each answer; by class where not given.
+    /// Tokens of each answer; the default depends on the class.
     #[arg(long)]
     max_tokens: Option<u64>,
-    /// Seconds that each request may take; by class where not given.
+    /// Deadline of each request in seconds; the default depends on the class.
     #[arg(long)]
     deadline: Option<f64>,
-    /// The model asked for.
+    /// Model to request.
     #[arg(long, default_value = "oak")]
     model: String,
-    /// Skew over the accounts: the i-th sends with weight 1/i^skew.
+    /// Skew of the load over the accounts: the i-th has weight 1/i^skew.
     #[arg(long, default_value_t = 1.0)]
     skew: f64,
-    /// Share of the callers that hang up in mid-stream, 0 to 1.
+    /// Fraction of callers that disconnect in mid-stream, 0 to 1.
     #[arg(long, default_value_t = 0.0)]
     hang_up: f64,
-    /// Times that a refused or broken request is sent again.
+    /// Maximum number of retries of a refused or interrupted request.
     #[arg(long, default_value_t = 3)]
     resends: u32,
-    /// Caller processes to imitate, each with an entry address of its own.
+    /// Number of simulated caller processes, each with its own entry address.
     #[arg(long, default_value_t = 16)]
     callers: u32,
-    /// Print JSON in place of a table.
+    /// Print JSON instead of a table.
     #[arg(long)]
     pub(crate) json: bool,
 }
 
 impl Run {
-    /// The workload that the arguments describe.
+    /// Returns the workload that the arguments describe.
     pub(crate) fn to_options(&self) -> Result<Options> {
-        ensure!((0.0..=1.0).contains(&self.hang_up), "--hang-up: between 0 and 1");
+        ensure!(
+            (0.0..=1.0).contains(&self.hang_up),
+            "--hang-up: expected a number between 0 and 1"
+        );
         let duration = Duration::try_from_secs_f64(self.seconds)?;
         let deadline = self.deadline.map(Duration::try_from_secs_f64).transpose()?;
         let mut options = Options::mixed(self.seed, duration, 20.0);
@@ -127,24 +132,24 @@
 
 fn parse_name(text: &str) -> Result<Name, String> {
     let names = || Name::ALL.iter().map(Name::to_string).collect::<Vec<_>>().join(", ");
-    Name::parse(text).ok_or_else(|| format!("no such experiment; there are: {}", names()))
+    Name::parse(text).ok_or_else(|| format!("expected one of: {}", names()))
 }
 
 fn parse_token(text: &str) -> Result<Credential, String> {
-    let (account, token) = text.split_once('=').ok_or("write account=token")?;
+    let (account, token) = text.split_once('=').ok_or("expected ACCOUNT=TOKEN")?;
     Ok(Credential { account: account.into(), token: token.into() })
 }
 
 fn parse_part(text: &str) -> Result<Part, String> {
     let fields: Vec<_> = text.split(':').collect();
     let [length, class, rate] = fields[..] else {
-        return Err("write length:class:rate".into());
+        return Err("expected LENGTH:CLASS:RATE".into());
     };
     let length = Length::ALL.iter().find(|candidate| candidate.to_string() == length);
     let class = [Class::Interactive, Class::Batch].into_iter().find(|c| c.to_string() == class);
     Ok(Part::of(
-        *length.ok_or("the length is 1k, 10k, 100k or 1M")?,
-        class.ok_or("the class is interactive or batch")?,
+        *length.ok_or("expected the length 1k, 10k, 100k or 1M")?,
+        class.ok_or("expected the class interactive or batch")?,
         parse_rate(rate)?,
     ))
 }
@@ -152,13 +157,13 @@
 fn parse_calls(text: &str) -> Result<Calls, String> {
     let fields: Vec<_> = text.split(':').collect();
     let [target, rate, repetition] = fields[..] else {
-        return Err("write service/path:rate:once or service/path:rate:many".into());
+        return Err("expected SERVICE/PATH:RATE:once or SERVICE/PATH:RATE:many".into());
     };
-    let (service, path) = target.split_once('/').ok_or("write service/path")?;
+    let (service, path) = target.split_once('/').ok_or("expected SERVICE/PATH")?;
     let once = match repetition {
         "once" => true,
         "many" => false,
-        _ => return Err("a call is made once or many times".into()),
+        _ => return Err("expected once or many".into()),
     };
     Ok(Calls {
         service: service.into(),
@@ -171,5 +176,5 @@
 
 fn parse_rate(text: &str) -> Result<f64, String> {
     let rate = text.parse::<f64>().ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
-    rate.ok_or_else(|| "the rate is a number of requests a second".into())
+    rate.ok_or_else(|| "expected the rate as a number of requests per second, at least 0".into())
 }
--- a/apps/hickory-soak/src/caller.rs
+++ b/apps/hickory-soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers that go on using their connections until the process is gone.
+//! Simulated callers, which reuse their connections until the process at the other
+//! end is gone.
 
 use crate::check::{Kind, Record, Request};
 use crate::run::Run;
@@ -11,13 +12,12 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// How long callers wait for answers.
+/// Time in which a caller must have its final answer.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How long a connect may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Calls until the scene ends.
+/// Sends requests until the run ends.
 pub(crate) async fn send_requests(run: Arc<Run>, number: usize) {
     let mut random = StdRng::seed_from_u64(run.seed ^ (number as u64) << 32);
     let mut kept: Option<(usize, TcpStream)> = None;
--- a/apps/hickory-soak/src/check.rs
+++ b/apps/hickory-soak/src/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from what callers and replicas saw.
+//! Checks the promises to callers against what callers and replicas recorded.
 
 use crate::caller::ANSWER_TIMEOUT;
 use crate::run::Run;
@@ -6,16 +6,16 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// What a caller asks for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
-    /// What may be repeated.
+    /// A request that may be repeated.
     Read,
-    /// What may run once.
+    /// A request that may run only once.
     Once,
-    /// A stream that may be taken up.
+    /// A stream that may be resumed.
     Stream,
-    /// A route that was added with this version.
+    /// A request to the route that this configuration version added.
     Version(u64),
 }
 
@@ -29,7 +29,7 @@
     pub(crate) sent_at: Instant,
 }
 
-/// A request with what came of it.
+/// A request with its answer.
 #[derive(Clone, Debug)]
 pub(crate) struct Record {
     pub(crate) request: Request,
@@ -37,13 +37,13 @@
     pub(crate) ended_at: Instant,
 }
 
-/// How late an answer may be: the scheduling of some dozen processes.
+/// Tolerance for late answers, since some dozen processes share the machine.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(700);
 
-/// Statuses that promise that a request has not run.
+/// Statuses that promise that the request has not run.
 const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
 
-/// Everything that was broken.
+/// Returns a description of each broken promise.
 pub(crate) fn check(run: &Run) -> Vec<String> {
     let records = run.records();
     let mut runs: HashMap<String, usize> = HashMap::new();
@@ -67,7 +67,8 @@
     violations
 }
 
-/// Each answer is whole or looks incomplete, and is the caller's own.
+/// Checks that each answer is either complete or recognisably incomplete, and that
+/// it answers the caller's own request.
 fn check_answer(record: &Record, events: u64) -> Option<String> {
     let answer = &record.answer;
     let is_success = (200..300).contains(&answer.status);
@@ -75,7 +76,7 @@
         return None;
     }
     if !answer.is_signed_response_to(&record.request.attempt) {
-        return Some("the answer is another's, or not signed".into());
+        return Some("the answer belongs to another request or is not signed".into());
     }
     let ids = answer.event_ids();
     match record.request.kind {
@@ -87,13 +88,14 @@
         }
         Kind::Stream => None,
         _ if answer.is_complete && !answer.body.starts_with("plain-") => {
-            Some(format!("a body that no replica sent: {:?}", answer.body))
+            Some(format!("the body was sent by no replica: {:?}", answer.body))
         }
         _ => None,
     }
 }
 
-/// What may run once does, and a refusal says the truth.
+/// Checks that a request that may run once ran at most once, and that no request
+/// ran whose status says that it didn't.
 fn check_runs(record: &Record, ran: usize) -> Option<String> {
     match record.request.kind {
         Kind::Once if ran > 1 => Some(format!("ran {ran} times")),
@@ -104,16 +106,17 @@
     }
 }
 
-/// Every request has its final answer in time, unless its host was disturbed.
+/// Checks that every request got its final answer in time, unless its host was
+/// disturbed.
 fn check_duration(record: &Record, run: &Run) -> Option<String> {
     let took = record.ended_at.duration_since(record.request.sent_at);
     let is_late = took > ANSWER_TIMEOUT + SCHEDULING_TOLERANCE;
     let host = &run.hosts[record.request.host];
     let is_excused = host.was_disturbed(record.request.sent_at, record.ended_at);
-    (is_late && !is_excused).then(|| format!("an answer after {took:?}"))
+    (is_late && !is_excused).then(|| format!("the answer took {took:?}"))
 }
 
-/// A process that has served a configuration never serves an older one.
+/// Checks that a process that has served a configuration never serves an older one.
 fn check_version(record: &Record, newest: &mut HashMap<(usize, u32), u64>) -> Option<String> {
     let Kind::Version(version) = record.request.kind else { return None };
     let known = newest.entry((record.request.host, record.request.incarnation)).or_default();
--- a/apps/hickory-soak/src/fault.rs
+++ b/apps/hickory-soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, drawn from the seed: alone, in series and overlapping.
+//! Faults drawn from the seed: single ones, in series and overlapping.
 
 use crate::proxy::{Mode, Proxy};
 use crate::run::Run;
@@ -11,19 +11,20 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// Between two faults at most; they last longer, so that they overlap.
+/// Maximum time between the starts of two faults. Faults last longer than this, so
+/// that they overlap.
 const MAX_GAP_MS: u64 = 900;
 
-/// How long a fault lasts, in milliseconds.
+/// Range of fault durations.
 const DURATION_MS: std::ops::Range<u64> = 200..2_500;
 
-/// How long a node may take to come back after a fault.
+/// Time in which a node must serve again after a fault.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// What a stopped process may take beyond its grace time.
+/// Time in which a stopped process must exit: its grace time and some tolerance.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(5_300);
 
-/// Causes faults for a time.
+/// Injects faults for `time`.
 pub(crate) async fn inject_faults(run: Arc<Run>, time: Duration) {
     let mut random = StdRng::seed_from_u64(run.seed);
     let end = Instant::now() + time;
@@ -34,7 +35,7 @@
         running.push(tokio::spawn(inject_fault(run.clone(), random.random(), duration)));
     }
     for fault in running {
-        // A fault that panicked has printed why.
+        // A panic in a fault task has already been printed.
         let _ = fault.await;
     }
 }
--- a/apps/hickory-soak/src/host.rs
+++ b/apps/hickory-soak/src/host.rs
@@ -1,4 +1,5 @@
-//! Entry daemons as processes, which are stopped, paused, killed and started.
+//! Entry daemons as child processes, which the soak stops, pauses, kills and
+//! restarts.
 
 use hickory_adapter_standin::write_settings;
 use hickory_path::settings::Settings;
@@ -9,24 +10,24 @@
 use std::time::{Duration, Instant};
 use tokio::process::{Child, Command};
 
-/// A host with its process.
+/// A host and its daemon process.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) settings: Settings,
     program: PathBuf,
     directory: PathBuf,
     state: Mutex<State>,
-    /// Held by whoever ends the process and starts it again; others may only
-    /// send signals meanwhile.
+    /// Held by the task that ends and restarts the process; meanwhile other
+    /// tasks may only send signals.
     pub(crate) restart_lock: tokio::sync::Mutex<()>,
 }
 
 #[derive(Debug, Default)]
 struct State {
     child: Option<Child>,
-    /// Counts the processes.
+    /// The number of processes started so far.
     incarnation: u32,
-    /// When it was last disturbed, and until when.
+    /// The start and end of each disturbance.
     disturbed: Vec<(Instant, Instant)>,
 }
 
@@ -67,39 +68,39 @@
         Ok(())
     }
 
-    /// Which process it is, from 1.
+    /// Returns the number of the current process, starting at 1.
     pub(crate) fn incarnation(&self) -> u32 {
         self.lock().incarnation
     }
 
-    /// Sends a signal to the process that this host started, if it lives.
+    /// Sends a signal to the process that this host started, if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         let pid = self.lock().child.as_ref().and_then(Child::id);
         if let Some(pid) = pid.and_then(|pid| Pid::from_raw(pid as i32)) {
-            // It fails where the process has ended by itself.
+            // This fails if the process has already exited by itself.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Notes a disturbance of this host from now on for `time`.
+    /// Records that this host is disturbed from now on for `time`.
     pub(crate) fn disturb(&self, time: Duration) {
         let now = Instant::now();
         self.lock().disturbed.push((now, now + time));
     }
 
-    /// Whether it was disturbed at any moment of a span.
+    /// Returns whether the host was disturbed at any time in the interval.
     pub(crate) fn was_disturbed(&self, from: Instant, to: Instant) -> bool {
         self.lock().disturbed.iter().any(|(begin, end)| *begin <= to && *end >= from)
     }
 
-    /// Waits at most `limit` for the process to end, kills it then, and says
-    /// whether it ended by itself.
+    /// Waits up to `limit` for the process to exit and kills it after that; returns
+    /// whether it exited by itself.
     pub(crate) async fn wait(&self, limit: Duration) -> bool {
         let Some(mut child) = self.lock().child.take() else { return true };
         if tokio::time::timeout(limit, child.wait()).await.is_ok() {
             return true;
         }
-        // It ends with the kill.
+        // The result doesn't matter: the process is gone either way.
         let _ = child.kill().await;
         false
     }
--- a/apps/hickory-soak/src/main.rs
+++ b/apps/hickory-soak/src/main.rs
@@ -1,10 +1,11 @@
-//! A fault soak: real entry daemons as processes, stand-ins for the store and
-//! the replicas, proxies on every link, and faults from outside, all by seed.
+//! A fault soak: entry daemons as real processes, stand-ins for the store and the
+//! replicas, a proxy on every link, and faults injected from outside, all
+//! reproducible by seed.
 //!
-//! It checks what callers and replicas see: each answer whole and the caller's
-//! own, nothing that may run once run twice, refusals true, streams in order,
-//! answers in time, nothing new to what is leaving, no configuration older than
-//! one that the same process has served.
+//! It checks what callers and replicas see: each answer is complete and belongs to
+//! the caller's own request, nothing that may run once runs twice, refusals are
+//! true, streams are in order, answers arrive in time, and no process serves a
+//! configuration older than one it has already served.
 
 mod caller;
 mod check;
@@ -17,29 +18,29 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Plays seeds; the exit status is 1 where a promise was broken.
+/// Runs one or more seeds; the exit status is 1 if a promise was broken.
 #[derive(Debug, Parser)]
 #[command(name = "hickory-soak", version)]
 struct Options {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds to play, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Seconds of faults a seed.
+    /// Seconds of faults for each seed.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Nodes; each is a process.
+    /// Number of nodes; each is a process.
     #[arg(long, default_value_t = 3)]
     nodes: u8,
-    /// Callers at once.
+    /// Number of concurrent callers.
     #[arg(long, default_value_t = 12)]
     callers: usize,
-    /// The entry daemon.
+    /// Path of the entry daemon.
     #[arg(long)]
     program: PathBuf,
-    /// Print each event with its time.
+    /// Print each fault with its time.
     #[arg(long)]
     events: bool,
 }
--- a/apps/hickory-soak/src/proxy.rs
+++ b/apps/hickory-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, silences and cuts.
+//! A loopback proxy that can delay, reset or silence its connections.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a link does to its bytes.
+/// How the proxy handles the bytes of its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Passes them on.
+    /// Forwards them.
     Pass,
-    /// Holds each read back.
+    /// Delays each read.
     Delay(Duration),
-    /// Resets every connection, also new ones.
+    /// Resets every connection, including new ones.
     Reset,
-    /// Passes nothing either way; connections stay open.
+    /// Forwards nothing in either direction; connections stay open.
     Silence,
-    /// Passes what goes out, and nothing that comes back.
+    /// Forwards outgoing bytes but nothing in return.
     OneWay,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Proxy {
-    /// Listens on a free port of `at` and passes connections on to `to`.
+    /// Listens on a free port of `at` and forwards connections to `to`.
     pub(crate) async fn spawn(at: IpAddr, to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((at, 0)).await?;
         let (mode, seen) = watch::channel(Mode::Pass);
@@ -55,7 +55,7 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let mut watched = mode.clone();
     let (near_socket, far_socket) = (socket2::SockRef::from(&near), socket2::SockRef::from(&far));
-    // Resets reach the sockets while both directions are being copied.
+    // Duplicated sockets allow a reset while both directions are being copied.
     let (Ok(near_twin), Ok(far_twin)) = (near_socket.try_clone(), far_socket.try_clone()) else {
         return;
     };
@@ -64,7 +64,7 @@
     let out = copy(near_read, far_write, mode.clone(), true);
     let back = copy(far_read, near_write, mode, false);
     tokio::select! {
-        // Each direction ends with its sender; the connection with the second.
+        // A direction ends when its sender closes; the connection ends with both.
         _ = async { tokio::join!(out, back) } => {}
         _ = watched.wait_for(|mode| *mode == Mode::Reset) => {
             for twin in [&near_twin, &far_twin] {
@@ -75,7 +75,7 @@
 }
 
 fn reset(stream: &TcpStream) {
-    // It fails only where the connection is closed already.
+    // This fails only if the connection is already closed.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
@@ -104,6 +104,6 @@
             return;
         }
     }
-    // The other end may be gone already.
+    // The receiver may already be gone.
     let _ = to.shutdown().await;
 }
--- a/apps/hickory-soak/src/run.rs
+++ b/apps/hickory-soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Everything that a seed plays with.
+//! One run of the soak: its processes, stand-ins and records.
 
 use crate::check::{self, Record};
 use crate::host::Host;
@@ -15,20 +15,20 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Replicas of the plain service and of the model's.
+/// Services, each with its number of replicas.
 const REPLICAS: [(&str, u8); 2] = [("plain", 3), ("model", 4)];
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 const EVENTS_PER_STREAM: u64 = 12;
 
-/// The part of requests that meet a fault at their replica.
+/// Fraction of requests that a replica answers with a fault.
 const REPLICA_FAULT_RATE: f64 = 0.08;
 
-/// How long the scene is left alone before what was seen is judged: callers'
-/// last requests end in it.
+/// Time between the last fault and the check, in which the callers' last requests
+/// end.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// What a seed is played with.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
@@ -39,7 +39,7 @@
     pub(crate) print: bool,
 }
 
-/// The stand-ins, the hosts, and what callers saw.
+/// The stand-ins, the hosts, and the requests that callers recorded.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) seed: u64,
@@ -48,7 +48,7 @@
     store_links: Vec<Proxy>,
     pub(crate) hosts: Vec<Arc<Host>>,
     pub(crate) events: u64,
-    /// The newest configuration.
+    /// The newest configuration version.
     pub(crate) version: AtomicU64,
     pub(crate) ended: AtomicBool,
     records: Mutex<Vec<Record>>,
@@ -56,7 +56,7 @@
     print: bool,
 }
 
-/// What came of a seed.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct Report {
     pub(crate) requests: usize,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Plays a seed.
+/// Runs one seed.
 pub(crate) async fn run_seed(plan: &Plan) -> eyre::Result<Report> {
     let directory = std::env::temp_dir().join(format!("soak-{}-{}", std::process::id(), plan.seed));
     std::fs::create_dir_all(&directory).wrap_err_with(|| directory.display().to_string())?;
@@ -90,12 +90,12 @@
     tokio::time::sleep(SETTLE_TIME).await;
     run.ended.store(true, std::sync::atomic::Ordering::Relaxed);
     for caller in callers {
-        // A caller that panicked has printed why.
+        // A panic in a caller task has already been printed.
         let _ = caller.await;
     }
     let report = run.report();
     if report.violations.is_empty() {
-        // What is left behind is the machine's to clean.
+        // A leftover temporary directory does no harm.
         let _ = std::fs::remove_dir_all(&directory);
     } else {
         println!("logs of seed {}: {}", plan.seed, directory.display());
@@ -168,7 +168,7 @@
         self.store.put_configuration(&write_configuration(version));
     }
 
-    /// Starts a host's process again.
+    /// Restarts a host's process.
     pub(crate) fn restart(&self, host: &Host) {
         if let Err(error) = host.start() {
             self.print_event(&format!("{} can't be started: {error}", host.settings.node));
--- a/apps/hickory-soak/tests/short.rs
+++ b/apps/hickory-soak/tests/short.rs
@@ -1,13 +1,13 @@
-//! A short seeded run of the soak, and the seeds that ever failed.
+//! A short run of the soak with fixed seeds, including every seed that ever failed.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 /// Seeds with their seconds of faults. A seed that failed stays here, with a
-/// line on the cause.
+/// comment on the cause.
 const SEEDS: [(u64, u64); 2] = [(1, 4), (2, 4)];
 
-/// Builds the daemon beside this test, as it is delivered.
+/// Builds the entry daemon into the target directory of this test.
 fn build_daemon() -> PathBuf {
     let cargo = Command::new(env!("CARGO"))
         .args(["build", "--locked", "--quiet", "--package", "hickory-entry"])
@@ -18,8 +18,8 @@
     test.ancestors().nth(2).unwrap().join("hickory-entry")
 }
 
-/// Callers go on while nodes are paused, stopped and killed, links are cut and
-/// the store fails, all at once. Whatever they see must keep every promise.
+/// Callers send requests while nodes are paused, stopped and killed, links are cut
+/// and the store fails, all at the same time. Every promise to callers must hold.
 #[test]
 fn seeded_faults_break_no_promise() {
     let daemon = build_daemon();
--- a/apps/hickory-standin/src/argument.rs
+++ b/apps/hickory-standin/src/argument.rs
@@ -12,18 +12,18 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Small stand-ins for the platform and the targets, with faults on request.
+/// Small stand-ins for the platform and the targets, with fault injection.
 ///
 /// Prints one line of JSON with its addresses when it is ready, and exits
 /// with status 0 on SIGTERM.
 ///
-/// Faults are switched on by a POST of JSON to /fault/NAME at the control
-/// address, where NAME is one of those in that line; this also reaches a
-/// stand-in that is dead or frozen. Every stand-in knows "kill", "restart",
+/// A POST of JSON to /fault/NAME at the control address switches a fault,
+/// where NAME is one of the names in that line; this also works for a
+/// stand-in that is dead or frozen. Every stand-in supports "kill", "restart",
 /// {"down_for_ms":N}, "freeze", "thaw", {"slow_ms":N}, "cut" (open
-/// connections break), "silence" (open connections say nothing for good, new
+/// connections break), "silence" (open connections go silent for good, new
 /// ones work), {"lose":{"loss":"call|answer|silence","path":"/kv/write",
-/// "count":N}} and "clear". Engines also know "turn_cold",
+/// "count":N}} and "clear". Engines also support "turn_cold",
 /// {"lag_ms":N}, {"stall":{"after":N}} and {"crash_marker":"TEXT"}, services "turn_cold",
 /// the store {"stale":true}, "compact" and
 /// {"rate":{"reads":2000,"writes":300}}, the host list {"lag_ms":N},
@@ -32,24 +32,24 @@
 #[derive(Debug, Parser)]
 #[command(name = "hickory-standin", version)]
 pub(crate) struct Arguments {
-    /// Where to listen; port 0 takes a free one. A fleet uses only the host
-    /// part and takes free ports.
+    /// Address to listen on; port 0 picks a free port. A fleet uses only the
+    /// host part and picks free ports.
     #[arg(long, global = true, default_value = "127.0.0.1:0")]
     pub(crate) listen: SocketAddr,
 
-    /// Where the switchboard of faults listens.
+    /// Address of the fault control server.
     #[arg(long, global = true, default_value = "127.0.0.1:0")]
     pub(crate) control: SocketAddr,
 
-    /// What to stand in for.
+    /// The kind of stand-in.
     #[command(subcommand)]
     pub(crate) kind: Kind,
 }
 
-/// What to stand in for.
+/// The kind of stand-in.
 #[derive(Debug, Subcommand)]
 pub(crate) enum Kind {
-    /// The key-value service; what it holds goes with the process.
+    /// The key-value service; its data is lost when the process exits.
     Store,
     /// The host list.
     Hosts(HostList),
@@ -66,7 +66,7 @@
 /// The host list.
 #[derive(Debug, Args)]
 pub(crate) struct HostList {
-    /// A JSON file with an array of hosts; empty without one.
+    /// JSON file with an array of hosts; without it the list is empty.
     #[arg(long)]
     hosts: Option<PathBuf>,
 }
@@ -76,18 +76,19 @@
         let Some(path) = &self.hosts else { return Ok(Vec::new()) };
         let text = std::fs::read_to_string(path)
             .wrap_err_with(|| format!("can't read {}", path.display()))?;
-        serde_json::from_str(&text).wrap_err_with(|| format!("{} is no host list", path.display()))
+        serde_json::from_str(&text)
+            .wrap_err_with(|| format!("{} is not a JSON array of hosts", path.display()))
     }
 }
 
 /// The weight store.
 #[derive(Debug, Args)]
 pub(crate) struct WeightStore {
-    /// Loads that may run at once.
+    /// Maximum number of concurrent loads.
     #[arg(long, default_value_t = 2)]
     loads: u32,
 
-    /// Bytes a second over all loads.
+    /// Total bytes per second of all loads.
     #[arg(long, default_value_t = 4_000_000_000)]
     bytes_per_second: u64,
 }
@@ -101,49 +102,49 @@
 /// An engine.
 #[derive(Debug, Args)]
 pub(crate) struct Engine {
-    /// Weights held at the start, as MODEL/VERSION or MODEL/VERSION/ADAPTER;
-    /// may be given more than once.
+    /// Weights loaded at the start, as MODEL/VERSION or MODEL/VERSION/ADAPTER;
+    /// may be repeated.
     #[arg(long, value_parser = parse_weights)]
     loaded: Vec<Weights>,
 
-    /// Where weights are read from; without one they are there at once.
+    /// Address of the weight store; without it weights load at once.
     #[arg(long)]
     weights: Option<SocketAddr>,
 
-    /// KV memory in tokens.
+    /// KV cache capacity in tokens.
     #[arg(long, default_value_t = Model::default().kv_capacity.0)]
     kv_capacity: u64,
 
-    /// Prompt tokens prefilled a second.
+    /// Prompt tokens prefilled per second.
     #[arg(long, default_value_t = Model::default().prefill_rate)]
     prefill_rate: u64,
 
-    /// Streams decoded at once.
+    /// Maximum number of streams decoded at once.
     #[arg(long, default_value_t = Model::default().max_streams)]
     streams_max: u32,
 
-    /// How warm it is at its first start, from 0 to 100; 0 after a restart.
+    /// Warmth at the first start, from 0 to 100; after a restart it is 0.
     #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u8).range(0..=100))]
     warmth: u8,
 
-    /// Time from cold to warm under work, in milliseconds.
+    /// Time to warm up under load, in milliseconds.
     #[arg(long, default_value_t = Model::default().warm_up_time.as_millis() as u64)]
     warm_ms: u64,
 
-    /// How many times faster than the modelled engine it runs.
+    /// Speed-up factor relative to the modelled engine.
     #[arg(long, default_value_t = 1.0, value_parser = parse_speed)]
     speed: f64,
 
-    /// Takes orders with old fencing numbers.
+    /// Accept orders with stale fencing epochs.
     #[arg(long)]
     ignore_fences: bool,
 
-    /// Starts again so long after a crash, in milliseconds; stays dead
-    /// without.
+    /// Time from a crash to the restart, in milliseconds; without it the
+    /// engine stays dead.
     #[arg(long)]
     restart_after_ms: Option<u64>,
 
-    /// Crashes when it runs a prompt that contains this.
+    /// Crash when running a prompt that contains this text.
     #[arg(long)]
     crash_marker: Option<String>,
 }
@@ -190,11 +191,11 @@
 /// A replica of a plain service.
 #[derive(Debug, Args)]
 pub(crate) struct Replica {
-    /// Time that a call takes, in milliseconds.
+    /// Duration of a call, in milliseconds.
     #[arg(long, default_value_t = 1)]
     call_ms: u64,
 
-    /// Calls that it bears at once when warm.
+    /// Maximum number of concurrent calls when warm.
     #[arg(long, default_value_t = 64)]
     calls_max: u32,
 }
@@ -209,11 +210,11 @@
 /// A whole platform.
 #[derive(Debug, Args)]
 pub(crate) struct Fleet {
-    /// Engines: engine-0, engine-1 and so on.
+    /// Number of engines; they are named engine-0, engine-1 and so on.
     #[arg(long, default_value_t = 3)]
     engines: usize,
 
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     #[arg(long, default_value_t = 2)]
     replicas: usize,
 
@@ -221,7 +222,7 @@
     #[arg(long, default_value = "orders")]
     service: id::Service,
 
-    /// Zones, over which the targets are spread in turn.
+    /// Zones, to which targets are assigned in turn.
     #[arg(long, value_delimiter = ',', default_value = "a,b,c", num_args = 1..)]
     zones: Vec<id::Zone>,
 
--- a/apps/hickory-standin/src/main.rs
+++ b/apps/hickory-standin/src/main.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for the platform and the targets, as processes.
 //!
-//! When it is ready, the process prints one line of JSON with its addresses.
-//! It ends with status 0 on SIGTERM or SIGINT, with 1 where it can't start,
-//! and with 2 on a command line that can't be read.
+//! When it is ready, the process prints one line of JSON with its addresses. It
+//! exits with status 0 on SIGTERM or SIGINT, with 1 if it can't start, and with 2
+//! if the command line is invalid.
 
 mod argument;
 mod ready;
@@ -58,9 +58,9 @@
     run_until_signal(&Ready::for_fleet(&fleet, control.address()))
 }
 
-/// Says where everything listens, and waits for the signal to stop. The
-/// signals are taken before that: whoever reads the line may send one at
-/// once, and the process would die of it.
+/// Prints the addresses and waits for a signal to stop. The signal handlers are
+/// installed first: a process that reads the line may send a signal at once, which
+/// would kill the process without them.
 fn run_until_signal(ready: &Ready) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
--- a/apps/hickory-standin/src/ready.rs
+++ b/apps/hickory-standin/src/ready.rs
@@ -1,4 +1,4 @@
-//! The line that says where a stand-in listens.
+//! The line that a stand-in prints when it is ready.
 
 use hickory_standin::fleet::Fleet;
 use serde::Serialize;
@@ -6,12 +6,12 @@
 use std::io::Write;
 use std::net::SocketAddr;
 
-/// Where everything listens, by the names that faults are switched under.
+/// The addresses of all stand-ins, by the names under which faults are switched.
 #[derive(Debug, Serialize)]
 pub(crate) struct Ready {
-    /// The switchboard of faults.
+    /// The fault control server.
     control: SocketAddr,
-    /// The stand-ins by name.
+    /// Addresses of the stand-ins by name.
     addresses: BTreeMap<String, SocketAddr>,
 }
 
--- a/apps/hickory-standin/tests/process.rs
+++ b/apps/hickory-standin/tests/process.rs
@@ -1,5 +1,4 @@
-//! The stand-ins as processes: what they print, how faults reach them, how
-//! they end.
+//! The stand-ins as processes: their output, fault injection, and exit statuses.
 
 use hickory_client::{Call, Client, Error, Response};
 use serde::Deserialize;
@@ -56,7 +55,7 @@
         answer.unwrap().status.as_u16()
     }
 
-    /// Sends SIGTERM and gives the exit status.
+    /// Sends SIGTERM and returns the exit status.
     fn stop(mut self) -> Option<i32> {
         let sent = Command::new("kill").arg(self.child.id().to_string()).status().unwrap();
         assert!(sent.success());
@@ -110,7 +109,7 @@
     assert_eq!(process.stop(), Some(0));
 }
 
-/// A dead or frozen stand-in is revived through the control address.
+/// The control address can restart a dead or frozen stand-in.
 #[tokio::test]
 async fn faults_are_switched_on_and_off() {
     let process = Process::start(&["fleet", "--engines", "1"]);
