--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -23,32 +23,32 @@
 
 /// A stream that waits or runs.
 #[derive(Clone, Debug)]
-pub(crate) struct Run {
+pub(crate) struct Sequence {
     pub(crate) stream: id::Stream,
     pub(crate) weights: Weights,
-    pub(crate) prompt: u64,
+    pub(crate) prompt_tokens: u64,
     pub(crate) max_tokens: u64,
     pub(crate) blocks: Vec<u64>,
     pub(crate) import: Option<Handle>,
     pub(crate) keep_as: Option<Handle>,
     pub(crate) crashes_engine: bool,
     /// Leading blocks held in the prefix cache.
-    pub(crate) shared: usize,
+    pub(crate) shared_blocks: usize,
     /// Tokens reserved beside them.
-    pub(crate) reserved: u64,
+    pub(crate) reserved_tokens: u64,
     pub(crate) prefill_left: u64,
     pub(crate) generated: u64,
 }
 
-impl Run {
+impl Sequence {
     /// Whether it holds cached blocks and shares its own; one whose KV cache
     /// goes to or comes from a handle keeps it apart.
-    pub(crate) fn is_shared(&self) -> bool {
+    pub(crate) fn uses_prefix_cache(&self) -> bool {
         self.import.is_none() && self.keep_as.is_none()
     }
 
-    fn context(&self) -> u64 {
-        self.prompt - self.prefill_left + self.generated
+    fn context_tokens(&self) -> u64 {
+        self.prompt_tokens - self.prefill_left + self.generated
     }
 
     fn is_stalled(&self, stall: Stall) -> bool {
@@ -63,7 +63,7 @@
 /// What a step does, and when it is done.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
-    pub(crate) ends: Instant,
+    pub(crate) ends_at: Instant,
     pub(crate) prefill: Vec<(Key, u64)>,
     pub(crate) decode: Vec<Key>,
 }
@@ -74,31 +74,32 @@
 /// for their next token; it goes to the first streams in the order of `Key`.
 pub(crate) fn plan_step(
     now: Instant,
-    batch: &BTreeMap<Key, Run>,
+    batch: &BTreeMap<Key, Sequence>,
     stall: Stall,
     speed: f64,
     options: &Options,
 ) -> Option<Step> {
-    let mut step = Step { ends: now, prefill: Vec::new(), decode: Vec::new() };
+    let mut step = Step { ends_at: now, prefill: Vec::new(), decode: Vec::new() };
     let mut budget = options.prefill_chunk.0;
     let mut seconds = 0.0;
-    let mut kv_read = 0;
-    for (key, run) in batch.iter().filter(|(_, run)| !run.is_stalled(stall)) {
-        if run.prefill_left == 0 {
+    let mut kv_tokens_read = 0;
+    for (key, sequence) in batch.iter().filter(|(_, sequence)| !sequence.is_stalled(stall)) {
+        if sequence.prefill_left == 0 {
             step.decode.push(*key);
-            kv_read += run.context();
+            kv_tokens_read += sequence.context_tokens();
         } else if budget > 0 {
-            let chunk = run.prefill_left.min(budget);
+            let chunk = sequence.prefill_left.min(budget);
             budget -= chunk;
-            seconds += prefill_seconds(run.prompt - run.prefill_left, chunk, options);
+            seconds +=
+                prefill_seconds(sequence.prompt_tokens - sequence.prefill_left, chunk, options);
             step.prefill.push((*key, chunk));
         }
     }
     if step.decode.is_empty() && step.prefill.is_empty() {
         return None;
     }
-    seconds += decode_time(step.decode.len(), kv_read, options).as_secs_f64();
-    step.ends += Duration::from_secs_f64(seconds / (options.speed * speed));
+    seconds += decode_time(step.decode.len(), kv_tokens_read, options).as_secs_f64();
+    step.ends_at += Duration::from_secs_f64(seconds / (options.speed * speed));
     Some(step)
 }
 
@@ -112,14 +113,14 @@
 
 /// The time that a warm engine takes to decode one token of each of
 /// `streams`, which hold `kv_read` tokens together.
-pub fn decode_time(streams: usize, kv_read: u64, options: &Options) -> Duration {
+pub fn decode_time(streams: usize, kv_tokens_read: u64, options: &Options) -> Duration {
     match streams {
         0 => Duration::ZERO,
         n => {
-            let further = options.step_time_per_stream * (n as u32 - 1);
+            let further_streams = options.step_time_per_stream * (n as u32 - 1);
             options.step_time
-                + further
-                + options.step_time_per_million_kv_tokens.mul_f64(kv_read as f64 / 1e6)
+                + further_streams
+                + options.step_time_per_million_kv_tokens.mul_f64(kv_tokens_read as f64 / 1e6)
         }
     }
 }
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -1,13 +1,13 @@
 //! A model engine in steps: prefill in chunks by priority, then one token a
 //! step for each stream of the batch.
 
-use crate::batch::{Key, Run, Stall, Step};
+use crate::batch::{Key, Sequence, Stall, Step};
 use crate::event::Log;
-use crate::handle::Kept;
+use crate::handle::KeptCache;
+use crate::history::History;
 pub use crate::job::{Counts, Failure, Job, Progress, Refusal, State};
 use crate::loading::{Fetch, WeightSet};
 use crate::memory::Memory;
-use crate::seen::Seen;
 use crate::warmth::Warmth;
 use hickory_target::engine::{CacheEvent, Cancelled, Handle, Held, Order, Report, Role, Weights};
 use hickory_unit::{id, size};
@@ -18,10 +18,10 @@
 pub use crate::option::Options;
 
 /// Reports kept in the time by which a report lags.
-const REPORTS_A_LAG: u32 = 4;
+const REPORTS_PER_LAG: u32 = 4;
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Place {
+pub(crate) enum Location {
     Waiting(Key),
     Running(Key),
     Done(Progress),
@@ -32,21 +32,21 @@
 pub struct Engine {
     pub(crate) options: Options,
     incarnation: id::Incarnation,
-    pub(crate) waiting: BTreeMap<Key, Run>,
-    pub(crate) batch: BTreeMap<Key, Run>,
-    pub(crate) places: HashMap<id::Stream, Place>,
+    pub(crate) waiting: BTreeMap<Key, Sequence>,
+    pub(crate) batch: BTreeMap<Key, Sequence>,
+    pub(crate) locations: HashMap<id::Stream, Location>,
     pub(crate) ended: VecDeque<(Instant, id::Stream)>,
-    pub(crate) past: Seen,
-    refused: Seen,
+    pub(crate) finished: History,
+    cancelled_early: History,
     pub(crate) memory: Memory,
-    pub(crate) handles: BTreeMap<Handle, Kept>,
+    pub(crate) handles: BTreeMap<Handle, KeptCache>,
     weights: WeightSet,
     role: Role,
     fence: id::Epoch,
     pub(crate) warmth: Warmth,
     pub(crate) log: Log,
     reports: VecDeque<(Instant, Report)>,
-    order: u64,
+    last_position: u64,
     pub(crate) step: Option<Step>,
     pub(crate) stall: Stall,
     pub(crate) crashed: bool,
@@ -60,10 +60,10 @@
             incarnation,
             waiting: BTreeMap::new(),
             batch: BTreeMap::new(),
-            places: HashMap::new(),
+            locations: HashMap::new(),
             ended: VecDeque::new(),
-            past: Seen::default(),
-            refused: Seen::default(),
+            finished: History::default(),
+            cancelled_early: History::default(),
             memory: Memory::new(options.kv_capacity.0),
             handles: BTreeMap::new(),
             weights: WeightSet::new(&options),
@@ -72,7 +72,7 @@
             warmth: Warmth::new(now, &options),
             log: Log::new(options.event_loss_interval),
             reports: VecDeque::new(),
-            order: 0,
+            last_position: 0,
             step: None,
             stall: Stall::None,
             crashed: false,
@@ -87,8 +87,8 @@
     pub fn begin(&mut self, now: Instant, job: Job) -> Result<(), Refusal> {
         self.advance(now);
         let covered = self.check(&job)?;
-        let held = self.waiting.len() + self.batch.len() + 1;
-        if self.warmth.is_overloaded(held as u32, &self.options) {
+        let stream_count = self.waiting.len() + self.batch.len() + 1;
+        if self.warmth.is_overloaded(stream_count as u32, &self.options) {
             self.counts.overloads += 1;
             if self.options.crashes_on_overload
                 && !self.warmth.is_within_detection_time(now, &self.options)
@@ -97,28 +97,28 @@
                 return Err(Refusal::Crashed);
             }
         }
-        self.order += 1;
+        self.last_position += 1;
         let prompt = job.prompt.0.max(1);
-        let key = (Reverse(job.priority), self.order);
+        let key = (Reverse(job.priority), self.last_position);
         if let Some(kept) = job.import.as_ref().and_then(|handle| self.handles.get_mut(handle)) {
             kept.users += 1;
         }
-        let run = Run {
+        let sequence = Sequence {
             stream: job.stream.clone(),
             weights: job.weights,
-            prompt,
+            prompt_tokens: prompt,
             max_tokens: if job.keep_as.is_some() { 0 } else { job.max_tokens.0 },
             blocks: job.blocks,
             import: job.import,
             keep_as: job.keep_as,
             crashes_engine: job.crashes_engine,
-            shared: 0,
-            reserved: 0,
+            shared_blocks: 0,
+            reserved_tokens: 0,
             prefill_left: (prompt - covered).max(1),
             generated: 0,
         };
-        self.places.insert(job.stream, Place::Waiting(key));
-        self.waiting.insert(key, run);
+        self.locations.insert(job.stream, Location::Waiting(key));
+        self.waiting.insert(key, sequence);
         self.start_step(now);
         Ok(())
     }
@@ -126,21 +126,21 @@
     /// Stops a stream and frees its memory.
     pub fn cancel(&mut self, now: Instant, stream: &id::Stream) -> Cancelled {
         self.advance(now);
-        let stopped = match self.places.get(stream) {
-            Some(Place::Done(_)) => None,
-            Some(Place::Waiting(key)) => self.waiting.remove(key),
-            Some(Place::Running(key)) => self.batch.remove(key),
-            None if self.past.contains(stream) => None,
+        let stopped = match self.locations.get(stream) {
+            Some(Location::Done(_)) => None,
+            Some(Location::Waiting(key)) => self.waiting.remove(key),
+            Some(Location::Running(key)) => self.batch.remove(key),
+            None if self.finished.contains(stream) => None,
             None => {
-                self.refused.insert(stream.clone());
+                self.cancelled_early.insert(stream.clone());
                 return Cancelled::NeverBegun;
             }
         };
-        self.places.remove(stream);
-        self.past.insert(stream.clone());
+        self.locations.remove(stream);
+        self.finished.insert(stream.clone());
         match stopped {
-            Some(run) => {
-                self.free(run);
+            Some(sequence) => {
+                self.free_memory(sequence);
                 self.start_step(now);
                 Cancelled::Stopped
             }
@@ -153,8 +153,8 @@
         if self.crashed {
             return;
         }
-        while let Some(step) = self.step.take_if(|step| step.ends <= now) {
-            let ends = step.ends;
+        while let Some(step) = self.step.take_if(|step| step.ends_at <= now) {
+            let ends = step.ends_at;
             self.warmth.advance(ends, true, &self.options);
             self.end_step(step);
             if self.crashed {
@@ -166,24 +166,24 @@
         self.warmth.advance(now, self.step.is_some(), &self.options);
         self.start_step(now);
         self.record_report(now);
-        self.forget(now);
+        self.forget_ended(now);
     }
 
     /// When the running step ends; `None` where the engine is idle.
     pub fn next_step(&self) -> Option<Instant> {
-        self.step.as_ref().filter(|_| !self.crashed).map(|step| step.ends)
+        self.step.as_ref().filter(|_| !self.crashed).map(|step| step.ends_at)
     }
 
     /// How far a stream is; `None` where it is not held, or ended too long
     /// ago.
     pub fn progress(&self, stream: &id::Stream) -> Option<Progress> {
-        match self.places.get(stream)? {
-            Place::Waiting(_) => Some(Progress { state: State::Waiting, generated: 0 }),
-            Place::Running(key) => {
+        match self.locations.get(stream)? {
+            Location::Waiting(_) => Some(Progress { state: State::Waiting, generated: 0 }),
+            Location::Running(key) => {
                 let generated = self.batch.get(key)?.generated;
                 Some(Progress { state: State::Running, generated })
             }
-            Place::Done(progress) => Some(*progress),
+            Location::Done(progress) => Some(*progress),
         }
     }
 
@@ -207,13 +207,13 @@
 
     /// Keeps what a later, lagging report will show.
     fn record_report(&mut self, now: Instant) {
-        let every = self.options.report_lag / REPORTS_A_LAG;
+        let every = self.options.report_lag / REPORTS_PER_LAG;
         let last = self.reports.back().map(|(at, _)| *at);
         if last.is_some_and(|last| now < last + every) || every.is_zero() {
             return;
         }
         self.reports.push_back((now, self.current_report()));
-        if self.reports.len() > 2 * REPORTS_A_LAG as usize {
+        if self.reports.len() > 2 * REPORTS_PER_LAG as usize {
             self.reports.pop_front();
         }
     }
@@ -228,7 +228,7 @@
             prefill_rate: self.options.prefill_rate,
             streams_max: self.options.max_streams,
             warmth: self.warmth.level(),
-            streams: runs.map(report_run).collect(),
+            streams: runs.map(report_sequence).collect(),
             handles: self.handles.keys().cloned().collect(),
             pins: self.memory.pins(),
             loaded: self.weights.list(),
@@ -300,7 +300,7 @@
 
     /// KV memory in use by streams, handles and pins.
     pub fn kv_used(&self) -> size::Tokens {
-        size::Tokens(self.memory.used())
+        size::Tokens(self.memory.used_tokens())
     }
 
     /// Streams that run or wait.
@@ -324,10 +324,10 @@
         if self.crashed {
             return Err(Refusal::Crashed);
         }
-        if self.refused.contains(&job.stream) {
+        if self.cancelled_early.contains(&job.stream) {
             return Err(Refusal::Cancelled);
         }
-        if self.places.contains_key(&job.stream) || self.past.contains(&job.stream) {
+        if self.locations.contains_key(&job.stream) || self.finished.contains(&job.stream) {
             return Err(Refusal::Duplicate);
         }
         if job.keep_as.as_ref().is_some_and(|handle| self.handles.contains_key(handle)) {
@@ -341,12 +341,12 @@
             None => (0, 0),
         };
         let prefill = job.prompt.0 - covered;
-        let wrong = match self.role {
+        let is_mismatch = match self.role {
             Role::Both => false,
             Role::Prefill => job.keep_as.is_none(),
             Role::Decode => job.keep_as.is_some() || prefill > self.options.prefill_chunk.0,
         };
-        if wrong {
+        if is_mismatch {
             return Err(Refusal::RoleMismatch);
         }
         let decode = if job.keep_as.is_some() { 0 } else { job.max_tokens.0 };
@@ -358,14 +358,14 @@
 
     fn unload(&mut self, now: Instant, weights: &Weights) {
         self.weights.unload(weights);
-        self.fail(now, Failure::Unloaded, |run| run.weights == *weights);
+        self.fail_sequences(now, Failure::Unloaded, |sequence| sequence.weights == *weights);
     }
 }
 
-fn report_run(run: &Run) -> Held {
+fn report_sequence(sequence: &Sequence) -> Held {
     Held {
-        stream: run.stream.clone(),
-        kv: size::Tokens(run.prompt + run.max_tokens),
-        prefill_left: size::Tokens(run.prefill_left),
+        stream: sequence.stream.clone(),
+        kv: size::Tokens(sequence.prompt_tokens + sequence.max_tokens),
+        prefill_left: size::Tokens(sequence.prefill_left),
     }
 }
--- a/crates/model/src/event.rs
+++ b/crates/model/src/event.rs
@@ -5,30 +5,30 @@
 use std::time::{Duration, Instant};
 
 /// Events kept for callers; older ones are lost to them.
-const KEPT: usize = 10_000;
+const MAX_EVENTS: usize = 10_000;
 
 /// The log of one engine's cache events.
 #[derive(Debug)]
 pub struct Log {
     events: VecDeque<(Instant, CacheEvent)>,
     seq: u64,
-    gap: u64,
+    loss_interval: u64,
 }
 
 impl Log {
     /// An empty log that loses each `gap`-th event; 0 for none.
-    pub fn new(gap: u64) -> Self {
-        Self { events: VecDeque::new(), seq: 0, gap }
+    pub fn new(loss_interval: u64) -> Self {
+        Self { events: VecDeque::new(), seq: 0, loss_interval }
     }
 
     /// Adds an event.
     pub fn push(&mut self, now: Instant, prefix: u64, stored: bool) {
         self.seq += 1;
-        if self.gap > 0 && self.seq.is_multiple_of(self.gap) {
+        if self.loss_interval > 0 && self.seq.is_multiple_of(self.loss_interval) {
             return;
         }
         self.events.push_back((now, CacheEvent { seq: self.seq, prefix, stored }));
-        if self.events.len() > KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/crates/model/src/handle.rs
+++ b/crates/model/src/handle.rs
@@ -30,7 +30,7 @@
 
 /// A KV cache held on an engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct KeptCache {
     pub(crate) export: Export,
     /// The KV cache here that its own prefill started from.
     pub(crate) base: Option<Handle>,
@@ -39,13 +39,13 @@
     /// Streams and further KV caches that use it.
     pub(crate) users: u32,
     /// Dropped while in use: goes with its last user.
-    pub(crate) dropped: bool,
+    pub(crate) is_dropped: bool,
     /// Its copy is still under way.
-    pub(crate) arriving: bool,
+    pub(crate) is_arriving: bool,
 }
 
-impl Kept {
+impl KeptCache {
     pub(crate) fn is_usable(&self) -> bool {
-        !self.arriving && !self.dropped
+        !self.is_arriving && !self.is_dropped
     }
 }
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -14,8 +14,8 @@
     parent: Option<u64>,
     depth: u32,
     /// Streams and pins that hold it.
-    holds: u32,
-    used: u64,
+    ref_count: u32,
+    last_used: u64,
 }
 
 /// The KV memory of an engine, in tokens.
@@ -27,10 +27,10 @@
     blocks: HashMap<u64, Block>,
     /// Blocks that nothing holds, the first to be evicted first: the least
     /// recently used, and of one prompt the last block first.
-    idle: BTreeSet<(u64, Reverse<u32>, u64)>,
+    evictable: BTreeSet<(u64, Reverse<u32>, u64)>,
     /// Pinned prefixes, each with the blocks it holds now.
     pins: BTreeMap<u64, Vec<u64>>,
-    uses: u64,
+    use_count: u64,
 }
 
 impl Memory {
@@ -40,21 +40,21 @@
             capacity,
             reserved: 0,
             blocks: HashMap::new(),
-            idle: BTreeSet::new(),
+            evictable: BTreeSet::new(),
             pins: BTreeMap::new(),
-            uses: 0,
+            use_count: 0,
         }
     }
 
     /// Tokens in use by streams, handles and pins; what only the cache holds
     /// is free to be taken.
-    pub fn used(&self) -> u64 {
-        self.reserved + (self.blocks.len() - self.idle.len()) as u64 * BLOCK.0
+    pub fn used_tokens(&self) -> u64 {
+        self.reserved + (self.blocks.len() - self.evictable.len()) as u64 * BLOCK.0
     }
 
     /// Tokens in the prefix cache that nothing holds.
-    pub fn cached(&self) -> u64 {
-        self.idle.len() as u64 * BLOCK.0
+    pub fn cached_tokens(&self) -> u64 {
+        self.evictable.len() as u64 * BLOCK.0
     }
 
     /// How many leading blocks are cached.
@@ -65,11 +65,11 @@
     /// Holds `shared`, which are cached, and reserves `tokens` beside them;
     /// `false`, and nothing done, where they do not fit.
     pub fn reserve(&mut self, now: Instant, shared: &[u64], tokens: u64, log: &mut Log) -> bool {
-        let idle = shared.iter().filter(|hash| self.blocks[*hash].holds == 0).count() as u64;
-        if self.used() + idle * BLOCK.0 + tokens > self.capacity {
+        let idle = shared.iter().filter(|hash| self.blocks[*hash].ref_count == 0).count() as u64;
+        if self.used_tokens() + idle * BLOCK.0 + tokens > self.capacity {
             return false;
         }
-        shared.iter().for_each(|hash| self.hold(*hash));
+        shared.iter().for_each(|hash| self.acquire_block(*hash));
         self.reserved += tokens;
         self.evict(now, log);
         true
@@ -78,25 +78,25 @@
     /// Gives back `tokens` that were reserved, and lets go of `shared`.
     pub fn release(&mut self, shared: &[u64], tokens: u64) {
         self.reserved -= tokens;
-        self.uses += 1;
-        shared.iter().for_each(|hash| self.let_go(*hash));
+        self.use_count += 1;
+        shared.iter().for_each(|hash| self.release_block(*hash));
     }
 
     /// Makes the prefilled blocks after the first `from` shared, out of
     /// tokens that were reserved; the caller holds them then.
-    pub fn share(&mut self, now: Instant, blocks: &[u64], from: usize, log: &mut Log) {
+    pub fn share_blocks(&mut self, now: Instant, blocks: &[u64], from: usize, log: &mut Log) {
         for (depth, hash) in blocks.iter().enumerate().skip(from) {
             self.reserved -= BLOCK.0;
             self.store(now, blocks, depth, *hash, log);
-            self.hold(*hash);
+            self.acquire_block(*hash);
         }
     }
 
     /// Caches blocks that nothing holds, as far as there is free room.
-    pub fn offer(&mut self, now: Instant, blocks: &[u64], log: &mut Log) {
-        self.uses += 1;
+    pub fn cache_blocks(&mut self, now: Instant, blocks: &[u64], log: &mut Log) {
+        self.use_count += 1;
         for (depth, hash) in blocks.iter().enumerate() {
-            if self.used() + self.cached() + BLOCK.0 > self.capacity {
+            if self.used_tokens() + self.cached_tokens() + BLOCK.0 > self.capacity {
                 return;
             }
             self.store(now, blocks, depth, *hash, log);
@@ -109,16 +109,16 @@
         if self.pins.get(&hash).is_some_and(|held| !held.is_empty()) {
             return;
         }
-        let chain = self.list_chain(hash);
-        chain.iter().for_each(|hash| self.hold(*hash));
-        self.pins.insert(hash, chain);
+        let prefix = self.list_prefix(hash);
+        prefix.iter().for_each(|hash| self.acquire_block(*hash));
+        self.pins.insert(hash, prefix);
     }
 
     /// Releases a pinned prefix.
     pub fn unpin(&mut self, hash: u64) {
-        self.uses += 1;
+        self.use_count += 1;
         for held in self.pins.remove(&hash).unwrap_or_default() {
-            self.let_go(held);
+            self.release_block(held);
         }
     }
 
@@ -129,7 +129,7 @@
 
     /// Drops what only the cache holds.
     pub fn clear_cache(&mut self) {
-        for (_, _, hash) in std::mem::take(&mut self.idle) {
+        for (_, _, hash) in std::mem::take(&mut self.evictable) {
             self.blocks.remove(&hash);
         }
     }
@@ -141,8 +141,8 @@
             return;
         }
         let parent = depth.checked_sub(1).map(|above| blocks[above]);
-        let block = Block { parent, depth: depth as u32, holds: 0, used: self.uses };
-        self.idle.insert((self.uses, Reverse(block.depth), hash));
+        let block = Block { parent, depth: depth as u32, ref_count: 0, last_used: self.use_count };
+        self.evictable.insert((self.use_count, Reverse(block.depth), hash));
         self.blocks.insert(hash, block);
         log.push(now, hash, true);
         if self.pins.get(&hash).is_some_and(Vec::is_empty) {
@@ -150,38 +150,38 @@
         }
     }
 
-    fn list_chain(&self, hash: u64) -> Vec<u64> {
-        let mut chain = Vec::new();
+    fn list_prefix(&self, hash: u64) -> Vec<u64> {
+        let mut prefix = Vec::new();
         let mut next = Some(hash);
         while let Some((hash, block)) = next.and_then(|h| self.blocks.get(&h).map(|b| (h, b))) {
-            chain.push(hash);
+            prefix.push(hash);
             next = block.parent;
         }
-        chain
+        prefix
     }
 
-    fn hold(&mut self, hash: u64) {
+    fn acquire_block(&mut self, hash: u64) {
         if let Some(block) = self.blocks.get_mut(&hash) {
-            if block.holds == 0 {
-                self.idle.remove(&(block.used, Reverse(block.depth), hash));
+            if block.ref_count == 0 {
+                self.evictable.remove(&(block.last_used, Reverse(block.depth), hash));
             }
-            block.holds += 1;
+            block.ref_count += 1;
         }
     }
 
-    fn let_go(&mut self, hash: u64) {
+    fn release_block(&mut self, hash: u64) {
         if let Some(block) = self.blocks.get_mut(&hash) {
-            block.holds -= 1;
-            if block.holds == 0 {
-                block.used = self.uses;
-                self.idle.insert((block.used, Reverse(block.depth), hash));
+            block.ref_count -= 1;
+            if block.ref_count == 0 {
+                block.last_used = self.use_count;
+                self.evictable.insert((block.last_used, Reverse(block.depth), hash));
             }
         }
     }
 
     fn evict(&mut self, now: Instant, log: &mut Log) {
-        while self.used() + self.cached() > self.capacity {
-            let Some((_, _, hash)) = self.idle.pop_first() else { return };
+        while self.used_tokens() + self.cached_tokens() > self.capacity {
+            let Some((_, _, hash)) = self.evictable.pop_first() else { return };
             self.blocks.remove(&hash);
             log.push(now, hash, false);
         }
--- a/crates/model/src/read_limiter.rs
+++ b/crates/model/src/read_limiter.rs
@@ -10,7 +10,7 @@
     bytes_per_second: size::Bytes,
     max_reads: usize,
     /// When each running read ends, oldest first.
-    ends: Vec<Instant>,
+    read_ends: Vec<Instant>,
 }
 
 /// As many reads run as may.
@@ -20,19 +20,19 @@
 impl ReadLimiter {
     /// A pipe with no reads.
     pub fn new(bytes_per_second: size::Bytes, max_reads: usize) -> Self {
-        Self { bytes_per_second, max_reads, ends: Vec::new() }
+        Self { bytes_per_second, max_reads, read_ends: Vec::new() }
     }
 
     /// Begins a read; gives the time until it ends.
     pub fn start_read(&mut self, now: Instant, bytes: size::Bytes) -> Result<Duration, Busy> {
-        self.ends.retain(|end| *end > now);
-        if self.ends.len() >= self.max_reads {
+        self.read_ends.retain(|end| *end > now);
+        if self.read_ends.len() >= self.max_reads {
             return Err(Busy);
         }
         let rate = self.bytes_per_second.0.max(1) as f64;
-        let own = Duration::from_secs_f64(bytes.0 as f64 / rate);
-        let end = self.ends.last().copied().unwrap_or(now) + own;
-        self.ends.push(end);
+        let duration = Duration::from_secs_f64(bytes.0 as f64 / rate);
+        let end = self.read_ends.last().copied().unwrap_or(now) + duration;
+        self.read_ends.push(end);
         Ok(end - now)
     }
 }
--- a/crates/model/src/transfer.rs
+++ b/crates/model/src/transfer.rs
@@ -1,8 +1,8 @@
 //! KV caches that an engine keeps, exports and imports.
 
-use crate::batch::Run;
+use crate::batch::Sequence;
 use crate::engine::Engine;
-use crate::handle::{Export, Kept, Link};
+use crate::handle::{Export, KeptCache, Link};
 use crate::job::{Failure, Job, Refusal};
 use crate::prefix::BLOCK;
 use hickory_target::engine::Handle;
@@ -45,8 +45,14 @@
             return Err(Refusal::NoRoom);
         }
         let seconds = own as f64 / self.options.transfer_rate.max(1) as f64;
-        let kept =
-            Kept { export, base: None, reserved: own, users: 0, dropped: false, arriving: own > 0 };
+        let kept = KeptCache {
+            export,
+            base: None,
+            reserved: own,
+            users: 0,
+            is_dropped: false,
+            is_arriving: own > 0,
+        };
         self.handles.insert(handle.clone(), kept);
         Ok(self.options.scale(Duration::from_secs_f64(seconds)))
     }
@@ -54,7 +60,7 @@
     /// Says that a copy has arrived.
     pub fn finish_import(&mut self, handle: &Handle) {
         if let Some(kept) = self.handles.get_mut(handle) {
-            kept.arriving = false;
+            kept.is_arriving = false;
         }
     }
 
@@ -62,9 +68,9 @@
     pub fn drop_handle(&mut self, now: Instant, handle: &Handle) {
         self.advance(now);
         if let Some(kept) = self.handles.get_mut(handle) {
-            kept.dropped = true;
+            kept.is_dropped = true;
         }
-        self.collect(handle.clone());
+        self.free_unused(handle.clone());
         self.start_step(now);
     }
 
@@ -77,11 +83,12 @@
     /// Says that a linked KV cache is gone: the streams that use it fail.
     pub fn lose_link(&mut self, now: Instant, lost: &Handle) {
         self.advance(now);
-        let has = |kept: &Kept| kept.export.links.iter().any(|link| link.handle == *lost);
+        let has = |kept: &KeptCache| kept.export.links.iter().any(|link| link.handle == *lost);
         let broken: Vec<Handle> =
             self.handles.iter().filter(|(_, kept)| has(kept)).map(|(h, _)| h.clone()).collect();
-        let uses = |run: &Run| run.import.as_ref().is_some_and(|h| broken.contains(h));
-        self.fail(now, Failure::LinkedCacheLost, uses);
+        let uses =
+            |sequence: &Sequence| sequence.import.as_ref().is_some_and(|h| broken.contains(h));
+        self.fail_sequences(now, Failure::LinkedCacheLost, uses);
         self.start_step(now);
     }
 
@@ -99,12 +106,12 @@
 
     /// Keeps the KV cache of a prefilled prompt under its handle; what the
     /// stream had reserved goes over to the handle.
-    pub(crate) fn keep(&mut self, now: Instant, run: &mut Run) {
+    pub(crate) fn keep_cache(&mut self, now: Instant, sequence: &mut Sequence) {
         // Another stream may have kept its own under the same handle while
         // this one was prefilled; the first stays, for streams may use it.
-        let handle = run.keep_as.clone().filter(|handle| !self.handles.contains_key(handle));
+        let handle = sequence.keep_as.clone().filter(|handle| !self.handles.contains_key(handle));
         let Some(handle) = handle else { return };
-        let base = run.import.as_ref().and_then(|import| self.handles.get_mut(import));
+        let base = sequence.import.as_ref().and_then(|import| self.handles.get_mut(import));
         let (below, links) = match base {
             Some(base) => {
                 base.users += 1;
@@ -112,35 +119,36 @@
             }
             None => (0, Vec::new()),
         };
-        let reserved = std::mem::take(&mut run.reserved);
-        let last_block = run.blocks.last().copied();
-        let (own, covers) = (size::Tokens(reserved + below), size::Tokens(run.prompt));
+        let reserved = std::mem::take(&mut sequence.reserved_tokens);
+        let last_block = sequence.blocks.last().copied();
+        let (own, covers) = (size::Tokens(reserved + below), size::Tokens(sequence.prompt_tokens));
         let export = Export { own, covers, last_block, links };
-        let base = run.import.clone();
-        let kept = Kept { export, base, reserved, users: 0, dropped: false, arriving: false };
+        let base = sequence.import.clone();
+        let kept =
+            KeptCache { export, base, reserved, users: 0, is_dropped: false, is_arriving: false };
         self.handles.insert(handle, kept);
-        self.memory.offer(now, &run.blocks, &mut self.log);
+        self.memory.cache_blocks(now, &sequence.blocks, &mut self.log);
     }
 
     /// Frees a dropped KV cache that nothing uses, and what it was based on.
-    pub(crate) fn collect(&mut self, handle: Handle) {
+    pub(crate) fn free_unused(&mut self, handle: Handle) {
         let mut next = Some(handle);
         while let Some(handle) = next.take() {
-            let gone = |kept: &Kept| kept.dropped && kept.users == 0;
+            let gone = |kept: &KeptCache| kept.is_dropped && kept.users == 0;
             if !self.handles.get(&handle).is_some_and(gone) {
                 return;
             }
             let Some(kept) = self.handles.remove(&handle) else { return };
             self.memory.release(&[], kept.reserved);
             if let Some(base) = kept.base {
-                self.leave(&base);
+                self.release_user(&base);
                 next = Some(base);
             }
         }
     }
 
     /// Says that one user of a KV cache is gone.
-    pub(crate) fn leave(&mut self, handle: &Handle) {
+    pub(crate) fn release_user(&mut self, handle: &Handle) {
         if let Some(kept) = self.handles.get_mut(handle) {
             kept.users -= 1;
         }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-pub struct Bench {
+pub struct TestEngine {
     pub engine: Engine,
     pub now: Instant,
     start: Instant,
@@ -47,7 +47,7 @@
 }
 
 /// A job with the given prompt text.
-pub fn job_of(number: u128, prompt: &str, max_tokens: u64) -> Job {
+pub fn job_with_prompt(number: u128, prompt: &str, max_tokens: u64) -> Job {
     let tokens = size::Tokens::from_bytes(size::Bytes(prompt.len() as u64));
     Job { blocks: prefix::hash_blocks(prompt), ..job(number, tokens.0, max_tokens) }
 }
@@ -57,8 +57,8 @@
     seed.to_string().repeat(blocks * prefix::BLOCK_BYTES)
 }
 
-impl Bench {
-    pub fn open(options: Options) -> Self {
+impl TestEngine {
+    pub fn new(options: Options) -> Self {
         let now = Instant::now();
         let engine = Engine::new(now, id::Incarnation(1), options);
         Self { engine, now, start: now }
@@ -69,7 +69,7 @@
     }
 
     /// Moves the clock on by `time`.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance_by(&mut self, time: Duration) {
         self.now += time;
         self.engine.advance(self.now);
     }
@@ -89,14 +89,14 @@
     }
 
     pub fn run_to_first_token(&mut self, number: u128) -> Duration {
-        self.run_until(|engine| generated(engine, number) > 0)
+        self.run_until(|engine| count_generated(engine, number) > 0)
     }
 
     pub fn state(&self, number: u128) -> Option<State> {
         self.engine.progress(&stream(number)).map(|progress| progress.state)
     }
 
-    pub fn used(&self) -> u64 {
+    pub fn used_tokens(&self) -> u64 {
         self.engine.kv_used().0
     }
 }
@@ -105,6 +105,6 @@
     !matches!(progress.state, State::Waiting | State::Running)
 }
 
-pub fn generated(engine: &Engine, number: u128) -> u64 {
+pub fn count_generated(engine: &Engine, number: u128) -> u64 {
     engine.progress(&stream(number)).map_or(0, |progress| progress.generated)
 }
--- a/crates/model/tests/walk.rs
+++ b/crates/model/tests/walk.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Bench, handle, job_of, options, stream, text};
+use common::{TestEngine, handle, job_with_prompt, options, stream, text};
 use hickory_model::engine::{Job, Options};
 use hickory_model::prefix;
 use hickory_target::engine::{Order, Priority};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Begin { number: u8, seed: u8, blocks: u8, max: u8, priority: u8, import: u8, keep: u8 },
     Cancel(u8),
     Drop(u8),
@@ -23,18 +23,18 @@
     Pass(u16),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     let begin = (0..20_u8, 0..3_u8, 0..12_u8, 0..40_u8, 0..3_u8, 0..6_u8, 0..6_u8);
     prop_oneof![
         6 => begin.prop_map(|(number, seed, blocks, max, priority, import, keep)| {
-            Act::Begin { number, seed, blocks, max, priority, import, keep }
+            Action::Begin { number, seed, blocks, max, priority, import, keep }
         }),
-        2 => (0..20_u8).prop_map(Act::Cancel),
-        1 => (0..3_u8).prop_map(Act::Drop),
-        1 => (0..3_u8, 1..12_u8).prop_map(|(seed, blocks)| Act::Pin(seed, blocks)),
-        1 => (0..3_u8, 1..12_u8).prop_map(|(seed, blocks)| Act::Unpin(seed, blocks)),
-        1 => Just(Act::TurnCold),
-        6 => (0..2_000_u16).prop_map(Act::Pass),
+        2 => (0..20_u8).prop_map(Action::Cancel),
+        1 => (0..3_u8).prop_map(Action::Drop),
+        1 => (0..3_u8, 1..12_u8).prop_map(|(seed, blocks)| Action::Pin(seed, blocks)),
+        1 => (0..3_u8, 1..12_u8).prop_map(|(seed, blocks)| Action::Unpin(seed, blocks)),
+        1 => Just(Action::TurnCold),
+        6 => (0..2_000_u16).prop_map(Action::Pass),
     ]
 }
 
@@ -46,39 +46,39 @@
     prefix::hash_blocks(&prompt(seed, blocks))[blocks as usize - 1]
 }
 
-fn apply(bench: &mut Bench, act: Act) {
-    let (now, fence) = (bench.now, id::Epoch(1));
-    match act {
-        Act::Begin { number, seed, blocks, max, priority, import, keep } => {
+fn apply(test: &mut TestEngine, action: Action) {
+    let (now, fence) = (test.now, id::Epoch(1));
+    match action {
+        Action::Begin { number, seed, blocks, max, priority, import, keep } => {
             let held = |n: u8| (n < 3).then(|| handle(u128::from(n), 0));
             let job = Job {
                 priority: Priority(priority),
                 import: held(import),
                 keep_as: held(keep),
-                ..job_of(number.into(), &prompt(seed, blocks), max.into())
+                ..job_with_prompt(number.into(), &prompt(seed, blocks), max.into())
             };
-            let _ = bench.engine.begin(now, job);
+            let _ = test.engine.begin(now, job);
         }
-        Act::Cancel(number) => {
-            bench.engine.cancel(now, &stream(number.into()));
+        Action::Cancel(number) => {
+            test.engine.cancel(now, &stream(number.into()));
         }
-        Act::Drop(number) => bench.engine.drop_handle(now, &handle(number.into(), 0)),
-        Act::Pin(seed, blocks) => {
-            let _ = bench.engine.apply_order(now, fence, &Order::Pin(pin_of(seed, blocks)));
+        Action::Drop(number) => test.engine.drop_handle(now, &handle(number.into(), 0)),
+        Action::Pin(seed, blocks) => {
+            let _ = test.engine.apply_order(now, fence, &Order::Pin(pin_of(seed, blocks)));
         }
-        Act::Unpin(seed, blocks) => {
-            let _ = bench.engine.apply_order(now, fence, &Order::Unpin(pin_of(seed, blocks)));
+        Action::Unpin(seed, blocks) => {
+            let _ = test.engine.apply_order(now, fence, &Order::Unpin(pin_of(seed, blocks)));
         }
-        Act::TurnCold => bench.engine.turn_cold(now),
-        Act::Pass(millis) => bench.pass(Duration::from_millis(millis.into())),
+        Action::TurnCold => test.engine.turn_cold(now),
+        Action::Pass(millis) => test.advance_by(Duration::from_millis(millis.into())),
     }
 }
 
-fn give_all_back(bench: &mut Bench) {
-    (0..20).for_each(|number| apply(bench, Act::Cancel(number)));
-    (0..3).for_each(|number| apply(bench, Act::Drop(number)));
+fn release_everything(test: &mut TestEngine) {
+    (0..20).for_each(|number| apply(test, Action::Cancel(number)));
+    (0..3).for_each(|number| apply(test, Action::Drop(number)));
     for seed in 0..3 {
-        (1..12).for_each(|blocks| apply(bench, Act::Unpin(seed, blocks)));
+        (1..12).for_each(|blocks| apply(test, Action::Unpin(seed, blocks)));
     }
 }
 
@@ -97,16 +97,16 @@
     #![proptest_config(config())]
 
     #[test]
-    fn memory_is_never_overbooked_and_comes_back(acts in prop::collection::vec(act(), 1..60)) {
+    fn memory_is_never_overbooked_and_is_all_freed(actions in prop::collection::vec(action(), 1..60)) {
         let kv_capacity = size::Tokens(20 * prefix::BLOCK.0);
         let options = Options { kv_capacity, max_streams: 4, crashes_on_overload: false, ..options() };
-        let mut bench = Bench::open(options);
-        for act in acts {
-            apply(&mut bench, act);
-            prop_assert!(bench.used() <= kv_capacity.0);
+        let mut test = TestEngine::new(options);
+        for action in actions {
+            apply(&mut test, action);
+            prop_assert!(test.used_tokens() <= kv_capacity.0);
         }
-        give_all_back(&mut bench);
-        prop_assert_eq!(bench.used(), 0);
-        prop_assert_eq!(bench.engine.stream_count(), 0);
+        release_everything(&mut test);
+        prop_assert_eq!(test.used_tokens(), 0);
+        prop_assert_eq!(test.engine.stream_count(), 0);
     }
 }
