--- a/crates/model/benches/step.rs
+++ b/crates/model/benches/step.rs
@@ -1,5 +1,5 @@
-//! What the cost model costs an experiment: steps of a full batch, and
-//! beginning long prompts whose prefix is cached.
+//! The CPU time of the simulation: steps of a full batch, and long prompts whose
+//! prefix is cached.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use hickory_model::engine::{Engine, Job, Options};
--- a/crates/model/src/batch.rs
+++ b/crates/model/src/batch.rs
@@ -1,4 +1,5 @@
-//! Streams in a batch, and the steps that move them on.
+//! The batch of an engine and the planning of its steps (continuous batching with
+//! chunked prefill).
 
 use crate::option::Options;
 use hickory_target::engine::{Handle, Priority, Weights};
@@ -7,17 +8,17 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The place of a stream among others: the greater priority first, then the
-/// earlier.
+/// The scheduling order of sequences: higher priority first, then first come, first
+/// served.
 pub(crate) type Key = (Reverse<Priority>, u64);
 
-/// Where streams stop to move on, as a fault.
+/// A fault that stops sequences from making progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stall {
-    /// They move.
+    /// No fault.
     #[default]
     None,
-    /// After so many tokens; 0 is before the first.
+    /// Sequences stop after this number of tokens; 0 is before the first token.
     After(u64),
 }
 
@@ -32,17 +33,17 @@
     pub(crate) import: Option<Handle>,
     pub(crate) keep_as: Option<Handle>,
     pub(crate) crashes_engine: bool,
-    /// Leading blocks held in the prefix cache.
+    /// Number of leading blocks that are referenced in the prefix cache.
     pub(crate) shared_blocks: usize,
-    /// Tokens reserved beside them.
+    /// Tokens reserved in addition to these blocks.
     pub(crate) reserved_tokens: u64,
     pub(crate) prefill_left: u64,
     pub(crate) generated: u64,
 }
 
 impl Sequence {
-    /// Whether it holds cached blocks and shares its own; one whose KV cache
-    /// goes to or comes from a handle keeps it apart.
+    /// Returns whether the sequence uses and fills the prefix cache. A sequence
+    /// whose KV cache is imported or kept under a handle doesn't.
     pub(crate) fn uses_prefix_cache(&self) -> bool {
         self.import.is_none() && self.keep_as.is_none()
     }
@@ -60,7 +61,7 @@
     }
 }
 
-/// What a step does, and when it is done.
+/// One step of the engine: the prefill chunks and decoded sequences, and its end.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub(crate) ends_at: Instant,
@@ -68,10 +69,9 @@
     pub(crate) decode: Vec<Key>,
 }
 
-/// Makes the next step of a batch; `None` where nothing can move.
-///
-/// The prefill budget of a step bounds how long the decoding streams wait
-/// for their next token; it goes to the first streams in the order of `Key`.
+/// Plans the next step of a batch; returns `None` if no sequence can make progress.
+/// The prefill budget of a step bounds the inter-token latency of the decoding
+/// sequences. It is assigned to sequences in the order of `Key`.
 pub(crate) fn plan_step(
     now: Instant,
     batch: &BTreeMap<Key, Sequence>,
@@ -103,16 +103,16 @@
     Some(step)
 }
 
-/// The time that a warm engine takes to prefill `chunk` tokens behind
-/// `context`.
+/// Returns the time in seconds that a warm engine takes to prefill `chunk` tokens
+/// that follow `context` tokens.
 pub fn prefill_seconds(context: u64, chunk: u64, options: &Options) -> f64 {
     let middle = context as f64 + chunk as f64 / 2.0;
     let factor = 1.0 + middle / options.double_cost_context.0.max(1) as f64;
     chunk as f64 * factor / options.prefill_rate.max(1) as f64
 }
 
-/// The time that a warm engine takes to decode one token of each of
-/// `streams`, which hold `kv_read` tokens together.
+/// Returns the time that a warm engine takes to decode one token for each of
+/// `streams` streams, which together hold `kv_tokens_read` tokens of KV cache.
 pub fn decode_time(streams: usize, kv_tokens_read: u64, options: &Options) -> Duration {
     match streams {
         0 => Duration::ZERO,
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine in steps: prefill in chunks by priority, then one token a
-//! step for each stream of the batch.
+//! A simulated model engine that runs in steps. Each step prefills chunks in order
+//! of priority and decodes one token for each sequence of the batch.
 
 use crate::batch::{Key, Sequence, Stall, Step};
 use crate::event::Log;
@@ -17,7 +17,7 @@
 
 pub use crate::option::Options;
 
-/// Reports kept in the time by which a report lags.
+/// Number of reports recorded during the report lag.
 const REPORTS_PER_LAG: u32 = 4;
 
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
     Done(Progress),
 }
 
-/// The engine.
+/// A simulated engine.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) options: Options,
@@ -54,7 +54,7 @@
 }
 
 impl Engine {
-    /// An idle engine that has just started.
+    /// Returns an idle engine that has just started.
     pub fn new(now: Instant, incarnation: id::Incarnation, options: Options) -> Self {
         let mut engine = Self {
             incarnation,
@@ -83,7 +83,7 @@
         engine
     }
 
-    /// Takes a stream into the queue.
+    /// Adds a stream to the queue.
     pub fn begin(&mut self, now: Instant, job: Job) -> Result<(), Refusal> {
         self.advance(now);
         let covered = self.check(&job)?;
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Stops a stream and frees its memory.
+    /// Cancels a stream and frees its memory.
     pub fn cancel(&mut self, now: Instant, stream: &id::Stream) -> Cancelled {
         self.advance(now);
         let stopped = match self.locations.get(stream) {
@@ -169,13 +169,13 @@
         self.forget_ended(now);
     }
 
-    /// When the running step ends; `None` where the engine is idle.
+    /// Returns when the running step ends; `None` if the engine is idle.
     pub fn next_step(&self) -> Option<Instant> {
         self.step.as_ref().filter(|_| !self.crashed).map(|step| step.ends_at)
     }
 
-    /// How far a stream is; `None` where it is not held, or ended too long
-    /// ago.
+    /// Returns the progress of a stream; `None` if the engine doesn't know it or no
+    /// longer remembers it.
     pub fn progress(&self, stream: &id::Stream) -> Option<Progress> {
         match self.locations.get(stream)? {
             Location::Waiting(_) => Some(Progress { state: State::Waiting, generated: 0 }),
@@ -187,12 +187,12 @@
         }
     }
 
-    /// Whether the engine has crashed; it does nothing more then.
+    /// Returns whether the engine has crashed; a crashed engine does nothing.
     pub fn is_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// The load report, which lags behind.
+    /// Returns the load report, which is delayed by the report lag.
     pub fn report(&mut self, now: Instant) -> Report {
         self.advance(now);
         let lag = self.options.report_lag;
@@ -205,7 +205,7 @@
         seen.unwrap_or_else(|| self.current_report())
     }
 
-    /// Keeps what a later, lagging report will show.
+    /// Records a report for later, delayed reads.
     fn record_report(&mut self, now: Instant) {
         let every = self.options.report_lag / REPORTS_PER_LAG;
         let last = self.reports.back().map(|(at, _)| *at);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// The load report as it is now.
+    /// Returns the current load report, without the lag.
     pub fn current_report(&self) -> Report {
         let runs = self.batch.values().chain(self.waiting.values());
         Report {
@@ -239,13 +239,13 @@
         }
     }
 
-    /// The cache events after number `after` that are due.
+    /// Returns the cache events after number `after` that are visible by now.
     pub fn cache_events(&self, now: Instant, after: u64) -> Vec<CacheEvent> {
         self.log.list(now, after, self.options.event_lag)
     }
 
-    /// Does what an order says; gives what must be read before weights can
-    /// serve.
+    /// Applies an order; returns the fetch that has to complete before weights can
+    /// be used.
     pub fn apply_order(
         &mut self,
         now: Instant,
@@ -269,57 +269,59 @@
         Ok(None)
     }
 
-    /// Says that weights have been read.
+    /// Marks weights as read.
     pub fn finish_load(&mut self, weights: &Weights) {
         self.weights.finish(weights);
     }
 
-    /// Whether weights are held or being loaded.
+    /// Returns whether weights are loaded or being loaded.
     pub fn has_weights(&self, weights: &Weights) -> bool {
         self.weights.contains(weights)
     }
 
-    /// Turns cold without a word: slow again, and the prefix cache is gone.
+    /// Turns the engine cold without reporting it: it becomes slow and loses its
+    /// prefix cache.
     pub fn turn_cold(&mut self, now: Instant) {
         self.advance(now);
         self.warmth.turn_cold(now);
         self.memory.clear_cache();
     }
 
-    /// Sets how far the load report lags behind.
+    /// Sets the lag of the load report.
     pub fn set_report_lag(&mut self, lag: Duration) {
         self.options.report_lag = lag;
     }
 
-    /// Stops streams from moving on, or lets them again.
+    /// Stalls the sequences or ends their stall.
     pub fn set_stall(&mut self, now: Instant, stall: Stall) {
         self.advance(now);
         self.stall = stall;
         self.start_step(now);
     }
 
-    /// KV memory in use by streams, handles and pins.
+    /// Returns the KV cache in use by streams, handles and pins.
     pub fn kv_used(&self) -> size::Tokens {
         size::Tokens(self.memory.used_tokens())
     }
 
-    /// Streams that run or wait.
+    /// Returns the number of running and waiting streams.
     pub fn stream_count(&self) -> usize {
         self.batch.len() + self.waiting.len()
     }
 
-    /// Streams, running and waiting, that it bears now.
+    /// Returns how many running and waiting streams the engine can currently
+    /// handle.
     pub fn stream_capacity(&self) -> u32 {
         self.warmth.stream_capacity(&self.options)
     }
 
-    /// What went on since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Whether a job may begin; gives the leading tokens that its import
-    /// covers.
+    /// Checks whether a job may begin; returns the number of leading tokens that
+    /// its import covers.
     fn check(&self, job: &Job) -> Result<u64, Refusal> {
         if self.crashed {
             return Err(Refusal::Crashed);
--- a/crates/model/src/handle.rs
+++ b/crates/model/src/handle.rs
@@ -1,46 +1,46 @@
-//! KV caches kept under handles.
+//! KV caches that an engine keeps under handles.
 
 use hickory_target::engine::Handle;
 use hickory_unit::size;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A part that lies on another engine.
+/// A part of a KV cache that is held by another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// The engine.
+    /// The address of the engine.
     pub at: SocketAddr,
-    /// The KV cache there.
+    /// The handle of the KV cache on that engine.
     pub handle: Handle,
 }
 
-/// A KV cache as its engine describes it to another one.
+/// The description of a KV cache for another engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Export {
-    /// Tokens that the engine itself holds of it.
+    /// Tokens held by the engine itself.
     pub own: size::Tokens,
-    /// Leading tokens of the prompt that it covers, with the linked parts.
+    /// Leading tokens of the prompt that the cache covers, including linked parts.
     pub covers: size::Tokens,
-    /// The hash of the last whole block that it covers, by which a prompt
-    /// that it does not belong to is refused.
+    /// The hash of the last complete block that it covers, which is used to
+    /// refuse other prompts.
     pub last_block: Option<u64>,
-    /// The parts that lie on other engines.
+    /// The parts held by other engines.
     pub links: Vec<Link>,
 }
 
-/// A KV cache held on an engine.
+/// A KV cache that an engine keeps under a handle.
 #[derive(Clone, Debug)]
 pub(crate) struct KeptCache {
     pub(crate) export: Export,
-    /// The KV cache here that its own prefill started from.
+    /// The KV cache on this engine from which its prefill started.
     pub(crate) base: Option<Handle>,
-    /// Tokens that it takes beside its base.
+    /// Tokens reserved in addition to the base.
     pub(crate) reserved: u64,
-    /// Streams and further KV caches that use it.
+    /// Number of streams and KV caches that use it.
     pub(crate) users: u32,
-    /// Dropped while in use: goes with its last user.
+    /// Dropped by its owner; it is freed when its last user is gone.
     pub(crate) is_dropped: bool,
-    /// Its copy is still under way.
+    /// Its copy from another engine is not complete.
     pub(crate) is_arriving: bool,
 }
 
--- a/crates/model/src/history.rs
+++ b/crates/model/src/history.rs
@@ -1,12 +1,12 @@
-//! Which streams an engine has seen.
+//! A bounded history of streams, to recognise their ids later.
 
 use hickory_unit::id;
 use std::collections::{HashSet, VecDeque};
 
-/// Streams remembered; the oldest are forgotten first.
+/// Maximum number of streams remembered; the oldest are dropped first.
 const MAX_STREAMS: usize = 65_536;
 
-/// The last streams of which something is remembered.
+/// The most recent streams.
 #[derive(Debug, Default)]
 pub(crate) struct History {
     streams: HashSet<id::Stream>,
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,34 +1,34 @@
-//! Work for an engine, how far it is, and why it may not begin.
+//! Jobs of an engine, their progress, and the reasons to refuse them.
 
 use crate::prefix;
 use hickory_target::engine::{Generate, Handle, Priority, Weights};
 use hickory_unit::{id, size};
 
-/// Work for the engine.
+/// A job for the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
     /// The stream.
     pub stream: id::Stream,
-    /// What is to run it.
+    /// The weights that run it.
     pub weights: Weights,
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt: size::Tokens,
-    /// The hashes of its leading blocks; none where it shares no prefix.
+    /// The hashes of its leading blocks; empty if it doesn't use the prefix cache.
     pub blocks: Vec<u64>,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: size::Tokens,
-    /// The greater goes first.
+    /// The priority; higher values run first.
     pub priority: Priority,
-    /// A KV cache held here, from which the prefill starts.
+    /// A KV cache on this engine from which the prefill starts.
     pub import: Option<Handle>,
-    /// Prefill only, and keep the KV cache under this handle.
+    /// If set, only prefills and keeps the KV cache under this handle.
     pub keep_as: Option<Handle>,
-    /// Crashes the engine as soon as it runs.
+    /// Whether the job crashes the engine when it runs.
     pub crashes_engine: bool,
 }
 
 impl Job {
-    /// The job that a call asks for; hashes the whole prompt.
+    /// Returns the job that a call requests; hashes the whole prompt.
     pub fn from_call(generate: &Generate) -> Self {
         Self {
             stream: generate.stream.clone(),
@@ -44,32 +44,32 @@
     }
 }
 
-/// Why the engine does not do what it is asked.
+/// Why the engine refuses a request.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq, derive_more::Error)]
 pub enum Refusal {
-    /// The prompt and its answer are greater than the KV memory.
+    /// The prompt and its answer exceed the KV cache capacity.
     #[display("too long")]
     TooLong,
-    /// A stream with this id has begun before, or a KV cache is held under
-    /// the handle.
+    /// A stream with this id has already begun, or a KV cache is already kept
+    /// under the handle.
     #[display("begun before")]
     Duplicate,
-    /// The stream was cancelled before it came.
+    /// The stream was cancelled before it arrived.
     #[display("cancelled before it began")]
     Cancelled,
     /// The weights are not loaded.
     #[display("weights not loaded")]
     NotLoaded,
-    /// The role of the engine does not take such work.
+    /// The role of the engine excludes such jobs.
     #[display("role")]
     RoleMismatch,
-    /// The KV cache to start from is not held, or is not of this prompt.
+    /// The KV cache to import doesn't exist or belongs to another prompt.
     #[display("no such KV cache")]
     UnknownHandle,
-    /// The order carries a fencing number below the greatest seen.
+    /// The fencing epoch of the order is lower than the highest seen so far.
     #[display("stale fencing number")]
     StaleFence,
-    /// No room for further weights or a further KV cache.
+    /// There is no room for more weights or for another KV cache.
     #[display("no room")]
     NoRoom,
     /// The engine has crashed.
@@ -77,16 +77,16 @@
     Crashed,
 }
 
-/// How far a stream is.
+/// The state of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Waits for room in the batch.
+    /// Waiting for room in the batch.
     Waiting,
     /// In the batch.
     Running,
-    /// Whole.
+    /// Complete.
     Ended,
-    /// Ended by the engine before it was whole.
+    /// Ended by the engine before it was complete.
     Failed(Failure),
 }
 
@@ -96,21 +96,21 @@
     /// Its weights were unloaded.
     #[display("weights unloaded")]
     Unloaded,
-    /// A part of its KV cache, which lay on another engine, is gone.
+    /// A part of its KV cache on another engine was lost.
     #[display("KV cache of another engine lost")]
     LinkedCacheLost,
 }
 
-/// How far a stream is, and what it brought.
+/// The progress of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// How far it is.
+    /// Its state.
     pub state: State,
-    /// Tokens generated.
+    /// Tokens generated so far.
     pub generated: u64,
 }
 
-/// What went on since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Prompt tokens found in the prefix cache.
@@ -119,7 +119,7 @@
     pub cache_misses: u64,
     /// Tokens generated.
     pub generated: u64,
-    /// Times that a stream was given beyond what the engine bore, whether it
-    /// fell over or not.
+    /// Streams received beyond the engine's capacity, whether or not it
+    /// crashed.
     pub overloads: u64,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,19 +1,21 @@
-//! A cost model of a model engine, and the answers that it gives.
+//! A simulation of a language-model engine: a cost model and deterministic
+//! answers.
 //!
-//! No input or output and no threads; the time is passed in. The stand-in
-//! engine runs it against the real clock, experiments run it against theirs.
+//! It does no I/O, starts no threads, and receives the time as an argument. The
+//! stand-in engine runs it on the real clock, experiments on a simulated one.
 //!
-//! [`engine::Engine`] joins the parts: [`memory`] shares KV memory between
-//! streams and the prefix cache, [`warmth`] says how much of its speed an
-//! engine has after a start, [`batch`] makes steps, [`loading`] holds weights.
+//! [`engine::Engine`] combines the parts: [`memory`] divides the KV memory
+//! between streams and the prefix cache, [`warmth`] models the reduced speed
+//! after a start, [`batch`] plans steps, and [`loading`] tracks weights.
 //!
-//! A prompt greater than one engine is prefilled in parts. Engine A gets the
-//! leading part with [`engine::Job::keep_as`] and holds its KV cache under that
-//! handle; engine B imports the handle and gets the prompt up to the end of
-//! the second part with [`engine::Job::import`], and so on; the last engine
-//! imports the last handle, gets the whole prompt and generates. A handle
-//! that would take more than half of an engine is linked, not copied: its
-//! memory stays where it is, and the stream that uses it fails when it goes.
+//! A prompt that exceeds the memory of one engine is prefilled in parts. Engine
+//! A receives the leading part with [`engine::Job::keep_as`] and keeps its KV
+//! cache under that handle. Engine B imports the handle with
+//! [`engine::Job::import`] and receives the prompt up to the end of the second
+//! part, and so on. The last engine imports the last handle, receives the whole
+//! prompt and generates. A KV cache that would fill more than half of the
+//! importing engine is linked instead of copied: its memory stays on the first
+//! engine, and streams that use it fail if it is lost.
 
 pub mod answer;
 pub mod batch;
--- a/crates/model/src/loading.rs
+++ b/crates/model/src/loading.rs
@@ -1,36 +1,37 @@
-//! Weights on an engine.
+//! The weights on an engine.
 
 use crate::option::Options;
 use hickory_target::engine::{Loaded, Weights};
 use hickory_unit::size;
 use std::collections::BTreeMap;
 
-/// The weights of an engine, and whether each can serve.
+/// The weights of an engine, each with whether it is ready to use.
 #[derive(Clone, Debug)]
 pub struct WeightSet {
     readiness: BTreeMap<Weights, bool>,
 }
 
-/// What must be read from the weight store before weights can serve.
+/// A read from the weight store that has to complete before weights can be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// The weights.
     pub weights: Weights,
-    /// How much to read.
+    /// The number of bytes to read.
     pub bytes: size::Bytes,
 }
 
-/// The engine holds as many weights as it can.
+/// The engine already holds its maximum number of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full;
 
 impl WeightSet {
-    /// With what is held at the start.
+    /// Returns a set with the weights that are loaded at the start.
     pub fn new(options: &Options) -> Self {
         Self { readiness: options.loaded.iter().map(|weights| (weights.clone(), true)).collect() }
     }
 
-    /// Begins to load; `None` where nothing is left to do.
+    /// Starts to load weights; returns `None` if they are already loaded or
+    /// loading.
     pub fn load(&mut self, weights: &Weights, options: &Options) -> Result<Option<Fetch>, Full> {
         if self.readiness.contains_key(weights) {
             return Ok(None);
@@ -47,30 +48,29 @@
         Ok(Some(Fetch { weights: weights.clone(), bytes }))
     }
 
-    /// Says that weights have been read; nothing where they were unloaded
-    /// meanwhile.
+    /// Marks weights as ready; has no effect if they were unloaded in the meantime.
     pub fn finish(&mut self, weights: &Weights) {
         if let Some(ready) = self.readiness.get_mut(weights) {
             *ready = true;
         }
     }
 
-    /// Unloads.
+    /// Removes weights.
     pub fn unload(&mut self, weights: &Weights) {
         self.readiness.remove(weights);
     }
 
-    /// Whether weights can serve.
+    /// Returns whether weights are ready to use.
     pub fn is_ready(&self, weights: &Weights) -> bool {
         self.readiness.get(weights).copied().unwrap_or(false)
     }
 
-    /// Whether weights are held or being loaded.
+    /// Returns whether weights are loaded or being loaded.
     pub fn contains(&self, weights: &Weights) -> bool {
         self.readiness.contains_key(weights)
     }
 
-    /// All weights held.
+    /// Returns all weights, loaded or loading.
     pub fn list(&self) -> Vec<Loaded> {
         let each = self.readiness.iter();
         each.map(|(weights, ready)| Loaded { weights: weights.clone(), ready: *ready }).collect()
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -1,7 +1,6 @@
-//! KV memory: reserved by streams and handles, and shared by the prefix cache
-//! with what is left.
+//! KV memory: streams and handles reserve it, and the prefix cache uses the rest.
 //!
-//! Simplification: cached blocks are not told apart by weights.
+//! Simplification: cached blocks are not separated by weights.
 
 use crate::event::Log;
 use crate::prefix::BLOCK;
@@ -13,7 +12,7 @@
 struct Block {
     parent: Option<u64>,
     depth: u32,
-    /// Streams and pins that hold it.
+    /// Number of streams and pins that reference it.
     ref_count: u32,
     last_used: u64,
 }
@@ -22,19 +21,19 @@
 #[derive(Debug)]
 pub struct Memory {
     capacity: u64,
-    /// Reserved by streams and handles, beside blocks.
+    /// Tokens reserved by streams and handles, not counting blocks.
     reserved: u64,
     blocks: HashMap<u64, Block>,
-    /// Blocks that nothing holds, the first to be evicted first: the least
-    /// recently used, and of one prompt the last block first.
+    /// Unreferenced blocks in order of eviction: least recently used first, and
+    /// within a prompt the last block first.
     evictable: BTreeSet<(u64, Reverse<u32>, u64)>,
-    /// Pinned prefixes, each with the blocks it holds now.
+    /// Pinned prefixes, each with the blocks that it references now.
     pins: BTreeMap<u64, Vec<u64>>,
     use_count: u64,
 }
 
 impl Memory {
-    /// Empty memory.
+    /// Returns empty memory.
     pub fn new(capacity: u64) -> Self {
         Self {
             capacity,
@@ -46,24 +45,24 @@
         }
     }
 
-    /// Tokens in use by streams, handles and pins; what only the cache holds
-    /// is free to be taken.
+    /// Returns the tokens in use by streams, handles and pins. Blocks that only the
+    /// cache holds don't count, since they can be evicted.
     pub fn used_tokens(&self) -> u64 {
         self.reserved + (self.blocks.len() - self.evictable.len()) as u64 * BLOCK.0
     }
 
-    /// Tokens in the prefix cache that nothing holds.
+    /// Returns the tokens of cached blocks that nothing references.
     pub fn cached_tokens(&self) -> u64 {
         self.evictable.len() as u64 * BLOCK.0
     }
 
-    /// How many leading blocks are cached.
+    /// Returns the number of leading blocks that are cached.
     pub fn count_cached(&self, blocks: &[u64]) -> usize {
         blocks.iter().take_while(|block| self.blocks.contains_key(block)).count()
     }
 
-    /// Holds `shared`, which are cached, and reserves `tokens` beside them;
-    /// `false`, and nothing done, where they do not fit.
+    /// References the cached blocks `shared` and reserves `tokens` in addition.
+    /// Returns false and changes nothing if they don't fit.
     pub fn reserve(&mut self, now: Instant, shared: &[u64], tokens: u64, log: &mut Log) -> bool {
         let idle = shared.iter().filter(|hash| self.blocks[*hash].ref_count == 0).count() as u64;
         if self.used_tokens() + idle * BLOCK.0 + tokens > self.capacity {
@@ -75,15 +74,15 @@
         true
     }
 
-    /// Gives back `tokens` that were reserved, and lets go of `shared`.
+    /// Frees `tokens` that were reserved and releases the references to `shared`.
     pub fn release(&mut self, shared: &[u64], tokens: u64) {
         self.reserved -= tokens;
         self.use_count += 1;
         shared.iter().for_each(|hash| self.release_block(*hash));
     }
 
-    /// Makes the prefilled blocks after the first `from` shared, out of
-    /// tokens that were reserved; the caller holds them then.
+    /// Moves the prefilled blocks from index `from` on into the prefix cache, out
+    /// of the tokens reserved for them; the caller then references them.
     pub fn share_blocks(&mut self, now: Instant, blocks: &[u64], from: usize, log: &mut Log) {
         for (depth, hash) in blocks.iter().enumerate().skip(from) {
             self.reserved -= BLOCK.0;
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Caches blocks that nothing holds, as far as there is free room.
+    /// Caches blocks without referencing them, as long as there is free memory.
     pub fn cache_blocks(&mut self, now: Instant, blocks: &[u64], log: &mut Log) {
         self.use_count += 1;
         for (depth, hash) in blocks.iter().enumerate() {
@@ -103,8 +102,7 @@
         }
     }
 
-    /// Keeps the cached prefix that ends with `hash`, now or as soon as it is
-    /// cached.
+    /// Pins the prefix that ends with `hash`, now or as soon as it is cached.
     pub fn pin(&mut self, hash: u64) {
         if self.pins.get(&hash).is_some_and(|held| !held.is_empty()) {
             return;
@@ -114,7 +112,7 @@
         self.pins.insert(hash, prefix);
     }
 
-    /// Releases a pinned prefix.
+    /// Unpins a prefix.
     pub fn unpin(&mut self, hash: u64) {
         self.use_count += 1;
         for held in self.pins.remove(&hash).unwrap_or_default() {
@@ -122,20 +120,20 @@
         }
     }
 
-    /// The pinned prefixes.
+    /// Returns the pinned prefixes.
     pub fn pins(&self) -> Vec<u64> {
         self.pins.keys().copied().collect()
     }
 
-    /// Drops what only the cache holds.
+    /// Drops all blocks that nothing references.
     pub fn clear_cache(&mut self) {
         for (_, _, hash) in std::mem::take(&mut self.evictable) {
             self.blocks.remove(&hash);
         }
     }
 
-    /// Caches one block; pins the prefix that it completes where that was
-    /// asked for.
+    /// Caches one block, and pins the prefix that it completes if a pin was
+    /// requested.
     fn store(&mut self, now: Instant, blocks: &[u64], depth: usize, hash: u64, log: &mut Log) {
         if self.blocks.contains_key(&hash) {
             return;
--- a/crates/model/src/option.rs
+++ b/crates/model/src/option.rs
@@ -1,67 +1,68 @@
-//! What an engine bears and how fast it is.
+//! Capacity, speed and behaviour of an engine.
 
 use hickory_target::engine::Weights;
 use hickory_unit::size;
 use std::time::Duration;
 
-/// What an engine bears, how fast it is when warm, and how it behaves.
+/// Options of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// KV memory, shared by streams, handles, pins and the prefix cache.
+    /// KV memory, used by streams, handles, pins and the prefix cache.
     pub kv_capacity: size::Tokens,
-    /// Prompt tokens prefilled a second at the start of a prompt.
+    /// Prompt tokens prefilled per second at the start of a prompt.
     pub prefill_rate: u64,
-    /// Context at which a prompt token costs twice as much as at the start.
+    /// Context length at which a prompt token costs twice as much as at the start.
     pub double_cost_context: size::Tokens,
-    /// Streams in the batch at once.
+    /// Maximum number of streams in the batch.
     pub max_streams: u32,
-    /// Prompt tokens prefilled at most in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: size::Tokens,
-    /// Time of a step that decodes one stream.
+    /// Duration of a step that decodes one stream.
     pub step_time: Duration,
-    /// Time that each further stream adds to a step.
+    /// Time that each additional stream adds to a step.
     pub step_time_per_stream: Duration,
     /// Time that reading a million tokens of KV cache adds to a step.
     pub step_time_per_million_kv_tokens: Duration,
-    /// KV cache copied from another engine, tokens a second.
+    /// Transfer rate of a KV cache from another engine, in tokens per second.
     pub transfer_rate: u64,
-    /// How warm the engine is at its start, from 0 to 100.
+    /// Warmth at the start, from 0 to 100.
     pub warmth: u8,
-    /// Time from cold to warm under work; four times as long when idle.
+    /// Time to warm up under load; four times as long when idle.
     pub warm_up_time: Duration,
-    /// Part of its speed that a cold engine has.
+    /// Fraction of the speed that a cold engine reaches.
     pub cold_speed_fraction: f64,
-    /// Part of `streams_max` that a cold engine bears.
+    /// Fraction of `max_streams` that a cold engine can handle.
     pub cold_streams_fraction: f64,
-    /// Whether it crashes when it is given more than it bears while not warm.
+    /// Whether the engine crashes when it is overloaded before it is warm.
     pub crashes_on_overload: bool,
-    /// How long after a silent return to cold it does not yet fall over.
+    /// Time after an unreported return to cold in which an overload doesn't
+    /// crash the engine, since no caller can have detected the change.
     pub cold_detection_time: Duration,
-    /// How far the load report lags behind.
+    /// Lag of the load report.
     pub report_lag: Duration,
-    /// How late cache events come.
+    /// Delay of cache events.
     pub event_lag: Duration,
-    /// Each so-many-th cache event is lost; 0 for none.
+    /// Every n-th cache event is lost; 0 loses none.
     pub event_loss_interval: u64,
-    /// How long an ended stream still answers a resume.
+    /// Time in which an ended stream can still be resumed.
     pub ended_retention: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing epoch are refused.
     pub checks_fence: bool,
-    /// Weights held at once.
+    /// Maximum number of weights held at once.
     pub max_weights: usize,
-    /// Bytes of a model's weights.
+    /// Size of a model's weights.
     pub model_bytes: size::Bytes,
-    /// Bytes of an adapter.
+    /// Size of an adapter.
     pub adapter_bytes: size::Bytes,
-    /// Weights held at the start.
+    /// Weights loaded at the start.
     pub loaded: Vec<Weights>,
-    /// Time is divided by this, lags apart, so that tests run fast.
+    /// Divisor of all times except lags, so that tests run fast.
     pub speed: f64,
 }
 
 impl Default for Options {
-    /// An engine of today: a prompt of a million tokens is more than twice
-    /// its memory; warm at the start.
+    /// A current engine, warm at the start. A prompt of a million tokens needs more
+    /// than twice its memory.
     fn default() -> Self {
         Self {
             kv_capacity: size::Tokens(450_000),
@@ -94,7 +95,7 @@
 }
 
 impl Options {
-    /// `time` as it passes on the scaled clock.
+    /// Returns `time` on the accelerated clock.
     pub(crate) fn scale(&self, time: Duration) -> Duration {
         time.div_f64(self.speed)
     }
--- a/crates/model/src/read_limiter.rs
+++ b/crates/model/src/read_limiter.rs
@@ -3,27 +3,27 @@
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-/// The reads of a weight store: they share one rate in the order in which
-/// they come, and only so many may run at once.
+/// Limits the reads of a weight store: a bounded number of reads runs at once, and
+/// they share one rate in order of arrival.
 #[derive(Clone, Debug)]
 pub struct ReadLimiter {
     bytes_per_second: size::Bytes,
     max_reads: usize,
-    /// When each running read ends, oldest first.
+    /// The end of each running read, oldest first.
     read_ends: Vec<Instant>,
 }
 
-/// As many reads run as may.
+/// The maximum number of reads is already running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy;
 
 impl ReadLimiter {
-    /// A pipe with no reads.
+    /// Returns a limiter without running reads.
     pub fn new(bytes_per_second: size::Bytes, max_reads: usize) -> Self {
         Self { bytes_per_second, max_reads, read_ends: Vec::new() }
     }
 
-    /// Begins a read; gives the time until it ends.
+    /// Starts a read and returns the time until it ends.
     pub fn start_read(&mut self, now: Instant, bytes: size::Bytes) -> Result<Duration, Busy> {
         self.read_ends.retain(|end| *end > now);
         if self.read_ends.len() >= self.max_reads {
--- a/crates/model/src/step.rs
+++ b/crates/model/src/step.rs
@@ -1,5 +1,5 @@
-//! The steps of an engine: streams are taken from the queue into the batch,
-//! move on by a step, and end.
+//! The steps of an engine: admits streams from the queue to the batch, advances
+//! them by one step, and ends them.
 
 use crate::batch::{Key, Sequence, Step, plan_step};
 use crate::engine::{Engine, Location};
@@ -8,8 +8,9 @@
 use std::time::Instant;
 
 impl Engine {
-    /// Takes streams from the queue into the batch, in order. The first that
-    /// does not fit holds up those behind it, as engines do to be fair.
+    /// Admits streams from the queue to the batch, in order. The first stream that
+    /// doesn't fit blocks those behind it (head-of-line blocking), as in real
+    /// engines, which do so for fairness.
     fn admit(&mut self, now: Instant) {
         while self.batch.len() < self.options.max_streams as usize {
             let Some(mut entry) = self.waiting.first_entry() else { return };
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Shares the prefilled blocks, and ends a stream that wants no tokens.
+    /// Shares the prefilled blocks, and ends a stream that generates no tokens.
     fn end_prefill(&mut self, now: Instant, key: Key) {
         let Some(sequence) = self.batch.get_mut(&key) else { return };
         if sequence.uses_prefix_cache() {
--- a/crates/model/src/transfer.rs
+++ b/crates/model/src/transfer.rs
@@ -11,20 +11,20 @@
 use std::time::{Duration, Instant};
 
 impl Engine {
-    /// Describes a held KV cache to another engine.
+    /// Returns the description of a kept KV cache for another engine.
     pub fn export(&self, handle: &Handle) -> Option<Export> {
         let kept = self.handles.get(handle).filter(|kept| kept.is_usable())?;
         Some(kept.export.clone())
     }
 
-    /// KV caches kept beside streams, imports included.
+    /// Returns the number of KV caches kept under handles, including imports.
     pub fn handle_count(&self) -> usize {
         self.handles.len()
     }
 
-    /// Begins to copy the KV cache that `export` describes, or links it where
-    /// it is greater than half of the memory; gives the time that the copy
-    /// takes, after which [`Engine::finish_import`] is due.
+    /// Starts to copy the KV cache that `export` describes, or links it if it
+    /// exceeds half of the memory. Returns the duration of the copy, after which
+    /// [`Engine::finish_import`] must be called.
     pub fn import(
         &mut self,
         now: Instant,
@@ -57,14 +57,14 @@
         Ok(self.options.scale(Duration::from_secs_f64(seconds)))
     }
 
-    /// Says that a copy has arrived.
+    /// Marks a copy as complete.
     pub fn finish_import(&mut self, handle: &Handle) {
         if let Some(kept) = self.handles.get_mut(handle) {
             kept.is_arriving = false;
         }
     }
 
-    /// Drops a held KV cache; it goes with its last user.
+    /// Drops a kept KV cache; its memory is freed when its last user is gone.
     pub fn drop_handle(&mut self, now: Instant, handle: &Handle) {
         self.advance(now);
         if let Some(kept) = self.handles.get_mut(handle) {
@@ -74,13 +74,13 @@
         self.start_step(now);
     }
 
-    /// The links that running and waiting streams need.
+    /// Returns the links that running and waiting streams need.
     pub fn links(&self) -> Vec<Link> {
         let used = self.handles.values().filter(|kept| kept.users > 0);
         used.flat_map(|kept| kept.export.links.iter().cloned()).collect()
     }
 
-    /// Says that a linked KV cache is gone: the streams that use it fail.
+    /// Handles the loss of a linked KV cache: the streams that use it fail.
     pub fn lose_link(&mut self, now: Instant, lost: &Handle) {
         self.advance(now);
         let has = |kept: &KeptCache| kept.export.links.iter().any(|link| link.handle == *lost);
@@ -92,9 +92,9 @@
         self.start_step(now);
     }
 
-    /// The leading tokens of a job's prompt that a held KV cache covers, and
-    /// the tokens of it that lie here; `None` where the cache is not held, or
-    /// is of another prompt.
+    /// Returns how many leading tokens of the job's prompt a kept KV cache covers
+    /// and how many of its tokens are on this engine; `None` if the cache doesn't
+    /// exist or belongs to another prompt.
     pub(crate) fn count_covered(&self, handle: &Handle, job: &Job) -> Option<(u64, u64)> {
         let kept = self.handles.get(handle).filter(|kept| kept.is_usable())?;
         let covers = kept.export.covers.0;
@@ -104,11 +104,11 @@
         (covers <= job.prompt.0 && same).then_some((covers, kept.export.own.0))
     }
 
-    /// Keeps the KV cache of a prefilled prompt under its handle; what the
-    /// stream had reserved goes over to the handle.
+    /// Keeps the KV cache of a prefilled prompt under its handle, which takes over
+    /// the memory reserved by the stream.
     pub(crate) fn keep_cache(&mut self, now: Instant, sequence: &mut Sequence) {
-        // Another stream may have kept its own under the same handle while
-        // this one was prefilled; the first stays, for streams may use it.
+        // Another stream may have kept its cache under the same handle in the
+        // meantime. The first one stays, since streams may already use it.
         let handle = sequence.keep_as.clone().filter(|handle| !self.handles.contains_key(handle));
         let Some(handle) = handle else { return };
         let base = sequence.import.as_ref().and_then(|import| self.handles.get_mut(import));
@@ -130,7 +130,8 @@
         self.memory.cache_blocks(now, &sequence.blocks, &mut self.log);
     }
 
-    /// Frees a dropped KV cache that nothing uses, and what it was based on.
+    /// Frees a dropped KV cache without users, and then its base if that is unused
+    /// too.
     pub(crate) fn free_unused(&mut self, handle: Handle) {
         let mut next = Some(handle);
         while let Some(handle) = next.take() {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Says that one user of a KV cache is gone.
+    /// Removes one user of a KV cache.
     pub(crate) fn release_user(&mut self, handle: &Handle) {
         if let Some(kept) = self.handles.get_mut(handle) {
             kept.users -= 1;
--- a/crates/model/tests/cache.rs
+++ b/crates/model/tests/cache.rs
@@ -68,7 +68,7 @@
     let mut test = TestEngine::new(small(30));
     let pinned = prefix::hash_blocks(&text('a', 10))[9];
     test.engine.apply_order(test.now, FENCE, &Order::Pin(pinned)).unwrap();
-    assert_eq!(test.used_tokens(), 0, "not there yet");
+    assert_eq!(test.used_tokens(), 0, "not cached yet");
     run(&mut test, 1, &text('a', 10));
     assert_eq!(test.used_tokens(), 10 * BLOCK.0);
     run(&mut test, 2, &text('b', 19));
@@ -96,7 +96,7 @@
     let (a, b) = (prefix::hash_blocks(&text('a', 10)), prefix::hash_blocks(&text('b', 10)));
     let stored = |hashes: &[u64]| hashes.iter().all(|h| has(&events, *h, true));
     assert!(stored(&a) && stored(&b));
-    assert!(has(&events, a[9], false), "the last block of the older prompt goes first");
+    assert!(has(&events, a[9], false), "the last block of the older prompt is evicted first");
     let last = events.last().unwrap().seq;
     assert!(test.engine.cache_events(test.now, last).is_empty());
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine on a clock that moves by its own steps.
+//! An engine on a simulated clock, which advances by the engine's steps.
 #![allow(dead_code)]
 
 use hickory_model::engine::{Engine, Job, Options, Progress, State};
@@ -31,7 +31,7 @@
     Handle { stream: stream(number), part }
 }
 
-/// A job whose prompt shares no prefix with another one.
+/// Returns a job whose prompt shares no prefix with another job.
 pub fn job(number: u128, prompt: u64, max_tokens: u64) -> Job {
     Job {
         stream: stream(number),
@@ -46,13 +46,14 @@
     }
 }
 
-/// A job with the given prompt text.
+/// Returns a job with the given prompt text.
 pub fn job_with_prompt(number: u128, prompt: &str, max_tokens: u64) -> Job {
     let tokens = size::Tokens::from_bytes(size::Bytes(prompt.len() as u64));
     Job { blocks: prefix::hash_blocks(prompt), ..job(number, tokens.0, max_tokens) }
 }
 
-/// A text of `blocks` blocks; texts with another `seed` differ from the start.
+/// Returns a text of `blocks` blocks; texts with different seeds differ from the
+/// first block.
 pub fn text(seed: char, blocks: usize) -> String {
     seed.to_string().repeat(blocks * prefix::BLOCK_BYTES)
 }
@@ -65,20 +66,20 @@
     }
 
     pub fn begin(&mut self, job: Job) {
-        self.engine.begin(self.now, job).expect("begins");
+        self.engine.begin(self.now, job).expect("the engine accepts the job");
     }
 
-    /// Moves the clock on by `time`.
+    /// Advances the clock by `time`.
     pub fn advance_by(&mut self, time: Duration) {
         self.now += time;
         self.engine.advance(self.now);
     }
 
-    /// Moves the clock on step by step until `done`; panics when the engine
-    /// has nothing to do before that.
+    /// Advances the clock step by step until `done` returns true; panics if the
+    /// engine becomes idle before that.
     pub fn run_until(&mut self, done: impl Fn(&Engine) -> bool) -> Duration {
         while !done(&self.engine) {
-            self.now = self.engine.next_step().expect("work left");
+            self.now = self.engine.next_step().expect("the engine is not idle");
             self.engine.advance(self.now);
         }
         self.now - self.start
--- a/crates/model/tests/schedule.rs
+++ b/crates/model/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! How streams share the steps and the memory of an engine.
+//! Scheduling: how streams share the steps and the memory of an engine.
 
 mod common;
 
@@ -10,8 +10,8 @@
 
 #[test]
 fn first_token_takes_the_prefill_and_one_step() {
-    // 1,000 and 100,000 tokens at 40,000 a second; the longer prompt pays for
-    // attention over its context as well.
+    // 1,000 and 100,000 tokens at 40,000 per second; the long prompt takes
+    // additional time for attention over its context.
     let short = TestEngine::new(options()).time_first_token(1_000);
     assert!((0.035..0.045).contains(&short), "{short}");
     let long = TestEngine::new(options()).time_first_token(100_000);
@@ -45,8 +45,8 @@
 
 #[test]
 fn equal_priority_is_first_in_first_out() {
-    // A short prompt behind a long one of the same priority waits for it:
-    // this is what the placement of short work has to avoid.
+    // A short prompt waits for a long one of the same priority ahead of it
+    // (head-of-line blocking), which placement has to avoid.
     let mut test = TestEngine::new(options());
     test.begin(job(1, 100_000, 10));
     test.begin(job(2, 1_000, 10));
@@ -64,7 +64,7 @@
     test.run_to_first_token(2);
     let tokens = count_generated(&test.engine, 1) - before;
     let gap = (test.now - from).as_secs_f64() / tokens as f64;
-    // A chunk of 2,048 tokens takes 51 ms and more beside the decode.
+    // A chunk of 2,048 tokens takes at least 51 ms in addition to the decode.
     assert!((0.05..0.1).contains(&gap), "{gap}");
 }
 
@@ -77,7 +77,8 @@
     assert!(deep > one * 1.5, "{one} {deep}");
 }
 
-/// The time a token takes when `streams` decode with the given prompts.
+/// Returns the time per token in seconds while `streams` streams with the given
+/// prompt length decode.
 fn time_tokens(streams: u128, prompt: u64) -> f64 {
     let mut test = TestEngine::new(options());
     (0..streams).for_each(|n| test.begin(job(n, prompt, 200)));
@@ -96,7 +97,7 @@
     test.begin(job(2, 300_000, 100));
     test.begin(job(3, 1_000, 100));
     assert_eq!(test.state(2), Some(State::Waiting));
-    assert_eq!(test.state(3), Some(State::Waiting), "behind the one that does not fit");
+    assert_eq!(test.state(3), Some(State::Waiting), "blocked by the stream that does not fit");
     assert_eq!(test.engine.cancel(test.now, &stream(1)), Cancelled::Stopped);
     test.run_to_first_token(3);
     assert_eq!(test.state(2), Some(State::Running));
--- a/crates/model/tests/start.rs
+++ b/crates/model/tests/start.rs
@@ -108,7 +108,7 @@
     assert_eq!(order(&mut test, 1, Order::Load(other(None))), Ok(None), "loaded already");
     test.begin(wanted(1));
     let adapter = order(&mut test, 1, Order::Load(other(Some("x")))).unwrap().unwrap();
-    assert_eq!(adapter.bytes, options().adapter_bytes, "beside the model it lies over");
+    assert_eq!(adapter.bytes, options().adapter_bytes, "the model is already loaded");
 }
 
 #[test]
--- a/crates/model/tests/transfer.rs
+++ b/crates/model/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! KV caches under handles: kept, exported, imported, and spread.
+//! KV caches under handles: kept, exported, imported, and distributed over engines.
 
 mod common;
 
@@ -14,11 +14,12 @@
     "127.0.0.1:1".parse().unwrap()
 }
 
-/// Copies or links a handle from one engine to another, and waits for it.
+/// Copies or links a handle from one engine to another and waits until it is
+/// complete.
 fn import(from: &TestEngine, to: &mut TestEngine, number: u128, part: u32) -> Duration {
     let handle = handle(number, part);
-    let export = from.engine.export(&handle).expect("held");
-    let time = to.engine.import(to.now, &handle, export, address()).expect("fits");
+    let export = from.engine.export(&handle).expect("the handle is kept");
+    let time = to.engine.import(to.now, &handle, export, address()).expect("the import fits");
     to.advance_by(time);
     to.engine.finish_import(&handle);
     time
@@ -68,8 +69,8 @@
     assert_eq!(b.used_tokens(), 100_000, "reserved from the start of the copy");
 }
 
-/// A prompt of a million tokens over three engines: each holds its part, and
-/// the last one generates from links to the others.
+/// Distributes a prompt of a million tokens over three engines. Each holds its
+/// part, and the last one generates with links to the others.
 fn spread_prompt() -> [TestEngine; 3] {
     let mut engines = [(); 3].map(|()| TestEngine::new(options()));
     for part in 0..3_u32 {
--- a/crates/model/tests/walk.rs
+++ b/crates/model/tests/walk.rs
@@ -1,5 +1,5 @@
-//! Random walks: whatever is asked of an engine, its memory is never
-//! overbooked, and all of it is free once everything was given back.
+//! Property test with random operations: the memory of an engine is never
+//! overbooked, and is completely free once everything is released.
 
 mod common;
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// The same walks on each run.
+/// Returns a configuration with a fixed seed, for the same cases in each run.
 fn config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(7);
     ProptestConfig {
