--- a/apps/hickory-node/tests/proofs/burst.rs
+++ b/apps/hickory-node/tests/proofs/burst.rs
@@ -20,14 +20,14 @@
     let cluster = Cluster::start(1, options).await;
     let at = cluster.nodes[0].callers;
     let cluster = &cluster;
-    let asks = (0..BURST_REQUESTS).map(|i| async move {
+    let requests = (0..BURST_REQUESTS).map(|i| async move {
         let prompt = format!("{i:08}").repeat(PROMPT_TOKENS * 4 / 8);
         let mut stream = cluster.complete(at, &prompt, 2).await.unwrap();
         stream.read_to_end().await;
         assert_eq!(stream.problem, None);
         assert_eq!(stream.text, expected_text(&prompt, 2));
     });
-    futures::future::join_all(asks).await;
+    futures::future::join_all(requests).await;
     let engines = cluster.standins.engines.iter();
     let prefilled: Vec<u64> =
         engines.map(|engine| engine.service().with_engine(|e| e.counts()).cache_misses).collect();
--- a/apps/hickory-node/tests/proofs/cold.rs
+++ b/apps/hickory-node/tests/proofs/cold.rs
@@ -27,17 +27,17 @@
     /// Sends `count` requests at once, in turn through the given nodes, and returns
     /// the number of complete answers. Refusals are allowed, wrong answers are not.
     async fn burst(&self, name: &str, count: usize, nodes: &[usize]) -> usize {
-        let asks = (0..count).map(|i| async move {
+        let requests = (0..count).map(|i| async move {
             let prompt = format!("{name} {i}");
             let at = self.nodes[nodes[i % nodes.len()]].callers;
             let Ok(mut stream) = self.complete(at, &prompt, 8).await else { return false };
             stream.read_to_end().await;
-            let whole = stream.done && stream.text == expected_text(&prompt, 8);
-            assert!(whole || !stream.done, "a wrong answer");
-            whole
+            let completed = stream.is_done && stream.text == expected_text(&prompt, 8);
+            assert!(completed || !stream.is_done, "a wrong answer");
+            completed
         });
-        let whole = futures::future::join_all(asks).await;
-        whole.into_iter().filter(|whole| *whole).count()
+        let completed = futures::future::join_all(requests).await;
+        completed.into_iter().filter(|completed| *completed).count()
     }
 }
 
@@ -69,9 +69,9 @@
         running.push(stream);
     }
     cluster.nodes[dead].kill();
-    let whole = cluster.burst("second", 90, &left).await;
+    let completed = cluster.burst("second", 90, &left).await;
     assert_eq!(cluster.count_overloads(), 0);
-    assert!(whole > 0);
+    assert!(completed > 0);
     for (i, stream) in running.iter_mut().enumerate() {
         stream.read_to_end().await;
         assert_eq!(stream.text, expected_text(&format!("running {i}"), 1_000));
@@ -100,9 +100,9 @@
 async fn an_outage_of_the_platform_overloads_no_engine() {
     let cluster = Cluster::start(3, cold_engines()).await;
     cluster.standins.store.faults().kill();
-    let whole = cluster.burst("outage", 90, &[0, 1, 2]).await;
+    let completed = cluster.burst("outage", 90, &[0, 1, 2]).await;
     assert_eq!(cluster.count_overloads(), 0);
-    assert!(whole > 0);
+    assert!(completed > 0);
 }
 
 /// The key-value service is down, so owners can't confirm their ownership. Another
@@ -144,8 +144,8 @@
     // The first bursts arrive before any node can detect that the engines are
     // cold; the later ones must not overload them.
     for round in 0..4 {
-        let whole = cluster.burst(&format!("cold {round}"), 90, &[0, 1, 2]).await;
-        assert_eq!(cluster.dead_engines(), 0, "an engine crashed in round {round}");
-        assert_eq!(whole, 90);
+        let completed = cluster.burst(&format!("cold {round}"), 90, &[0, 1, 2]).await;
+        assert_eq!(cluster.count_dead_engines(), 0, "an engine crashed in round {round}");
+        assert_eq!(completed, 90);
     }
 }
--- a/apps/hickory-node/tests/proofs/end_to_end.rs
+++ b/apps/hickory-node/tests/proofs/end_to_end.rs
@@ -19,7 +19,7 @@
         stream.read_to_end().await;
         assert_eq!(stream.problem, None);
         assert_eq!(stream.text, expected_text(&prompt, 12));
-        assert!(stream.done);
+        assert!(stream.is_done);
     }
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
--- a/apps/hickory-node/tests/proofs/failover.rs
+++ b/apps/hickory-node/tests/proofs/failover.rs
@@ -34,7 +34,7 @@
     stream.read_to_end().await;
     assert_eq!(stream.problem, None);
     assert_eq!(stream.text, expected_text(prompt, tokens));
-    assert!(stream.done);
+    assert!(stream.is_done);
     eventually("all memory is free", || async { (cluster.kv_used() == 0).then_some(()) }).await;
 }
 
@@ -115,7 +115,7 @@
     cluster.nodes[0].signal(Signal::STOP);
     let at = cluster.nodes[1].callers;
     let mut rest = eventually("the stream is resumed", || async {
-        let rest = cluster.resume(at, &stream.request, &stream.event).await.ok()?;
+        let rest = cluster.resume(at, &stream.request_id, &stream.last_event_id).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
     .await;
--- a/apps/hickory-node/tests/proofs/logs.rs
+++ b/apps/hickory-node/tests/proofs/logs.rs
@@ -187,7 +187,7 @@
     .await;
     assert_eq!(line["level"], "WARN");
     let about = &line["attributes"];
-    assert_eq!(about["request"], stream.request.as_str());
+    assert_eq!(about["request"], stream.request_id.as_str());
     assert_eq!(about["attempt"], "0");
     assert_eq!(about["target"], format!("engine-{engine}"));
     assert_eq!(about["zone"], ["a", "b", "c"][engine % 3]);
--- a/apps/hickory-node/tests/proofs/node_failure.rs
+++ b/apps/hickory-node/tests/proofs/node_failure.rs
@@ -22,7 +22,7 @@
     let mut text = stream.text.clone();
     let at = cluster.nodes[1].callers;
     let mut rest = eventually("the stream is resumed", || async {
-        let rest = cluster.resume(at, &stream.request, &stream.event).await.ok()?;
+        let rest = cluster.resume(at, &stream.request_id, &stream.last_event_id).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
     .await;
--- a/apps/hickory-node/tests/proofs/stop.rs
+++ b/apps/hickory-node/tests/proofs/stop.rs
@@ -22,7 +22,7 @@
     assert_eq!(second.text, expected_text("asked at a kept address", 5));
     first.read_to_end().await;
     assert_eq!(first.text, expected_text("a long review of the archive", 80));
-    assert!(first.done && second.done);
+    assert!(first.is_done && second.is_done);
     assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
@@ -128,7 +128,7 @@
     while killed.next().await {}
     let at = cluster.nodes[2].callers;
     let mut rest = eventually("the stream is resumed", || async {
-        let rest = cluster.resume(at, &killed.request, &killed.event).await.ok()?;
+        let rest = cluster.resume(at, &killed.request_id, &killed.last_event_id).await.ok()?;
         (rest.status == 200).then_some(rest)
     })
     .await;
@@ -136,7 +136,7 @@
     assert_eq!(killed.text + &rest.text, expected_text("both", 60));
     stopped.read_to_end().await;
     assert_eq!(stopped.text, expected_text("both", 60));
-    assert!(stopped.done);
+    assert!(stopped.is_done);
     assert!(cluster.nodes[0].wait_for_exit().await.success());
 }
 
@@ -161,7 +161,7 @@
     for (prompt, stream) in &mut streams {
         stream.read_to_end().await;
         assert_eq!(stream.text, expected_text(prompt, 60));
-        assert!(stream.done);
+        assert!(stream.is_done);
     }
     assert!(cluster.nodes[0].wait_for_exit().await.success());
     assert!(cluster.nodes[1].wait_for_exit().await.success());
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -277,7 +277,7 @@
     }
 
     /// Counts the engines whose port is closed.
-    pub fn dead_engines(&self) -> usize {
+    pub fn count_dead_engines(&self) -> usize {
         let engines = self.standins.engines.iter();
         engines.filter(|engine| std::net::TcpStream::connect(engine.address()).is_err()).count()
     }
@@ -291,15 +291,15 @@
 /// A streamed response.
 pub struct Stream {
     pub status: u16,
-    pub request: String,
+    pub request_id: String,
     body: Incoming,
     buffer: Vec<u8>,
     /// The text received so far.
     pub text: String,
     /// The id of the last event received.
-    pub event: String,
+    pub last_event_id: String,
     /// Whether the end marker was received.
-    pub done: bool,
+    pub is_done: bool,
     /// The problem that ended the stream or refused the request.
     pub problem: Option<Value>,
 }
@@ -307,16 +307,16 @@
 impl Stream {
     fn from_response(response: http::Response<Incoming>) -> Self {
         let request = response.headers().get("x-request-id");
-        let request = request.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
+        let request_id = request.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let status = response.status().as_u16();
         Self {
             status,
-            request,
+            request_id,
             body: response.into_body(),
             buffer: Vec::new(),
             text: String::new(),
-            event: String::new(),
-            done: false,
+            last_event_id: String::new(),
+            is_done: false,
             problem: None,
         }
     }
@@ -350,11 +350,11 @@
         let failed = event.lines().any(|line| line == "event: error");
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
-                self.event = id.to_owned();
+                self.last_event_id = id.to_owned();
             }
             let Some(data) = line.strip_prefix("data: ") else { continue };
             if data == "[DONE]" {
-                self.done = true;
+                self.is_done = true;
             } else if let Ok(value) = serde_json::from_str::<Value>(data) {
                 match failed {
                     true => self.problem = Some(value),
--- a/apps/hickory-node/tests/proofs/versions.rs
+++ b/apps/hickory-node/tests/proofs/versions.rs
@@ -41,7 +41,7 @@
     let at = cluster.nodes[0].callers;
     let mut running = cluster.complete(at, "on the old version", 450).await.unwrap();
     assert!(running.next().await);
-    let asks = async {
+    let requests = async {
         for i in 0..40 {
             let prompt = format!("ask {i}");
             let mut stream = cluster.complete(at, &prompt, 2).await.unwrap();
@@ -56,7 +56,7 @@
         eventually("all engines serve the new version", loaded).await;
         cluster.apply_note(&model_note(2, "2", &["2"])).await;
     };
-    let ((), ()) = tokio::join!(asks, rollout);
+    let ((), ()) = tokio::join!(requests, rollout);
     running.read_to_end().await;
     assert_eq!(running.text, expected_text("on the old version", 450));
     let unloaded = || async { (cluster.count_serving("1") == 0).then_some(()) };
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -29,14 +29,14 @@
 
     async fn load(&self, rounds: usize) {
         for round in 0..rounds {
-            let asks = self.nodes.iter().enumerate().map(|(i, node)| async move {
+            let requests = self.nodes.iter().enumerate().map(|(i, node)| async move {
                 let prompt = format!("round {round} node {i}");
                 let mut stream = self.complete(node.callers, &prompt, 3).await.unwrap();
                 stream.read_to_end().await;
                 assert_eq!(stream.problem, None);
                 assert_eq!(stream.text, expected_text(&prompt, 3));
             });
-            futures::future::join_all(asks).await;
+            futures::future::join_all(requests).await;
         }
     }
 }
@@ -166,16 +166,16 @@
 /// passed, neither this node nor the others send new requests there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_sends_nothing_to_a_zone_taken_out() {
-    let lapses = [Duration::ZERO, Duration::from_millis(2_000)];
-    futures::future::join_all(lapses.map(take_out_beside_a_cut_off_node)).await;
+    let delays = [Duration::ZERO, Duration::from_millis(2_000)];
+    futures::future::join_all(delays.map(take_out_beside_a_cut_off_node)).await;
 }
 
-async fn take_out_beside_a_cut_off_node(lapse: Duration) {
+async fn take_out_beside_a_cut_off_node(delay: Duration) {
     let (cluster, links) = Cluster::start_with_links(3, options()).await;
     let cut_off = cluster.owner("engine-0").await;
     let others = [(cut_off + 1) % 3, (cut_off + 2) % 3];
     links[cut_off].set(Mode::Silent);
-    tokio::time::sleep(lapse).await;
+    tokio::time::sleep(delay).await;
     let (status, answer) = cluster.post_note(&cluster.nodes[others[0]], &zone_note(1, true)).await;
     assert_eq!(status, 200, "{answer}");
     tokio::time::sleep(PROPAGATION_BOUND).await;
@@ -250,7 +250,7 @@
     let before = cluster.count_prompt_tokens(&[0]);
     eventually("its target gets requests from another node", || async {
         // Enough requests that using only the other targets would be slower.
-        let asks = (0..24).map(|i| {
+        let requests = (0..24).map(|i| {
             let (cluster, at) = (&cluster, other.callers);
             async move {
                 let prompt = format!("beside a cut {i} ").repeat(500);
@@ -259,7 +259,7 @@
                 assert_eq!(stream.problem, None);
             }
         });
-        futures::future::join_all(asks).await;
+        futures::future::join_all(requests).await;
         (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
     .await;
--- a/apps/hickory-soak/src/caller.rs
+++ b/apps/hickory-soak/src/caller.rs
@@ -20,12 +20,12 @@
 /// Sends requests until the run ends.
 pub(crate) async fn send_requests(run: Arc<Run>, number: usize) {
     let mut random = StdRng::seed_from_u64(run.seed ^ (number as u64) << 32);
-    let mut kept: Option<(usize, TcpStream)> = None;
+    let mut idle_connection: Option<(usize, TcpStream)> = None;
     let mut count = 0_u32;
-    while !run.ended.load(Ordering::Relaxed) {
+    while !run.has_ended.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(5..60))).await;
-        let (host, mut stream) = match kept.take() {
-            Some(kept) => kept,
+        let (host, mut stream) = match idle_connection.take() {
+            Some(idle_connection) => idle_connection,
             None => {
                 let host = random.random_range(0..run.hosts.len());
                 let address = run.hosts[host].settings.callers;
@@ -58,7 +58,7 @@
         };
         let closes = answer.header("connection") == Some("close");
         if answer.is_complete && !closes && random.random_bool(0.8) {
-            kept = Some((host, stream));
+            idle_connection = Some((host, stream));
         }
         run.record(Record { request, answer, ended_at: Instant::now() });
     }
--- a/apps/hickory-soak/src/check.rs
+++ b/apps/hickory-soak/src/check.rs
@@ -55,7 +55,7 @@
     for record in &records {
         let ran = runs.get(&record.request.attempt).copied().unwrap_or(0);
         let findings = [
-            check_answer(record, run.events),
+            check_answer(record, run.events_per_stream),
             check_runs(record, ran),
             check_duration(record, run),
             check_version(record, &mut newest),
--- a/apps/hickory-soak/src/main.rs
+++ b/apps/hickory-soak/src/main.rs
@@ -56,7 +56,7 @@
             nodes: options.nodes,
             callers: options.callers,
             program: options.program.clone(),
-            print: options.events,
+            print_events: options.events,
         };
         let report = runtime.block_on(run::run_seed(&plan))?;
         println!("seed {seed}: {report}");
--- a/apps/hickory-soak/src/run.rs
+++ b/apps/hickory-soak/src/run.rs
@@ -36,7 +36,7 @@
     pub(crate) nodes: u8,
     pub(crate) callers: usize,
     pub(crate) program: PathBuf,
-    pub(crate) print: bool,
+    pub(crate) print_events: bool,
 }
 
 /// The stand-ins, the hosts, and the requests that callers recorded.
@@ -47,13 +47,13 @@
     pub(crate) replicas: Vec<(Replica, Proxy)>,
     store_links: Vec<Proxy>,
     pub(crate) hosts: Vec<Arc<Host>>,
-    pub(crate) events: u64,
+    pub(crate) events_per_stream: u64,
     /// The newest configuration version.
     pub(crate) version: AtomicU64,
-    pub(crate) ended: AtomicBool,
+    pub(crate) has_ended: AtomicBool,
     records: Mutex<Vec<Record>>,
     started_at: Instant,
-    print: bool,
+    print_events: bool,
 }
 
 /// The result of a run.
@@ -88,7 +88,7 @@
         .collect();
     fault::inject_faults(run.clone(), plan.fault_duration).await;
     tokio::time::sleep(SETTLE_TIME).await;
-    run.ended.store(true, std::sync::atomic::Ordering::Relaxed);
+    run.has_ended.store(true, std::sync::atomic::Ordering::Relaxed);
     for caller in callers {
         // A panic in a caller task has already been printed.
         let _ = caller.await;
@@ -147,12 +147,12 @@
             replicas,
             store_links,
             hosts,
-            events: EVENTS_PER_STREAM,
+            events_per_stream: EVENTS_PER_STREAM,
             version: AtomicU64::new(1),
-            ended: AtomicBool::new(false),
+            has_ended: AtomicBool::new(false),
             records: Mutex::default(),
             started_at: Instant::now(),
-            print: plan.print,
+            print_events: plan.print_events,
         })
     }
 
@@ -176,7 +176,7 @@
     }
 
     pub(crate) fn print_event(&self, event: &str) {
-        if self.print {
+        if self.print_events {
             println!("{:>7.3} s  {event}", self.started_at.elapsed().as_secs_f64());
         }
     }
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -200,16 +200,16 @@
             return self.current_report();
         }
         self.record_report(now);
-        let seen = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
-        let seen = seen.or(self.reports.front()).map(|(_, report)| report.clone());
-        seen.unwrap_or_else(|| self.current_report())
+        let visible = self.reports.iter().rev().find(|(at, _)| *at + lag <= now);
+        let visible = visible.or(self.reports.front()).map(|(_, report)| report.clone());
+        visible.unwrap_or_else(|| self.current_report())
     }
 
     /// Records a report for later, delayed reads.
     fn record_report(&mut self, now: Instant) {
-        let every = self.options.report_lag / REPORTS_PER_LAG;
+        let interval = self.options.report_lag / REPORTS_PER_LAG;
         let last = self.reports.back().map(|(at, _)| *at);
-        if last.is_some_and(|last| now < last + every) || every.is_zero() {
+        if last.is_some_and(|last| now < last + interval) || interval.is_zero() {
             return;
         }
         self.reports.push_back((now, self.current_report()));
@@ -220,7 +220,7 @@
 
     /// Returns the current load report, without the lag.
     pub fn current_report(&self) -> Report {
-        let runs = self.batch.values().chain(self.waiting.values());
+        let sequences = self.batch.values().chain(self.waiting.values());
         Report {
             incarnation: self.incarnation,
             kv_capacity: self.options.kv_capacity,
@@ -228,7 +228,7 @@
             prefill_rate: self.options.prefill_rate,
             streams_max: self.options.max_streams,
             warmth: self.warmth.level(),
-            streams: runs.map(report_sequence).collect(),
+            streams: sequences.map(report_sequence).collect(),
             handles: self.handles.keys().cloned().collect(),
             pins: self.memory.pins(),
             loaded: self.weights.list(),
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -64,8 +64,9 @@
     /// References the cached blocks `shared` and reserves `tokens` in addition.
     /// Returns false and changes nothing if they don't fit.
     pub fn reserve(&mut self, now: Instant, shared: &[u64], tokens: u64, log: &mut Log) -> bool {
-        let idle = shared.iter().filter(|hash| self.blocks[*hash].ref_count == 0).count() as u64;
-        if self.used_tokens() + idle * BLOCK.0 + tokens > self.capacity {
+        let unreferenced =
+            shared.iter().filter(|hash| self.blocks[*hash].ref_count == 0).count() as u64;
+        if self.used_tokens() + unreferenced * BLOCK.0 + tokens > self.capacity {
             return false;
         }
         shared.iter().for_each(|hash| self.acquire_block(*hash));
--- a/crates/model/src/transfer.rs
+++ b/crates/model/src/transfer.rs
@@ -100,8 +100,8 @@
         let covers = kept.export.covers.0;
         let last = (covers / BLOCK.0).checked_sub(1);
         let block = last.and_then(|last| job.blocks.get(last as usize)).copied();
-        let same = job.blocks.is_empty() || block == kept.export.last_block;
-        (covers <= job.prompt.0 && same).then_some((covers, kept.export.own.0))
+        let is_same_prompt = job.blocks.is_empty() || block == kept.export.last_block;
+        (covers <= job.prompt.0 && is_same_prompt).then_some((covers, kept.export.own.0))
     }
 
     /// Keeps the KV cache of a prefilled prompt under its handle, which takes over
@@ -112,7 +112,7 @@
         let handle = sequence.keep_as.clone().filter(|handle| !self.handles.contains_key(handle));
         let Some(handle) = handle else { return };
         let base = sequence.import.as_ref().and_then(|import| self.handles.get_mut(import));
-        let (below, links) = match base {
+        let (base_tokens, links) = match base {
             Some(base) => {
                 base.users += 1;
                 (base.export.own.0, base.export.links.clone())
@@ -121,7 +121,8 @@
         };
         let reserved = std::mem::take(&mut sequence.reserved_tokens);
         let last_block = sequence.blocks.last().copied();
-        let (own, covers) = (size::Tokens(reserved + below), size::Tokens(sequence.prompt_tokens));
+        let (own, covers) =
+            (size::Tokens(reserved + base_tokens), size::Tokens(sequence.prompt_tokens));
         let export = Export { own, covers, last_block, links };
         let base = sequence.import.clone();
         let kept =
@@ -135,8 +136,8 @@
     pub(crate) fn free_unused(&mut self, handle: Handle) {
         let mut next = Some(handle);
         while let Some(handle) = next.take() {
-            let gone = |kept: &KeptCache| kept.is_dropped && kept.users == 0;
-            if !self.handles.get(&handle).is_some_and(gone) {
+            let is_unused = |kept: &KeptCache| kept.is_dropped && kept.users == 0;
+            if !self.handles.get(&handle).is_some_and(is_unused) {
                 return;
             }
             let Some(kept) = self.handles.remove(&handle) else { return };
--- a/crates/model/tests/walk.rs
+++ b/crates/model/tests/walk.rs
@@ -97,9 +97,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn memory_is_never_overbooked_and_is_all_freed(actions in prop::collection::vec(action(), 1..60)) {
+    fn memory_is_never_overbooked_and_is_all_freed(
+        actions in prop::collection::vec(action(), 1..60),
+    ) {
         let kv_capacity = size::Tokens(20 * prefix::BLOCK.0);
-        let options = Options { kv_capacity, max_streams: 4, crashes_on_overload: false, ..options() };
+        let options =
+            Options { kv_capacity, max_streams: 4, crashes_on_overload: false, ..options() };
         let mut test = TestEngine::new(options);
         for action in actions {
             apply(&mut test, action);
