--- a/apps/hickory-node/tests/proofs/poison.rs
+++ b/apps/hickory-node/tests/proofs/poison.rs
@@ -44,7 +44,7 @@
         }
     };
     let (_, ()) = tokio::join!(futures::future::join_all(other_requests), crash);
-    assert!(cluster.count_dead_engines() <= 2, "{} engines died", cluster.count_dead_engines());
+    assert!(cluster.count_dead_engines() <= 2, "{} engines crashed", cluster.count_dead_engines());
 }
 
 /// Two engines freeze one after the other while they run the same request. Neither
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -202,7 +202,7 @@
             .expect("the request is well-formed");
         let response = self.http.request(request).await.expect("the node answers");
         let status = response.status().as_u16();
-        let body = response.into_body().collect().await.expect("the answer is whole");
+        let body = response.into_body().collect().await.expect("the answer is complete");
         (status, serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null))
     }
 
@@ -323,7 +323,7 @@
 
     async fn frame(&mut self) -> Option<Result<hyper::body::Frame<Bytes>, hyper::Error>> {
         let frame = tokio::time::timeout(2 * WAIT_TIMEOUT, self.body.frame());
-        frame.await.expect("the stream moves on or ends")
+        frame.await.expect("the stream progresses or ends")
     }
 
     /// Reads the next event. Returns false at the end of the stream or if the
