--- a/apps/hickory-node/tests/proofs/main.rs
+++ b/apps/hickory-node/tests/proofs/main.rs
@@ -1,20 +1,20 @@
-//! Proofs between processes: real nodes and stand-ins on loopback, under the
-//! failures that the brief names. Waits are on conditions, never on guessed
-//! times.
+//! Failure tests with real processes: nodes and stand-ins on loopback, under the
+//! failures that the project's brief names. Tests wait for conditions, never for
+//! estimated times.
 
 mod burst;
 mod cold;
 mod config;
-mod death;
+mod end_to_end;
+mod failover;
+mod link;
 mod logs;
-mod long;
+mod long_prompts;
+mod node_failure;
 mod once;
-mod passage;
-mod path;
 mod poison;
 mod process;
 mod stop;
 mod support;
 mod versions;
-mod whole;
 mod zone;
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -1,6 +1,6 @@
-//! A small fleet: stand-ins in this process, and nodes as processes of their own.
+//! A test cluster: stand-ins in this process, and one child process for each node.
 
-use crate::passage::Path;
+use crate::link::Link;
 use crate::process::Node;
 use bytes::Bytes;
 use hickory_model::answer::Answer;
@@ -17,9 +17,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The bound of every wait on a condition. It only ends a test that has
-/// failed; none passes or fails by how long something took below it.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait for a condition. It only ends a test that has already
+/// failed: no test passes or fails by how long a wait takes below it.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const OPERATOR: &str = "operator-token";
 pub const ACCOUNT: &str = "account-token";
@@ -29,24 +29,24 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// A fleet of nodes with the stand-ins before and behind them.
-pub struct Scene {
+/// Nodes, with stand-ins for the platform and for the targets.
+pub struct Cluster {
     pub standins: Fleet,
     pub nodes: Vec<Node>,
     pub http: Http,
 }
 
-/// Waits until `check` brings a value.
+/// Polls `check` until it returns a value; panics after [`WAIT_TIMEOUT`].
 pub async fn eventually<T, F: Future<Output = Option<T>>>(
     what: &str,
     mut check: impl FnMut() -> F,
 ) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(value) = check().await {
             return value;
         }
-        assert!(Instant::now() < end, "never came: {what}");
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -55,7 +55,8 @@
     Weights { model: MODEL.into(), version: "1".into(), adapter: None }
 }
 
-/// Stand-ins that run faster than real ones, so that tests are short.
+/// Returns options for stand-ins that run faster than the modelled engines, to keep
+/// tests short.
 pub fn options() -> fleet::Options {
     let mut options = fleet::Options::default();
     options.engine.model.speed = 20.0;
@@ -63,7 +64,8 @@
     options
 }
 
-/// Times of a node that suit a test: everything soon, nothing in a hurry.
+/// Returns a node's time settings: shorter than in production, but long enough for
+/// a busy machine.
 pub fn times() -> Value {
     json!({
         "lease_ms": 1500, "permit_ms": 500, "gossip_ms": 100, "report_ms": 50,
@@ -72,8 +74,8 @@
     })
 }
 
-/// A note that sets the usual tests up.
-pub fn first_note() -> Value {
+/// Returns the release note that most tests start with.
+pub fn initial_note() -> Value {
     json!({
         "against": 0,
         "operation": uuid::Uuid::now_v7().to_string(),
@@ -95,24 +97,25 @@
     })
 }
 
-impl Scene {
-    /// Starts stand-ins and `count` nodes and waits until every node can send
-    /// work to every target.
+impl Cluster {
+    /// Starts the stand-ins and `count` nodes, and waits until every node can send
+    /// requests to every target.
     pub async fn start(count: usize, options: fleet::Options) -> Self {
         let targets = options.engines + options.replicas;
-        let scene = Self::start_unready(count, options).await;
-        for node in &scene.nodes {
-            scene.ready(node, targets).await;
+        let cluster = Self::start_unready(count, options).await;
+        for node in &cluster.nodes {
+            cluster.wait_until_ready(node, targets).await;
         }
-        scene
+        cluster
     }
 
-    /// As `start`, with the first note in force but no wait for the targets.
+    /// Like `start`, but doesn't wait for the targets; the initial note is in
+    /// force.
     pub async fn start_unready(count: usize, options: fleet::Options) -> Self {
         Self::start_with(count, options, &times()).await
     }
 
-    /// As `start_unready`, with other times.
+    /// Like `start_unready`, with the given time settings.
     pub async fn start_with(count: usize, options: fleet::Options, times: &Value) -> Self {
         let standins = Fleet::spawn(options).expect("the stand-ins start");
         let nodes = (0..count)
@@ -121,31 +124,31 @@
         Self::open(standins, nodes).await
     }
 
-    /// As `start`, with a path of its own between each node and the platform.
-    pub async fn start_apart(count: usize, options: fleet::Options) -> (Self, Vec<Path>) {
+    /// Like `start`, with a separate link between each node and the platform.
+    pub async fn start_with_links(count: usize, options: fleet::Options) -> (Self, Vec<Link>) {
         let targets = options.engines + options.replicas;
         let standins = Fleet::spawn(options).expect("the stand-ins start");
-        let (mut nodes, mut paths) = (Vec::new(), Vec::new());
+        let (mut nodes, mut links) = (Vec::new(), Vec::new());
         for i in 0..count {
-            let (path, platform) = Path::open(standins.platform()).await;
+            let (link, platform) = Link::open(standins.platform()).await;
             nodes.push(Node::start_at(&format!("node-{i}"), ZONES[i % 3], platform, &times()));
-            paths.push(path);
+            links.push(link);
         }
-        let scene = Self::open(standins, nodes).await;
-        for node in &scene.nodes {
-            scene.ready(node, targets).await;
+        let cluster = Self::open(standins, nodes).await;
+        for node in &cluster.nodes {
+            cluster.wait_until_ready(node, targets).await;
         }
-        (scene, paths)
+        (cluster, links)
     }
 
     async fn open(standins: Fleet, nodes: Vec<Node>) -> Self {
         let http = Client::builder(TokioExecutor::new()).build_http();
-        let scene = Self { standins, nodes, http };
-        scene.accept(&first_note()).await;
-        scene
+        let cluster = Self { standins, nodes, http };
+        cluster.apply_note(&initial_note()).await;
+        cluster
     }
 
-    /// Which node owns a target, by its place among the nodes.
+    /// Returns the index of the node that owns `target`.
     pub async fn owner(&self, target: &str) -> usize {
         let owner = eventually("the target has an owner", || async {
             let owners = self.get(self.nodes[0].admin, "/v1/admin/owners", OPERATOR).await?;
@@ -167,9 +170,9 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Waits until a node knows `count` targets that take work.
-    pub async fn ready(&self, node: &Node, count: usize) {
-        eventually("all targets take work", || async {
+    /// Waits until the node lists `count` targets that accept requests.
+    pub async fn wait_until_ready(&self, node: &Node, count: usize) {
+        eventually("all targets accept requests", || async {
             let targets = self.get(node.admin, "/v1/admin/targets", OPERATOR).await?;
             let accepting =
                 targets.as_array()?.iter().filter(|t| t["accepting"] == json!(true)).count();
@@ -178,8 +181,8 @@
         .await;
     }
 
-    /// Sends a note to the first node and waits until it is in force on all.
-    pub async fn accept(&self, note: &Value) {
+    /// Posts a note to the first node and waits until it is in force on all nodes.
+    pub async fn apply_note(&self, note: &Value) {
         let (status, answer) = self.post_note(&self.nodes[0], note).await;
         assert_eq!(status, 200, "{answer}");
         let version = answer["version"].clone();
@@ -199,21 +202,21 @@
             .expect("the request is well-formed");
         let response = self.http.request(request).await.expect("the node answers");
         let status = response.status().as_u16();
-        let body = response.into_body().collect().await.expect("the answer is whole");
+        let body = response.into_body().collect().await.expect("the answer is complete");
         (status, serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null))
     }
 
-    /// Asks for a streamed completion.
+    /// Requests a streamed completion.
     pub async fn complete(
         &self,
         at: SocketAddr,
         prompt: &str,
         max_tokens: u64,
     ) -> Result<Stream, hyper_util::client::legacy::Error> {
-        self.complete_within(at, prompt, max_tokens, PATIENCE).await
+        self.complete_within(at, prompt, max_tokens, WAIT_TIMEOUT).await
     }
 
-    /// Asks for a streamed completion that leaves a time for its answer.
+    /// Requests a streamed completion with the given time to its deadline.
     pub async fn complete_within(
         &self,
         at: SocketAddr,
@@ -229,10 +232,10 @@
             .header("x-time-left-ms", time_left.as_millis().to_string())
             .body(Full::from(body.to_string()))
             .expect("the request is well-formed");
-        Ok(Stream::of(self.http.request(request).await?))
+        Ok(Stream::from_response(self.http.request(request).await?))
     }
 
-    /// Takes up a stream through any node.
+    /// Resumes a stream through the node at `at`.
     pub async fn resume(
         &self,
         at: SocketAddr,
@@ -244,10 +247,10 @@
             .header("last-event-id", event)
             .body(Full::default())
             .expect("the request is well-formed");
-        Ok(Stream::of(self.http.request(request).await?))
+        Ok(Stream::from_response(self.http.request(request).await?))
     }
 
-    /// Calls the plain service.
+    /// Calls the plain service; `None` if there is no complete response.
     pub async fn call(
         &self,
         at: SocketAddr,
@@ -267,67 +270,69 @@
         Some((status, serde_json::from_slice(&body).unwrap_or(Value::Null)))
     }
 
-    /// How often calls with `key` ran; all replicas share their books.
-    pub fn runs(&self, key: &str) -> u32 {
+    /// Returns how often calls with `key` ran. All replicas share one record of
+    /// runs.
+    pub fn count_runs(&self, key: &str) -> u32 {
         self.standins.replicas[0].service().runs().of(key)
     }
 
-    /// Engines whose port is closed.
-    pub fn dead_engines(&self) -> usize {
+    /// Counts the engines whose port is closed.
+    pub fn count_dead_engines(&self) -> usize {
         let engines = self.standins.engines.iter();
         engines.filter(|engine| std::net::TcpStream::connect(engine.address()).is_err()).count()
     }
 
-    /// KV cache that all engines hold.
+    /// Returns the KV cache in use on all engines, in tokens.
     pub fn kv_used(&self) -> u64 {
         self.standins.engines.iter().map(|engine| engine.service().kv_used().0).sum()
     }
 }
 
-/// A streamed answer.
+/// A streamed response.
 pub struct Stream {
     pub status: u16,
-    pub request: String,
+    pub request_id: String,
     body: Incoming,
     buffer: Vec<u8>,
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
-    /// The id of the last event.
-    pub event: String,
-    /// Whether the explicit end came.
-    pub done: bool,
-    /// The problem that ended the stream, or that refused it.
+    /// The id of the last event received.
+    pub last_event_id: String,
+    /// Whether the end marker was received.
+    pub is_done: bool,
+    /// The problem that ended the stream or refused the request.
     pub problem: Option<Value>,
 }
 
 impl Stream {
-    fn of(response: http::Response<Incoming>) -> Self {
+    fn from_response(response: http::Response<Incoming>) -> Self {
         let request = response.headers().get("x-request-id");
-        let request = request.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
+        let request_id = request.and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let status = response.status().as_u16();
         Self {
             status,
-            request,
+            request_id,
             body: response.into_body(),
             buffer: Vec::new(),
             text: String::new(),
-            event: String::new(),
-            done: false,
+            last_event_id: String::new(),
+            is_done: false,
             problem: None,
         }
     }
 
     async fn frame(&mut self) -> Option<Result<hyper::body::Frame<Bytes>, hyper::Error>> {
-        let frame = tokio::time::timeout(2 * PATIENCE, self.body.frame());
-        frame.await.expect("the stream moves on or ends")
+        let frame = tokio::time::timeout(2 * WAIT_TIMEOUT, self.body.frame());
+        frame.await.expect("the stream progresses or ends")
     }
 
-    /// Reads the next event; false at the end or a cut.
+    /// Reads the next event. Returns false at the end of the stream or if the
+    /// connection breaks.
     pub async fn next(&mut self) -> bool {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
                 let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
-                self.take(&String::from_utf8(event).expect("events are text"));
+                self.apply_event(&String::from_utf8(event).expect("events are text"));
                 return true;
             }
             match self.frame().await {
@@ -341,15 +346,15 @@
         }
     }
 
-    fn take(&mut self, event: &str) {
+    fn apply_event(&mut self, event: &str) {
         let failed = event.lines().any(|line| line == "event: error");
         for line in event.lines() {
             if let Some(id) = line.strip_prefix("id: ") {
-                self.event = id.to_owned();
+                self.last_event_id = id.to_owned();
             }
             let Some(data) = line.strip_prefix("data: ") else { continue };
             if data == "[DONE]" {
-                self.done = true;
+                self.is_done = true;
             } else if let Ok(value) = serde_json::from_str::<Value>(data) {
                 match failed {
                     true => self.problem = Some(value),
@@ -361,8 +366,8 @@
         }
     }
 
-    /// Reads to the end.
-    pub async fn rest(&mut self) {
+    /// Reads to the end of the stream.
+    pub async fn read_to_end(&mut self) {
         if self.status != 200 {
             while let Some(Ok(frame)) = self.frame().await {
                 self.buffer.extend_from_slice(&frame.into_data().unwrap_or_default());
@@ -374,7 +379,7 @@
     }
 }
 
-/// The text that a prompt must be answered with.
-pub fn expected(prompt: &str, tokens: u64) -> String {
-    Answer::of(prompt).text(tokens)
+/// Returns the text of the correct answer to a prompt.
+pub fn expected_text(prompt: &str, tokens: u64) -> String {
+    Answer::for_prompt(prompt).text(tokens)
 }
--- a/crates/model/tests/common/mod.rs
+++ b/crates/model/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An engine on a clock that moves by its own steps.
+//! An engine on a simulated clock, which advances by the engine's steps.
 #![allow(dead_code)]
 
 use hickory_model::engine::{Engine, Job, Options, Progress, State};
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use uuid::Uuid;
 
-pub struct Bench {
+pub struct TestEngine {
     pub engine: Engine,
     pub now: Instant,
     start: Instant,
@@ -31,7 +31,7 @@
     Handle { stream: stream(number), part }
 }
 
-/// A job whose prompt shares no prefix with another one.
+/// Returns a job whose prompt shares no prefix with another job.
 pub fn job(number: u128, prompt: u64, max_tokens: u64) -> Job {
     Job {
         stream: stream(number),
@@ -41,44 +41,45 @@
         max_tokens: size::Tokens(max_tokens),
         priority: Priority(1),
         import: None,
-        keep: None,
-        crash: false,
+        keep_as: None,
+        crashes_engine: false,
     }
 }
 
-/// A job with the given prompt text.
-pub fn job_of(number: u128, prompt: &str, max_tokens: u64) -> Job {
+/// Returns a job with the given prompt text.
+pub fn job_with_prompt(number: u128, prompt: &str, max_tokens: u64) -> Job {
     let tokens = size::Tokens::from_bytes(size::Bytes(prompt.len() as u64));
     Job { blocks: prefix::hash_blocks(prompt), ..job(number, tokens.0, max_tokens) }
 }
 
-/// A text of `blocks` blocks; texts with another `seed` differ from the start.
+/// Returns a text of `blocks` blocks; texts with different seeds differ from the
+/// first block.
 pub fn text(seed: char, blocks: usize) -> String {
     seed.to_string().repeat(blocks * prefix::BLOCK_BYTES)
 }
 
-impl Bench {
-    pub fn open(options: Options) -> Self {
+impl TestEngine {
+    pub fn new(options: Options) -> Self {
         let now = Instant::now();
-        let engine = Engine::open(now, id::Incarnation(1), options);
+        let engine = Engine::new(now, id::Incarnation(1), options);
         Self { engine, now, start: now }
     }
 
     pub fn begin(&mut self, job: Job) {
-        self.engine.begin(self.now, job).expect("begins");
+        self.engine.begin(self.now, job).expect("the engine accepts the job");
     }
 
-    /// Moves the clock on by `time`.
-    pub fn pass(&mut self, time: Duration) {
+    /// Advances the clock by `time`.
+    pub fn advance_by(&mut self, time: Duration) {
         self.now += time;
         self.engine.advance(self.now);
     }
 
-    /// Moves the clock on step by step until `done`; panics when the engine
-    /// has nothing to do before that.
+    /// Advances the clock step by step until `done` returns true; panics if the
+    /// engine becomes idle before that.
     pub fn run_until(&mut self, done: impl Fn(&Engine) -> bool) -> Duration {
         while !done(&self.engine) {
-            self.now = self.engine.next_step().expect("work left");
+            self.now = self.engine.next_step().expect("the engine is not idle");
             self.engine.advance(self.now);
         }
         self.now - self.start
@@ -89,14 +90,14 @@
     }
 
     pub fn run_to_first_token(&mut self, number: u128) -> Duration {
-        self.run_until(|engine| generated(engine, number) > 0)
+        self.run_until(|engine| count_generated(engine, number) > 0)
     }
 
     pub fn state(&self, number: u128) -> Option<State> {
         self.engine.progress(&stream(number)).map(|progress| progress.state)
     }
 
-    pub fn used(&self) -> u64 {
+    pub fn used_tokens(&self) -> u64 {
         self.engine.kv_used().0
     }
 }
@@ -105,6 +106,6 @@
     !matches!(progress.state, State::Waiting | State::Running)
 }
 
-pub fn generated(engine: &Engine, number: u128) -> u64 {
+pub fn count_generated(engine: &Engine, number: u128) -> u64 {
     engine.progress(&stream(number)).map_or(0, |progress| progress.generated)
 }
--- a/crates/target/tests/contract.rs
+++ b/crates/target/tests/contract.rs
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn engine_without_fencing_executes_a_stale_order() {
     let mut options = fixture::options();
-    options.model.fencing = false;
+    options.model.checks_fence = false;
     let fixture = Fixture::open_with(options).await;
     let at = fixture.engine.address();
     assert_eq!(fixture.targets.order(at, id::Epoch(1), &Order::Pin(1)).await, Ok(()));
--- a/crates/target/tests/stream.rs
+++ b/crates/target/tests/stream.rs
@@ -105,7 +105,7 @@
         fixture.targets.resume(fixture.engine.address(), &stream(3), 5).await.unwrap();
     fixture.engine.service().stall(Stall::None);
     let text = read_tokens(&mut rest, 5).await;
-    let answer = Answer::of(&generate(3, 10).prompt);
+    let answer = Answer::for_prompt(&generate(3, 10).prompt);
     assert_eq!(answer.text(5) + &text, answer.text(10));
     assert!(matches!(
         rest.next().await,
@@ -121,7 +121,7 @@
     let again = Generate { from: 7, ..generate(3, 10) };
     let mut tokens = fixture.targets.generate(fixture.engine.address(), &again).await.unwrap();
     let first = tokens.next().await.unwrap().unwrap();
-    let text = Answer::of(&again.prompt).token(7);
+    let text = Answer::for_prompt(&again.prompt).token(7);
     assert_eq!(first, hickory_target::engine::Event::Token { seq: 7, text });
 }
 
@@ -154,7 +154,7 @@
 #[tokio::test]
 async fn ended_stream_is_kept_for_a_limited_time() {
     let mut options = fixture::options();
-    options.model.keep_ended = Duration::from_millis(100);
+    options.model.ended_retention = Duration::from_millis(100);
     let fixture = Fixture::open_with(options).await;
     let at = fixture.engine.address();
     let started = std::time::Instant::now();
