--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -284,11 +284,10 @@
         let (now, bounds) = (self.now(), self.bounds());
         let mut budgets = lock(&self.budgets);
         match budgets.get_mut(service) {
-            Some(budget) => budget.record_request(now, &bounds.retry_budget),
-            None => budgets
-                .entry(service.clone())
-                .or_default()
-                .record_request(now, &bounds.retry_budget),
+            Some(budget) => budget.record_request(now, &bounds.repeats),
+            None => {
+                budgets.entry(service.clone()).or_default().record_request(now, &bounds.repeats)
+            }
         }
     }
 
@@ -297,7 +296,7 @@
         let (now, bounds) = (self.now(), self.bounds());
         let nodes = self.count_nodes();
         let mut budgets = lock(&self.budgets);
-        budgets.entry(service.clone()).or_default().try_spend(now, &bounds.retry_budget, nodes)
+        budgets.entry(service.clone()).or_default().try_spend(now, &bounds.repeats, nodes)
     }
 
     pub(crate) fn owner_timeouts(&self) -> MutexGuard<'_, HashMap<id::Node, OwnerTimeouts>> {
--- a/crates/path/src/directory.rs
+++ b/crates/path/src/directory.rs
@@ -19,6 +19,6 @@
     let own = core.is_ready().then_some(core.settings.callers);
     let mut addresses: Vec<SocketAddr> = own.into_iter().collect();
     addresses.extend(core.caller_addresses().into_iter().take(MAX_ADDRESSES - addresses.len()));
-    let max_age = MAX_ADDRESS_AGE.min(core.bounds().directory_max_age);
+    let max_age = MAX_ADDRESS_AGE.min(core.bounds().keep);
     (!addresses.is_empty()).then(|| D::write_directory(&addresses, max_age))
 }
--- a/crates/path/src/drain.rs
+++ b/crates/path/src/drain.rs
@@ -44,7 +44,7 @@
         tokio::spawn(async move { member.deregister().await });
     }
     let started = core.now();
-    let max_drain_time = core.bounds().grace_period.saturating_sub(SHUTDOWN_RESERVE);
+    let max_drain_time = core.bounds().grace.saturating_sub(SHUTDOWN_RESERVE);
     loop {
         let elapsed = core.now().duration_since(started);
         if elapsed >= max_drain_time
--- a/crates/path/src/reservation.rs
+++ b/crates/path/src/reservation.rs
@@ -122,7 +122,7 @@
     core: &Core<D, S, C>,
     reservation: &Reservation,
 ) -> Result<(), String> {
-    let hold = RESERVATION_HOLD.min(core.bounds().max_reservation_hold);
+    let hold = RESERVATION_HOLD.min(core.bounds().hold);
     call_engine(
         core,
         reservation,
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The settings of a node.
+/// The settings of a node. `hickory-entry --check` prints the names of these types and fields, so
+/// they must not change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The name of this node, unique in the fleet.
@@ -24,11 +25,11 @@
     /// The address at which other nodes send datagrams.
     pub peers: SocketAddr,
     /// The bandwidth of the host's network link, if it is configured.
-    pub link_rate: Option<rate::BytesPerSecond>,
+    pub link: Option<rate::BytesPerSecond>,
     /// The capacity of the host besides its callers' requests, as a criterion for owning groups.
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
-    pub is_first_start: bool,
+    pub first_start: bool,
     /// Addresses of other nodes to contact at the start.
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform's key-value store.
@@ -43,13 +44,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// The time between SIGTERM and the kill.
-    pub grace_period: Duration,
+    pub grace: Duration,
     /// The maximum time that callers may cache a directory response.
-    pub directory_max_age: Duration,
+    pub keep: Duration,
     /// The retry budget: requests sent beyond the first attempt of each.
-    pub retry_budget: share::Limit,
+    pub repeats: share::Bound,
     /// The maximum time that memory on an engine may be reserved at once.
-    pub max_reservation_hold: Duration,
+    pub hold: Duration,
 }
 
 /// The bandwidth assumed for a link if none is configured: that of a slow link.
@@ -58,6 +59,6 @@
 impl Settings {
     /// Returns the bandwidth of the host's link, or the default if none is configured.
     pub fn link_rate_or_default(&self) -> rate::BytesPerSecond {
-        self.link_rate.filter(|rate| rate.0 > 0.0).unwrap_or(DEFAULT_LINK_RATE)
+        self.link.filter(|rate| rate.0 > 0.0).unwrap_or(DEFAULT_LINK_RATE)
     }
 }
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -125,7 +125,7 @@
     core: Arc<Core<D, S, C>>,
     prefix: &'static str,
 ) {
-    let is_first_start = core.settings.is_first_start;
+    let is_first_start = core.settings.first_start;
     tokio::time::sleep(if is_first_start { FIRST_START_DELAY } else { START_DELAY }).await;
     let mut stopped_at: Option<Instant> = None;
     while core.stage() != Stage::Closed {
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -16,7 +16,7 @@
 
 /// A limit on repeats: a number per request, plus an extra number for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct Bound {
     /// Repeats per request.
     pub ratio: f64,
     /// Additional repeats of all nodes together.
@@ -34,13 +34,13 @@
 
 impl Budget {
     /// Records a request.
-    pub fn record_request(&mut self, now: Instant, limit: &Limit) {
+    pub fn record_request(&mut self, now: Instant, limit: &Bound) {
         self.expire(now, limit.window);
         self.requests.push_back(now);
     }
 
     /// Spends one repeat; returns false if this node's share is used up.
-    pub fn try_spend(&mut self, now: Instant, limit: &Limit, nodes: usize) -> bool {
+    pub fn try_spend(&mut self, now: Instant, limit: &Bound, nodes: usize) -> bool {
         self.expire(now, limit.window);
         let earned = self.requests.len() as f64 * limit.ratio * USED_RATIO_PART;
         let extra = limit.extra * USED_EXTRA_PART / nodes.max(1) as f64;
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/share.rs
@@ -1,9 +1,9 @@
 //! Tests of a node's share of a fleet-wide limit on repeats.
 
-use hickory_policy::share::{Budget, Limit};
+use hickory_policy::share::{Bound, Budget};
 use std::time::{Duration, Instant};
 
-const LIMIT: Limit = Limit { ratio: 0.2, extra: 106.0, window: Duration::from_secs(10) };
+const LIMIT: Bound = Bound { ratio: 0.2, extra: 106.0, window: Duration::from_secs(10) };
 
 /// Half of all requests fail on nine nodes for half a minute. All nodes together must stay within
 /// the limit in every window of ten seconds, or retries would multiply the load.
@@ -33,7 +33,7 @@
 #[test]
 fn a_budget_recovers_with_time() {
     let now = Instant::now();
-    let limit = Limit { ratio: 0.0, extra: 2.0, window: Duration::from_secs(10) };
+    let limit = Bound { ratio: 0.0, extra: 2.0, window: Duration::from_secs(10) };
     let mut budget = Budget::default();
     assert!(budget.try_spend(now, &limit, 1));
     assert!(!budget.try_spend(now, &limit, 1));
