--- a/apps/hickory-node/tests/proofs/once.rs
+++ b/apps/hickory-node/tests/proofs/once.rs
@@ -15,7 +15,7 @@
 impl Scene {
     /// Whether a claim stands in the ledger.
     fn is_claimed(&self, key: &str) -> bool {
-        let pages = self.standins.store.service().with(|core, now| core.list(now, "ledger/"));
+        let pages = self.standins.store.service().with_core(|core, now| core.list(now, "ledger/"));
         pages.0.iter().any(|page| page.value.contains(key))
     }
 
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -269,7 +269,7 @@
 
     /// How often calls with `key` ran; all replicas share their books.
     pub fn runs(&self, key: &str) -> u32 {
-        self.standins.replicas[0].service().runs().of(key)
+        self.standins.replicas[0].service().runs().count(key)
     }
 
     /// Engines whose port is closed.
--- a/apps/hickory-node/tests/proofs/whole.rs
+++ b/apps/hickory-node/tests/proofs/whole.rs
@@ -262,7 +262,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn tokens_given_already_are_not_given_again() {
     let mut options = slow_options();
-    options.engine.replays = true;
+    options.engine.ignores_resume_position = true;
     let scene = Scene::start(2, options).await;
     let stream = begin(&scene, "replayed", 40).await;
     scene.standins.engines.iter().for_each(|engine| engine.faults().cut());
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -82,7 +82,7 @@
 async fn a_leaving_target_gets_no_new_work() {
     let scene = Scene::start(3, options()).await;
     scene.load(3).await;
-    scene.standins.hosts.service().stand(&"engine-1".into(), Standing::Leaving);
+    scene.standins.hosts.service().set_standing(&"engine-1".into(), Standing::Leaving);
     let ((), ()) = tokio::join!(tokio::time::sleep(BOUND), scene.load(5));
     let before = scene.begun(&[1]);
     scene.load(10).await;
--- a/apps/hickory-standin/src/argument.rs
+++ b/apps/hickory-standin/src/argument.rs
@@ -202,7 +202,11 @@
 impl Replica {
     pub(crate) fn options(&self) -> service::Options {
         let time = Duration::from_millis(self.call_ms);
-        service::Options { time, calls_max: self.calls_max, ..service::Options::default() }
+        service::Options {
+            call_time: time,
+            max_calls: self.calls_max,
+            ..service::Options::default()
+        }
     }
 }
 
--- a/apps/hickory-standin/src/main.rs
+++ b/apps/hickory-standin/src/main.rs
@@ -9,7 +9,7 @@
 
 use argument::{Arguments, Kind};
 use clap::Parser;
-use hickory_standin::control::Board;
+use hickory_standin::control::Switchboard;
 use hickory_standin::fleet::Fleet;
 use hickory_standin::{engine, hosts, server, service, store, weights};
 use ready::Ready;
@@ -47,14 +47,14 @@
     name: &str,
     handle: server::Handle<S>,
 ) -> eyre::Result<()> {
-    let mut board = Board::default();
+    let mut board = Switchboard::default();
     board.add(name, &handle);
     let control = board.spawn(arguments.control)?;
     stay(&Ready::one(name, handle.address(), control.address()))
 }
 
 fn serve_fleet(arguments: &Arguments, fleet: Fleet) -> eyre::Result<()> {
-    let control = fleet.board().spawn(arguments.control)?;
+    let control = fleet.switchboard().spawn(arguments.control)?;
     stay(&Ready::fleet(&fleet, control.address()))
 }
 
--- a/crates/node/tests/callers.rs
+++ b/crates/node/tests/callers.rs
@@ -254,7 +254,7 @@
     let (head, body) = place(r#"{"paint":2}"#);
     assert!(head.starts_with("HTTP/1.1 422"), "{head}\n{body}");
     assert!(body.contains("key-reused") && body.contains(r#""ran":"no""#), "{body}");
-    assert_eq!(standins.replicas[0].service().runs().of(&key), 1);
+    assert_eq!(standins.replicas[0].service().runs().count(&key), 1);
 }
 
 /// A body above the size limit is refused by its announced length, before it is sent. A node
--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -151,7 +151,7 @@
 
 fn service_calls(c: &mut Criterion) {
     let runtime = runtime();
-    let options = service::Options { time: Duration::ZERO, ..service::Options::default() };
+    let options = service::Options { call_time: Duration::ZERO, ..service::Options::default() };
     let replica = service::spawn(any(), options).expect("a replica");
     let (targets, at) = (Targets::open(TIMEOUT), replica.address());
     let mut group = c.benchmark_group("service_calls");
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -11,21 +11,21 @@
 
 /// The switchboard: `POST /fault/{name}` with a [`Switch`] as JSON.
 #[derive(Clone, Default)]
-pub struct Board {
-    all: Arc<BTreeMap<String, Apply>>,
+pub struct Switchboard {
+    stand_ins: Arc<BTreeMap<String, Apply>>,
 }
 
 /// A running switchboard.
-pub type Handle = server::Handle<Board>;
+pub type Handle = server::Handle<Switchboard>;
 
-impl Board {
+impl Switchboard {
     /// Adds a stand-in under `name`.
     pub fn add<S: Service>(&mut self, name: &str, handle: &server::Handle<S>) {
         let (faults, service) = (handle.faults().clone(), handle.service().clone());
         let apply: Apply = Arc::new(move |switch: &Switch| apply_switch(&faults, &service, switch));
-        let mut all = (*self.all).clone();
-        all.insert(name.to_owned(), apply);
-        self.all = Arc::new(all);
+        let mut stand_ins = (*self.stand_ins).clone();
+        stand_ins.insert(name.to_owned(), apply);
+        self.stand_ins = Arc::new(stand_ins);
     }
 
     /// Serves the switchboard.
@@ -34,10 +34,10 @@
     }
 }
 
-impl Service for Board {
+impl Service for Switchboard {
     async fn call(&self, call: Call) -> Reply {
         let name = call.path.strip_prefix("/fault/").unwrap_or_default();
-        let Some(apply) = self.all.get(name).cloned() else {
+        let Some(apply) = self.stand_ins.get(name).cloned() else {
             return Reply::status(404, "no such stand-in");
         };
         match call.json::<Switch>() {
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,6 +1,6 @@
 //! A model engine: the cost model behind HTTP.
 
-use crate::fault::{Faults, Life, Switch};
+use crate::fault::{Faults, RunState, Switch};
 use crate::peer::Peers;
 use crate::reader::Readers;
 use crate::server::{self, Call, Reply};
@@ -17,10 +17,10 @@
 
 /// How often an engine looks whether the linked KV caches that its streams
 /// use are still held by other engines.
-const LINK_CHECK: Duration = Duration::from_millis(50);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long an engine waits before it asks a busy weight store again.
-const WEIGHTS_RETRY: Duration = Duration::from_millis(50);
+const WEIGHTS_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How an engine behaves.
 #[derive(Clone, Debug, Default)]
@@ -37,24 +37,24 @@
     /// It crashes when it runs a prompt that contains this.
     pub crash_marker: Option<String>,
     /// It resumes streams from their first token, wherever it is asked to.
-    pub replays: bool,
+    pub ignores_resume_position: bool,
 }
 
 /// What an engine process holds in memory.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct ProcessState {
     pub(crate) engine: Engine,
     pub(crate) readers: Readers,
     crash_marker: Option<String>,
     /// Whether the crash of `engine` has been acted on.
-    crash_seen: bool,
+    is_crash_handled: bool,
 }
 
 #[derive(Debug)]
 struct Inner {
     options: Options,
     faults: Faults,
-    held: Mutex<Held>,
+    state: Mutex<ProcessState>,
     ticked: watch::Sender<u64>,
     work: Notify,
     peers: Peers,
@@ -62,12 +62,12 @@
 
 /// An engine.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct Simulator {
     inner: Arc<Inner>,
 }
 
 /// A running engine.
-pub type Handle = server::Handle<Machine>;
+pub type Handle = server::Handle<Simulator>;
 
 /// Serves an engine.
 pub fn spawn(listen: SocketAddr, mut options: Options) -> std::io::Result<Handle> {
@@ -75,23 +75,24 @@
     let faults = Faults::none();
     let engine = Engine::open(faults.now(), faults.incarnation(), options.model.clone());
     let crash_marker = options.crash_marker.clone();
-    let held = Held { engine, readers: Readers::default(), crash_marker, crash_seen: false };
+    let state =
+        ProcessState { engine, readers: Readers::default(), crash_marker, is_crash_handled: false };
     let inner = Inner {
         options,
         faults: faults.clone(),
-        held: Mutex::new(held),
+        state: Mutex::new(state),
         ticked: watch::Sender::new(0),
         work: Notify::new(),
         peers: Peers::open(),
     };
-    let machine = Machine { inner: Arc::new(inner) };
-    let handle = server::spawn_with(listen, machine.clone(), faults)?;
-    server::runtime().spawn(machine.clone().step());
-    server::runtime().spawn(machine.check_links());
+    let simulator = Simulator { inner: Arc::new(inner) };
+    let handle = server::spawn_with(listen, simulator.clone(), faults)?;
+    server::runtime().spawn(simulator.clone().run_steps());
+    server::runtime().spawn(simulator.check_links());
     Ok(handle)
 }
 
-impl Machine {
+impl Simulator {
     /// Calls `act` on the cost model, past all faults and without lag.
     pub fn with_engine<T>(&self, act: impl FnOnce(&mut Engine) -> T) -> T {
         act(&mut self.lock().engine)
@@ -121,17 +122,17 @@
     }
 
     /// Runs the steps of the cost model as their time comes.
-    async fn step(self) {
-        let mut life = self.inner.faults.life();
+    async fn run_steps(self) {
+        let mut changes = self.inner.faults.run_state();
         loop {
             self.inner.faults.wait_thawed().await;
             let now = self.inner.faults.now();
             let next = {
-                let mut held = self.lock();
-                held.engine.advance(now);
-                held.engine.next_step()
+                let mut state = self.lock();
+                state.engine.advance(now);
+                state.engine.next_step()
             };
-            self.die_if_crashed();
+            self.stop_if_crashed();
             self.inner.ticked.send_modify(|tick| *tick += 1);
             let sleep = async {
                 match next {
@@ -142,7 +143,7 @@
             tokio::select! {
                 () = sleep => {}
                 () = self.inner.work.notified() => {}
-                Ok(()) = life.changed() => if *life.borrow_and_update() == Life::Stopped {
+                Ok(()) = changes.changed() => if *changes.borrow_and_update() == RunState::Stopped {
                     self.inner.ticked.send_modify(|tick| *tick += 1);
                     return;
                 }
@@ -153,15 +154,15 @@
     /// Fails the streams whose KV cache lies partly on an engine that is
     /// gone, or that has dropped it.
     async fn check_links(self) {
-        let life = self.inner.faults.life();
+        let run_state = self.inner.faults.run_state();
         let mut ticked = self.inner.ticked.subscribe();
-        while *life.borrow() != Life::Stopped {
+        while *run_state.borrow() != RunState::Stopped {
             let links = self.with_engine(|engine| engine.links());
             if links.is_empty() {
                 // Links come with streams, and streams with ticks.
                 let _ = ticked.changed().await;
             }
-            tokio::time::sleep(LINK_CHECK).await;
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             self.inner.faults.wait_thawed().await;
             for link in links {
                 if self.inner.peers.export(link.at, &link.handle).await.is_none() {
@@ -173,11 +174,11 @@
         }
     }
 
-    fn die_if_crashed(&self) {
-        let mut held = self.lock();
-        let crashed = held.engine.is_crashed() && !held.crash_seen;
-        held.crash_seen |= crashed;
-        drop(held);
+    fn stop_if_crashed(&self) {
+        let mut state = self.lock();
+        let crashed = state.engine.is_crashed() && !state.is_crash_handled;
+        state.is_crash_handled |= crashed;
+        drop(state);
         if crashed {
             self.inner.faults.crash(self.inner.options.restart_after);
         }
@@ -185,43 +186,43 @@
 
     fn generate(&self, generate: &Generate) -> Reply {
         let mut job = Job::of(generate);
-        let mut held = self.lock();
-        let marker = held.crash_marker.as_deref();
+        let mut state = self.lock();
+        let marker = state.crash_marker.as_deref();
         job.crash = marker.is_some_and(|marker| generate.prompt.contains(marker));
-        if let Err(refused) = held.engine.begin(self.inner.faults.now(), job) {
-            drop(held);
-            self.die_if_crashed();
+        if let Err(refused) = state.engine.begin(self.inner.faults.now(), job) {
+            drop(state);
+            self.stop_if_crashed();
             return refuse(refused);
         }
-        let Held { engine, readers, .. } = &mut *held;
+        let ProcessState { engine, readers, .. } = &mut *state;
         readers.add(generate, engine);
-        drop(held);
+        drop(state);
         self.inner.work.notify_one();
         self.read(&generate.stream, generate.from)
     }
 
     fn read(&self, stream: &id::Stream, from: u64) -> Reply {
         let now = self.inner.faults.now();
-        let mut held = self.lock();
-        held.engine.advance(now);
-        let known = held.engine.progress(stream).and_then(|_| held.readers.supersede(stream));
-        drop(held);
+        let mut state = self.lock();
+        state.engine.advance(now);
+        let known = state.engine.progress(stream).and_then(|_| state.readers.attach(stream));
+        drop(state);
         let Some(number) = known else {
             return Reply::status(404, "no such stream");
         };
         // Wakes an older reader, who gives way, also where nothing moves.
         self.inner.ticked.send_modify(|tick| *tick += 1);
         let (pieces, reply) = Reply::stream();
-        let pump = crate::reader::pump(self.clone(), stream.clone(), number, from, pieces);
-        tokio::spawn(pump);
+        let task = crate::reader::stream_events(self.clone(), stream.clone(), number, from, pieces);
+        tokio::spawn(task);
         reply
     }
 
     fn cancel(&self, stream: &id::Stream) -> Reply {
-        let mut held = self.lock();
-        let cancelled = held.engine.cancel(self.inner.faults.now(), stream);
-        held.readers.remove(stream);
-        drop(held);
+        let mut state = self.lock();
+        let cancelled = state.engine.cancel(self.inner.faults.now(), stream);
+        state.readers.remove(stream);
+        drop(state);
         self.inner.work.notify_one();
         self.inner.ticked.send_modify(|tick| *tick += 1);
         Reply::json(&cancelled)
@@ -247,7 +248,7 @@
         let incarnation = self.inner.faults.incarnation();
         if let Some(at) = self.inner.options.weights {
             while !self.inner.peers.read_weights(at, fetch.bytes).await {
-                tokio::time::sleep(WEIGHTS_RETRY).await;
+                tokio::time::sleep(WEIGHTS_RETRY_INTERVAL).await;
                 let wanted = self.with_engine(|engine| engine.holds_weights(&fetch.weights));
                 if !wanted || self.inner.faults.incarnation() != incarnation {
                     return;
@@ -308,8 +309,8 @@
         self.inner.ticked.subscribe()
     }
 
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Held> {
-        self.inner.held.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn lock(&self) -> MutexGuard<'_, ProcessState> {
+        self.inner.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -321,39 +322,39 @@
     }
 }
 
-impl server::Service for Machine {
+impl server::Service for Simulator {
     async fn call(&self, call: Call) -> Reply {
         let now = self.inner.faults.now();
         match (call.method.as_str(), call.path.as_str()) {
-            ("POST", "/v1/generate") => call.answer(|body| self.generate(&body)),
-            ("POST", "/v1/resume") => call.answer(|body: Resume| {
-                let from = if self.inner.options.replays { 0 } else { body.from };
+            ("POST", "/v1/generate") => call.answer_json(|body| self.generate(&body)),
+            ("POST", "/v1/resume") => call.answer_json(|body: Resume| {
+                let from = if self.inner.options.ignores_resume_position { 0 } else { body.from };
                 self.read(&body.stream, from)
             }),
-            ("POST", "/v1/cancel") => call.answer(|body| self.cancel(&body)),
+            ("POST", "/v1/cancel") => call.answer_json(|body| self.cancel(&body)),
             ("GET", "/v1/report") => Reply::json(&self.with_engine(|engine| engine.report(now))),
             ("GET", "/v1/cache-events") => {
                 let after = call.query("after").parse().unwrap_or(0);
                 Reply::json(&self.with_engine(|engine| engine.cache_events(now, after)))
             }
-            ("POST", "/v1/order") => call.answer(|body| self.order(&body)),
+            ("POST", "/v1/order") => call.answer_json(|body| self.order(&body)),
             ("POST", "/v1/import") => match call.json::<Import>() {
                 Ok(import) => self.import(&import).await,
                 Err(reply) => reply,
             },
-            ("POST", "/v1/export") => call.answer(|body| self.export(&body)),
-            ("POST", "/v1/drop") => call.answer(|body| self.drop_handle(&body)),
+            ("POST", "/v1/export") => call.answer_json(|body| self.export(&body)),
+            ("POST", "/v1/drop") => call.answer_json(|body| self.drop_handle(&body)),
             _ => Reply::status(405, "no such call"),
         }
     }
 
     fn reset(&self, faults: &Faults) {
         let model = Model { warmth: 0, ..self.inner.options.model.clone() };
-        let mut held = self.lock();
-        held.engine = Engine::open(faults.now(), faults.incarnation(), model);
-        held.readers = Readers::default();
-        held.crash_seen = false;
-        drop(held);
+        let mut state = self.lock();
+        state.engine = Engine::open(faults.now(), faults.incarnation(), model);
+        state.readers = Readers::default();
+        state.is_crash_handled = false;
+        drop(state);
         self.inner.work.notify_one();
     }
 
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -16,7 +16,7 @@
 
 /// Whether the process of a stand-in lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub(crate) enum Life {
+pub(crate) enum RunState {
     /// It listens.
     #[default]
     Up,
@@ -109,7 +109,7 @@
 struct Rule {
     path: String,
     loss: Loss,
-    left: u32,
+    remaining: u32,
 }
 
 #[derive(Debug, Default)]
@@ -117,9 +117,9 @@
     delay: Duration,
     rules: Vec<Rule>,
     wakers: HashMap<u64, Vec<Waker>>,
-    seen: Life,
+    acknowledged: RunState,
     frozen_since: Option<Instant>,
-    frozen: Duration,
+    total_frozen: Duration,
 }
 
 #[derive(Debug)]
@@ -128,10 +128,10 @@
     silent_below: AtomicU64,
     next_connection: AtomicU64,
     incarnation: AtomicU64,
-    turn: Mutex<()>,
+    transition: Mutex<()>,
     state: Mutex<State>,
-    settled: Condvar,
-    life: watch::Sender<Life>,
+    acknowledged: Condvar,
+    run_state: watch::Sender<RunState>,
     cut_below: watch::Sender<u64>,
     thawed: watch::Sender<bool>,
 }
@@ -149,10 +149,10 @@
             silent_below: AtomicU64::new(0),
             next_connection: AtomicU64::new(0),
             incarnation: AtomicU64::new(clock::System.wall_ms() << 8),
-            turn: Mutex::default(),
+            transition: Mutex::default(),
             state: Mutex::default(),
-            settled: Condvar::new(),
-            life: watch::Sender::new(Life::Up),
+            acknowledged: Condvar::new(),
+            run_state: watch::Sender::new(RunState::Up),
             cut_below: watch::Sender::new(0),
             thawed: watch::Sender::new(true),
         };
@@ -162,18 +162,18 @@
     /// Kills the process: open connections are cut and the port is closed
     /// when this returns.
     pub fn kill(&self) {
-        let turn = self.lock_turn();
-        self.switch(&turn, Life::Down);
+        let transition = self.lock_transition();
+        self.set_run_state(&transition, RunState::Down);
     }
 
     /// Starts the process again as a new incarnation, on the same port; it
     /// listens when this returns.
     pub fn restart(&self) {
-        let turn = self.lock_turn();
-        self.switch(&turn, Life::Down);
+        let transition = self.lock_transition();
+        self.set_run_state(&transition, RunState::Down);
         self.inner.incarnation.fetch_add(1, Ordering::SeqCst);
         self.thaw();
-        self.switch(&turn, Life::Up);
+        self.set_run_state(&transition, RunState::Up);
     }
 
     /// Kills the process and starts it again after `time`.
@@ -195,13 +195,13 @@
     pub(crate) fn crash(&self, restart_after: Option<Duration>) {
         let (faults, crashed) = (self.clone(), self.incarnation());
         crate::server::runtime().spawn_blocking(move || {
-            let turn = faults.lock_turn();
+            let transition = faults.lock_transition();
             // A restart may have come before: the new process did not crash.
             if faults.incarnation() != crashed {
                 return;
             }
-            faults.switch(&turn, Life::Down);
-            drop(turn);
+            faults.set_run_state(&transition, RunState::Down);
+            drop(transition);
             if let Some(time) = restart_after {
                 faults.restart_after(time);
             }
@@ -240,7 +240,7 @@
         self.inner.thawed.send_replace(true);
         let mut state = self.lock();
         let since = state.frozen_since.take();
-        state.frozen += since.map_or(Duration::ZERO, |since| since.elapsed());
+        state.total_frozen += since.map_or(Duration::ZERO, |since| since.elapsed());
         let wakers = std::mem::take(&mut state.wakers);
         drop(state);
         wakers.into_values().flatten().for_each(Waker::wake);
@@ -254,7 +254,7 @@
     /// Loses the next `count` calls, or their answers, whose path begins with
     /// `path`.
     pub fn lose(&self, loss: Loss, path: &str, count: u32) {
-        self.lock().rules.push(Rule { path: path.into(), loss, left: count });
+        self.lock().rules.push(Rule { path: path.into(), loss, remaining: count });
     }
 
     /// Lets the next `count` writes of a key-value service take effect and
@@ -297,17 +297,17 @@
     /// The time as the process sees it: it stands still while frozen.
     pub(crate) fn now(&self) -> Instant {
         let state = self.lock();
-        state.frozen_since.unwrap_or_else(Instant::now) - state.frozen
+        state.frozen_since.unwrap_or_else(Instant::now) - state.total_frozen
     }
 
     pub(crate) fn stop(&self) {
-        self.inner.life.send_replace(Life::Stopped);
+        self.inner.run_state.send_replace(RunState::Stopped);
         // Tasks of a frozen stand-in wait for the thaw, and would stay.
         self.thaw();
     }
 
-    pub(crate) fn life(&self) -> watch::Receiver<Life> {
-        self.inner.life.subscribe()
+    pub(crate) fn run_state(&self) -> watch::Receiver<RunState> {
+        self.inner.run_state.subscribe()
     }
 
     pub(crate) fn next_connection(&self) -> u64 {
@@ -328,7 +328,7 @@
 
     /// Whether connection `number` may say nothing now; it is woken when it
     /// may again.
-    pub(crate) fn blocks(&self, number: u64, waker: &Waker) -> bool {
+    pub(crate) fn blocks_io(&self, number: u64, waker: &Waker) -> bool {
         if number < self.inner.silent_below.load(Ordering::SeqCst) {
             return true;
         }
@@ -355,33 +355,33 @@
     /// Takes the loss that is due for a call to `path`.
     pub(crate) fn take_loss(&self, path: &str) -> Option<Loss> {
         let mut state = self.lock();
-        let rule = state.rules.iter_mut().find(|r| r.left > 0 && path.starts_with(&r.path))?;
-        rule.left -= 1;
+        let rule = state.rules.iter_mut().find(|r| r.remaining > 0 && path.starts_with(&r.path))?;
+        rule.remaining -= 1;
         let loss = rule.loss;
-        state.rules.retain(|rule| rule.left > 0);
+        state.rules.retain(|rule| rule.remaining > 0);
         Some(loss)
     }
 
     /// Says that the accept loop has done what `life` asks.
-    pub(crate) fn settle(&self, life: Life) {
-        self.lock().seen = life;
-        self.inner.settled.notify_all();
+    pub(crate) fn acknowledge(&self, run_state: RunState) {
+        self.lock().acknowledged = run_state;
+        self.inner.acknowledged.notify_all();
     }
 
     /// Kills and restarts go one after another: the accept loop sees only
     /// the last of two that come together, and the first would wait for good.
-    fn lock_turn(&self) -> MutexGuard<'_, ()> {
-        self.inner.turn.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_transition(&self) -> MutexGuard<'_, ()> {
+        self.inner.transition.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn switch(&self, _turn: &MutexGuard<'_, ()>, life: Life) {
-        if *self.inner.life.borrow() == Life::Stopped {
+    fn set_run_state(&self, _transition: &MutexGuard<'_, ()>, run_state: RunState) {
+        if *self.inner.run_state.borrow() == RunState::Stopped {
             return;
         }
-        self.inner.life.send_replace(life);
+        self.inner.run_state.send_replace(run_state);
         let mut state = self.lock();
-        while state.seen != life && state.seen != Life::Stopped {
-            state = self.inner.settled.wait(state).unwrap_or_else(PoisonError::into_inner);
+        while state.acknowledged != run_state && state.acknowledged != RunState::Stopped {
+            state = self.inner.acknowledged.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A whole small platform within one process.
 
-use crate::control::Board;
+use crate::control::Switchboard;
 use crate::{engine, hosts, service, store, weights};
 use hickory_store::host::{Host, Kind, Standing};
 use hickory_store::http::Address;
@@ -88,22 +88,23 @@
             ("hosts".to_owned(), self.hosts.address()),
             ("weights".to_owned(), self.weights.address()),
         ];
-        let targets = self.hosts.service().newest().into_iter();
+        let targets = self.hosts.service().current().into_iter();
         all.extend(targets.map(|host| (host.target.to_string(), host.address)));
         all
     }
 
     /// A switchboard of the faults of all parts, by name.
-    pub fn board(&self) -> Board {
-        let mut board = Board::default();
-        board.add("store", &self.store);
-        board.add("hosts", &self.hosts);
-        board.add("weights", &self.weights);
+    pub fn switchboard(&self) -> Switchboard {
+        let mut switchboard = Switchboard::default();
+        switchboard.add("store", &self.store);
+        switchboard.add("hosts", &self.hosts);
+        switchboard.add("weights", &self.weights);
         let engines = self.engines.iter().enumerate();
-        engines.for_each(|(n, engine)| board.add(&format!("engine-{n}"), engine));
+        engines.for_each(|(n, engine)| switchboard.add(&format!("engine-{n}"), engine));
         let replicas = self.replicas.iter().enumerate();
-        replicas.for_each(|(n, replica)| board.add(&format!("{}-{n}", self.service), replica));
-        board
+        replicas
+            .for_each(|(n, replica)| switchboard.add(&format!("{}-{n}", self.service), replica));
+        switchboard
     }
 
     /// Where the platform's services listen.
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -13,7 +13,7 @@
 struct State {
     lag: Duration,
     /// What was set, and when; the front is what callers see.
-    past: VecDeque<(Instant, Vec<Host>)>,
+    history: VecDeque<(Instant, Vec<Host>)>,
 }
 
 /// The host list.
@@ -25,7 +25,7 @@
 impl List {
     /// Sets the whole list; callers see it after the lag.
     pub fn set(&self, hosts: Vec<Host>) {
-        self.lock().past.push_back((Instant::now(), hosts));
+        self.lock().history.push_back((Instant::now(), hosts));
     }
 
     /// Sets how far the list lags behind.
@@ -34,32 +34,32 @@
     }
 
     /// Changes the standing of one target.
-    pub fn stand(&self, target: &id::Target, standing: Standing) {
-        let mut hosts = self.newest();
+    pub fn set_standing(&self, target: &id::Target, standing: Standing) {
+        let mut hosts = self.current();
         hosts.iter_mut().filter(|host| host.target == *target).for_each(|h| h.standing = standing);
         self.set(hosts);
     }
 
     /// Takes a target off the list.
     pub fn remove(&self, target: &id::Target) {
-        let mut hosts = self.newest();
+        let mut hosts = self.current();
         hosts.retain(|host| host.target != *target);
         self.set(hosts);
     }
 
     /// The list without the lag.
-    pub fn newest(&self) -> Vec<Host> {
-        self.lock().past.back().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+    pub fn current(&self) -> Vec<Host> {
+        self.lock().history.back().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 
     /// The list as callers see it now.
-    pub fn seen(&self) -> Vec<Host> {
+    pub fn visible(&self) -> Vec<Host> {
         let mut state = self.lock();
         let lag = state.lag;
-        while state.past.get(1).is_some_and(|(set, _)| set.elapsed() >= lag) {
-            state.past.pop_front();
+        while state.history.get(1).is_some_and(|(set, _)| set.elapsed() >= lag) {
+            state.history.pop_front();
         }
-        state.past.front().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
+        state.history.front().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -80,7 +80,7 @@
 impl server::Service for List {
     async fn call(&self, call: Call) -> Reply {
         match call.path.as_str() {
-            "/hosts" => Reply::json(&self.seen()),
+            "/hosts" => Reply::json(&self.visible()),
             _ => Reply::status(405, "no such call"),
         }
     }
@@ -88,7 +88,7 @@
     fn switch(&self, switch: &Switch) -> bool {
         match switch {
             Switch::LagMs(lag) => self.set_lag(Duration::from_millis(*lag)),
-            Switch::Stand { target, standing } => self.stand(target, *standing),
+            Switch::Stand { target, standing } => self.set_standing(target, *standing),
             Switch::Unlist(target) => self.remove(target),
             _ => return false,
         }
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 
 /// Changes kept for watches; older ones make a watch answer `compacted`.
-const HISTORY_MAX: usize = 10_000;
+const MAX_HISTORY_EVENTS: usize = 10_000;
 
 /// The state of the key-value service, without input or output.
 #[derive(Debug, Default)]
 pub struct Core {
     entries: Entries,
-    leases: BTreeMap<u64, Held>,
+    leases: BTreeMap<u64, GrantedLease>,
     history: VecDeque<Event>,
     revision: u64,
-    compacted: u64,
+    compacted_revision: u64,
     next_lease: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct GrantedLease {
     ttl: Duration,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
 impl Core {
@@ -55,16 +55,16 @@
         if write.lease.is_some_and(|lease| !self.leases.contains_key(&lease.0)) {
             return Err(Error::LeaseLapsed);
         }
-        let present = self.entries.get(&write.key).map(|(entry, _)| entry);
-        let holds = match write.expect {
+        let current = self.entries.get(&write.key).map(|(entry, _)| entry);
+        let is_expectation_met = match write.expect {
             Expect::Any => true,
-            Expect::Absent => present.is_none(),
-            Expect::At(revision) => present.is_some_and(|entry| entry.revision == revision),
+            Expect::Absent => current.is_none(),
+            Expect::At(revision) => current.is_some_and(|entry| entry.revision == revision),
         };
-        if !holds {
-            return Err(Error::Conflict(present.cloned()));
+        if !is_expectation_met {
+            return Err(Error::Conflict(current.cloned()));
         }
-        if write.value.is_none() && present.is_none() {
+        if write.value.is_none() && current.is_none() {
             return Ok(self.revision());
         }
         Ok(self.apply(write.key, write.value, write.lease))
@@ -74,7 +74,7 @@
     pub fn changes(&mut self, now: Instant, prefix: &str, after: Revision) -> Option<Batch> {
         self.expire(now);
         let revision = self.revision();
-        if after.0 < self.compacted {
+        if after.0 < self.compacted_revision {
             return Some(Batch { events: Vec::new(), revision, compacted: true });
         }
         let newer = self.history.iter().rev().take_while(|event| event.revision > after);
@@ -88,15 +88,15 @@
     pub fn grant(&mut self, now: Instant, ttl: Duration) -> Lease {
         self.expire(now);
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, Held { ttl, lapses: now + ttl });
+        self.leases.insert(self.next_lease, GrantedLease { ttl, expires_at: now + ttl });
         Lease(self.next_lease)
     }
 
     /// Renews a lease for its full time.
     pub fn renew(&mut self, now: Instant, lease: Lease) -> Result<(), Error> {
         self.expire(now);
-        let held = self.leases.get_mut(&lease.0).ok_or(Error::LeaseLapsed)?;
-        held.lapses = now + held.ttl;
+        let granted = self.leases.get_mut(&lease.0).ok_or(Error::LeaseLapsed)?;
+        granted.expires_at = now + granted.ttl;
         Ok(())
     }
 
@@ -104,14 +104,14 @@
     pub fn revoke(&mut self, now: Instant, lease: Lease) -> Result<(), Error> {
         self.expire(now);
         self.leases.remove(&lease.0).ok_or(Error::LeaseLapsed)?;
-        self.remove_bound(lease);
+        self.remove_lease_keys(lease);
         Ok(())
     }
 
     /// Forgets all changes so far: a watch from before must list anew.
     pub fn compact(&mut self) {
         self.history.clear();
-        self.compacted = self.revision;
+        self.compacted_revision = self.revision;
     }
 
     /// The revision of the last write.
@@ -119,22 +119,26 @@
         Revision(self.revision)
     }
 
-    /// When the next lease lapses.
-    pub fn next_lapse(&self) -> Option<Instant> {
-        self.leases.values().map(|held| held.lapses).min()
+    /// When the next lease expires.
+    pub fn next_lease_expiry(&self) -> Option<Instant> {
+        self.leases.values().map(|granted| granted.expires_at).min()
     }
 
     /// Removes what lapsed leases held.
     pub fn expire(&mut self, now: Instant) {
-        let lapsed: Vec<u64> =
-            self.leases.iter().filter(|(_, held)| held.lapses <= now).map(|(id, _)| *id).collect();
-        for lease in lapsed {
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, granted)| granted.expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for lease in expired {
             self.leases.remove(&lease);
-            self.remove_bound(Lease(lease));
+            self.remove_lease_keys(Lease(lease));
         }
     }
 
-    fn remove_bound(&mut self, lease: Lease) {
+    fn remove_lease_keys(&mut self, lease: Lease) {
         let bound = self.entries.iter().filter(|(_, (_, held))| *held == Some(lease));
         let keys: Vec<String> = bound.map(|(key, _)| key.clone()).collect();
         for key in keys {
@@ -155,10 +159,10 @@
             }
         }
         self.history.push_back(Event { key, value, revision });
-        if self.history.len() > HISTORY_MAX
+        if self.history.len() > MAX_HISTORY_EVENTS
             && let Some(oldest) = self.history.pop_front()
         {
-            self.compacted = oldest.revision.0;
+            self.compacted_revision = oldest.revision.0;
         }
         revision
     }
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -24,7 +24,7 @@
 }
 
 /// One client's view of a key-value service that lives in the process; views
-/// made by [`Memory::join`] share the state but not the faults.
+/// made by [`Memory::new_client`] share the state but not the faults.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     shared: Shared,
@@ -33,7 +33,7 @@
 
 impl Memory {
     /// Another client of the same service, with faults of its own.
-    pub fn join(&self) -> Self {
+    pub fn new_client(&self) -> Self {
         Self { shared: self.shared.clone(), faults: Arc::default() }
     }
 
@@ -45,7 +45,7 @@
     /// Makes the reads of this client show the state of now until switched
     /// off.
     pub fn set_stale(&self, stale: bool) {
-        let snapshot = stale.then(|| self.shared.with(|core, now| core.snapshot(now)));
+        let snapshot = stale.then(|| self.shared.with_core(|core, now| core.snapshot(now)));
         self.set(|faults| faults.stale = snapshot);
     }
 
@@ -58,7 +58,7 @@
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn enter(&self) -> Result<(), Error> {
+    async fn apply_faults(&self) -> Result<(), Error> {
         let delay = self.lock().delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
@@ -76,18 +76,18 @@
         Ok(())
     }
 
-    fn take(&self, count: impl FnOnce(&mut Faults) -> &mut u32) -> bool {
+    fn take_fault(&self, count: impl FnOnce(&mut Faults) -> &mut u32) -> bool {
         let mut faults = self.lock();
-        let left = count(&mut faults);
-        let some = *left > 0;
-        *left = left.saturating_sub(1);
-        some
+        let remaining = count(&mut faults);
+        let is_due = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
+        is_due
     }
 }
 
 impl Store for Memory {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         if let Some(snapshot) = &self.lock().stale {
             return Ok(snapshot.get(key));
         }
@@ -95,7 +95,7 @@
     }
 
     async fn list(&self, prefix: &str) -> Result<(Vec<Entry>, Revision), Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         if let Some(snapshot) = &self.lock().stale {
             return Ok(snapshot.list(prefix));
         }
@@ -103,36 +103,36 @@
     }
 
     async fn write(&self, write: Write) -> Result<Revision, Error> {
-        self.enter().await?;
-        if self.take(|faults| &mut faults.lose_writes) {
+        self.apply_faults().await?;
+        if self.take_fault(|faults| &mut faults.lose_writes) {
             return Err(Error::Unknown("cut".into()));
         }
         let result = self.shared.write(write);
-        if self.take(|faults| &mut faults.lose_answers) {
+        if self.take_fault(|faults| &mut faults.lose_answers) {
             return Err(Error::Unknown("cut".into()));
         }
         result
     }
 
     async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Batch, Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         let batch = self.shared.watch(prefix, after, wait).await;
-        self.enter().await?;
+        self.apply_faults().await?;
         Ok(batch)
     }
 
     async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         Ok(self.shared.grant(ttl))
     }
 
     async fn renew(&self, lease: Lease) -> Result<(), Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         self.shared.renew(lease)
     }
 
     async fn revoke(&self, lease: Lease) -> Result<(), Error> {
-        self.enter().await?;
+        self.apply_faults().await?;
         self.shared.revoke(lease)
     }
 }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -5,21 +5,21 @@
 
 /// The calls of one kind.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
-    gap: Duration,
-    free_at: Instant,
+pub struct RateLimit {
+    interval: Duration,
+    next_start: Instant,
 }
 
-impl Rate {
+impl RateLimit {
     /// At most `per_second` calls.
     pub fn open(now: Instant, per_second: u32) -> Self {
-        Self { gap: Duration::from_secs(1) / per_second.max(1), free_at: now }
+        Self { interval: Duration::from_secs(1) / per_second.max(1), next_start: now }
     }
 
     /// How long a call that comes now waits.
-    pub fn book(&mut self, now: Instant) -> Duration {
-        let begins = self.free_at.max(now);
-        self.free_at = begins + self.gap;
-        begins - now
+    pub fn reserve(&mut self, now: Instant) -> Duration {
+        let start = self.next_start.max(now);
+        self.next_start = start + self.interval;
+        start - now
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,7 +1,7 @@
 //! The HTTP server that all stand-ins share, with the faults at its socket.
 
 use crate::control::apply_switch;
-use crate::fault::{Faults, Life, Loss, Switch};
+use crate::fault::{Faults, Loss, RunState, Switch};
 use crate::socket::Gated;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -23,17 +23,17 @@
 
 /// Threads of the runtime: enough for a small fleet beside the tests that use
 /// it on the same machine.
-const THREADS: usize = 3;
+const WORKER_THREADS: usize = 3;
 
 /// Time for the answer to a switch to go out before it is applied.
 const SWITCH_DELAY: Duration = Duration::from_millis(10);
 
 /// Connections that wait to be accepted: a burst of hundreds of streams must
 /// not meet the second that TCP takes to send a lost SYN again.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 
 /// Pieces of a streamed body that wait for a slow reader.
-const STREAM_BUFFER: usize = 64;
+const MAX_BUFFERED_PIECES: usize = 64;
 
 /// A call, read whole.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     }
 
     /// Answers with `act` on the body as JSON.
-    pub(crate) fn answer<T: DeserializeOwned>(&self, act: impl FnOnce(T) -> Reply) -> Reply {
+    pub(crate) fn answer_json<T: DeserializeOwned>(&self, act: impl FnOnce(T) -> Reply) -> Reply {
         match self.json() {
             Ok(body) => act(body),
             Err(reply) => reply,
@@ -158,7 +158,7 @@
 
     /// 200 with a body that is sent piece by piece.
     pub fn stream() -> (mpsc::Sender<Piece>, Self) {
-        let (send, receive) = mpsc::channel(STREAM_BUFFER);
+        let (send, receive) = mpsc::channel(MAX_BUFFERED_PIECES);
         (send, Self { status: 200, content: Content::Stream(receive), cut: false })
     }
 
@@ -229,7 +229,7 @@
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     RUNTIME.get_or_init(|| {
         tokio::runtime::Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .thread_name("standin")
             .enable_all()
             .build()
@@ -260,38 +260,38 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&listen.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
 async fn run<S: Service>(listener: TcpListener, address: SocketAddr, service: S, faults: Faults) {
-    let mut life = faults.life();
+    let mut run_state = faults.run_state();
     let mut listener = Some(listener);
     let mut connections = JoinSet::new();
     loop {
-        let now = *life.borrow_and_update();
+        let now = *run_state.borrow_and_update();
         match (now, &listener) {
-            (Life::Up, None) => {
+            (RunState::Up, None) => {
                 service.reset(&faults);
                 listener = rebind(address).await;
             }
-            (Life::Down | Life::Stopped, _) => {
+            (RunState::Down | RunState::Stopped, _) => {
                 let was_up = listener.take().is_some();
                 connections.shutdown().await;
                 if was_up {
                     service.reset(&faults);
                 }
             }
-            (Life::Up, Some(_)) => {}
+            (RunState::Up, Some(_)) => {}
         }
-        faults.settle(now);
-        if now == Life::Stopped {
+        faults.acknowledge(now);
+        if now == RunState::Stopped {
             return;
         }
         match &listener {
             Some(listener) => {
                 tokio::select! {
-                    _ = life.changed() => {}
+                    _ = run_state.changed() => {}
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                         connections.spawn(serve(stream, service.clone(), faults.clone()));
                     },
@@ -299,7 +299,7 @@
                 }
             }
             None => {
-                let _ = life.changed().await;
+                let _ = run_state.changed().await;
             }
         }
     }
@@ -344,7 +344,7 @@
     let query = parts.uri.query().unwrap_or_default().to_owned();
     let call = Call { method: parts.method, path, query, headers: parts.headers, body };
     if call.path == "/fault" {
-        return Ok(respond(call.answer(|switch| switch_soon(faults, service, switch))));
+        return Ok(respond(call.answer_json(|switch| schedule_switch(faults, service, switch))));
     }
     let delay = faults.delay();
     if !delay.is_zero() {
@@ -365,7 +365,7 @@
 
 /// Applies a switch that came to the stand-in itself, a moment later, so that
 /// the answer is out before a kill or a freeze.
-fn switch_soon<S: Service>(faults: &Faults, service: &S, switch: Switch) -> Reply {
+fn schedule_switch<S: Service>(faults: &Faults, service: &S, switch: Switch) -> Reply {
     let (faults, service) = (faults.clone(), service.clone());
     tokio::spawn(async move {
         tokio::time::sleep(SWITCH_DELAY).await;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -15,15 +15,15 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Time that a call takes.
-    pub time: Duration,
+    pub call_time: Duration,
     /// Calls that it bears at once.
-    pub calls_max: u32,
+    pub max_calls: u32,
     /// How warm it is at its first start, from 0 to 100; 0 after a restart.
     pub warmth: u8,
     /// Time from cold to warm under work.
     pub warm_time: Duration,
     /// Whether it crashes when it is given more than it bears while not warm.
-    pub falls_over: bool,
+    pub crashes_on_overload: bool,
     /// Where the runs are counted; replicas of one service share it.
     pub runs: Runs,
 }
@@ -31,11 +31,11 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            time: Duration::from_millis(1),
-            calls_max: 64,
+            call_time: Duration::from_millis(1),
+            max_calls: 64,
             warmth: 100,
             warm_time: Duration::from_secs(10),
-            falls_over: true,
+            crashes_on_overload: true,
             runs: Runs::default(),
         }
     }
@@ -44,7 +44,7 @@
 impl Options {
     /// The part of an engine's options by which a replica warms.
     fn model(&self, warmth: u8) -> Model {
-        let (streams_max, warm_time) = (self.calls_max, self.warm_time);
+        let (streams_max, warm_time) = (self.max_calls, self.warm_time);
         Model { streams_max, warm_time, warmth, ..Model::default() }
     }
 }
@@ -57,7 +57,7 @@
 
 impl Runs {
     /// How often calls with `key` ran.
-    pub fn of(&self, key: &str) -> u32 {
+    pub fn count(&self, key: &str) -> u32 {
         self.lock().get(key).copied().unwrap_or(0)
     }
 
@@ -109,13 +109,13 @@
             self.options.runs.add(key);
         }
         let running = Running::enter(&self.running);
-        let Some(speed) = self.warm_up(running.1) else {
+        let Some(speed) = self.update_speed(running.1) else {
             self.faults.crash(None);
             return Reply::cut();
         };
         // A sleep of no time takes a tick of the timer, a millisecond.
-        if !self.options.time.is_zero() {
-            tokio::time::sleep(self.options.time.div_f64(speed)).await;
+        if !self.options.call_time.is_zero() {
+            tokio::time::sleep(self.options.call_time.div_f64(speed)).await;
         }
         let body = String::from_utf8_lossy(&call.body).into_owned();
         Reply::json(&Echo { path: call.path, key: key.map(str::to_owned), body })
@@ -129,12 +129,12 @@
 
     /// The part of its speed that it has with `running` calls; `None` where
     /// it falls over.
-    fn warm_up(&self, running: u32) -> Option<f64> {
+    fn update_speed(&self, running: u32) -> Option<f64> {
         let now = self.faults.now();
         let (warmth, model) = &mut *self.lock_warmth();
         warmth.pass(now, running > 1, model);
         let over = warmth.is_over(running, model) && !warmth.is_unnoticed(now, model);
-        (!over || !self.options.falls_over).then(|| warmth.speed(model))
+        (!over || !self.options.crashes_on_overload).then(|| warmth.speed(model))
     }
 
     fn lock_warmth(&self) -> MutexGuard<'_, (Warmth, Model)> {
@@ -142,11 +142,11 @@
     }
 
     fn report(&self) -> Report {
-        self.warm_up(self.running.load(Ordering::SeqCst));
+        self.update_speed(self.running.load(Ordering::SeqCst));
         Report {
             incarnation: self.faults.incarnation(),
             running: self.running.load(Ordering::SeqCst),
-            calls_max: self.options.calls_max,
+            calls_max: self.options.max_calls,
             warmth: self.lock_warmth().0.level(),
         }
     }
--- a/crates/standin/src/socket.rs
+++ b/crates/standin/src/socket.rs
@@ -28,7 +28,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        if self.faults.blocks(self.number, cx.waker()) {
+        if self.faults.blocks_io(self.number, cx.waker()) {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
@@ -41,7 +41,7 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<std::io::Result<usize>> {
-        if self.faults.blocks(self.number, cx.waker()) {
+        if self.faults.blocks_io(self.number, cx.waker()) {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_write(cx, bytes)
@@ -52,7 +52,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
-        if self.faults.blocks(self.number, cx.waker()) {
+        if self.faults.blocks_io(self.number, cx.waker()) {
             return Poll::Pending;
         }
         Pin::new(&mut self.stream).poll_shutdown(cx)
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,7 +1,7 @@
 //! The key-value service: shared by tasks, and served over HTTP.
 
 use crate::fault::Switch;
-use crate::rate::Rate;
+use crate::rate::RateLimit;
 use crate::server::{self, Reply};
 use hickory_store::http::{Grant, Listing};
 use hickory_store::store::{Batch, Entry, Error, Lease, Revision, Write};
@@ -33,14 +33,14 @@
     written: watch::Sender<u64>,
     stale: Arc<Mutex<Option<Snapshot>>>,
     counts: Arc<Mutex<Counts>>,
-    rates: Arc<Mutex<Rates>>,
+    rates: Arc<Mutex<RateLimits>>,
 }
 
 /// The bounds on calls a second; none where absent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Rates {
-    reads: Option<Rate>,
-    writes: Option<Rate>,
+struct RateLimits {
+    reads: Option<RateLimit>,
+    writes: Option<RateLimit>,
 }
 
 impl Default for Shared {
@@ -53,7 +53,7 @@
 
 impl Shared {
     /// Calls `act` on the core at the present time.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Core, Instant) -> T) -> T {
+    pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Instant) -> T) -> T {
         let mut core = lock(&self.core);
         let result = act(&mut core, Instant::now());
         let revision = core.revision().0;
@@ -64,23 +64,23 @@
     /// Makes reads show the state of now until switched off; writes and
     /// watches go on.
     pub fn set_stale(&self, stale: bool) {
-        let snapshot = stale.then(|| self.with(Core::snapshot));
+        let snapshot = stale.then(|| self.with_core(Core::snapshot));
         *lock(&self.stale) = snapshot;
     }
 
     /// Bounds the calls a second that come over HTTP; zero for no bound.
     pub fn set_rates(&self, reads: u32, writes: u32) {
         let now = Instant::now();
-        let open = |per_second| (per_second > 0).then(|| Rate::open(now, per_second));
-        *lock(&self.rates) = Rates { reads: open(reads), writes: open(writes) };
+        let open = |per_second| (per_second > 0).then(|| RateLimit::open(now, per_second));
+        *lock(&self.rates) = RateLimits { reads: open(reads), writes: open(writes) };
     }
 
     /// How long a call waits for its turn.
-    fn book(&self, call: &server::Call) -> Duration {
+    fn reserve(&self, call: &server::Call) -> Duration {
         let rates = &mut *lock(&self.rates);
         let is_read = call.method == http::Method::GET;
         let rate = if is_read { &mut rates.reads } else { &mut rates.writes };
-        rate.as_mut().map_or(Duration::ZERO, |rate| rate.book(Instant::now()))
+        rate.as_mut().map_or(Duration::ZERO, |rate| rate.reserve(Instant::now()))
     }
 
     /// The calls so far.
@@ -98,7 +98,7 @@
         if let Some(snapshot) = &*lock(&self.stale) {
             return snapshot.get(key);
         }
-        self.with(|core, now| core.get(now, key))
+        self.with_core(|core, now| core.get(now, key))
     }
 
     /// Reads all keys that begin with `prefix`.
@@ -107,31 +107,31 @@
         if let Some(snapshot) = &*lock(&self.stale) {
             return snapshot.list(prefix);
         }
-        self.with(|core, now| core.list(now, prefix))
+        self.with_core(|core, now| core.list(now, prefix))
     }
 
     /// Writes or removes a key.
     pub fn write(&self, write: Write) -> Result<Revision, Error> {
         self.count(|counts| counts.writes += 1);
-        self.with(|core, now| core.write(now, write))
+        self.with_core(|core, now| core.write(now, write))
     }
 
     /// Opens a lease.
     pub fn grant(&self, ttl: Duration) -> Lease {
         self.count(|counts| counts.leases += 1);
-        self.with(|core, now| core.grant(now, ttl))
+        self.with_core(|core, now| core.grant(now, ttl))
     }
 
     /// Renews a lease for its full time.
     pub fn renew(&self, lease: Lease) -> Result<(), Error> {
         self.count(|counts| counts.leases += 1);
-        self.with(|core, now| core.renew(now, lease))
+        self.with_core(|core, now| core.renew(now, lease))
     }
 
     /// Ends a lease and removes its keys.
     pub fn revoke(&self, lease: Lease) -> Result<(), Error> {
         self.count(|counts| counts.leases += 1);
-        self.with(|core, now| core.revoke(now, lease))
+        self.with_core(|core, now| core.revoke(now, lease))
     }
 
     /// Waits at most `wait` for changes after `after`.
@@ -141,16 +141,16 @@
         let until = tokio::time::Instant::now() + wait;
         loop {
             written.mark_unchanged();
-            if let Some(batch) = self.with(|core, now| core.changes(now, prefix, after)) {
+            if let Some(batch) = self.with_core(|core, now| core.changes(now, prefix, after)) {
                 return batch;
             }
-            let lapse = self.with(|core, _| core.next_lapse());
-            let wake = lapse.map_or(until, |at| until.min(at.into()));
+            let expiry = self.with_core(|core, _| core.next_lease_expiry());
+            let wake = expiry.map_or(until, |at| until.min(at.into()));
             tokio::select! {
                 _ = written.changed() => {}
                 () = tokio::time::sleep_until(wake) => {
                     if tokio::time::Instant::now() >= until {
-                        let revision = self.with(|core, _| core.revision());
+                        let revision = self.with_core(|core, _| core.revision());
                         return Batch { events: Vec::new(), revision, compacted: false };
                     }
                 }
@@ -169,7 +169,7 @@
 
 impl server::Service for Shared {
     async fn call(&self, call: server::Call) -> Reply {
-        let wait = self.book(&call);
+        let wait = self.reserve(&call);
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
@@ -179,17 +179,17 @@
                 let (entries, revision) = self.list(&call.query("prefix"));
                 Reply::json(&Listing { entries, revision })
             }
-            ("POST", "/kv/write") => call.answer(|write| answer(self.write(write))),
+            ("POST", "/kv/write") => call.answer_json(|write| answer(self.write(write))),
             ("GET", "/kv/watch") => {
                 let after = Revision(call.query("after").parse().unwrap_or(0));
                 let wait = Duration::from_millis(call.query("wait_ms").parse().unwrap_or(0));
                 Reply::json(&self.watch(&call.query("prefix"), after, wait).await)
             }
-            ("POST", "/lease/grant") => call.answer(|grant: Grant| {
+            ("POST", "/lease/grant") => call.answer_json(|grant: Grant| {
                 Reply::json(&self.grant(Duration::from_millis(grant.ttl_ms)))
             }),
-            ("POST", "/lease/renew") => call.answer(|lease| answer(self.renew(lease))),
-            ("POST", "/lease/revoke") => call.answer(|lease| answer(self.revoke(lease))),
+            ("POST", "/lease/renew") => call.answer_json(|lease| answer(self.renew(lease))),
+            ("POST", "/lease/revoke") => call.answer_json(|lease| answer(self.revoke(lease))),
             ("GET", "/counts") => Reply::json(&self.counts()),
             _ => Reply::status(405, "no such call"),
         }
@@ -199,7 +199,7 @@
         match switch {
             Switch::Rate { reads, writes } => self.set_rates(*reads, *writes),
             Switch::Stale(stale) => self.set_stale(*stale),
-            Switch::Compact => self.with(|core, _| core.compact()),
+            Switch::Compact => self.with_core(|core, _| core.compact()),
             _ => return false,
         }
         true
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -26,13 +26,13 @@
 }
 
 impl Weights {
-    fn book(&self, bytes: size::Bytes) -> Result<Duration, Busy> {
+    fn reserve(&self, bytes: size::Bytes) -> Result<Duration, Busy> {
         let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
         pipe.read(Instant::now(), bytes)
     }
 
     async fn read(&self, bytes: size::Bytes) -> Reply {
-        match self.book(bytes) {
+        match self.reserve(bytes) {
             Ok(time) => {
                 tokio::time::sleep(time).await;
                 Reply::json(&bytes)
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -80,9 +80,9 @@
 }
 
 #[tokio::test]
-async fn down_for_a_time_comes_back_by_itself() {
+async fn down_for_restarts_the_process() {
     let fleet = Fleet::spawn(options()).unwrap();
-    let control = fleet.board().spawn("127.0.0.1:0".parse().unwrap()).unwrap();
+    let control = fleet.switchboard().spawn("127.0.0.1:0".parse().unwrap()).unwrap();
     let path = "/fault/engine-0";
     assert_eq!(post(control.address(), path, r#"{"down_for_ms":50}"#).await.unwrap().status, 200);
     let (targets, at) = (Targets::open(TIMEOUT), fleet.engines[0].address());
@@ -92,7 +92,7 @@
 /// Kills and restarts from many sides at once neither wait for good nor leave
 /// the stand-in in between.
 #[tokio::test]
-async fn switches_may_come_at_once() {
+async fn concurrent_kills_and_restarts_complete() {
     let fleet = Fleet::spawn(options()).unwrap();
     let engine = &fleet.engines[0];
     std::thread::scope(|scope| {
@@ -112,7 +112,7 @@
 
 /// A dead engine holds nothing, also before it starts again.
 #[tokio::test]
-async fn memory_goes_with_the_process() {
+async fn killed_engine_loses_its_memory() {
     let fleet = Fleet::spawn(options()).unwrap();
     let engine = &fleet.engines[0];
     engine.service().stall(hickory_model::batch::Stall::After(0));
@@ -148,7 +148,7 @@
 
 /// Three engines hold a prompt of a million tokens between them.
 #[tokio::test]
-async fn prompt_greater_than_one_engine_is_answered() {
+async fn prompt_larger_than_one_engine_is_answered() {
     let fleet = Fleet::spawn(options()).unwrap();
     let targets = Targets::open(TIMEOUT);
     let prompt: String = (0..400_000).map(|n| format!("{n:09} ")).collect();
@@ -174,7 +174,7 @@
 /// The engine that holds a linked part dies while the last one waits to
 /// generate: the stream fails by the engine's own word, and does not hang.
 #[tokio::test]
-async fn spread_prompt_fails_when_a_part_dies() {
+async fn linked_prompt_fails_when_an_engine_dies() {
     let mut options = options();
     options.engine.model.kv_capacity = size::Tokens(1_000);
     let fleet = Fleet::spawn(options).unwrap();
@@ -196,7 +196,7 @@
 /// Engines that are all ordered to load at once share the weight store's
 /// rate; each serves when its turn has come.
 #[tokio::test]
-async fn weights_come_through_the_store() {
+async fn weight_loads_share_the_store_rate() {
     let mut options = options();
     options.weights.loads = 1;
     options.weights.bytes_per_second = size::Bytes(1_000_000);
--- a/crates/standin/tests/core.rs
+++ b/crates/standin/tests/core.rs
@@ -1,6 +1,6 @@
 //! The core of the key-value service with the time passed in.
 
-use hickory_standin::rate::Rate;
+use hickory_standin::rate::RateLimit;
 use hickory_standin::store::Core;
 use hickory_store::store::{Error, Event, Expect, Lease, Revision, Write};
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn lease_lapses_when_its_time_is_over_and_not_before() {
+fn lease_expires_at_its_ttl_and_not_before() {
     let (mut core, start) = (Core::default(), Instant::now());
     let lease = core.grant(start, TTL);
     core.write(start, write("k", Expect::Absent, Some(lease))).unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn history_is_bounded_and_says_so() {
+fn bounded_history_reports_compaction() {
     let (mut core, now) = (Core::default(), Instant::now());
     for n in 0..10_005 {
         core.write(now, write(&format!("k/{}", n % 10), Expect::Any, None)).unwrap();
@@ -78,8 +78,8 @@
 #[test]
 fn calls_beyond_the_rate_wait_in_order() {
     let now = Instant::now();
-    let mut rate = Rate::open(now, 100);
-    let waits: Vec<u64> = (0..3).map(|_| rate.book(now).as_millis() as u64).collect();
+    let mut rate = RateLimit::open(now, 100);
+    let waits: Vec<u64> = (0..3).map(|_| rate.reserve(now).as_millis() as u64).collect();
     assert_eq!(waits, [0, 10, 20]);
-    assert_eq!(rate.book(now + Duration::from_secs(1)), Duration::ZERO);
+    assert_eq!(rate.reserve(now + Duration::from_secs(1)), Duration::ZERO);
 }
--- a/crates/standin/tests/fleet.rs
+++ b/crates/standin/tests/fleet.rs
@@ -87,5 +87,5 @@
     };
     let reply = targets.call(fleet.replicas[0].address(), call).await.unwrap();
     assert_eq!(reply.status, 200);
-    assert_eq!(fleet.replicas[1].service().runs().of("key-1"), 1);
+    assert_eq!(fleet.replicas[1].service().runs().count("key-1"), 1);
 }
--- a/crates/standin/tests/memory.rs
+++ b/crates/standin/tests/memory.rs
@@ -23,7 +23,7 @@
 }
 
 /// What a client sees, call by call.
-async fn tell(store: &impl Store) -> Vec<String> {
+async fn run_calls(store: &impl Store) -> Vec<String> {
     let lease = store.grant(LONG).await;
     let bound = Write { lease: lease.clone().ok(), ..write("b", "2", Expect::Absent) };
     let large = write("c", &"x".repeat(1 << 21), Expect::Any);
@@ -53,18 +53,18 @@
 }
 
 #[tokio::test]
-async fn memory_and_socket_tell_the_same() {
+async fn memory_and_socket_return_the_same() {
     let server = store::spawn("127.0.0.1:0".parse().unwrap()).unwrap();
     let at = server.address();
     let platform = Platform::open(Address { store: at, hosts: at, weights: at }, LONG);
-    let (memory, socket) = (tell(&Memory::default()).await, tell(&platform).await);
+    let (memory, socket) = (run_calls(&Memory::default()).await, run_calls(&platform).await);
     assert_eq!(memory, socket);
 }
 
 #[tokio::test]
 async fn faults_belong_to_one_client() {
     let one = Memory::default();
-    let other = one.join();
+    let other = one.new_client();
     one.set(|faults| faults.down = true);
     let lost = one.write(write("k", "1", Expect::Any)).await;
     assert!(matches!(lost, Err(Error::NotDone(_))));
@@ -82,7 +82,7 @@
 #[tokio::test]
 async fn stale_reads_belong_to_one_client() {
     let one = Memory::default();
-    let other = one.join();
+    let other = one.new_client();
     one.set_stale(true);
     other.write(write("k", "1", Expect::Absent)).await.unwrap();
     assert_eq!(one.get("k").await, Ok(None));
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -43,7 +43,7 @@
     let deadline = System.now() + MAX_WAIT;
     let mut claims = JoinSet::new();
     for node in 0..9 {
-        let store = service.join();
+        let store = service.new_client();
         store.set(|faults| {
             faults.delay = Duration::from_millis(2);
             faults.lose_answers = node % 3;
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn stored_outcomes() {
     let service = Memory::default();
-    let (a, b) = (open_ledger(&service.join()), open_ledger(&service.join()));
+    let (a, b) = (open_ledger(&service.new_client()), open_ledger(&service.new_client()));
     let key = Uuid::now_v7();
     let deadline = System.now() + MAX_WAIT;
     let Answer::Granted(claim) = a.claim(key, 7, deadline).await else {
@@ -103,7 +103,7 @@
 #[tokio::test]
 async fn accepted_note_reaches_all_nodes() {
     let service = Memory::default();
-    let (near, far, cut) = (service.join(), service.join(), service.join());
+    let (near, far, cut) = (service.new_client(), service.new_client(), service.new_client());
     cut.set(|faults| faults.down = true);
     near.set(|faults| faults.lose_answers = 1);
     let a = Manager::spawn(near, System);
@@ -164,7 +164,7 @@
 async fn planned_stop() {
     let service = Memory::default();
     let fleet = Fleet::default();
-    let nodes = ["a", "b", "c"].map(|name| spawn_node(service.join(), name, &fleet));
+    let nodes = ["a", "b", "c"].map(|name| spawn_node(service.new_client(), name, &fleet));
     let total = || nodes.iter().map(count_full).sum::<usize>();
     wait_for("all targets are served", || total() == 5).await;
     let most = nodes.iter().max_by_key(|node| count_full(node)).unwrap();
@@ -189,7 +189,7 @@
 async fn takeover() {
     let service = Memory::default();
     let fleet = Fleet::default();
-    let stores = [service.join(), service.join()];
+    let stores = [service.new_client(), service.new_client()];
     let nodes = [("a", 0), ("b", 1)].map(|(n, s)| spawn_node(stores[s].clone(), n, &fleet));
     wait_for("both serve", || nodes.iter().map(count_full).sum::<usize>() == 5).await;
     let lost = usize::from(count_full(&nodes[1]) > 0);
--- a/crates/store/tests/contract.rs
+++ b/crates/store/tests/contract.rs
@@ -183,7 +183,7 @@
 
     /// Returns whether the key `new` was written.
     fn is_written(&self) -> bool {
-        self.store.service().with(|core, now| core.get(now, "new")).is_some()
+        self.store.service().with_core(|core, now| core.get(now, "new")).is_some()
     }
 }
 
@@ -324,7 +324,7 @@
 #[tokio::test]
 async fn a_watch_from_before_the_history_reports_compaction() {
     let setup = Setup::open().await;
-    setup.store.service().with(|core, _| core.compact());
+    setup.store.service().with_core(|core, _| core.compact());
     let batch = setup.platform.watch("o", Revision(0), LONG_TIMEOUT).await.unwrap();
     assert!(batch.compacted);
     let (entries, revision) = setup.platform.list("o").await.unwrap();
@@ -407,7 +407,7 @@
     let host_list = hosts::spawn("127.0.0.1:0".parse().unwrap(), vec![host()]).unwrap();
     let platform = open_platform(host_list.address(), LONG_TIMEOUT);
     host_list.service().set_lag(LONG_TIMEOUT);
-    host_list.service().stand(&host().target, Standing::Leaving);
+    host_list.service().set_standing(&host().target, Standing::Leaving);
     assert_eq!(platform.hosts().await.unwrap()[0].standing, Standing::Live);
     host_list.service().set_lag(Duration::ZERO);
     assert_eq!(platform.hosts().await.unwrap()[0].standing, Standing::Leaving);
--- a/crates/target/tests/contract.rs
+++ b/crates/target/tests/contract.rs
@@ -191,7 +191,7 @@
         row.0.apply(service.faults());
         let told = Told::from(targets.call(at, order_call("key", row.0.patience())).await);
         assert_eq!(told, row.1, "{row:?}");
-        assert_eq!(service.service().runs().of("key"), row.2, "{row:?}");
+        assert_eq!(service.service().runs().count("key"), row.2, "{row:?}");
     }
 }
 
@@ -207,7 +207,7 @@
     let before = Services::report(&targets, at).await.unwrap();
     service.faults().restart();
     targets.call(at, order_call("key", LONG)).await.unwrap();
-    assert_eq!(service.service().runs().of("key"), 2);
+    assert_eq!(service.service().runs().count("key"), 2);
     let after = Services::report(&targets, at).await.unwrap();
     assert_ne!(before.incarnation, after.incarnation);
     assert!(before.warmth > after.warmth, "cold after a restart");
@@ -218,8 +218,8 @@
 #[tokio::test]
 async fn cold_service_falls_over_under_a_full_share() {
     let options = hickory_standin::service::Options {
-        time: LONG,
-        calls_max: 10,
+        call_time: LONG,
+        max_calls: 10,
         warmth: 0,
         ..hickory_standin::service::Options::default()
     };
