--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,4 +1,5 @@
-//! Switches faults over HTTP, also of stand-ins that are dead or frozen.
+//! Switches faults of several stand-ins over HTTP on a separate port, so that killed and frozen
+//! stand-ins can be reached too.
 
 use crate::fault::{Faults, Switch};
 use crate::server::{self, Call, Reply, Service};
@@ -6,10 +7,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Applies a switch to one stand-in; `false` where it has no such fault.
+/// Applies a switch to one stand-in; returns `false` if it does not support the fault.
 type Apply = Arc<dyn Fn(&Switch) -> bool + Send + Sync>;
 
-/// The switchboard: `POST /fault/{name}` with a [`Switch`] as JSON.
+/// Fault switches of several stand-ins: `POST /fault/{name}` with a [`Switch`] as JSON.
 #[derive(Clone, Default)]
 pub struct Switchboard {
     stand_ins: Arc<BTreeMap<String, Apply>>,
@@ -54,7 +55,8 @@
     }
 }
 
-/// Applies a switch; may block until a port is closed or open again.
+/// Applies a switch; may block until a port is closed or open again. Returns `false` if the
+/// stand-in does not support the fault.
 pub(crate) fn apply_switch<S: Service>(faults: &Faults, service: &S, switch: &Switch) -> bool {
     faults.apply(switch) || service.switch(switch)
 }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small platform within one process.
+//! A small fleet in one process: the platform's services, engines and replicas.
 
 use crate::control::Switchboard;
 use crate::{engine, hosts, service, store, weights};
@@ -8,24 +8,24 @@
 use hickory_unit::{id, size};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// What to start.
+/// The size of the fleet and the behaviour of its members.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where everything listens; each part takes a free port.
+    /// IP address on which all stand-ins listen; each uses a free port.
     pub listen: std::net::IpAddr,
-    /// Zones; targets are spread over them in turn.
+    /// Zones; targets are assigned to them in round-robin order.
     pub zones: Vec<id::Zone>,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// How each engine behaves.
+    /// Behaviour of each engine.
     pub engine: engine::Options,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub replicas: usize,
     /// The name of the plain service.
     pub service: id::Service,
-    /// How each replica behaves.
+    /// Behaviour of each replica.
     pub replica: service::Options,
-    /// What the weight store bears.
+    /// The limit of the weight store.
     pub weights: Limit,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// The running platform; stops when dropped.
+/// The running fleet; stops when dropped.
 #[derive(Debug)]
 pub struct Fleet {
     /// The key-value service.
@@ -61,7 +61,7 @@
 }
 
 impl Fleet {
-    /// Starts all parts.
+    /// Starts all stand-ins.
     pub fn spawn(options: Options) -> std::io::Result<Self> {
         let any = SocketAddr::new(options.listen, 0);
         let weights = weights::spawn(any, options.weights)?;
@@ -81,7 +81,7 @@
         Ok(Self { store, hosts, weights, engines, replicas, service })
     }
 
-    /// Where each part listens, by name.
+    /// Returns the name and address of each stand-in.
     pub fn addresses(&self) -> Vec<(String, SocketAddr)> {
         let mut all = vec![
             ("store".to_owned(), self.store.address()),
@@ -93,7 +93,7 @@
         all
     }
 
-    /// A switchboard of the faults of all parts, by name.
+    /// Creates a switchboard with the faults of all stand-ins, by name.
     pub fn switchboard(&self) -> Switchboard {
         let mut switchboard = Switchboard::default();
         switchboard.add("store", &self.store);
@@ -107,7 +107,7 @@
         switchboard
     }
 
-    /// Where the platform's services listen.
+    /// Returns the addresses of the platform's services.
     pub fn platform(&self) -> Address {
         let (store, hosts) = (self.store.address(), self.hosts.address());
         Address { store, hosts, weights: self.weights.address() }
--- a/crates/standin/src/hosts.rs
+++ b/crates/standin/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list, which lags behind.
+//! The host list, which callers can see with a delay.
 
 use crate::fault::Switch;
 use crate::server::{self, Call, Reply};
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 struct State {
     lag: Duration,
-    /// What was set, and when; the front is what callers see.
+    /// The lists that were set, with the time of each; callers see the front one.
     history: VecDeque<(Instant, Vec<Host>)>,
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl List {
-    /// Sets the whole list; callers see it after the lag.
+    /// Replaces the list; callers see the new one after the lag.
     pub fn set(&self, hosts: Vec<Host>) {
         self.lock().history.push_back((Instant::now(), hosts));
     }
 
-    /// Sets how far the list lags behind.
+    /// Sets the delay after which callers see a change.
     pub fn set_lag(&self, lag: Duration) {
         self.lock().lag = lag;
     }
@@ -40,19 +40,19 @@
         self.set(hosts);
     }
 
-    /// Takes a target off the list.
+    /// Removes a target from the list.
     pub fn remove(&self, target: &id::Target) {
         let mut hosts = self.current();
         hosts.retain(|host| host.target != *target);
         self.set(hosts);
     }
 
-    /// The list without the lag.
+    /// Returns the current list, without the lag.
     pub fn current(&self) -> Vec<Host> {
         self.lock().history.back().map(|(_, hosts)| hosts.clone()).unwrap_or_default()
     }
 
-    /// The list as callers see it now.
+    /// Returns the list that callers see now.
     pub fn visible(&self) -> Vec<Host> {
         let mut state = self.lock();
         let lag = state.lag;
@@ -70,7 +70,7 @@
 /// A running host list.
 pub type Handle = server::Handle<List>;
 
-/// Serves `hosts`, with no lag at first.
+/// Starts a host list of `hosts` without lag.
 pub fn spawn(listen: SocketAddr, hosts: Vec<Host>) -> std::io::Result<Handle> {
     let list = List::default();
     list.set(hosts);
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,5 +1,5 @@
-//! The state of the key-value service, without input or output: entries with
-//! revisions, leases, and the changes that watches see.
+//! The state machine of the key-value service, without I/O: entries with revisions, leases, and
+//! the change history that watches read.
 
 use hickory_store::store::{
     Batch, Entry, Error, Event, Expect, Lease, MAX_VALUE_SIZE, Revision, Write,
@@ -7,10 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Changes kept for watches; older ones make a watch answer `compacted`.
+/// Number of change events kept for watches. A watch from an earlier revision is answered with
+/// `compacted`.
 const MAX_HISTORY_EVENTS: usize = 10_000;
 
-/// The state of the key-value service, without input or output.
+/// The state machine of the key-value service, without I/O.
 #[derive(Debug, Default)]
 pub struct Core {
     entries: Entries,
@@ -28,25 +29,26 @@
 }
 
 impl Core {
-    /// Reads a key.
+    /// Returns the entry of `key`.
     pub fn get(&mut self, now: Instant, key: &str) -> Option<Entry> {
         self.expire(now);
         self.entries.get(key).map(|(entry, _)| entry.clone())
     }
 
-    /// Reads all keys that begin with `prefix`.
+    /// Returns all entries whose key starts with `prefix`, and the revision.
     pub fn list(&mut self, now: Instant, prefix: &str) -> (Vec<Entry>, Revision) {
         self.expire(now);
         (list_entries(&self.entries, prefix), self.revision())
     }
 
-    /// The entries as they are now.
+    /// Returns a copy of all entries.
     pub fn snapshot(&mut self, now: Instant) -> Snapshot {
         self.expire(now);
         Snapshot { entries: self.entries.clone(), revision: self.revision() }
     }
 
-    /// Writes or removes a key.
+    /// Writes a key, or removes it if the write has no value. Fails if the write's expectation about
+    /// the current entry is not met.
     pub fn write(&mut self, now: Instant, write: Write) -> Result<Revision, Error> {
         self.expire(now);
         if write.value.as_ref().is_some_and(|value| value.len() as u64 > MAX_VALUE_SIZE.0) {
@@ -70,7 +72,7 @@
         Ok(self.apply(write.key, write.value, write.lease))
     }
 
-    /// The changes after `after`; `None` where there are none yet.
+    /// Returns the changes after revision `after`, or `None` if there are none yet.
     pub fn changes(&mut self, now: Instant, prefix: &str, after: Revision) -> Option<Batch> {
         self.expire(now);
         let revision = self.revision();
@@ -84,7 +86,7 @@
         (!events.is_empty()).then_some(Batch { events, revision, compacted: false })
     }
 
-    /// Opens a lease.
+    /// Grants a lease.
     pub fn grant(&mut self, now: Instant, ttl: Duration) -> Lease {
         self.expire(now);
         self.next_lease += 1;
@@ -92,7 +94,7 @@
         Lease(self.next_lease)
     }
 
-    /// Renews a lease for its full time.
+    /// Renews a lease for its full TTL.
     pub fn renew(&mut self, now: Instant, lease: Lease) -> Result<(), Error> {
         self.expire(now);
         let granted = self.leases.get_mut(&lease.0).ok_or(Error::LeaseLapsed)?;
@@ -100,7 +102,7 @@
         Ok(())
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     pub fn revoke(&mut self, now: Instant, lease: Lease) -> Result<(), Error> {
         self.expire(now);
         self.leases.remove(&lease.0).ok_or(Error::LeaseLapsed)?;
@@ -108,23 +110,23 @@
         Ok(())
     }
 
-    /// Forgets all changes so far: a watch from before must list anew.
+    /// Discards the change history: a watch from an earlier revision has to list again.
     pub fn compact(&mut self) {
         self.history.clear();
         self.compacted_revision = self.revision;
     }
 
-    /// The revision of the last write.
+    /// Returns the revision of the last write.
     pub fn revision(&self) -> Revision {
         Revision(self.revision)
     }
 
-    /// When the next lease expires.
+    /// Returns when the next lease expires.
     pub fn next_lease_expiry(&self) -> Option<Instant> {
         self.leases.values().map(|granted| granted.expires_at).min()
     }
 
-    /// Removes what lapsed leases held.
+    /// Removes expired leases and their keys.
     pub fn expire(&mut self, now: Instant) {
         let expired: Vec<u64> = self
             .leases
@@ -176,7 +178,7 @@
     found.map(|(_, (entry, _))| entry.clone()).collect()
 }
 
-/// The entries at one moment.
+/// The entries at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     entries: Entries,
@@ -184,12 +186,12 @@
 }
 
 impl Snapshot {
-    /// Reads a key.
+    /// Returns the entry of `key`.
     pub fn get(&self, key: &str) -> Option<Entry> {
         self.entries.get(key).map(|(entry, _)| entry.clone())
     }
 
-    /// Reads all keys that begin with `prefix`.
+    /// Returns all entries whose key starts with `prefix`, and the revision.
     pub fn list(&self, prefix: &str) -> (Vec<Entry>, Revision) {
         (list_entries(&self.entries, prefix), self.revision)
     }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,23 +1,25 @@
-//! Small stand-ins for the platform and the targets, with faults on request.
+//! Stand-ins for the platform's services, for engines and for plain services. They are test
+//! doubles that listen on real sockets and inject faults on request.
 //!
-//! | stand-in | calls |
+//! | module | calls |
 //! |---|---|
 //! | [`store`] | `GET /kv/get?key=`, `GET /kv/list?prefix=`, `POST /kv/write`, `GET /kv/watch?prefix=&after=&wait_ms=`, `POST /lease/grant`, `/lease/renew`, `/lease/revoke`; `GET /counts` |
 //! | [`hosts`] | `GET /hosts` |
 //! | [`weights`] | `GET /limit`; engines read by `GET /read?bytes=` |
-//! | [`engine`] | `POST /v1/generate`, `/v1/resume` (JSON lines), `/v1/cancel`, `/v1/order`, `/v1/import`, `/v1/drop`, `GET /v1/report`, `/v1/cache-events?after=`; engines among themselves `POST /v1/export` |
+//! | [`engine`] | `POST /v1/generate`, `/v1/resume` (JSON lines), `/v1/cancel`, `/v1/order`, `/v1/import`, `/v1/drop`, `GET /v1/report`, `/v1/cache-events?after=`; between engines `POST /v1/export` |
 //! | [`service`] | `POST /call/<path>`, `GET /report`; `GET /runs` counts runs by idempotency key |
 //! | [`control`] | `POST /fault/<name>` |
 //!
-//! Every stand-in also takes `POST /fault` itself, as long as it can answer.
+//! Every stand-in also accepts `POST /fault` on its own port while its process is up and not
+//! frozen.
 //!
-//! A client that goes away does not stop a stream: the engine keeps it until
-//! it is cancelled, or ended and read. An ended stream frees its memory at
-//! once and answers a resume for a few seconds more.
+//! A stream continues after its client disconnects: the engine keeps the stream until it is
+//! cancelled, or until it has ended and been read. A stream that ended frees its KV memory
+//! immediately, and can still be resumed for a few seconds.
 //!
-//! Each `spawn` listens on a real socket and returns a handle that stops the
-//! stand-in when dropped. All run on one runtime of the process, so a handle
-//! can be made and used with or without an executor at hand.
+//! Each `spawn` function returns a handle that stops the stand-in when dropped. All stand-ins of
+//! a process share one Tokio runtime, so callers can create and use a handle outside of any
+//! async runtime.
 
 pub mod control;
 pub mod engine;
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -1,30 +1,30 @@
-//! The key-value service within a process, for tests without sockets.
+//! An in-process key-value service for tests without sockets.
 
 use crate::store::{Shared, Snapshot};
 use hickory_store::store::{Batch, Entry, Error, Lease, Revision, Store, Write};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// What goes wrong with the calls of one [`Memory`].
+/// Faults that act on the calls of one [`Memory`].
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Every call ends at once without effect.
+    /// Every call fails immediately and has no effect.
     pub down: bool,
-    /// Every call ends without an answer and without effect.
+    /// Every call ends without an answer and has no effect, as after a timeout.
     pub silent: bool,
-    /// So many of the next writes take effect, and their answers are lost.
+    /// Number of next writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// So many of the next writes are lost before they take effect, and the
-    /// caller can't tell.
+    /// Number of next writes that are lost before they take effect; the caller sees an unknown
+    /// outcome.
     pub lose_writes: u32,
-    /// Each call takes this long.
+    /// Delay before each call.
     pub delay: Duration,
-    /// Gets and lists show this; see [`Memory::set_stale`].
+    /// Snapshot that answers gets and lists; see [`Memory::set_stale`].
     pub stale: Option<Snapshot>,
 }
 
-/// One client's view of a key-value service that lives in the process; views
-/// made by [`Memory::new_client`] share the state but not the faults.
+/// One client of an in-process key-value service. Clients created by [`Memory::new_client`] share
+/// the state but not the faults.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     shared: Shared,
@@ -32,7 +32,7 @@
 }
 
 impl Memory {
-    /// Another client of the same service, with faults of its own.
+    /// Creates another client of the same service, with separate faults.
     pub fn new_client(&self) -> Self {
         Self { shared: self.shared.clone(), faults: Arc::default() }
     }
@@ -42,14 +42,13 @@
         change(&mut self.lock());
     }
 
-    /// Makes the reads of this client show the state of now until switched
-    /// off.
+    /// Makes the reads of this client return the present state until switched off.
     pub fn set_stale(&self, stale: bool) {
         let snapshot = stale.then(|| self.shared.with_core(|core, now| core.snapshot(now)));
         self.set(|faults| faults.stale = snapshot);
     }
 
-    /// The service itself, past all faults.
+    /// Returns the service itself, which bypasses the client's faults.
     pub fn shared(&self) -> &Shared {
         &self.shared
     }
--- a/crates/standin/src/peer.rs
+++ b/crates/standin/src/peer.rs
@@ -1,4 +1,4 @@
-//! What an engine asks of other stand-ins: KV caches of engines, and weights.
+//! The calls of an engine to other stand-ins: KV cache exports of other engines, and weights.
 
 use bytes::Bytes;
 use hickory_model::handle::Export;
@@ -11,10 +11,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long another engine may take to describe a KV cache.
+/// Timeout for the export of a KV cache by another engine.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The client of an engine.
+/// The HTTP client of an engine.
 #[derive(Debug)]
 pub(crate) struct Peers {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -22,14 +22,14 @@
 
 impl Peers {
     pub(crate) fn open() -> Self {
-        // Each call has a connection of its own: one that another stand-in's
-        // faults have silenced is never met again.
+        // Each call opens a new connection, so that a connection silenced by another stand-in's
+        // faults is not reused.
         let builder = &mut Client::builder(TokioExecutor::new());
         Self { client: builder.pool_max_idle_per_host(0).build_http() }
     }
 
-    /// Asks the engine at `at` to describe a KV cache; `None` where it does
-    /// not hold it or does not answer.
+    /// Requests the description of a KV cache from the engine at `at`. Returns `None` if the
+    /// engine does not hold it or does not answer.
     pub(crate) async fn export(&self, at: SocketAddr, handle: &Handle) -> Option<Export> {
         let body = serde_json::to_vec(handle).ok()?;
         let exchange = self.call("POST", format!("http://{at}/v1/export"), body);
@@ -37,7 +37,7 @@
         serde_json::from_slice(&answer).ok()
     }
 
-    /// Reads weights; `false` where the weight store is busy or away.
+    /// Reads weights; returns `false` if the weight store is busy or unreachable.
     pub(crate) async fn read_weights(&self, at: SocketAddr, bytes: size::Bytes) -> bool {
         let uri = format!("http://{at}/read?bytes={bytes}");
         self.call("GET", uri, Vec::new()).await.is_some()
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,9 +1,8 @@
-//! A bound on calls a second: calls beyond it wait in the order in which they
-//! come, as behind a slow service.
+//! A rate limit: excess calls wait in arrival order, as if they queued for a slow service.
 
 use std::time::{Duration, Instant};
 
-/// The calls of one kind.
+/// The rate limit for one kind of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
     interval: Duration,
@@ -11,12 +10,12 @@
 }
 
 impl RateLimit {
-    /// At most `per_second` calls.
+    /// Creates a limit of `per_second` calls per second.
     pub fn open(now: Instant, per_second: u32) -> Self {
         Self { interval: Duration::from_secs(1) / per_second.max(1), next_start: now }
     }
 
-    /// How long a call that comes now waits.
+    /// Reserves the next slot and returns how long the call has to wait for it.
     pub fn reserve(&mut self, now: Instant) -> Duration {
         let start = self.next_start.max(now);
         self.next_start = start + self.interval;
--- a/crates/standin/src/reader.rs
+++ b/crates/standin/src/reader.rs
@@ -1,5 +1,5 @@
-//! Who reads the streams of an engine. A stream lives without a reader; the
-//! last reader that came has it, and one before it is cut.
+//! Readers of an engine's streams. A stream continues without a reader. It has one reader at a
+//! time: when a new reader attaches, the connection of the previous one is cut.
 
 use crate::engine::{ProcessState, Simulator};
 use crate::server::Piece;
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
-/// Readers kept before those of forgotten streams are swept.
+/// Minimum number of readers at which those of removed streams are swept.
 const MIN_SWEEP_THRESHOLD: usize = 1_024;
 
 /// The readers of one engine.
@@ -37,29 +37,30 @@
         }
     }
 
-    /// The number of a new reader, before whom all others give way; `None`
-    /// where there is no such stream.
+    /// Attaches a new reader, which supersedes all earlier ones, and returns its generation.
+    /// Returns `None` if the stream is unknown.
     pub(crate) fn attach(&mut self, stream: &id::Stream) -> Option<u64> {
         let reader = self.all.get_mut(stream)?;
         reader.generation += 1;
         Some(reader.generation)
     }
 
-    /// Forgets a stream.
+    /// Removes a stream.
     pub(crate) fn remove(&mut self, stream: &id::Stream) {
         self.all.remove(stream);
     }
 }
 
-/// Whether lines were the last ones.
+/// State of a reader after a batch of lines: more follow, the stream has ended, or the
+/// connection has to be cut.
 enum Status {
     Open,
     End,
     Cut,
 }
 
-/// Sends the tokens of a stream as they come, until its end, until a later
-/// reader takes over, or until the connection is gone; the stream lives on.
+/// Sends the events of a stream until it ends, a later reader attaches or the connection closes.
+/// The stream itself continues in the last two cases.
 pub(crate) async fn stream_events(
     simulator: Simulator,
     stream: id::Stream,
--- a/crates/standin/src/socket.rs
+++ b/crates/standin/src/socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a stand-in, on which its faults act.
+//! A connection of a stand-in that stops reading and writing while a fault blocks it.
 
 use crate::fault::Faults;
 use std::pin::Pin;
@@ -6,8 +6,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket that says nothing while its stand-in is frozen, or for good once
-/// it was silenced.
+/// A socket that does no I/O while its stand-in is frozen, and none at all once it is silenced.
 pub(crate) struct Gated {
     stream: TcpStream,
     number: u64,
@@ -15,7 +14,7 @@
 }
 
 impl Gated {
-    /// The socket of connection `number`.
+    /// Wraps the socket of connection `number`.
     pub(crate) fn open(stream: TcpStream, number: u64, faults: Faults) -> Self {
         let _ = stream.set_nodelay(true);
         Self { stream, number, faults }
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service: shared by tasks, and served over HTTP.
+//! The key-value service, shared between tasks and served over HTTP.
 
 use crate::fault::Switch;
 use crate::rate::RateLimit;
@@ -13,7 +13,7 @@
 pub use crate::kv::{Core, Snapshot};
 pub use crate::memory::Memory;
 
-/// Calls that a key-value service has had; a waiting watch counts as one.
+/// Calls that a key-value service has received; a waiting watch counts as one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Counts {
     /// Gets and lists.
@@ -26,7 +26,7 @@
     pub leases: u64,
 }
 
-/// A core that tasks share, with a wake-up for watches.
+/// A [`Core`] that is shared between tasks and wakes up watches.
 #[derive(Clone, Debug)]
 pub struct Shared {
     core: Arc<Mutex<Core>>,
@@ -36,7 +36,7 @@
     rates: Arc<Mutex<RateLimits>>,
 }
 
-/// The bounds on calls a second; none where absent.
+/// The rate limits; `None` means no limit.
 #[derive(Clone, Copy, Debug, Default)]
 struct RateLimits {
     reads: Option<RateLimit>,
@@ -52,7 +52,7 @@
 }
 
 impl Shared {
-    /// Calls `act` on the core at the present time.
+    /// Calls `act` with the core and the present time.
     pub fn with_core<T>(&self, act: impl FnOnce(&mut Core, Instant) -> T) -> T {
         let mut core = lock(&self.core);
         let result = act(&mut core, Instant::now());
@@ -61,21 +61,21 @@
         result
     }
 
-    /// Makes reads show the state of now until switched off; writes and
-    /// watches go on.
+    /// Makes reads return the present state until switched off; writes and watches are not
+    /// affected.
     pub fn set_stale(&self, stale: bool) {
         let snapshot = stale.then(|| self.with_core(Core::snapshot));
         *lock(&self.stale) = snapshot;
     }
 
-    /// Bounds the calls a second that come over HTTP; zero for no bound.
+    /// Limits the calls per second over HTTP; zero means no limit.
     pub fn set_rates(&self, reads: u32, writes: u32) {
         let now = Instant::now();
         let open = |per_second| (per_second > 0).then(|| RateLimit::open(now, per_second));
         *lock(&self.rates) = RateLimits { reads: open(reads), writes: open(writes) };
     }
 
-    /// How long a call waits for its turn.
+    /// Reserves a slot under the rate limit and returns how long the call has to wait for it.
     fn reserve(&self, call: &server::Call) -> Duration {
         let rates = &mut *lock(&self.rates);
         let is_read = call.method == http::Method::GET;
@@ -83,7 +83,7 @@
         rate.as_mut().map_or(Duration::ZERO, |rate| rate.reserve(Instant::now()))
     }
 
-    /// The calls so far.
+    /// Returns the counts of calls so far.
     pub fn counts(&self) -> Counts {
         *lock(&self.counts)
     }
@@ -92,7 +92,7 @@
         add(&mut lock(&self.counts));
     }
 
-    /// Reads a key.
+    /// Returns the entry of `key`.
     pub fn get(&self, key: &str) -> Option<Entry> {
         self.count(|counts| counts.reads += 1);
         if let Some(snapshot) = &*lock(&self.stale) {
@@ -101,7 +101,7 @@
         self.with_core(|core, now| core.get(now, key))
     }
 
-    /// Reads all keys that begin with `prefix`.
+    /// Returns all entries whose key starts with `prefix`, and the revision.
     pub fn list(&self, prefix: &str) -> (Vec<Entry>, Revision) {
         self.count(|counts| counts.reads += 1);
         if let Some(snapshot) = &*lock(&self.stale) {
@@ -110,31 +110,31 @@
         self.with_core(|core, now| core.list(now, prefix))
     }
 
-    /// Writes or removes a key.
+    /// Writes a key, or removes it if the write has no value.
     pub fn write(&self, write: Write) -> Result<Revision, Error> {
         self.count(|counts| counts.writes += 1);
         self.with_core(|core, now| core.write(now, write))
     }
 
-    /// Opens a lease.
+    /// Grants a lease.
     pub fn grant(&self, ttl: Duration) -> Lease {
         self.count(|counts| counts.leases += 1);
         self.with_core(|core, now| core.grant(now, ttl))
     }
 
-    /// Renews a lease for its full time.
+    /// Renews a lease for its full TTL.
     pub fn renew(&self, lease: Lease) -> Result<(), Error> {
         self.count(|counts| counts.leases += 1);
         self.with_core(|core, now| core.renew(now, lease))
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     pub fn revoke(&self, lease: Lease) -> Result<(), Error> {
         self.count(|counts| counts.leases += 1);
         self.with_core(|core, now| core.revoke(now, lease))
     }
 
-    /// Waits at most `wait` for changes after `after`.
+    /// Waits up to `wait` for changes after revision `after`; returns an empty batch on timeout.
     pub async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Batch {
         self.count(|counts| counts.watches += 1);
         let mut written = self.written.subscribe();
@@ -162,7 +162,7 @@
 /// A running key-value service.
 pub type Handle = server::Handle<Shared>;
 
-/// Serves an empty key-value service.
+/// Starts an empty key-value service.
 pub fn spawn(listen: SocketAddr) -> std::io::Result<Handle> {
     server::spawn(listen, Shared::default())
 }
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: its limit, and the reads that engines make under it.
+//! The weight store: publishes its limit and simulates reads of weights under that limit.
 
 use crate::server::{self, Call, Reply};
 use hickory_model::pipe::{Busy, Pipe};
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The weight store. A read beyond the limit is refused, so that engines
-/// which are all ordered to load at once lose time.
+/// The weight store. A read beyond the limit is refused and has to be retried, so loading all
+/// engines at the same time is slow.
 #[derive(Clone, Debug)]
 pub struct Weights {
     limit: Limit,
@@ -19,7 +19,7 @@
 /// A running weight store.
 pub type Handle = server::Handle<Weights>;
 
-/// Serves under `limit`.
+/// Starts a weight store with `limit`.
 pub fn spawn(listen: SocketAddr, limit: Limit) -> std::io::Result<Handle> {
     let pipe = Pipe::open(limit.bytes_per_second, limit.loads as usize);
     server::spawn(listen, Weights { limit, pipe: Arc::new(Mutex::new(pipe)) })
