--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -1,7 +1,7 @@
-//! The stand-ins' own ceilings, so that an experiment knows when it measures
-//! them: tokens a second out of one engine, calls a second to the key-value
-//! service and to a plain service, and the time to a first token with nothing
-//! in between. The clients run in the same process and are part of it.
+//! Maximum throughput of the stand-ins, to tell when an experiment is limited by them: tokens per
+//! second of one engine, calls per second of the key-value service and of a plain service, and the
+//! time to first token on a direct connection. The clients run in the same process and are included
+//! in the results.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use futures::StreamExt;
@@ -22,10 +22,10 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Clients that call at the same time.
+/// Number of concurrent clients.
 const CLIENTS: usize = 32;
 
-/// Calls of each client in a round.
+/// Number of calls of each client per round.
 const CALLS: usize = 50;
 
 fn any() -> SocketAddr {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Reads whole streams; each batch of lines may hold many tokens.
+/// Reads complete streams concurrently; a batch of lines may contain many tokens.
 async fn read_streams(targets: &Targets, at: SocketAddr, streams: usize, tokens: u64) {
     let read = |_| async {
         let mut stream = targets.generate(at, &generate(tokens)).await.expect("a stream");
@@ -73,7 +73,7 @@
         .expect("an engine")
 }
 
-/// The time of `rounds` rounds of `round`.
+/// Returns the duration of `rounds` sequential runs of `round`.
 fn time<F: Future<Output = ()>>(runtime: &Runtime, rounds: u64, round: impl Fn() -> F) -> Duration {
     let started = Instant::now();
     runtime.block_on(async {
@@ -88,7 +88,7 @@
     let (runtime, targets) = (runtime(), Targets::open(TIMEOUT));
     let mut group = c.benchmark_group("engine_tokens");
     group.sample_size(10).measurement_time(Duration::from_secs(4));
-    // All tokens as fast as the stand-in can make and send them.
+    // The engine generates and sends tokens without a delay.
     let unpaced = spawn_engine(Model { speed: 1e6, streams_max: 256, ..Model::default() });
     group.throughput(Throughput::Elements(256 * 200));
     group.bench_function("unpaced_256_streams", |b| {
@@ -96,8 +96,8 @@
             time(&runtime, n, || read_streams(&targets, unpaced.address(), 256, 200))
         });
     });
-    // One token a stream each 10 ms, so that each token is a write of its
-    // own: at most 51,200 a second from 512 streams.
+    // One token per stream every 10 ms, so that each token is a separate write: at most 51,200
+    // tokens per second from 512 streams.
     let step = Duration::from_millis(10);
     let (step_stream, step_kv) = (Duration::ZERO, Duration::ZERO);
     let paced = Model { step, step_stream, step_kv, streams_max: 512, ..Model::default() };
@@ -170,7 +170,7 @@
     group.finish();
 }
 
-/// Each client makes its calls one after another, all clients at once.
+/// Runs all clients concurrently; each makes its calls sequentially.
 async fn in_parallel<F: Future<Output = ()>>(call: impl Fn(usize) -> F) {
     let client = |number| {
         let call = &call;
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: the cost model behind HTTP.
+//! A simulated model engine: serves the cost model over HTTP.
 
 use crate::fault::{Faults, RunState, Switch};
 use crate::peer::Peers;
@@ -15,38 +15,38 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How often an engine looks whether the linked KV caches that its streams
-/// use are still held by other engines.
+/// Interval at which an engine checks that other engines still hold the linked KV caches that its
+/// streams use.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an engine waits before it asks a busy weight store again.
+/// Delay before an engine retries a read from a busy weight store.
 const WEIGHTS_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How an engine behaves.
+/// Behaviour of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The cost model. After a restart the engine is cold, whatever the
-    /// warmth given here for its first start.
+    /// The cost model. Its warmth applies to the first start; after a restart the engine is cold.
     pub model: Model,
-    /// Weights held at the start, beside those that the cost model names.
+    /// Weights that are loaded at the start, in addition to those in the cost model.
     pub loaded: Vec<Weights>,
-    /// Where weights are read from; without one they are there at once.
+    /// Address of the weight store; if `None`, weights load instantly.
     pub weights: Option<SocketAddr>,
-    /// When it starts again after a crash; never without.
+    /// Delay of the restart after a crash; if `None`, the engine is not restarted.
     pub restart_after: Option<Duration>,
-    /// It crashes when it runs a prompt that contains this.
+    /// The engine crashes when it runs a prompt that contains this text.
     pub crash_marker: Option<String>,
-    /// It resumes streams from their first token, wherever it is asked to.
+    /// Whether the engine ignores the requested position and resumes each stream from its first
+    /// token.
     pub ignores_resume_position: bool,
 }
 
-/// What an engine process holds in memory.
+/// State of an engine process, which is lost when the process dies.
 #[derive(Debug)]
 pub(crate) struct ProcessState {
     pub(crate) engine: Engine,
     pub(crate) readers: Readers,
     crash_marker: Option<String>,
-    /// Whether the crash of `engine` has been acted on.
+    /// Whether the crash of `engine` has already killed the process.
     is_crash_handled: bool,
 }
 
@@ -69,7 +69,7 @@
 /// A running engine.
 pub type Handle = server::Handle<Simulator>;
 
-/// Serves an engine.
+/// Starts an engine.
 pub fn spawn(listen: SocketAddr, mut options: Options) -> std::io::Result<Handle> {
     options.model.loaded.append(&mut options.loaded);
     let faults = Faults::none();
@@ -93,35 +93,35 @@
 }
 
 impl Simulator {
-    /// Calls `act` on the cost model, past all faults and without lag.
+    /// Calls `act` on the cost model; faults and report lag do not apply.
     pub fn with_engine<T>(&self, act: impl FnOnce(&mut Engine) -> T) -> T {
         act(&mut self.lock().engine)
     }
 
-    /// KV memory in use by streams, handles and pins now.
+    /// Returns the KV memory that streams, handles and pins use now.
     pub fn kv_used(&self) -> size::Tokens {
         self.with_engine(|engine| engine.kv_used())
     }
 
-    /// Sets the text by which a prompt crashes the engine that runs it.
+    /// Sets the text that crashes the engine when it runs a prompt that contains it.
     pub fn set_crash_marker(&self, marker: Option<String>) {
         self.lock().crash_marker = marker;
     }
 
-    /// Turns cold without a word.
+    /// Makes the engine cold without reporting the change.
     pub fn turn_cold(&self) {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.turn_cold(now));
     }
 
-    /// Stops the streams from moving on, or lets them again.
+    /// Stalls the streams, or lets them continue.
     pub fn stall(&self, stall: Stall) {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.set_stall(now, stall));
         self.inner.work.notify_one();
     }
 
-    /// Runs the steps of the cost model as their time comes.
+    /// Runs each step of the cost model when it is due.
     async fn run_steps(self) {
         let mut changes = self.inner.faults.run_state();
         loop {
@@ -151,15 +151,14 @@
         }
     }
 
-    /// Fails the streams whose KV cache lies partly on an engine that is
-    /// gone, or that has dropped it.
+    /// Fails the streams that use a linked KV cache whose engine is unreachable or has dropped it.
     async fn check_links(self) {
         let run_state = self.inner.faults.run_state();
         let mut ticked = self.inner.ticked.subscribe();
         while *run_state.borrow() != RunState::Stopped {
             let links = self.with_engine(|engine| engine.links());
             if links.is_empty() {
-                // Links come with streams, and streams with ticks.
+                // Links are added only by new streams, and each new stream causes a tick.
                 let _ = ticked.changed().await;
             }
             tokio::time::sleep(LINK_CHECK_INTERVAL).await;
@@ -210,7 +209,7 @@
         let Some(number) = known else {
             return Reply::status(404, "no such stream");
         };
-        // Wakes an older reader, who gives way, also where nothing moves.
+        // Wakes an earlier reader so that it stops even if the stream makes no progress.
         self.inner.ticked.send_modify(|tick| *tick += 1);
         let (pieces, reply) = Reply::stream();
         let task = crate::reader::stream_events(self.clone(), stream.clone(), number, from, pieces);
@@ -242,7 +241,7 @@
         }
     }
 
-    /// Reads weights from the weight store, until they are there or no longer
+    /// Reads weights from the weight store, with retries until they are loaded or no longer
     /// wanted.
     async fn fetch(self, fetch: Fetch) {
         let incarnation = self.inner.faults.incarnation();
@@ -272,8 +271,8 @@
             Ok(time) => time,
             Err(refused) => return refuse(refused),
         };
-        // A task of its own: the copy arrives also when the caller that asked
-        // for it has gone, and would else be half there for good.
+        // A separate task completes the copy even if the caller disconnects; otherwise the import
+        // would stay incomplete forever.
         let copy = self.clone().finish_import(import.handle.clone(), time, incarnation);
         match tokio::spawn(copy).await {
             Ok(true) => Reply::json(&()),
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,7 +1,7 @@
-//! Faults between a stand-in and its clients, switched on by request.
+//! Fault injection between a stand-in and its clients, switched on by request.
 //!
-//! They act on the socket or on whole calls and know nothing of what the
-//! stand-in serves.
+//! These faults act on connections or on whole calls and are independent of what the stand-in
+//! serves.
 
 use hickory_store::host::Standing;
 use hickory_unit::clock::{self, Clock};
@@ -14,31 +14,31 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Whether the process of a stand-in lives.
+/// Run state of a stand-in's simulated process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub(crate) enum RunState {
-    /// It listens.
+    /// The process is running and its port is open.
     #[default]
     Up,
-    /// It is dead: its port is closed.
+    /// The process is dead and its port is closed; it can be restarted.
     Down,
-    /// It is gone for good.
+    /// The stand-in was dropped and can't be restarted.
     Stopped,
 }
 
-/// What goes wrong with a call as a whole.
+/// How a call is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Loss {
-    /// The call is cut before it takes effect.
+    /// The connection is cut before the call takes effect.
     Call,
-    /// The call takes effect, and the connection is cut before the answer.
+    /// The call takes effect, but the connection is cut before the answer.
     Answer,
-    /// The call takes effect, and no answer comes on the open connection.
+    /// The call takes effect, but no answer is sent and the connection stays open.
     Silence,
 }
 
-/// A fault to switch on or off, as `POST /fault` takes it.
+/// A fault to switch on or off; the body of `POST /fault`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Switch {
@@ -56,11 +56,11 @@
     SlowMs(u64),
     /// [`Faults::lose`].
     Lose {
-        /// What is lost.
+        /// How the calls are lost.
         loss: Loss,
-        /// How the path of the calls begins.
+        /// Prefix of the path of the calls.
         path: String,
-        /// How many calls.
+        /// Number of calls.
         count: u32,
     },
     /// [`Faults::cut`].
@@ -69,39 +69,37 @@
     Silence,
     /// [`Faults::clear`].
     Clear,
-    /// Engine or replica: it is cold again, without a word.
+    /// Engine or replica: it becomes cold again without reporting the change.
     TurnCold,
-    /// Engine: streams stop to move after so many tokens (0: before the
-    /// first); `null` lets them move again.
+    /// Engine: streams stall after a number of tokens (0: before the first one); `null` lets them
+    /// continue.
     Stall {
-        /// Tokens after which they stop.
+        /// Number of tokens after which the streams stall.
         after: Option<u64>,
     },
-    /// Engine: a prompt that contains this crashes the engine that runs it.
+    /// Engine: a prompt that contains this text crashes the engine that runs it.
     CrashMarker(Option<String>),
-    /// Key-value service: reads show the state of now until switched off.
+    /// Key-value service: reads return the present state until this is switched off.
     Stale(bool),
-    /// Key-value service: calls beyond so many a second wait; zero for no
-    /// bound.
+    /// Key-value service: limits the calls per second, excess calls wait; zero means no limit.
     Rate {
         /// Gets, lists and watches.
         reads: u32,
-        /// Writes and calls about leases.
+        /// Writes and lease calls.
         writes: u32,
     },
-    /// Key-value service: forget the changes so far.
+    /// Key-value service: discards the change history.
     Compact,
-    /// Host list, engine: how far the list or the load report lags behind, in
-    /// milliseconds.
+    /// Host list or engine: the delay of the list or of the load report, in milliseconds.
     LagMs(u64),
-    /// Host list: the standing of a target.
+    /// Host list: sets the standing of a target.
     Stand {
         /// The target.
         target: id::Target,
-        /// Its standing.
+        /// The new standing.
         standing: Standing,
     },
-    /// Host list: a target goes off the list.
+    /// Host list: removes a target from the list.
     Unlist(id::Target),
 }
 
@@ -136,7 +134,7 @@
     thawed: watch::Sender<bool>,
 }
 
-/// The switches of one stand-in; clones act on the same one.
+/// The fault switches of one stand-in; clones act on the same stand-in.
 #[derive(Clone, Debug)]
 pub struct Faults {
     inner: Arc<Inner>,
@@ -159,15 +157,14 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Kills the process: open connections are cut and the port is closed
-    /// when this returns.
+    /// Kills the process. When this returns, open connections are cut and the port is closed.
     pub fn kill(&self) {
         let transition = self.lock_transition();
         self.set_run_state(&transition, RunState::Down);
     }
 
-    /// Starts the process again as a new incarnation, on the same port; it
-    /// listens when this returns.
+    /// Restarts the process as a new incarnation on the same port. When this returns, the port is
+    /// open.
     pub fn restart(&self) {
         let transition = self.lock_transition();
         self.set_run_state(&transition, RunState::Down);
@@ -176,7 +173,7 @@
         self.set_run_state(&transition, RunState::Up);
     }
 
-    /// Kills the process and starts it again after `time`.
+    /// Kills the process and restarts it after `time`.
     pub fn down_for(&self, time: Duration) {
         self.kill();
         self.restart_after(time);
@@ -190,13 +187,13 @@
         });
     }
 
-    /// Kills the process from within its own runtime, and starts it again
-    /// after a while where one is given.
+    /// Kills the process from within its own runtime, and restarts it after `restart_after` if that
+    /// is set.
     pub(crate) fn crash(&self, restart_after: Option<Duration>) {
         let (faults, crashed) = (self.clone(), self.incarnation());
         crate::server::runtime().spawn_blocking(move || {
             let transition = faults.lock_transition();
-            // A restart may have come before: the new process did not crash.
+            // If the process was restarted in the meantime, the new one did not crash.
             if faults.incarnation() != crashed {
                 return;
             }
@@ -208,7 +205,7 @@
         });
     }
 
-    /// Applies a switch that every stand-in has; `false` for another one.
+    /// Applies a switch that every stand-in supports; returns `false` for any other switch.
     pub(crate) fn apply(&self, switch: &Switch) -> bool {
         match switch {
             Switch::Kill => self.kill(),
@@ -226,15 +223,14 @@
         true
     }
 
-    /// Freezes the process: connections are accepted, nothing is said and
-    /// nothing is done.
+    /// Freezes the process: connections are accepted, but nothing is read, processed or sent.
     pub fn freeze(&self) {
         self.lock().frozen_since.get_or_insert_with(Instant::now);
         self.inner.frozen.store(true, Ordering::SeqCst);
         self.inner.thawed.send_replace(false);
     }
 
-    /// Lets a frozen process go on.
+    /// Lets a frozen process continue.
     pub fn thaw(&self) {
         self.inner.frozen.store(false, Ordering::SeqCst);
         self.inner.thawed.send_replace(true);
@@ -246,41 +242,38 @@
         wakers.into_values().flatten().for_each(Waker::wake);
     }
 
-    /// Makes each call take `delay` longer; zero ends it.
+    /// Delays each call by `delay`; zero switches the delay off.
     pub fn slow(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// Loses the next `count` calls, or their answers, whose path begins with
-    /// `path`.
+    /// Loses the next `count` calls whose path starts with `path`, or their answers.
     pub fn lose(&self, loss: Loss, path: &str, count: u32) {
         self.lock().rules.push(Rule { path: path.into(), loss, remaining: count });
     }
 
-    /// Lets the next `count` writes of a key-value service take effect and
-    /// loses their answers.
+    /// Loses the answers of the next `count` writes to a key-value service; the writes take effect.
     pub fn lose_write_answers(&self, count: u32) {
         self.lose(Loss::Answer, "/kv/write", count);
     }
 
-    /// Loses the next `count` cancels of an engine before they take effect.
+    /// Loses the next `count` cancel calls to an engine before they take effect.
     pub fn lose_cancels(&self, count: u32) {
         self.lose(Loss::Call, "/v1/cancel", count);
     }
 
-    /// Cuts all open connections, within moments; new ones work.
+    /// Cuts all open connections shortly after the call; new connections work.
     pub fn cut(&self) {
         self.inner.cut_below.send_replace(self.inner.next_connection.load(Ordering::SeqCst));
     }
 
-    /// Makes all open connections silent for good, without closing them; new
-    /// ones work.
+    /// Permanently stops I/O on all open connections without closing them; new connections work.
     pub fn silence(&self) {
         let next = self.inner.next_connection.load(Ordering::SeqCst);
         self.inner.silent_below.store(next, Ordering::SeqCst);
     }
 
-    /// Ends slowness and losses and thaws; a dead process stays dead.
+    /// Switches off delays and losses, and thaws the process; a dead process stays dead.
     pub fn clear(&self) {
         let mut state = self.lock();
         state.delay = Duration::ZERO;
@@ -289,12 +282,12 @@
         self.thaw();
     }
 
-    /// The incarnation of the process; differs after each restart.
+    /// Returns the incarnation of the process, which changes with each restart.
     pub fn incarnation(&self) -> id::Incarnation {
         id::Incarnation(self.inner.incarnation.load(Ordering::SeqCst))
     }
 
-    /// The time as the process sees it: it stands still while frozen.
+    /// Returns the time as the process sees it; it does not advance while the process is frozen.
     pub(crate) fn now(&self) -> Instant {
         let state = self.lock();
         state.frozen_since.unwrap_or_else(Instant::now) - state.total_frozen
@@ -302,7 +295,7 @@
 
     pub(crate) fn stop(&self) {
         self.inner.run_state.send_replace(RunState::Stopped);
-        // Tasks of a frozen stand-in wait for the thaw, and would stay.
+        // Tasks of a frozen stand-in wait for the thaw and would never end.
         self.thaw();
     }
 
@@ -314,20 +307,20 @@
         self.inner.next_connection.fetch_add(1, Ordering::SeqCst)
     }
 
-    /// Ends when connection `number` is cut.
+    /// Waits until connection `number` is cut.
     pub(crate) async fn wait_cut(&self, number: u64) {
         let mut cut = self.inner.cut_below.subscribe();
         let _ = cut.wait_for(|below| number < *below).await;
     }
 
-    /// Ends when the process is not frozen.
+    /// Waits until the process is not frozen.
     pub(crate) async fn wait_thawed(&self) {
         let mut thawed = self.inner.thawed.subscribe();
         let _ = thawed.wait_for(|thawed| *thawed).await;
     }
 
-    /// Whether connection `number` may say nothing now; it is woken when it
-    /// may again.
+    /// Returns whether a fault blocks I/O on connection `number`. A connection of a frozen process
+    /// is woken by the thaw; a silenced one never is.
     pub(crate) fn blocks_io(&self, number: u64, waker: &Waker) -> bool {
         if number < self.inner.silent_below.load(Ordering::SeqCst) {
             return true;
@@ -336,8 +329,8 @@
             return false;
         }
         let mut state = self.lock();
-        // Checked again under the lock: a thaw in between has taken the
-        // wakers already, and this one would wait for good.
+        // Checked again under the lock: after a thaw in between, which has already woken and
+        // removed the wakers, this connection would never be woken.
         if !self.inner.frozen.load(Ordering::SeqCst) {
             return false;
         }
@@ -352,7 +345,7 @@
         self.lock().delay
     }
 
-    /// Takes the loss that is due for a call to `path`.
+    /// Returns the loss to apply to a call to `path` and counts it as used.
     pub(crate) fn take_loss(&self, path: &str) -> Option<Loss> {
         let mut state = self.lock();
         let rule = state.rules.iter_mut().find(|r| r.remaining > 0 && path.starts_with(&r.path))?;
@@ -362,14 +355,14 @@
         Some(loss)
     }
 
-    /// Says that the accept loop has done what `life` asks.
+    /// Confirms that the accept loop has applied `run_state`.
     pub(crate) fn acknowledge(&self, run_state: RunState) {
         self.lock().acknowledged = run_state;
         self.inner.acknowledged.notify_all();
     }
 
-    /// Kills and restarts go one after another: the accept loop sees only
-    /// the last of two that come together, and the first would wait for good.
+    /// Serializes kills and restarts. The accept loop sees only the last of two simultaneous
+    /// changes, so the caller of the first would wait forever for its confirmation.
     fn lock_transition(&self) -> MutexGuard<'_, ()> {
         self.inner.transition.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that all stand-ins share, with the faults at its socket.
+//! The HTTP server of all stand-ins, which applies the faults of connections and calls.
 
 use crate::control::apply_switch;
 use crate::fault::{Faults, Loss, RunState, Switch};
@@ -21,21 +21,21 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// Threads of the runtime: enough for a small fleet beside the tests that use
-/// it on the same machine.
+/// Worker threads of the runtime: enough for a small fleet next to the tests that use it on the
+/// same machine.
 const WORKER_THREADS: usize = 3;
 
-/// Time for the answer to a switch to go out before it is applied.
+/// Delay before a switch is applied, so that its answer can be sent first.
 const SWITCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Connections that wait to be accepted: a burst of hundreds of streams must
-/// not meet the second that TCP takes to send a lost SYN again.
+/// Length of the accept queue. If a burst of hundreds of streams overflowed it, SYNs would be
+/// dropped, and TCP retransmits a SYN only after a second.
 const LISTEN_BACKLOG: i32 = 1_024;
 
-/// Pieces of a streamed body that wait for a slow reader.
+/// Number of pieces of a streamed body that are buffered for a slow reader.
 const MAX_BUFFERED_PIECES: usize = 64;
 
-/// A call, read whole.
+/// A call with its complete body.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
@@ -50,19 +50,19 @@
 }
 
 impl Call {
-    /// A value of the query, unescaped; empty where absent.
+    /// Returns the percent-decoded value of a query parameter; empty if it is absent.
     pub fn query(&self, name: &str) -> String {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         let found = pairs.into_iter().find(|(key, _)| *key == name);
         found.map(|(_, value)| unescape(value)).unwrap_or_default()
     }
 
-    /// The body as JSON, or the reply to a body that is not.
+    /// Parses the body as JSON; returns the error reply if it is malformed.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body).map_err(|e| Reply::status(400, &e.to_string()))
     }
 
-    /// Answers with `act` on the body as JSON.
+    /// Parses the body as JSON and returns the reply of `act`, or the error reply.
     pub(crate) fn answer_json<T: DeserializeOwned>(&self, act: impl FnOnce(T) -> Reply) -> Reply {
         match self.json() {
             Ok(body) => act(body),
@@ -92,9 +92,9 @@
 /// The body of a reply.
 #[derive(Debug)]
 pub enum Content {
-    /// Known whole.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Sent piece by piece; cut when the sender is dropped without
+    /// A body sent in pieces; the connection is cut if the sender is dropped before
     /// [`Piece::End`].
     Stream(mpsc::Receiver<Piece>),
 }
@@ -104,11 +104,11 @@
 pub enum Piece {
     /// Bytes.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
-/// A body that broke off.
+/// The connection was cut before the body was complete.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
 #[display("cut")]
 pub struct Cut;
@@ -145,24 +145,24 @@
 }
 
 impl Reply {
-    /// 200 with a JSON document.
+    /// Creates a reply with status 200 and a JSON document.
     pub fn json<T: Serialize>(value: &T) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::whole(200, body.into())
     }
 
-    /// A status with a line of text.
+    /// Creates a reply with a status and a line of text.
     pub fn status(status: u16, text: &str) -> Self {
         Self::whole(status, Bytes::copy_from_slice(text.as_bytes()))
     }
 
-    /// 200 with a body that is sent piece by piece.
+    /// Creates a reply with status 200 and a streamed body, and the sender of its pieces.
     pub fn stream() -> (mpsc::Sender<Piece>, Self) {
         let (send, receive) = mpsc::channel(MAX_BUFFERED_PIECES);
         (send, Self { status: 200, content: Content::Stream(receive), cut: false })
     }
 
-    /// No answer: the connection is cut.
+    /// Creates a reply that cuts the connection instead of an answer.
     pub fn cut() -> Self {
         Self { status: 0, content: Content::Whole(None), cut: true }
     }
@@ -171,23 +171,23 @@
         Self { status, content: Content::Whole(Some(body)), cut: false }
     }
 
-    /// The same with another status.
+    /// Replaces the status.
     pub fn with_status(self, status: u16) -> Self {
         Self { status, ..self }
     }
 }
 
-/// What a stand-in does with a call.
+/// The calls and specific faults of a stand-in.
 pub trait Service: Clone + Send + Sync + 'static {
     /// Answers a call.
     fn call(&self, call: Call) -> impl Future<Output = Reply> + Send;
 
-    /// Loses what the process held in memory: called when it dies, and when
-    /// it starts again as a new incarnation.
+    /// Discards the memory of the process; called when the process dies and when it restarts as a
+    /// new incarnation.
     fn reset(&self, _faults: &Faults) {}
 
-    /// Applies a fault that only this stand-in has; `false` where it has no
-    /// such fault.
+    /// Applies a fault that is specific to this stand-in; returns `false` if it does not support
+    /// the fault.
     fn switch(&self, _switch: &Switch) -> bool {
         false
     }
@@ -202,17 +202,17 @@
 }
 
 impl<S> Handle<S> {
-    /// Where it listens.
+    /// Returns the address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The switches of its faults.
+    /// Returns the fault switches.
     pub fn faults(&self) -> &Faults {
         &self.faults
     }
 
-    /// What it serves, past all faults.
+    /// Returns the service itself, which bypasses the faults.
     pub fn service(&self) -> &S {
         &self.service
     }
@@ -224,7 +224,7 @@
     }
 }
 
-/// The runtime of all stand-ins of the process.
+/// Returns the runtime that all stand-ins of the process share.
 pub(crate) fn runtime() -> &'static Runtime {
     static RUNTIME: OnceLock<Runtime> = OnceLock::new();
     RUNTIME.get_or_init(|| {
@@ -233,16 +233,16 @@
             .thread_name("standin")
             .enable_all()
             .build()
-            .expect("threads and sockets for the stand-ins")
+            .expect("failed to start the runtime of the stand-ins")
     })
 }
 
-/// Listens at `listen` (port 0: any) and serves.
+/// Listens on `listen` (port 0: any free port) and serves `service`.
 pub fn spawn<S: Service>(listen: SocketAddr, service: S) -> std::io::Result<Handle<S>> {
     spawn_with(listen, service, Faults::none())
 }
 
-/// The same with switches made before.
+/// Like [`spawn`], with fault switches that the service already uses.
 pub(crate) fn spawn_with<S: Service>(
     listen: SocketAddr,
     service: S,
@@ -305,13 +305,13 @@
     }
 }
 
-/// Listens again on the port of the dead process.
+/// Listens again on the port of the killed process.
 async fn rebind(address: SocketAddr) -> Option<TcpListener> {
     loop {
         match bind(address) {
             Ok(listener) => return Some(listener),
-            // Another socket may hold the port as its own end of a connection
-            // for a moment; it is given back within milliseconds.
+            // Another socket may use the port as the local port of a connection for some
+            // milliseconds.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     }
@@ -363,8 +363,8 @@
     }
 }
 
-/// Applies a switch that came to the stand-in itself, a moment later, so that
-/// the answer is out before a kill or a freeze.
+/// Applies a switch that was sent to the stand-in itself after a short delay, so that the answer
+/// is sent before a kill or a freeze.
 fn schedule_switch<S: Service>(faults: &Faults, service: &S, switch: Switch) -> Reply {
     let (faults, service) = (faults.clone(), service.clone());
     tokio::spawn(async move {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A replica of a plain service, which counts the runs of its calls.
+//! A simulated replica of a plain service that counts how often each call was run.
 
 use crate::fault::{Faults, Switch};
 use crate::server::{self, Call, Reply};
@@ -11,20 +11,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How a replica behaves.
+/// Behaviour of a replica.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Time that a call takes.
+    /// Duration of a call on a warm replica.
     pub call_time: Duration,
-    /// Calls that it bears at once.
+    /// Maximum number of concurrent calls.
     pub max_calls: u32,
-    /// How warm it is at its first start, from 0 to 100; 0 after a restart.
+    /// Warmth at the first start, from 0 to 100; it is 0 after a restart.
     pub warmth: u8,
-    /// Time from cold to warm under work.
+    /// Time from cold to warm under load.
     pub warm_time: Duration,
-    /// Whether it crashes when it is given more than it bears while not warm.
+    /// Whether the replica crashes when it is overloaded while not warm.
     pub crashes_on_overload: bool,
-    /// Where the runs are counted; replicas of one service share it.
+    /// Run counts, shared by the replicas of a service.
     pub runs: Runs,
 }
 
@@ -42,26 +42,26 @@
 }
 
 impl Options {
-    /// The part of an engine's options by which a replica warms.
+    /// Returns the options of the warm-up model, which replicas share with engines.
     fn model(&self, warmth: u8) -> Model {
         let (streams_max, warm_time) = (self.max_calls, self.warm_time);
         Model { streams_max, warm_time, warmth, ..Model::default() }
     }
 }
 
-/// Runs by idempotency key; outlives restarts, as a service's books do.
+/// Number of runs by idempotency key. It survives restarts, like a service's database.
 #[derive(Clone, Debug, Default)]
 pub struct Runs {
     counts: Arc<Mutex<BTreeMap<String, u32>>>,
 }
 
 impl Runs {
-    /// How often calls with `key` ran.
+    /// Returns how often calls with `key` were run.
     pub fn count(&self, key: &str) -> u32 {
         self.lock().get(key).copied().unwrap_or(0)
     }
 
-    /// All counts.
+    /// Returns all counts.
     pub fn all(&self) -> BTreeMap<String, u32> {
         self.lock().clone()
     }
@@ -87,7 +87,7 @@
 /// A running replica.
 pub type Handle = server::Handle<Replica>;
 
-/// Serves a replica.
+/// Starts a replica.
 pub fn spawn(listen: SocketAddr, options: Options) -> std::io::Result<Handle> {
     let faults = Faults::none();
     let model = options.model(options.warmth);
@@ -97,12 +97,12 @@
 }
 
 impl Replica {
-    /// The counted runs.
+    /// Returns the run counts.
     pub fn runs(&self) -> &Runs {
         &self.options.runs
     }
 
-    /// Echoes the call, after it was counted.
+    /// Counts the call, then echoes it.
     async fn run(&self, call: Call) -> Reply {
         let key = call.headers.get("idempotency-key").and_then(|key| key.to_str().ok());
         if let Some(key) = key {
@@ -113,7 +113,7 @@
             self.faults.crash(None);
             return Reply::cut();
         };
-        // A sleep of no time takes a tick of the timer, a millisecond.
+        // Even a sleep of zero takes one tick of the timer, a millisecond.
         if !self.options.call_time.is_zero() {
             tokio::time::sleep(self.options.call_time.div_f64(speed)).await;
         }
@@ -121,14 +121,14 @@
         Reply::json(&Echo { path: call.path, key: key.map(str::to_owned), body })
     }
 
-    /// Turns cold without a word.
+    /// Makes the replica cold without reporting the change.
     pub fn turn_cold(&self) {
         let now = self.faults.now();
         self.lock_warmth().0.turn_cold(now);
     }
 
-    /// The part of its speed that it has with `running` calls; `None` where
-    /// it falls over.
+    /// Updates the warmth and returns the speed relative to a warm replica with `running` calls.
+    /// Returns `None` if the replica crashes from overload.
     fn update_speed(&self, running: u32) -> Option<f64> {
         let now = self.faults.now();
         let (warmth, model) = &mut *self.lock_warmth();
@@ -152,10 +152,10 @@
     }
 }
 
-/// The answer of a stand-in service: what was called.
+/// The answer of a stand-in service, which echoes the call.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Echo {
-    /// The whole path.
+    /// The complete path.
     pub path: String,
     /// The idempotency key.
     pub key: Option<String>,
@@ -163,7 +163,7 @@
     pub body: String,
 }
 
-/// A call that runs, with the number of calls running then.
+/// Guard of a running call, with the number of running calls at its start.
 struct Running<'a>(&'a AtomicU32, u32);
 
 impl<'a> Running<'a> {
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -1,5 +1,5 @@
-//! Faults over HTTP, and what only the stand-ins among themselves do: spread
-//! prompts, weights, crashes.
+//! Tests of fault switches over HTTP and of interactions between stand-ins: prompts spread over
+//! several engines, weight loading and crashes.
 
 use futures::StreamExt;
 use hickory_client::{Call, Client, Error, Response};
@@ -57,11 +57,11 @@
     Client::open(TIMEOUT).exchange(at, call, TIMEOUT).await
 }
 
-/// Waits until `done`; panics where that does not come.
+/// Waits until `done` returns true; panics after [`TIMEOUT`].
 async fn wait_until(mut done: impl AsyncFnMut() -> bool) {
     let started = std::time::Instant::now();
     while !done().await {
-        assert!(started.elapsed() < TIMEOUT, "what was waited for did not come");
+        assert!(started.elapsed() < TIMEOUT, "the condition was not met within {TIMEOUT:?}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -89,8 +89,7 @@
     wait_until(async || Engines::report(&targets, at).await.is_ok()).await;
 }
 
-/// Kills and restarts from many sides at once neither wait for good nor leave
-/// the stand-in in between.
+/// Concurrent kills and restarts must not deadlock or leave the stand-in between two states.
 #[tokio::test]
 async fn concurrent_kills_and_restarts_complete() {
     let fleet = Fleet::spawn(options()).unwrap();
@@ -110,7 +109,7 @@
     assert!(Engines::report(&targets, engine.address()).await.is_ok());
 }
 
-/// A dead engine holds nothing, also before it starts again.
+/// A killed engine loses its memory immediately, not only at its restart.
 #[tokio::test]
 async fn killed_engine_loses_its_memory() {
     let fleet = Fleet::spawn(options()).unwrap();
@@ -123,8 +122,8 @@
     assert_eq!(engine.service().kv_used().0, 0);
 }
 
-/// A request that crashes each engine that runs it: those beside it on the
-/// engine are lost with it, and the engine comes back cold.
+/// A prompt with the crash marker crashes each engine that runs it; the engine restarts as a new
+/// incarnation and serves other prompts.
 #[tokio::test]
 async fn poisoned_prompt_crashes_each_engine_that_runs_it() {
     let mut options = options();
@@ -146,7 +145,7 @@
     }
 }
 
-/// Three engines hold a prompt of a million tokens between them.
+/// A prompt of a million tokens is spread over three engines.
 #[tokio::test]
 async fn prompt_larger_than_one_engine_is_answered() {
     let fleet = Fleet::spawn(options()).unwrap();
@@ -171,8 +170,8 @@
     assert_eq!(used, [350_000, 350_000, 0]);
 }
 
-/// The engine that holds a linked part dies while the last one waits to
-/// generate: the stream fails by the engine's own word, and does not hang.
+/// The engine that holds a linked part of the KV cache dies while the last engine waits to
+/// generate: the last engine has to report the stream as failed instead of hanging.
 #[tokio::test]
 async fn linked_prompt_fails_when_an_engine_dies() {
     let mut options = options();
@@ -193,8 +192,8 @@
     assert_eq!(failed, Err("KV cache of another engine lost".into()));
 }
 
-/// Engines that are all ordered to load at once share the weight store's
-/// rate; each serves when its turn has come.
+/// Engines that are ordered to load at the same time share the rate of the weight store and become
+/// ready one after another.
 #[tokio::test]
 async fn weight_loads_share_the_store_rate() {
     let mut options = options();
@@ -217,5 +216,5 @@
         })
         .await;
     }
-    assert!(started.elapsed() >= Duration::from_millis(90), "three reads, one after another");
+    assert!(started.elapsed() >= Duration::from_millis(90), "the three reads were not sequential");
 }
--- a/crates/standin/tests/core.rs
+++ b/crates/standin/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core of the key-value service with the time passed in.
+//! Tests of the key-value service's state machine with simulated time.
 
 use hickory_standin::rate::RateLimit;
 use hickory_standin::store::Core;
@@ -26,7 +26,7 @@
     assert_eq!(late, Err(Error::LeaseLapsed));
 }
 
-/// A key that was written anew without the lease outlives it.
+/// A key that is written again without the lease is not removed with the lease.
 #[test]
 fn last_write_decides_the_lease_of_a_key() {
     let (mut core, start) = (Core::default(), Instant::now());
@@ -48,8 +48,8 @@
     assert!(matches!(late, Err(Error::Conflict(Some(entry))) if entry.revision == second));
 }
 
-/// A removed and re-created key has a new revision: a holder of the old one
-/// can't write it.
+/// A key that was removed and created again has a new revision, so a conditional write at the old
+/// revision fails.
 #[test]
 fn removed_key_does_not_come_back_at_its_old_revision() {
     let (mut core, now) = (Core::default(), Instant::now());
--- a/crates/standin/tests/fleet.rs
+++ b/crates/standin/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole stand-in platform serves each of its ports over sockets.
+//! Tests of a complete stand-in fleet over sockets.
 
 use futures::StreamExt;
 use hickory_model::answer::Answer;
--- a/crates/standin/tests/memory.rs
+++ b/crates/standin/tests/memory.rs
@@ -1,5 +1,5 @@
-//! The key-value service within the process gives what the one behind a
-//! socket gives, and each client has faults of its own.
+//! The in-process key-value service returns the same results as the one over a socket, and its
+//! faults are separate for each client.
 
 use hickory_standin::store::{self, Memory};
 use hickory_store::http::{Address, Platform};
@@ -15,14 +15,14 @@
 fn show<T: std::fmt::Debug>(result: &Result<T, Error>) -> String {
     match result {
         Ok(value) => format!("{value:?}"),
-        // The texts of these two differ from adapter to adapter.
+        // The texts of these two errors depend on the adapter.
         Err(Error::NotDone(_)) => "not done".into(),
         Err(Error::Unknown(_)) => "unknown".into(),
         Err(error) => format!("{error:?}"),
     }
 }
 
-/// What a client sees, call by call.
+/// Makes a fixed sequence of calls and returns their results.
 async fn run_calls(store: &impl Store) -> Vec<String> {
     let lease = store.grant(LONG).await;
     let bound = Write { lease: lease.clone().ok(), ..write("b", "2", Expect::Absent) };
