--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -26,9 +26,9 @@
 const CLIENTS: usize = 32;
 
 /// Number of calls of each client per round.
-const CALLS: usize = 50;
+const CALLS_PER_CLIENT: usize = 50;
 
-fn any() -> SocketAddr {
+fn loopback() -> SocketAddr {
     "127.0.0.1:0".parse().expect("an address")
 }
 
@@ -69,12 +69,16 @@
 
 fn spawn_engine(model: Model) -> engine::Handle {
     let loaded = vec![generate(1).weights];
-    engine::spawn(any(), engine::Options { model, loaded, ..engine::Options::default() })
+    engine::spawn(loopback(), engine::Options { model, loaded, ..engine::Options::default() })
         .expect("an engine")
 }
 
 /// Returns the duration of `rounds` sequential runs of `round`.
-fn time<F: Future<Output = ()>>(runtime: &Runtime, rounds: u64, round: impl Fn() -> F) -> Duration {
+fn measure<F: Future<Output = ()>>(
+    runtime: &Runtime,
+    rounds: u64,
+    round: impl Fn() -> F,
+) -> Duration {
     let started = Instant::now();
     runtime.block_on(async {
         for _ in 0..rounds {
@@ -93,7 +97,7 @@
     group.throughput(Throughput::Elements(256 * 200));
     group.bench_function("unpaced_256_streams", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || read_streams(&targets, unpaced.address(), 256, 200))
+            measure(&runtime, n, || read_streams(&targets, unpaced.address(), 256, 200))
         });
     });
     // One token per stream every 10 ms, so that each token is a separate write: at most 51,200
@@ -104,7 +108,9 @@
     let paced = spawn_engine(paced);
     group.throughput(Throughput::Elements(512 * 100));
     group.bench_function("paced_512_streams_of_100_a_second", |b| {
-        b.iter_custom(|n| time(&runtime, n, || read_streams(&targets, paced.address(), 512, 100)));
+        b.iter_custom(|n| {
+            measure(&runtime, n, || read_streams(&targets, paced.address(), 512, 100))
+        });
     });
     group.finish();
 }
@@ -113,12 +119,12 @@
     let (runtime, targets) = (runtime(), Targets::open(TIMEOUT));
     let engine = spawn_engine(Model { speed: 1e6, ..Model::default() });
     c.bench_function("first_token_of_an_instant_engine", |b| {
-        b.iter_custom(|n| time(&runtime, n, || read_streams(&targets, engine.address(), 1, 1)));
+        b.iter_custom(|n| measure(&runtime, n, || read_streams(&targets, engine.address(), 1, 1)));
     });
 }
 
 fn store_calls(c: &mut Criterion) {
-    let (runtime, store) = (runtime(), store::spawn(any()).expect("a store"));
+    let (runtime, store) = (runtime(), store::spawn(loopback()).expect("a store"));
     let at = store.address();
     let platform = Platform::open(Address { store: at, hosts: at, weights: at }, TIMEOUT);
     let write = |client: usize| Write {
@@ -128,17 +134,17 @@
         lease: None,
     };
     let mut group = c.benchmark_group("store_calls");
-    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS) as u64));
+    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS_PER_CLIENT) as u64));
     group.bench_function("get", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
+            measure(&runtime, n, || {
                 in_parallel(|_| async { drop(platform.get("key/1").await.expect("an answer")) })
             })
         });
     });
     group.bench_function("write", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
+            measure(&runtime, n, || {
                 let platform = &platform;
                 in_parallel(move |client| async move {
                     platform.write(write(client)).await.expect("an answer");
@@ -152,13 +158,13 @@
 fn service_calls(c: &mut Criterion) {
     let runtime = runtime();
     let options = service::Options { call_time: Duration::ZERO, ..service::Options::default() };
-    let replica = service::spawn(any(), options).expect("a replica");
+    let replica = service::spawn(loopback(), options).expect("a replica");
     let (targets, at) = (Targets::open(TIMEOUT), replica.address());
     let mut group = c.benchmark_group("service_calls");
-    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS) as u64));
+    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS_PER_CLIENT) as u64));
     group.bench_function("call", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
+            measure(&runtime, n, || {
                 in_parallel(|_| async {
                     let (path, body) = ("/stock".into(), "tin".into());
                     let call = Call { path, key: None, body, timeout: TIMEOUT };
@@ -175,7 +181,7 @@
     let client = |number| {
         let call = &call;
         async move {
-            for _ in 0..CALLS {
+            for _ in 0..CALLS_PER_CLIENT {
                 call(number).await;
             }
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -204,15 +204,16 @@
         let now = self.inner.faults.now();
         let mut state = self.lock();
         state.engine.advance(now);
-        let known = state.engine.progress(stream).and_then(|_| state.readers.attach(stream));
+        let generation = state.engine.progress(stream).and_then(|_| state.readers.attach(stream));
         drop(state);
-        let Some(number) = known else {
+        let Some(generation) = generation else {
             return Reply::status(404, "no such stream");
         };
         // Wakes an earlier reader so that it stops even if the stream makes no progress.
         self.inner.ticked.send_modify(|tick| *tick += 1);
         let (pieces, reply) = Reply::stream();
-        let task = crate::reader::stream_events(self.clone(), stream.clone(), number, from, pieces);
+        let task =
+            crate::reader::stream_events(self.clone(), stream.clone(), generation, from, pieces);
         tokio::spawn(task);
         reply
     }
@@ -229,9 +230,9 @@
 
     fn order(&self, fenced: &Fenced) -> Reply {
         let now = self.inner.faults.now();
-        let done = self.with_engine(|engine| engine.order(now, fenced.fence, &fenced.order));
+        let result = self.with_engine(|engine| engine.order(now, fenced.fence, &fenced.order));
         self.inner.work.notify_one();
-        match done {
+        match result {
             Ok(None) => Reply::json(&()),
             Ok(Some(fetch)) => {
                 server::runtime().spawn(self.clone().fetch(fetch));
@@ -248,8 +249,8 @@
         if let Some(at) = self.inner.options.weights {
             while !self.inner.peers.read_weights(at, fetch.bytes).await {
                 tokio::time::sleep(WEIGHTS_RETRY_INTERVAL).await;
-                let wanted = self.with_engine(|engine| engine.holds_weights(&fetch.weights));
-                if !wanted || self.inner.faults.incarnation() != incarnation {
+                let is_wanted = self.with_engine(|engine| engine.holds_weights(&fetch.weights));
+                if !is_wanted || self.inner.faults.incarnation() != incarnation {
                     return;
                 }
             }
@@ -265,9 +266,9 @@
             return Reply::status(404, "no such KV cache");
         };
         let (now, incarnation) = (self.inner.faults.now(), self.inner.faults.incarnation());
-        let begun =
+        let import_time =
             self.with_engine(|engine| engine.import(now, &import.handle, export, import.from));
-        let time = match begun {
+        let time = match import_time {
             Ok(time) => time,
             Err(refused) => return refuse(refused),
         };
@@ -280,14 +281,19 @@
         }
     }
 
-    async fn finish_import(self, handle: Cache, time: Duration, start: id::Incarnation) -> bool {
+    async fn finish_import(
+        self,
+        handle: Cache,
+        time: Duration,
+        incarnation: id::Incarnation,
+    ) -> bool {
         tokio::time::sleep(time).await;
         self.inner.faults.wait_thawed().await;
-        let same = self.inner.faults.incarnation() == start;
-        if same {
+        let is_current = self.inner.faults.incarnation() == incarnation;
+        if is_current {
             self.with_engine(|engine| engine.finish_import(&handle));
         }
-        same
+        is_current
     }
 
     fn drop_handle(&self, handle: &Cache) -> Reply {
--- a/crates/standin/src/reader.rs
+++ b/crates/standin/src/reader.rs
@@ -16,7 +16,7 @@
 /// The readers of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct Readers {
-    all: HashMap<id::Stream, Reader>,
+    by_stream: HashMap<id::Stream, Reader>,
     sweep_threshold: usize,
 }
 
@@ -30,24 +30,24 @@
     /// Adds a stream without a reader.
     pub(crate) fn add(&mut self, generate: &Generate, engine: &Engine) {
         let reader = Reader { answer: Answer::of(&generate.prompt), generation: 0 };
-        self.all.insert(generate.stream.clone(), reader);
-        if self.all.len() > self.sweep_threshold.max(MIN_SWEEP_THRESHOLD) {
-            self.all.retain(|stream, _| engine.progress(stream).is_some());
-            self.sweep_threshold = 2 * self.all.len();
+        self.by_stream.insert(generate.stream.clone(), reader);
+        if self.by_stream.len() > self.sweep_threshold.max(MIN_SWEEP_THRESHOLD) {
+            self.by_stream.retain(|stream, _| engine.progress(stream).is_some());
+            self.sweep_threshold = 2 * self.by_stream.len();
         }
     }
 
     /// Attaches a new reader, which supersedes all earlier ones, and returns its generation.
     /// Returns `None` if the stream is unknown.
     pub(crate) fn attach(&mut self, stream: &id::Stream) -> Option<u64> {
-        let reader = self.all.get_mut(stream)?;
+        let reader = self.by_stream.get_mut(stream)?;
         reader.generation += 1;
         Some(reader.generation)
     }
 
     /// Removes a stream.
     pub(crate) fn remove(&mut self, stream: &id::Stream) {
-        self.all.remove(stream);
+        self.by_stream.remove(stream);
     }
 }
 
@@ -98,7 +98,7 @@
     from: u64,
 ) -> (Vec<u8>, u64, Status) {
     let mut lines = Vec::new();
-    let Some(reader) = process.readers.all.get(stream) else {
+    let Some(reader) = process.readers.by_stream.get(stream) else {
         append_line(&mut lines, &Event::Failed { reason: "cancelled".into() });
         return (lines, from, Status::End);
     };
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -54,7 +54,7 @@
     pub fn query(&self, name: &str) -> String {
         let pairs = self.query.split('&').filter_map(|pair| pair.split_once('='));
         let found = pairs.into_iter().find(|(key, _)| *key == name);
-        found.map(|(_, value)| unescape(value)).unwrap_or_default()
+        found.map(|(_, value)| percent_decode(value)).unwrap_or_default()
     }
 
     /// Parses the body as JSON; returns the error reply if it is malformed.
@@ -71,7 +71,7 @@
     }
 }
 
-fn unescape(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((first, tail)) = rest.split_first() {
@@ -158,8 +158,8 @@
 
     /// Creates a reply with status 200 and a streamed body, and the sender of its pieces.
     pub fn stream() -> (mpsc::Sender<Piece>, Self) {
-        let (send, receive) = mpsc::channel(MAX_BUFFERED_PIECES);
-        (send, Self { status: 200, content: Content::Stream(receive), cut: false })
+        let (sender, receiver) = mpsc::channel(MAX_BUFFERED_PIECES);
+        (sender, Self { status: 200, content: Content::Stream(receiver), cut: false })
     }
 
     /// Creates a reply that cuts the connection instead of an answer.
@@ -251,7 +251,7 @@
     let _context = runtime().enter();
     let listener = bind(listen)?;
     let address = listener.local_addr()?;
-    runtime().spawn(run(listener, address, service.clone(), faults.clone()));
+    runtime().spawn(accept_connections(listener, address, service.clone(), faults.clone()));
     Ok(Handle { address, faults, service })
 }
 
@@ -264,13 +264,18 @@
     TcpListener::from_std(socket.into())
 }
 
-async fn run<S: Service>(listener: TcpListener, address: SocketAddr, service: S, faults: Faults) {
+async fn accept_connections<S: Service>(
+    listener: TcpListener,
+    address: SocketAddr,
+    service: S,
+    faults: Faults,
+) {
     let mut run_state = faults.run_state();
     let mut listener = Some(listener);
     let mut connections = JoinSet::new();
     loop {
-        let now = *run_state.borrow_and_update();
-        match (now, &listener) {
+        let current = *run_state.borrow_and_update();
+        match (current, &listener) {
             (RunState::Up, None) => {
                 service.reset(&faults);
                 listener = rebind(address).await;
@@ -284,8 +289,8 @@
             }
             (RunState::Up, Some(_)) => {}
         }
-        faults.acknowledge(now);
-        if now == RunState::Stopped {
+        faults.acknowledge(current);
+        if current == RunState::Stopped {
             return;
         }
         match &listener {
@@ -293,7 +298,7 @@
                 tokio::select! {
                     _ = run_state.changed() => {}
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        connections.spawn(serve(stream, service.clone(), faults.clone()));
+                        connections.spawn(serve_connection(stream, service.clone(), faults.clone()));
                     },
                     Some(_) = connections.join_next(), if !connections.is_empty() => {}
                 }
@@ -317,10 +322,10 @@
     }
 }
 
-async fn serve<S: Service>(stream: TcpStream, service: S, faults: Faults) {
+async fn serve_connection<S: Service>(stream: TcpStream, service: S, faults: Faults) {
     let number = faults.next_connection();
     let gated = Gated::open(stream, number, faults.clone());
-    let handler = hyper::service::service_fn(|request| handle(request, &service, &faults));
+    let handler = hyper::service::service_fn(|request| handle_request(request, &service, &faults));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
@@ -332,7 +337,7 @@
     }
 }
 
-async fn handle<S: Service>(
+async fn handle_request<S: Service>(
     request: http::Request<Incoming>,
     service: &S,
     faults: &Faults,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -133,8 +133,8 @@
         let now = self.faults.now();
         let (warmth, model) = &mut *self.lock_warmth();
         warmth.pass(now, running > 1, model);
-        let over = warmth.is_over(running, model) && !warmth.is_unnoticed(now, model);
-        (!over || !self.options.crashes_on_overload).then(|| warmth.speed(model))
+        let is_overloaded = warmth.is_over(running, model) && !warmth.is_unnoticed(now, model);
+        (!is_overloaded || !self.options.crashes_on_overload).then(|| warmth.speed(model))
     }
 
     fn lock_warmth(&self) -> MutexGuard<'_, (Warmth, Model)> {
@@ -195,10 +195,10 @@
     }
 
     fn switch(&self, switch: &Switch) -> bool {
-        let known = *switch == Switch::TurnCold;
-        if known {
+        let is_supported = *switch == Switch::TurnCold;
+        if is_supported {
             self.turn_cold();
         }
-        known
+        is_supported
     }
 }
