--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -29,7 +29,7 @@
 const CALLS_PER_CLIENT: usize = 50;
 
 fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+    "127.0.0.1:0".parse().expect("a valid address")
 }
 
 fn runtime() -> Runtime {
@@ -37,7 +37,7 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime")
+        .expect("failed to start the runtime")
 }
 
 fn generate(max_tokens: u64) -> Generate {
@@ -61,7 +61,8 @@
 /// Reads complete streams concurrently; a batch of lines may contain many tokens.
 async fn read_streams(targets: &Targets, at: SocketAddr, streams: usize, tokens: u64) {
     let read = |_| async {
-        let mut stream = targets.generate(at, &generate(tokens)).await.expect("a stream");
+        let mut stream =
+            targets.generate(at, &generate(tokens)).await.expect("the engine refused the stream");
         while !matches!(stream.next().await, Some(Ok(Event::End { .. }))) {}
     };
     join_all((0..streams).map(read)).await;
@@ -70,7 +71,7 @@
 fn spawn_engine(model: Model) -> engine::Handle {
     let loaded = vec![generate(1).weights];
     engine::spawn(loopback(), engine::Options { model, loaded, ..engine::Options::default() })
-        .expect("an engine")
+        .expect("failed to start the engine")
 }
 
 /// Returns the duration of `rounds` sequential runs of `round`.
@@ -124,7 +125,8 @@
 }
 
 fn store_calls(c: &mut Criterion) {
-    let (runtime, store) = (runtime(), store::spawn(loopback()).expect("a store"));
+    let (runtime, store) =
+        (runtime(), store::spawn(loopback()).expect("failed to start the store"));
     let at = store.address();
     let platform = Platform::open(Address { store: at, hosts: at, weights: at }, TIMEOUT);
     let write = |client: usize| Write {
@@ -138,7 +140,9 @@
     group.bench_function("get", |b| {
         b.iter_custom(|n| {
             measure(&runtime, n, || {
-                in_parallel(|_| async { drop(platform.get("key/1").await.expect("an answer")) })
+                in_parallel(|_| async {
+                    drop(platform.get("key/1").await.expect("the call failed"))
+                })
             })
         });
     });
@@ -147,7 +151,7 @@
             measure(&runtime, n, || {
                 let platform = &platform;
                 in_parallel(move |client| async move {
-                    platform.write(write(client)).await.expect("an answer");
+                    platform.write(write(client)).await.expect("the call failed");
                 })
             })
         });
@@ -158,7 +162,7 @@
 fn service_calls(c: &mut Criterion) {
     let runtime = runtime();
     let options = service::Options { call_time: Duration::ZERO, ..service::Options::default() };
-    let replica = service::spawn(loopback(), options).expect("a replica");
+    let replica = service::spawn(loopback(), options).expect("failed to start the replica");
     let (targets, at) = (Targets::open(TIMEOUT), replica.address());
     let mut group = c.benchmark_group("service_calls");
     group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS_PER_CLIENT) as u64));
@@ -168,7 +172,7 @@
                 in_parallel(|_| async {
                     let (path, body) = ("/stock".into(), "tin".into());
                     let call = Call { path, key: None, body, timeout: TIMEOUT };
-                    targets.call(at, call).await.expect("an answer");
+                    targets.call(at, call).await.expect("the call failed");
                 })
             })
         });
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -46,7 +46,7 @@
     pub(crate) engine: Engine,
     pub(crate) readers: Readers,
     crash_marker: Option<String>,
-    /// Whether the crash of `engine` has already killed the process.
+    /// Whether the process has already been killed for the crash of `engine`.
     is_crash_handled: bool,
 }
 
@@ -60,7 +60,7 @@
     peers: Peers,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Simulator {
     inner: Arc<Inner>,
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -79,7 +79,7 @@
     },
     /// Engine: a prompt that contains this text crashes the engine that runs it.
     CrashMarker(Option<String>),
-    /// Key-value service: reads return the present state until this is switched off.
+    /// Key-value service: while on, reads return the state at the time of the switch.
     Stale(bool),
     /// Key-value service: limits the calls per second, excess calls wait; zero means no limit.
     Rate {
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -42,7 +42,7 @@
         change(&mut self.lock());
     }
 
-    /// Makes the reads of this client return the present state until switched off.
+    /// Freezes the state that the reads of this client return until switched off.
     pub fn set_stale(&self, stale: bool) {
         let snapshot = stale.then(|| self.shared.with_core(|core, now| core.snapshot(now)));
         self.set(|faults| faults.stale = snapshot);
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -16,7 +16,7 @@
 pub struct Options {
     /// Duration of a call on a warm replica.
     pub call_time: Duration,
-    /// Maximum number of concurrent calls.
+    /// Number of concurrent calls that the replica can handle.
     pub max_calls: u32,
     /// Warmth at the first start, from 0 to 100; it is 0 after a restart.
     pub warmth: u8,
@@ -75,7 +75,7 @@
     }
 }
 
-/// A replica.
+/// A simulated replica.
 #[derive(Clone, Debug)]
 pub struct Replica {
     options: Options,
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -61,7 +61,7 @@
         result
     }
 
-    /// Makes reads return the present state until switched off; writes and watches are not
+    /// Freezes the state that reads return until switched off; writes and watches are not
     /// affected.
     pub fn set_stale(&self, stale: bool) {
         let snapshot = stale.then(|| self.with_core(Core::snapshot));
