--- a/apps/hickory-node/tests/proofs/failover.rs
+++ b/apps/hickory-node/tests/proofs/failover.rs
@@ -275,7 +275,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn replayed_tokens_are_not_sent_again() {
     let mut options = slow_engine_options();
-    options.engine.replays = true;
+    options.engine.ignores_resume_position = true;
     let cluster = Cluster::start(2, options).await;
     let stream = begin_stream(&cluster, "replayed", 40).await;
     cluster.standins.engines.iter().for_each(|engine| engine.faults().cut());
--- a/apps/hickory-node/tests/proofs/once.rs
+++ b/apps/hickory-node/tests/proofs/once.rs
@@ -16,7 +16,7 @@
 impl Cluster {
     /// Returns whether the ledger in the store has a claim on `key`.
     fn is_claimed(&self, key: &str) -> bool {
-        let pages = self.standins.store.service().with(|core, now| core.list(now, "ledger/"));
+        let pages = self.standins.store.service().with_core(|core, now| core.list(now, "ledger/"));
         pages.0.iter().any(|page| page.value.contains(key))
     }
 
--- a/apps/hickory-node/tests/proofs/support.rs
+++ b/apps/hickory-node/tests/proofs/support.rs
@@ -273,7 +273,7 @@
     /// Returns how often calls with `key` ran. All replicas share one record of
     /// runs.
     pub fn count_runs(&self, key: &str) -> u32 {
-        self.standins.replicas[0].service().runs().of(key)
+        self.standins.replicas[0].service().runs().count(key)
     }
 
     /// Counts the engines whose port is closed.
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -83,7 +83,7 @@
 async fn a_leaving_target_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
     cluster.load(3).await;
-    cluster.standins.hosts.service().stand(&"engine-1".into(), Standing::Leaving);
+    cluster.standins.hosts.service().set_standing(&"engine-1".into(), Standing::Leaving);
     let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.load(5));
     let before = cluster.count_prompt_tokens(&[1]);
     cluster.load(10).await;
--- a/crates/standin/benches/ceiling.rs
+++ b/crates/standin/benches/ceiling.rs
@@ -1,7 +1,7 @@
-//! The stand-ins' own ceilings, so that an experiment knows when it measures
-//! them: tokens a second out of one engine, calls a second to the key-value
-//! service and to a plain service, and the time to a first token with nothing
-//! in between. The clients run in the same process and are part of it.
+//! Maximum throughput of the stand-ins, to tell when an experiment is limited by them: tokens per
+//! second of one engine, calls per second of the key-value service and of a plain service, and the
+//! time to first token on a direct connection. The clients run in the same process and are included
+//! in the results.
 
 use criterion::{Criterion, Throughput, criterion_group, criterion_main};
 use futures::StreamExt;
@@ -22,14 +22,14 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Clients that call at the same time.
+/// Number of concurrent clients.
 const CLIENTS: usize = 32;
 
-/// Calls of each client in a round.
-const CALLS: usize = 50;
+/// Number of calls of each client per round.
+const CALLS_PER_CLIENT: usize = 50;
 
-fn any() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+fn loopback() -> SocketAddr {
+    "127.0.0.1:0".parse().expect("a valid address")
 }
 
 fn runtime() -> Runtime {
@@ -37,7 +37,7 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime")
+        .expect("failed to start the runtime")
 }
 
 fn generate(max_tokens: u64) -> Generate {
@@ -58,10 +58,11 @@
     }
 }
 
-/// Reads whole streams; each batch of lines may hold many tokens.
+/// Reads complete streams concurrently; a batch of lines may contain many tokens.
 async fn read_streams(targets: &Targets, at: SocketAddr, streams: usize, tokens: u64) {
     let read = |_| async {
-        let mut stream = targets.generate(at, &generate(tokens)).await.expect("a stream");
+        let mut stream =
+            targets.generate(at, &generate(tokens)).await.expect("the engine refused the stream");
         while !matches!(stream.next().await, Some(Ok(Event::End { .. }))) {}
     };
     join_all((0..streams).map(read)).await;
@@ -69,12 +70,16 @@
 
 fn spawn_engine(model: Model) -> engine::Handle {
     let loaded = vec![generate(1).weights];
-    engine::spawn(any(), engine::Options { model, loaded, ..engine::Options::default() })
-        .expect("an engine")
+    engine::spawn(loopback(), engine::Options { model, loaded, ..engine::Options::default() })
+        .expect("failed to start the engine")
 }
 
-/// The time of `rounds` rounds of `round`.
-fn time<F: Future<Output = ()>>(runtime: &Runtime, rounds: u64, round: impl Fn() -> F) -> Duration {
+/// Returns the duration of `rounds` sequential runs of `round`.
+fn measure<F: Future<Output = ()>>(
+    runtime: &Runtime,
+    rounds: u64,
+    round: impl Fn() -> F,
+) -> Duration {
     let started = Instant::now();
     runtime.block_on(async {
         for _ in 0..rounds {
@@ -88,16 +93,16 @@
     let (runtime, targets) = (runtime(), Targets::open(TIMEOUT));
     let mut group = c.benchmark_group("engine_tokens");
     group.sample_size(10).measurement_time(Duration::from_secs(4));
-    // All tokens as fast as the stand-in can make and send them.
+    // The engine generates and sends tokens without a delay.
     let unpaced = spawn_engine(Model { speed: 1e6, max_streams: 256, ..Model::default() });
     group.throughput(Throughput::Elements(256 * 200));
     group.bench_function("unpaced_256_streams", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || read_streams(&targets, unpaced.address(), 256, 200))
+            measure(&runtime, n, || read_streams(&targets, unpaced.address(), 256, 200))
         });
     });
-    // One token a stream each 10 ms, so that each token is a write of its
-    // own: at most 51,200 a second from 512 streams.
+    // One token per stream every 10 ms, so that each token is a separate write: at most 51,200
+    // tokens per second from 512 streams.
     let step_time = Duration::from_millis(10);
     let (step_time_per_stream, step_time_per_million_kv_tokens) = (Duration::ZERO, Duration::ZERO);
     let paced = Model {
@@ -110,7 +115,9 @@
     let paced = spawn_engine(paced);
     group.throughput(Throughput::Elements(512 * 100));
     group.bench_function("paced_512_streams_of_100_a_second", |b| {
-        b.iter_custom(|n| time(&runtime, n, || read_streams(&targets, paced.address(), 512, 100)));
+        b.iter_custom(|n| {
+            measure(&runtime, n, || read_streams(&targets, paced.address(), 512, 100))
+        });
     });
     group.finish();
 }
@@ -119,12 +126,13 @@
     let (runtime, targets) = (runtime(), Targets::open(TIMEOUT));
     let engine = spawn_engine(Model { speed: 1e6, ..Model::default() });
     c.bench_function("first_token_of_an_instant_engine", |b| {
-        b.iter_custom(|n| time(&runtime, n, || read_streams(&targets, engine.address(), 1, 1)));
+        b.iter_custom(|n| measure(&runtime, n, || read_streams(&targets, engine.address(), 1, 1)));
     });
 }
 
 fn store_calls(c: &mut Criterion) {
-    let (runtime, store) = (runtime(), store::spawn(any()).expect("a store"));
+    let (runtime, store) =
+        (runtime(), store::spawn(loopback()).expect("failed to start the store"));
     let at = store.address();
     let platform = Platform::open(Address { store: at, hosts: at, weights: at }, TIMEOUT);
     let write = |client: usize| Write {
@@ -134,20 +142,22 @@
         lease: None,
     };
     let mut group = c.benchmark_group("store_calls");
-    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS) as u64));
+    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS_PER_CLIENT) as u64));
     group.bench_function("get", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
-                in_parallel(|_| async { drop(platform.get("key/1").await.expect("an answer")) })
+            measure(&runtime, n, || {
+                in_parallel(|_| async {
+                    drop(platform.get("key/1").await.expect("the call failed"))
+                })
             })
         });
     });
     group.bench_function("write", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
+            measure(&runtime, n, || {
                 let platform = &platform;
                 in_parallel(move |client| async move {
-                    platform.write(write(client)).await.expect("an answer");
+                    platform.write(write(client)).await.expect("the call failed");
                 })
             })
         });
@@ -157,18 +167,18 @@
 
 fn service_calls(c: &mut Criterion) {
     let runtime = runtime();
-    let options = service::Options { time: Duration::ZERO, ..service::Options::default() };
-    let replica = service::spawn(any(), options).expect("a replica");
+    let options = service::Options { call_time: Duration::ZERO, ..service::Options::default() };
+    let replica = service::spawn(loopback(), options).expect("failed to start the replica");
     let (targets, at) = (Targets::open(TIMEOUT), replica.address());
     let mut group = c.benchmark_group("service_calls");
-    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS) as u64));
+    group.sample_size(10).throughput(Throughput::Elements((CLIENTS * CALLS_PER_CLIENT) as u64));
     group.bench_function("call", |b| {
         b.iter_custom(|n| {
-            time(&runtime, n, || {
+            measure(&runtime, n, || {
                 in_parallel(|_| async {
                     let (path, body) = ("/stock".into(), "tin".into());
                     let call = Call { path, key: None, body, timeout: TIMEOUT };
-                    targets.call(at, call).await.expect("an answer");
+                    targets.call(at, call).await.expect("the call failed");
                 })
             })
         });
@@ -176,12 +186,12 @@
     group.finish();
 }
 
-/// Each client makes its calls one after another, all clients at once.
+/// Runs all clients concurrently; each makes its calls sequentially.
 async fn in_parallel<F: Future<Output = ()>>(call: impl Fn(usize) -> F) {
     let client = |number| {
         let call = &call;
         async move {
-            for _ in 0..CALLS {
+            for _ in 0..CALLS_PER_CLIENT {
                 call(number).await;
             }
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,6 +1,6 @@
-//! A model engine: the cost model behind HTTP.
+//! A simulated model engine: serves the cost model over HTTP.
 
-use crate::fault::{Faults, Life, Switch};
+use crate::fault::{Faults, RunState, Switch};
 use crate::peer::Peers;
 use crate::reader::Readers;
 use crate::server::{self, Call, Reply};
@@ -15,123 +15,124 @@
 use std::time::Duration;
 use tokio::sync::{Notify, watch};
 
-/// How often an engine looks whether the linked KV caches that its streams
-/// use are still held by other engines.
-const LINK_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which an engine checks that other engines still hold the linked KV caches that its
+/// streams use.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an engine waits before it asks a busy weight store again.
-const WEIGHTS_RETRY: Duration = Duration::from_millis(50);
+/// Delay before an engine retries a read from a busy weight store.
+const WEIGHTS_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How an engine behaves.
+/// Behaviour of an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The cost model. After a restart the engine is cold, whatever the
-    /// warmth given here for its first start.
+    /// The cost model. Its warmth applies to the first start; after a restart the engine is cold.
     pub model: Model,
-    /// Weights held at the start, beside those that the cost model names.
+    /// Weights that are loaded at the start, in addition to those in the cost model.
     pub loaded: Vec<Weights>,
-    /// Where weights are read from; without one they are there at once.
+    /// Address of the weight store; if `None`, weights load instantly.
     pub weights: Option<SocketAddr>,
-    /// When it starts again after a crash; never without.
+    /// Delay of the restart after a crash; if `None`, the engine is not restarted.
     pub restart_after: Option<Duration>,
-    /// It crashes when it runs a prompt that contains this.
+    /// The engine crashes when it runs a prompt that contains this text.
     pub crash_marker: Option<String>,
-    /// It resumes streams from their first token, wherever it is asked to.
-    pub replays: bool,
+    /// Whether the engine ignores the requested position and resumes each stream from its first
+    /// token.
+    pub ignores_resume_position: bool,
 }
 
-/// What an engine process holds in memory.
+/// State of an engine process, which is lost when the process dies.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct ProcessState {
     pub(crate) engine: Engine,
     pub(crate) readers: Readers,
     crash_marker: Option<String>,
-    /// Whether the crash of `engine` has been acted on.
-    crash_seen: bool,
+    /// Whether the process has already been killed for the crash of `engine`.
+    is_crash_handled: bool,
 }
 
 #[derive(Debug)]
 struct Inner {
     options: Options,
     faults: Faults,
-    held: Mutex<Held>,
+    state: Mutex<ProcessState>,
     ticked: watch::Sender<u64>,
     work: Notify,
     peers: Peers,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
-pub struct Machine {
+pub struct Simulator {
     inner: Arc<Inner>,
 }
 
 /// A running engine.
-pub type Handle = server::Handle<Machine>;
+pub type Handle = server::Handle<Simulator>;
 
-/// Serves an engine.
+/// Starts an engine.
 pub fn spawn(listen: SocketAddr, mut options: Options) -> std::io::Result<Handle> {
     options.model.loaded.append(&mut options.loaded);
     let faults = Faults::none();
     let engine = Engine::new(faults.now(), faults.incarnation(), options.model.clone());
     let crash_marker = options.crash_marker.clone();
-    let held = Held { engine, readers: Readers::default(), crash_marker, crash_seen: false };
+    let state =
+        ProcessState { engine, readers: Readers::default(), crash_marker, is_crash_handled: false };
     let inner = Inner {
         options,
         faults: faults.clone(),
-        held: Mutex::new(held),
+        state: Mutex::new(state),
         ticked: watch::Sender::new(0),
         work: Notify::new(),
         peers: Peers::open(),
     };
-    let machine = Machine { inner: Arc::new(inner) };
-    let handle = server::spawn_with(listen, machine.clone(), faults)?;
-    server::runtime().spawn(machine.clone().step());
-    server::runtime().spawn(machine.check_links());
+    let simulator = Simulator { inner: Arc::new(inner) };
+    let handle = server::spawn_with(listen, simulator.clone(), faults)?;
+    server::runtime().spawn(simulator.clone().run_steps());
+    server::runtime().spawn(simulator.check_links());
     Ok(handle)
 }
 
-impl Machine {
-    /// Calls `act` on the cost model, past all faults and without lag.
+impl Simulator {
+    /// Calls `act` on the cost model; faults and report lag do not apply.
     pub fn with_engine<T>(&self, act: impl FnOnce(&mut Engine) -> T) -> T {
         act(&mut self.lock().engine)
     }
 
-    /// KV memory in use by streams, handles and pins now.
+    /// Returns the KV memory that streams, handles and pins use now.
     pub fn kv_used(&self) -> size::Tokens {
         self.with_engine(|engine| engine.kv_used())
     }
 
-    /// Sets the text by which a prompt crashes the engine that runs it.
+    /// Sets the text that crashes the engine when it runs a prompt that contains it.
     pub fn set_crash_marker(&self, marker: Option<String>) {
         self.lock().crash_marker = marker;
     }
 
-    /// Turns cold without a word.
+    /// Makes the engine cold without reporting the change.
     pub fn turn_cold(&self) {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.turn_cold(now));
     }
 
-    /// Stops the streams from moving on, or lets them again.
+    /// Stalls the streams, or lets them continue.
     pub fn stall(&self, stall: Stall) {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.set_stall(now, stall));
         self.inner.work.notify_one();
     }
 
-    /// Runs the steps of the cost model as their time comes.
-    async fn step(self) {
-        let mut life = self.inner.faults.life();
+    /// Runs each step of the cost model when it is due.
+    async fn run_steps(self) {
+        let mut changes = self.inner.faults.run_state();
         loop {
             self.inner.faults.wait_thawed().await;
             let now = self.inner.faults.now();
             let next = {
-                let mut held = self.lock();
-                held.engine.advance(now);
-                held.engine.next_step()
+                let mut state = self.lock();
+                state.engine.advance(now);
+                state.engine.next_step()
             };
-            self.die_if_crashed();
+            self.stop_if_crashed();
             self.inner.ticked.send_modify(|tick| *tick += 1);
             let sleep = async {
                 match next {
@@ -142,7 +143,7 @@
             tokio::select! {
                 () = sleep => {}
                 () = self.inner.work.notified() => {}
-                Ok(()) = life.changed() => if *life.borrow_and_update() == Life::Stopped {
+                Ok(()) = changes.changed() => if *changes.borrow_and_update() == RunState::Stopped {
                     self.inner.ticked.send_modify(|tick| *tick += 1);
                     return;
                 }
@@ -150,18 +151,17 @@
         }
     }
 
-    /// Fails the streams whose KV cache lies partly on an engine that is
-    /// gone, or that has dropped it.
+    /// Fails the streams that use a linked KV cache whose engine is unreachable or has dropped it.
     async fn check_links(self) {
-        let life = self.inner.faults.life();
+        let run_state = self.inner.faults.run_state();
         let mut ticked = self.inner.ticked.subscribe();
-        while *life.borrow() != Life::Stopped {
+        while *run_state.borrow() != RunState::Stopped {
             let links = self.with_engine(|engine| engine.links());
             if links.is_empty() {
-                // Links come with streams, and streams with ticks.
+                // Links are added only by new streams, and each new stream causes a tick.
                 let _ = ticked.changed().await;
             }
-            tokio::time::sleep(LINK_CHECK).await;
+            tokio::time::sleep(LINK_CHECK_INTERVAL).await;
             self.inner.faults.wait_thawed().await;
             for link in links {
                 if self.inner.peers.export(link.at, &link.handle).await.is_none() {
@@ -173,11 +173,11 @@
         }
     }
 
-    fn die_if_crashed(&self) {
-        let mut held = self.lock();
-        let crashed = held.engine.is_crashed() && !held.crash_seen;
-        held.crash_seen |= crashed;
-        drop(held);
+    fn stop_if_crashed(&self) {
+        let mut state = self.lock();
+        let crashed = state.engine.is_crashed() && !state.is_crash_handled;
+        state.is_crash_handled |= crashed;
+        drop(state);
         if crashed {
             self.inner.faults.crash(self.inner.options.restart_after);
         }
@@ -185,43 +185,44 @@
 
     fn generate(&self, generate: &Generate) -> Reply {
         let mut job = Job::from_call(generate);
-        let mut held = self.lock();
-        let marker = held.crash_marker.as_deref();
+        let mut state = self.lock();
+        let marker = state.crash_marker.as_deref();
         job.crashes_engine = marker.is_some_and(|marker| generate.prompt.contains(marker));
-        if let Err(refused) = held.engine.begin(self.inner.faults.now(), job) {
-            drop(held);
-            self.die_if_crashed();
+        if let Err(refused) = state.engine.begin(self.inner.faults.now(), job) {
+            drop(state);
+            self.stop_if_crashed();
             return refuse(refused);
         }
-        let Held { engine, readers, .. } = &mut *held;
+        let ProcessState { engine, readers, .. } = &mut *state;
         readers.add(generate, engine);
-        drop(held);
+        drop(state);
         self.inner.work.notify_one();
         self.read(&generate.stream, generate.from)
     }
 
     fn read(&self, stream: &id::Stream, from: u64) -> Reply {
         let now = self.inner.faults.now();
-        let mut held = self.lock();
-        held.engine.advance(now);
-        let known = held.engine.progress(stream).and_then(|_| held.readers.supersede(stream));
-        drop(held);
-        let Some(number) = known else {
+        let mut state = self.lock();
+        state.engine.advance(now);
+        let generation = state.engine.progress(stream).and_then(|_| state.readers.attach(stream));
+        drop(state);
+        let Some(generation) = generation else {
             return Reply::status(404, "no such stream");
         };
-        // Wakes an older reader, who gives way, also where nothing moves.
+        // Wakes an earlier reader so that it stops even if the stream makes no progress.
         self.inner.ticked.send_modify(|tick| *tick += 1);
         let (pieces, reply) = Reply::stream();
-        let pump = crate::reader::pump(self.clone(), stream.clone(), number, from, pieces);
-        tokio::spawn(pump);
+        let task =
+            crate::reader::stream_events(self.clone(), stream.clone(), generation, from, pieces);
+        tokio::spawn(task);
         reply
     }
 
     fn cancel(&self, stream: &id::Stream) -> Reply {
-        let mut held = self.lock();
-        let cancelled = held.engine.cancel(self.inner.faults.now(), stream);
-        held.readers.remove(stream);
-        drop(held);
+        let mut state = self.lock();
+        let cancelled = state.engine.cancel(self.inner.faults.now(), stream);
+        state.readers.remove(stream);
+        drop(state);
         self.inner.work.notify_one();
         self.inner.ticked.send_modify(|tick| *tick += 1);
         Reply::json(&cancelled)
@@ -229,9 +230,10 @@
 
     fn order(&self, fenced: &FencedOrder) -> Reply {
         let now = self.inner.faults.now();
-        let done = self.with_engine(|engine| engine.apply_order(now, fenced.fence, &fenced.order));
+        let result =
+            self.with_engine(|engine| engine.apply_order(now, fenced.fence, &fenced.order));
         self.inner.work.notify_one();
-        match done {
+        match result {
             Ok(None) => Reply::json(&()),
             Ok(Some(fetch)) => {
                 server::runtime().spawn(self.clone().fetch(fetch));
@@ -241,15 +243,15 @@
         }
     }
 
-    /// Reads weights from the weight store, until they are there or no longer
+    /// Reads weights from the weight store, with retries until they are loaded or no longer
     /// wanted.
     async fn fetch(self, fetch: Fetch) {
         let incarnation = self.inner.faults.incarnation();
         if let Some(at) = self.inner.options.weights {
             while !self.inner.peers.read_weights(at, fetch.bytes).await {
-                tokio::time::sleep(WEIGHTS_RETRY).await;
-                let wanted = self.with_engine(|engine| engine.has_weights(&fetch.weights));
-                if !wanted || self.inner.faults.incarnation() != incarnation {
+                tokio::time::sleep(WEIGHTS_RETRY_INTERVAL).await;
+                let is_wanted = self.with_engine(|engine| engine.has_weights(&fetch.weights));
+                if !is_wanted || self.inner.faults.incarnation() != incarnation {
                     return;
                 }
             }
@@ -265,14 +267,14 @@
             return Reply::status(404, "no such KV cache");
         };
         let (now, incarnation) = (self.inner.faults.now(), self.inner.faults.incarnation());
-        let begun =
+        let import_time =
             self.with_engine(|engine| engine.import(now, &import.handle, export, import.from));
-        let time = match begun {
+        let time = match import_time {
             Ok(time) => time,
             Err(refused) => return refuse(refused),
         };
-        // A task of its own: the copy arrives also when the caller that asked
-        // for it has gone, and would else be half there for good.
+        // A separate task completes the copy even if the caller disconnects; otherwise the import
+        // would stay incomplete forever.
         let copy = self.clone().finish_import(import.handle.clone(), time, incarnation);
         match tokio::spawn(copy).await {
             Ok(true) => Reply::json(&()),
@@ -280,14 +282,19 @@
         }
     }
 
-    async fn finish_import(self, handle: Cache, time: Duration, start: id::Incarnation) -> bool {
+    async fn finish_import(
+        self,
+        handle: Cache,
+        time: Duration,
+        incarnation: id::Incarnation,
+    ) -> bool {
         tokio::time::sleep(time).await;
         self.inner.faults.wait_thawed().await;
-        let same = self.inner.faults.incarnation() == start;
-        if same {
+        let is_current = self.inner.faults.incarnation() == incarnation;
+        if is_current {
             self.with_engine(|engine| engine.finish_import(&handle));
         }
-        same
+        is_current
     }
 
     fn drop_handle(&self, handle: &Cache) -> Reply {
@@ -308,8 +315,8 @@
         self.inner.ticked.subscribe()
     }
 
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Held> {
-        self.inner.held.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn lock(&self) -> MutexGuard<'_, ProcessState> {
+        self.inner.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -321,39 +328,39 @@
     }
 }
 
-impl server::Service for Machine {
+impl server::Service for Simulator {
     async fn call(&self, call: Call) -> Reply {
         let now = self.inner.faults.now();
         match (call.method.as_str(), call.path.as_str()) {
-            ("POST", "/v1/generate") => call.answer(|body| self.generate(&body)),
-            ("POST", "/v1/resume") => call.answer(|body: ResumeRequest| {
-                let from = if self.inner.options.replays { 0 } else { body.from };
+            ("POST", "/v1/generate") => call.answer_json(|body| self.generate(&body)),
+            ("POST", "/v1/resume") => call.answer_json(|body: ResumeRequest| {
+                let from = if self.inner.options.ignores_resume_position { 0 } else { body.from };
                 self.read(&body.stream, from)
             }),
-            ("POST", "/v1/cancel") => call.answer(|body| self.cancel(&body)),
+            ("POST", "/v1/cancel") => call.answer_json(|body| self.cancel(&body)),
             ("GET", "/v1/report") => Reply::json(&self.with_engine(|engine| engine.report(now))),
             ("GET", "/v1/cache-events") => {
                 let after = call.query("after").parse().unwrap_or(0);
                 Reply::json(&self.with_engine(|engine| engine.cache_events(now, after)))
             }
-            ("POST", "/v1/order") => call.answer(|body| self.order(&body)),
+            ("POST", "/v1/order") => call.answer_json(|body| self.order(&body)),
             ("POST", "/v1/import") => match call.json::<ImportRequest>() {
                 Ok(import) => self.import(&import).await,
                 Err(reply) => reply,
             },
-            ("POST", "/v1/export") => call.answer(|body| self.export(&body)),
-            ("POST", "/v1/drop") => call.answer(|body| self.drop_handle(&body)),
+            ("POST", "/v1/export") => call.answer_json(|body| self.export(&body)),
+            ("POST", "/v1/drop") => call.answer_json(|body| self.drop_handle(&body)),
             _ => Reply::status(405, "no such call"),
         }
     }
 
     fn reset(&self, faults: &Faults) {
         let model = Model { warmth: 0, ..self.inner.options.model.clone() };
-        let mut held = self.lock();
-        held.engine = Engine::new(faults.now(), faults.incarnation(), model);
-        held.readers = Readers::default();
-        held.crash_seen = false;
-        drop(held);
+        let mut state = self.lock();
+        state.engine = Engine::new(faults.now(), faults.incarnation(), model);
+        state.readers = Readers::default();
+        state.is_crash_handled = false;
+        drop(state);
         self.inner.work.notify_one();
     }
 
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,25 +1,24 @@
-//! A bound on calls a second: calls beyond it wait in the order in which they
-//! come, as behind a slow service.
+//! A rate limit: excess calls wait in arrival order, as if they queued for a slow service.
 
 use std::time::{Duration, Instant};
 
-/// The calls of one kind.
+/// The rate limit for one kind of calls.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
-    gap: Duration,
-    free_at: Instant,
+pub struct RateLimit {
+    interval: Duration,
+    next_start: Instant,
 }
 
-impl Rate {
-    /// At most `per_second` calls.
+impl RateLimit {
+    /// Creates a limit of `per_second` calls per second.
     pub fn open(now: Instant, per_second: u32) -> Self {
-        Self { gap: Duration::from_secs(1) / per_second.max(1), free_at: now }
+        Self { interval: Duration::from_secs(1) / per_second.max(1), next_start: now }
     }
 
-    /// How long a call that comes now waits.
-    pub fn book(&mut self, now: Instant) -> Duration {
-        let begins = self.free_at.max(now);
-        self.free_at = begins + self.gap;
-        begins - now
+    /// Reserves the next slot and returns how long the call has to wait for it.
+    pub fn reserve(&mut self, now: Instant) -> Duration {
+        let start = self.next_start.max(now);
+        self.next_start = start + self.interval;
+        start - now
     }
 }
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -1,5 +1,5 @@
-//! Faults over HTTP, and what only the stand-ins among themselves do: spread
-//! prompts, weights, crashes.
+//! Tests of fault switches over HTTP and of interactions between stand-ins: prompts spread over
+//! several engines, weight loading and crashes.
 
 use futures::StreamExt;
 use hickory_client::{Call, Client, Error, Response};
@@ -57,11 +57,11 @@
     Client::open(TIMEOUT).exchange(at, call, TIMEOUT).await
 }
 
-/// Waits until `done`; panics where that does not come.
+/// Waits until `done` returns true; panics after [`TIMEOUT`].
 async fn wait_until(mut done: impl AsyncFnMut() -> bool) {
     let started = std::time::Instant::now();
     while !done().await {
-        assert!(started.elapsed() < TIMEOUT, "what was waited for did not come");
+        assert!(started.elapsed() < TIMEOUT, "the condition was not met within {TIMEOUT:?}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -80,19 +80,18 @@
 }
 
 #[tokio::test]
-async fn down_for_a_time_comes_back_by_itself() {
+async fn down_for_restarts_the_process() {
     let fleet = Fleet::spawn(options()).unwrap();
-    let control = fleet.board().spawn("127.0.0.1:0".parse().unwrap()).unwrap();
+    let control = fleet.switchboard().spawn("127.0.0.1:0".parse().unwrap()).unwrap();
     let path = "/fault/engine-0";
     assert_eq!(post(control.address(), path, r#"{"down_for_ms":50}"#).await.unwrap().status, 200);
     let (targets, at) = (Targets::open(TIMEOUT), fleet.engines[0].address());
     wait_until(async || Engines::report(&targets, at).await.is_ok()).await;
 }
 
-/// Kills and restarts from many sides at once neither wait for good nor leave
-/// the stand-in in between.
+/// Concurrent kills and restarts must not deadlock or leave the stand-in between two states.
 #[tokio::test]
-async fn switches_may_come_at_once() {
+async fn concurrent_kills_and_restarts_complete() {
     let fleet = Fleet::spawn(options()).unwrap();
     let engine = &fleet.engines[0];
     std::thread::scope(|scope| {
@@ -110,9 +109,9 @@
     assert!(Engines::report(&targets, engine.address()).await.is_ok());
 }
 
-/// A dead engine holds nothing, also before it starts again.
+/// A killed engine loses its memory immediately, not only at its restart.
 #[tokio::test]
-async fn memory_goes_with_the_process() {
+async fn killed_engine_loses_its_memory() {
     let fleet = Fleet::spawn(options()).unwrap();
     let engine = &fleet.engines[0];
     engine.service().stall(hickory_model::batch::Stall::After(0));
@@ -123,8 +122,8 @@
     assert_eq!(engine.service().kv_used().0, 0);
 }
 
-/// A request that crashes each engine that runs it: those beside it on the
-/// engine are lost with it, and the engine comes back cold.
+/// A prompt with the crash marker crashes each engine that runs it; the engine restarts as a new
+/// incarnation and serves other prompts.
 #[tokio::test]
 async fn poisoned_prompt_crashes_each_engine_that_runs_it() {
     let mut options = options();
@@ -146,9 +145,9 @@
     }
 }
 
-/// Three engines hold a prompt of a million tokens between them.
+/// A prompt of a million tokens is spread over three engines.
 #[tokio::test]
-async fn prompt_greater_than_one_engine_is_answered() {
+async fn prompt_larger_than_one_engine_is_answered() {
     let fleet = Fleet::spawn(options()).unwrap();
     let targets = Targets::open(TIMEOUT);
     let prompt: String = (0..400_000).map(|n| format!("{n:09} ")).collect();
@@ -171,10 +170,10 @@
     assert_eq!(used, [350_000, 350_000, 0]);
 }
 
-/// The engine that holds a linked part dies while the last one waits to
-/// generate: the stream fails by the engine's own word, and does not hang.
+/// The engine that holds a linked part of the KV cache dies while the last engine waits to
+/// generate: the last engine has to report the stream as failed instead of hanging.
 #[tokio::test]
-async fn spread_prompt_fails_when_a_part_dies() {
+async fn linked_prompt_fails_when_an_engine_dies() {
     let mut options = options();
     options.engine.model.kv_capacity = size::Tokens(1_000);
     let fleet = Fleet::spawn(options).unwrap();
@@ -193,10 +192,10 @@
     assert_eq!(failed, Err("KV cache of another engine lost".into()));
 }
 
-/// Engines that are all ordered to load at once share the weight store's
-/// rate; each serves when its turn has come.
+/// Engines that are ordered to load at the same time share the rate of the weight store and become
+/// ready one after another.
 #[tokio::test]
-async fn weights_come_through_the_store() {
+async fn weight_loads_share_the_store_rate() {
     let mut options = options();
     options.weights.loads = 1;
     options.weights.bytes_per_second = size::Bytes(1_000_000);
@@ -217,5 +216,5 @@
         })
         .await;
     }
-    assert!(started.elapsed() >= Duration::from_millis(90), "three reads, one after another");
+    assert!(started.elapsed() >= Duration::from_millis(90), "the three reads were not sequential");
 }
--- a/crates/standin/tests/core.rs
+++ b/crates/standin/tests/core.rs
@@ -1,6 +1,6 @@
-//! The core of the key-value service with the time passed in.
+//! Tests of the key-value service's state machine with simulated time.
 
-use hickory_standin::rate::Rate;
+use hickory_standin::rate::RateLimit;
 use hickory_standin::store::Core;
 use hickory_store::store::{Error, Event, Expect, Lease, Revision, Write};
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn lease_lapses_when_its_time_is_over_and_not_before() {
+fn lease_expires_at_its_ttl_and_not_before() {
     let (mut core, start) = (Core::default(), Instant::now());
     let lease = core.grant(start, TTL);
     core.write(start, write("k", Expect::Absent, Some(lease))).unwrap();
@@ -26,7 +26,7 @@
     assert_eq!(late, Err(Error::LeaseLapsed));
 }
 
-/// A key that was written anew without the lease outlives it.
+/// A key that is written again without the lease is not removed with the lease.
 #[test]
 fn last_write_decides_the_lease_of_a_key() {
     let (mut core, start) = (Core::default(), Instant::now());
@@ -48,8 +48,8 @@
     assert!(matches!(late, Err(Error::Conflict(Some(entry))) if entry.revision == second));
 }
 
-/// A removed and re-created key has a new revision: a holder of the old one
-/// can't write it.
+/// A key that was removed and created again has a new revision, so a conditional write at the old
+/// revision fails.
 #[test]
 fn removed_key_does_not_come_back_at_its_old_revision() {
     let (mut core, now) = (Core::default(), Instant::now());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn history_is_bounded_and_says_so() {
+fn bounded_history_reports_compaction() {
     let (mut core, now) = (Core::default(), Instant::now());
     for n in 0..10_005 {
         core.write(now, write(&format!("k/{}", n % 10), Expect::Any, None)).unwrap();
@@ -78,8 +78,8 @@
 #[test]
 fn calls_beyond_the_rate_wait_in_order() {
     let now = Instant::now();
-    let mut rate = Rate::open(now, 100);
-    let waits: Vec<u64> = (0..3).map(|_| rate.book(now).as_millis() as u64).collect();
+    let mut rate = RateLimit::open(now, 100);
+    let waits: Vec<u64> = (0..3).map(|_| rate.reserve(now).as_millis() as u64).collect();
     assert_eq!(waits, [0, 10, 20]);
-    assert_eq!(rate.book(now + Duration::from_secs(1)), Duration::ZERO);
+    assert_eq!(rate.reserve(now + Duration::from_secs(1)), Duration::ZERO);
 }
--- a/crates/standin/tests/fleet.rs
+++ b/crates/standin/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole stand-in platform serves each of its ports over sockets.
+//! Tests of a complete stand-in fleet over sockets.
 
 use futures::StreamExt;
 use hickory_model::answer::Answer;
@@ -87,5 +87,5 @@
     };
     let reply = targets.call(fleet.replicas[0].address(), call).await.unwrap();
     assert_eq!(reply.status, 200);
-    assert_eq!(fleet.replicas[1].service().runs().of("key-1"), 1);
+    assert_eq!(fleet.replicas[1].service().runs().count("key-1"), 1);
 }
--- a/crates/target/tests/contract.rs
+++ b/crates/target/tests/contract.rs
@@ -191,7 +191,7 @@
         row.0.apply(service.faults());
         let result = CallResult::from(targets.call(at, order_call("key", row.0.timeout())).await);
         assert_eq!(result, row.1, "{row:?}");
-        assert_eq!(service.service().runs().of("key"), row.2, "{row:?}");
+        assert_eq!(service.service().runs().count("key"), row.2, "{row:?}");
     }
 }
 
@@ -208,7 +208,7 @@
     let before = Services::report(&targets, at).await.unwrap();
     service.faults().restart();
     targets.call(at, order_call("key", LONG)).await.unwrap();
-    assert_eq!(service.service().runs().of("key"), 2);
+    assert_eq!(service.service().runs().count("key"), 2);
     let after = Services::report(&targets, at).await.unwrap();
     assert_ne!(before.incarnation, after.incarnation);
     assert!(before.warmth > after.warmth, "a restart must reset the warmth");
@@ -219,8 +219,8 @@
 #[tokio::test]
 async fn cold_service_crashes_under_full_load() {
     let options = hickory_standin::service::Options {
-        time: LONG,
-        calls_max: 10,
+        call_time: LONG,
+        max_calls: 10,
         warmth: 0,
         ..hickory_standin::service::Options::default()
     };
