--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 //! work on it; the node that accepted a request sends it to the target directly.
 //!
 //! ```no_run
-//! # async fn run(settings: hickory_settings::Node) -> std::io::Result<()> {
+//! # async fn run(settings: hickory_settings::Settings) -> std::io::Result<()> {
 //! let node = hickory_node::Node::spawn(settings).await?;
 //! println!("callers connect to {}", node.caller_address());
 //! node.drain();
