--- a/apps/hickory/src/demo.rs
+++ b/apps/hickory/src/demo.rs
@@ -29,8 +29,9 @@
 /// comparison.
 const LONG_PROMPTS_START: Duration = Duration::from_secs(4);
 
-/// Deadline of the prompt of a million tokens. Engines report the rate of their real
-/// speed, at which its prefill takes 25 s; in the demo it takes half of that or less.
+/// Deadline of the prompt of a million tokens. Engines report their prefill rate without
+/// the demo's speed factor. At that rate its prefill takes 25 s; in the demo it takes half
+/// of that or less.
 const HUGE_PROMPT_DEADLINE: Duration = Duration::from_secs(26);
 
 /// Timeout until the fleet is ready.
--- a/apps/hickory/src/explain.rs
+++ b/apps/hickory/src/explain.rs
@@ -45,7 +45,7 @@
 enum About {
     /// The explained request.
     Request,
-    /// A change in the view of a node that handled the request.
+    /// A change in the view that a node has of the fleet.
     Belief,
     /// A long prompt placed on a target of the request.
     Work,
@@ -122,8 +122,8 @@
     }
 }
 
-/// Selects the steps of the request, the changes in the view of its nodes meanwhile,
-/// and the long prompts on its targets.
+/// Selects the steps of the request, the changes in its nodes' view of the fleet while
+/// it was handled and shortly before, and the long prompts on its targets in that time.
 fn select_steps(mut steps: Vec<Step>) -> Vec<Step> {
     steps.retain(|step| step.about != About::Other);
     steps.sort_by(|a, b| (a.time, &a.node).cmp(&(b.time, &b.node)));
--- a/crates/admin/src/control.rs
+++ b/crates/admin/src/control.rs
@@ -19,7 +19,7 @@
 /// Why a note was not accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Failure {
-    /// The note was written against another version than the current one, which is given.
+    /// The note was written against another version than the current one; holds the current one.
     Conflict(id::Release),
     /// The findings of the note; the server fills in their lines.
     Invalid(Vec<Finding>),
@@ -41,10 +41,10 @@
     /// Accepts a note: applies it to the current configuration and writes the result atomically.
     fn accept(&self, note: &Note) -> Result<Accepted, Failure>;
 
-    /// Returns the version that an operation created, or `None` if this node knows no effect of it
-    /// or its record has expired. The node may learn of an effect seconds later. A note that is
-    /// sent again under the same operation id is still recognized as a repetition, because that
-    /// check reads the platform's own copy.
+    /// Returns the version that an operation created, or `None` if this node does not know that the
+    /// operation took effect, or no longer keeps its id. The node may learn of the effect seconds
+    /// after it. A note that is sent again under the same operation id is still recognized as a
+    /// repetition, because that check reads the platform's own copy.
     fn find_operation(&self, operation: &str) -> Result<Option<id::Release>, Failure>;
 
     /// Returns the configuration in force at this node, if any.
--- a/crates/admin/src/route.rs
+++ b/crates/admin/src/route.rs
@@ -14,8 +14,8 @@
 use serde::Serialize;
 use std::io::Read;
 
-/// Maximum size of a request body. A larger note is of no use, because the platform limits the
-/// configuration that it creates to one mebibyte.
+/// Maximum size of a request body. A larger note could hardly be applied, because the platform
+/// limits the configuration that it creates to one mebibyte.
 const MAX_BODY_BYTES: u64 = 1 << 20;
 
 /// The media type of the Prometheus text format.
--- a/crates/document/src/lib.rs
+++ b/crates/document/src/lib.rs
@@ -52,7 +52,8 @@
 /// The result of reading a document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parsed<T> {
-    /// The parts that could be read, also if there are findings.
+    /// The value, if it could be read, even if there are findings. Its type may replace invalid
+    /// fields by defaults.
     pub value: Option<T>,
     /// The findings, sorted by line.
     pub findings: Vec<Finding>,
@@ -127,8 +128,8 @@
     Parsed { value: None, findings, locations: Locations::default() }
 }
 
-/// Allows JSON with comments and trailing commas, and no further extensions: a note that another
-/// tool would parse differently must be rejected.
+/// Allows JSON with comments and trailing commas, and no further extensions, because a document
+/// that another tool might parse differently must be rejected.
 fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
--- a/crates/release/src/accept.rs
+++ b/crates/release/src/accept.rs
@@ -1,7 +1,7 @@
 //! Acceptance of release notes.
 //!
-//! The decision depends only on the current configuration, so that the process that writes it with
-//! compare-and-swap can repeat the decision after a conflict.
+//! The decision depends only on the note and the current configuration. The node that writes the
+//! new configuration with compare-and-swap can therefore decide again after a conflict.
 
 use crate::check::check_operators;
 use crate::configuration::Configuration;
@@ -21,7 +21,7 @@
 /// Why a note was rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
-    /// The note was written against another version than the current one, which is given.
+    /// The note was written against another version than the current one; holds the current one.
     Conflict(id::Release),
     /// The findings of the note, without lines.
     Invalid(Vec<Finding>),
--- a/crates/release/src/configuration.rs
+++ b/crates/release/src/configuration.rs
@@ -113,7 +113,7 @@
 
 impl Configuration {
     /// Returns the version that an operation created, or `None` if the operation had no effect or
-    /// is no longer kept.
+    /// its id is no longer kept.
     ///
     /// Each accepted note adds one version and one operation, so the version follows from the
     /// operation's distance from the end of the list.
--- a/crates/report/src/bounded_counts.rs
+++ b/crates/report/src/bounded_counts.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use std::collections::BTreeMap;
 
-/// Counts by name. Names up to the capacity have a count of their own; all further
+/// Counts by name. The first names, up to the capacity, have a count each; all further
 /// names share one.
 #[derive(Debug)]
 pub struct BoundedCounts<T> {
--- a/crates/report/src/outcome.rs
+++ b/crates/report/src/outcome.rs
@@ -14,7 +14,8 @@
     Late,
     /// Refused because of the load or state of the fleet, without having run.
     Refused,
-    /// Ended without a complete answer, or by a target's failure.
+    /// Ended without a complete answer, answered with a server error, or refused although it
+    /// may have run.
     Failed,
     /// Refused because the caller's request was invalid.
     Invalid,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Whether the service is to blame: late, refused or failed.
+    /// Whether the cause lies with the service, not the caller: late, refused or failed.
     pub fn is_bad(self) -> bool {
         matches!(self, Self::Late | Self::Refused | Self::Failed)
     }
--- a/crates/report/src/read.rs
+++ b/crates/report/src/read.rs
@@ -4,11 +4,11 @@
 use crate::tally::Tally;
 use std::io::{self, BufRead};
 
-/// Maximum length of a line. Lines of nodes are far shorter.
+/// Maximum length of a line. The lines that nodes write are far shorter.
 pub const MAX_LINE_BYTES: usize = 65_536;
 
 /// Reads a log to its end and counts its lines in `tally`. Unreadable lines are
-/// counted and skipped; `name` identifies the log in their places.
+/// counted and skipped; they are reported by `name` and line number.
 ///
 /// # Errors
 ///
--- a/crates/report/src/tally.rs
+++ b/crates/report/src/tally.rs
@@ -108,7 +108,7 @@
     pub(crate) known: [Distribution<2>; DECISION_FIELDS.len()],
 }
 
-/// The counts of a message about a node's state or view.
+/// The counts of a message about a node's state or its view of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NodeEventCounts {
     pub(crate) count: u64,
@@ -143,7 +143,7 @@
     pub(crate) outcomes: Counts,
     pub(crate) waits: [Distribution<2>; size::COUNT],
     pub(crate) began_to_wait: u64,
-    /// First tokens by predicted and measured time, both in half octaves.
+    /// Streams by predicted and measured time to the first token, both in half octaves.
     pub(crate) first_token_cells: BTreeMap<(u8, u8), u64>,
     pub(crate) expected_first_token: Distribution<2>,
     pub(crate) first_token: Distribution<2>,
@@ -353,7 +353,7 @@
         let Some(index) = index else { return };
         let (mut at, end) = (begin_ms, begin_ms + part_ms.min(MAX_PREFILL_MS) as i64);
         while at < end {
-            // Looking up a step may double the step width, so the width is read after.
+            // Looking up a step may double the step width, so the width is read afterwards.
             self.timeline.step_at(at);
             let step_ms = self.timeline.step_ms();
             let next = ((at.div_euclid(step_ms) + 1) * step_ms).min(end);
@@ -372,7 +372,8 @@
     line.time_ms - line.age_ms as i64
 }
 
-/// Returns the half octave that a time lies in.
+/// Returns the half octave that a time lies in. Each half octave is a bucket whose bounds
+/// differ by a factor of the square root of two.
 fn half_octave(ms: u64) -> u8 {
     (((ms + 1) as f64).log2() * 2.0) as u8
 }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -23,8 +23,9 @@
     }
 }
 
-/// Too small values would let a node flood the platform or its targets with requests. With too
-/// large values it would detect faults too late to finish requests in time.
+/// The allowed ranges. With values that are too small, a node would flood the platform or its
+/// targets with requests. With values that are too large, it would detect faults too late to finish
+/// requests in time.
 const RANGES: &[Range] = &[
     Range { name: "lease_ms", read: |t| t.lease_ms, min: 500, max: 60_000 },
     Range { name: "permit_ms", read: |t| t.permit_ms, min: 50, max: 10_000 },
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -85,9 +85,9 @@
     pub report_ms: u64,
     /// Poll interval of the host list.
     pub hosts_ms: u64,
-    /// How long callers may cache the entry address that they were given.
+    /// Time for which callers may cache the entry address that they received.
     pub entry_keep_ms: u64,
-    /// How long a stream is kept for a resume after its caller disconnected.
+    /// Time for which a stream is kept for a resume after its caller disconnected.
     pub resume_ms: u64,
     /// Timeout for a stream that makes no progress.
     pub progress_ms: u64,
--- a/crates/telemetry/src/appender.rs
+++ b/crates/telemetry/src/appender.rs
@@ -47,7 +47,7 @@
 }
 
 impl TokenBucket {
-    /// Takes the token of one line; returns whether there was one.
+    /// Takes one token and returns whether one was available.
     fn try_take(&mut self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.refilled);
         self.refilled = now;
@@ -84,7 +84,7 @@
     }
 
     /// Starts the writer thread, which holds all lines until the first line is
-    /// written or given up.
+    /// written or its [`FirstLine`] is dropped.
     pub(crate) fn spawn_with_first_line(
         out: impl Write + Send + 'static,
     ) -> std::io::Result<(FirstLine, Self)> {
@@ -140,7 +140,7 @@
 
 fn write_all_lines(lines: impl Iterator<Item = Vec<u8>>, mut out: impl Write) {
     for line in lines {
-        // The reader is gone, so the error can't be reported anywhere.
+        // If the reader of the log is gone, the error can't be reported anywhere.
         let _ = out.write_all(&line).and_then(|()| out.flush());
     }
 }
--- a/crates/telemetry/src/label.rs
+++ b/crates/telemetry/src/label.rs
@@ -113,7 +113,7 @@
         Refused = "refused",
     }
 
-    /// A resource on a target that had no caller any more and was released.
+    /// A resource on a target that was released because it no longer had a caller.
     Orphan {
         /// A stream.
         Stream = "stream",
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -253,7 +253,7 @@
     /// Counts a call to the platform and records its duration.
     pub fn record_platform_call(&self, call: Call, result: Outcome, time: Duration) {
         self.platform_calls[call as usize][result as usize].inc();
-        // A watch blocks until something changes, so its duration is no latency.
+        // A watch blocks until something changes, so its duration is not a latency.
         if call != Call::Watch {
             self.platform_call_time[call as usize].observe(time.as_secs_f64());
         }
