--- a/apps/hickory/tests/fleet.rs
+++ b/apps/hickory/tests/fleet.rs
@@ -98,9 +98,9 @@
         }
     }
 
-    fn accepts(&self) -> usize {
+    fn received_notes(&self) -> usize {
         match self {
-            Self::Up(fake, _) => fake.accepts(),
+            Self::Up(fake, _) => fake.received_notes(),
             _ => 0,
         }
     }
@@ -130,13 +130,17 @@
     for (index, address) in addresses.iter().enumerate() {
         text = text.replace(address, &format!("NODE-{}", index + 1));
     }
-    let accepts: Vec<usize> = nodes.iter().map(RunningNode::accepts).collect();
+    let received_notes: Vec<usize> = nodes.iter().map(RunningNode::received_notes).collect();
     let configuration = platform.configuration();
     let operations =
         configuration.operations.iter().map(|o| hide_random_ids(o)).collect::<Vec<_>>();
     writeln!(report, "## {}\n{}", scenario.name, hide_random_ids(&text)).unwrap();
-    writeln!(report, "notes {accepts:?}, version {}: {operations:?}\n", configuration.version)
-        .unwrap();
+    writeln!(
+        report,
+        "notes {received_notes:?}, version {}: {operations:?}\n",
+        configuration.version
+    )
+    .unwrap();
     for node in &nodes {
         if let RunningNode::Up(fake, _) = node {
             fake.release();
--- a/apps/hickory/tests/real.rs
+++ b/apps/hickory/tests/real.rs
@@ -19,14 +19,14 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Two nodes in zones `a` and `b`, with stand-ins.
-struct Real {
+struct RealNodes {
     standins: Fleet,
     nodes: Vec<Node>,
     #[allow(dead_code)]
     runtime: tokio::runtime::Runtime,
 }
 
-impl Real {
+impl RealNodes {
     fn open() -> Self {
         let options = Options { engines: 2, replicas: 1, ..Options::default() };
         let standins = Fleet::spawn(options).unwrap();
@@ -84,7 +84,7 @@
 
 #[test]
 fn commands_work_on_real_nodes() {
-    let real = Real::open();
+    let real = RealNodes::open();
     let first = ["release", "accept", "first.jsonc"];
 
     // Before the first note only the token in the settings is valid.
@@ -144,7 +144,7 @@
 // answer of the write, the note must still be accepted, exactly once.
 #[test]
 fn the_platform_fails_while_a_note_is_sent() {
-    let real = Real::open();
+    let real = RealNodes::open();
     real.standins.store.faults().kill();
     let down = real.run(&[0], &["release", "accept", "first.jsonc"]);
     assert!([Some(7), Some(8)].contains(&down.code), "{down}");
@@ -170,7 +170,7 @@
 // version.
 #[test]
 fn zone_changes_of_racing_operators_both_succeed() {
-    let real = Real::open();
+    let real = RealNodes::open();
     assert_eq!(real.run(&[0, 1], &["release", "accept", "first.jsonc"]).code, Some(0));
     real.wait(&[1], &["release", "show"], "version 1");
     for round in 0..6 {
--- a/crates/admin/tests/contract.rs
+++ b/crates/admin/tests/contract.rs
@@ -200,7 +200,7 @@
     assert!(send(handle.address(), &case, binary).contains("not UTF-8"));
     let deep = "[".repeat(500_000);
     assert!(send(handle.address(), &case, deep).starts_with("422"));
-    assert_eq!(fake.accepts(), 0);
+    assert_eq!(fake.received_notes(), 0);
     assert_eq!(platform.configuration().version.0, 1);
 }
 
@@ -228,7 +228,7 @@
         let status = answer.split(' ').nth(1).unwrap();
         assert!(["400", "500"].contains(&status), "{cut}: {answer}");
     }
-    assert_eq!(fake.accepts(), 0);
+    assert_eq!(fake.received_notes(), 0);
     assert_eq!(platform.configuration().version.0, 1);
 }
 
--- a/crates/admin/tests/fake/mod.rs
+++ b/crates/admin/tests/fake/mod.rs
@@ -45,7 +45,7 @@
 pub struct Fake {
     platform: Arc<Platform>,
     faults: Mutex<VecDeque<Fault>>,
-    accepts: Mutex<usize>,
+    received_notes: Mutex<usize>,
     drained: Mutex<bool>,
     released: (Mutex<bool>, Condvar),
 }
@@ -93,7 +93,7 @@
         Arc::new(Self {
             platform: Arc::clone(platform),
             faults: Mutex::new(faults.into_iter().collect()),
-            accepts: Mutex::default(),
+            received_notes: Mutex::default(),
             drained: Mutex::default(),
             released: Default::default(),
         })
@@ -105,8 +105,8 @@
     }
 
     /// Returns the number of notes received.
-    pub fn accepts(&self) -> usize {
-        *self.accepts.lock().unwrap()
+    pub fn received_notes(&self) -> usize {
+        *self.received_notes.lock().unwrap()
     }
 
     /// Returns whether a drain was requested.
@@ -136,7 +136,7 @@
     }
 
     fn accept(&self, note: &Note) -> Result<Accepted, Failure> {
-        *self.accepts.lock().unwrap() += 1;
+        *self.received_notes.lock().unwrap() += 1;
         let fault = self.faults.lock().unwrap().pop_front();
         match fault {
             None => self.platform.write(note),
--- a/crates/release/src/configuration.rs
+++ b/crates/release/src/configuration.rs
@@ -121,8 +121,8 @@
         if operation.is_empty() {
             return None;
         }
-        let later = self.operations.iter().rev().position(|known| known == operation)?;
-        Some(id::Release(self.version.0.saturating_sub(later as u64)))
+        let later_operations = self.operations.iter().rev().position(|known| known == operation)?;
+        Some(id::Release(self.version.0.saturating_sub(later_operations as u64)))
     }
 
     /// Returns the size of the configuration as JSON.
--- a/crates/release/src/note.rs
+++ b/crates/release/src/note.rs
@@ -85,8 +85,8 @@
 /// depend on the configuration.
 pub fn parse_draft(text: &str) -> Result<Draft, Vec<Finding>> {
     let mut parsed = hickory_document::read_document::<Note>(text);
-    let later = parsed.value.as_ref().map(check::check_values).unwrap_or_default();
-    parsed.add_findings(later);
+    let value_findings = parsed.value.as_ref().map(check::check_values).unwrap_or_default();
+    parsed.add_findings(value_findings);
     let locations = std::mem::take(&mut parsed.locations);
     parsed.into_result().map(|note| Draft { note, locations })
 }
--- a/crates/release/tests/any.rs
+++ b/crates/release/tests/any.rs
@@ -10,7 +10,7 @@
 const NOTE: &str = include_str!("data/present.jsonc");
 
 /// Text fragments that are significant for a parser of notes.
-const PIECES: &[&str] = &[
+const FRAGMENTS: &[&str] = &[
     "{",
     "}",
     "[",
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn any_pieces(pieces in prop::collection::vec(prop::sample::select(PIECES), 0..40)) {
+    fn any_pieces(pieces in prop::collection::vec(prop::sample::select(FRAGMENTS), 0..40)) {
         check_parsing(&pieces.concat())?;
     }
 
@@ -88,7 +88,7 @@
     fn a_valid_note_with_a_part_replaced(
         start in 0..NOTE.len(),
         length in 0..60_usize,
-        pieces in prop::collection::vec(prop::sample::select(PIECES), 0..6),
+        pieces in prop::collection::vec(prop::sample::select(FRAGMENTS), 0..6),
     ) {
         let start = floor_char_boundary(NOTE, start);
         let end = floor_char_boundary(NOTE, start + length);
--- a/crates/report/src/page.rs
+++ b/crates/report/src/page.rs
@@ -53,8 +53,8 @@
                 (table::list_refusal_values(summary).render())
                 h2 { "Retries" }
                 (table::list_sends(summary).render())
-                (table::list_attempts(summary).render())
-                @if let Some(plot) = &plot::draw_attempts(summary)? { (render_plot(plot)) }
+                (table::list_failed_attempts(summary).render())
+                @if let Some(plot) = &plot::draw_failed_attempts(summary)? { (render_plot(plot)) }
                 h2 { "Nodes" }
                 (table::list_node_events(summary).render())
                 (table::list_faults(summary).render())
--- a/crates/report/src/plot.rs
+++ b/crates/report/src/plot.rs
@@ -203,7 +203,7 @@
 }
 
 /// Draws failed attempts over time.
-pub(crate) fn draw_attempts(summary: &Summary) -> Result<Option<Plot>> {
+pub(crate) fn draw_failed_attempts(summary: &Summary) -> Result<Option<Plot>> {
     let points = summary.series.iter().filter(|point| point.failed_attempts > 0);
     let top = points.clone().map(|point| point.failed_attempts).max();
     let (Some(top), Some(span)) = (top, TimeSpan::of(summary)) else { return Ok(None) };
--- a/crates/report/src/summary.rs
+++ b/crates/report/src/summary.rs
@@ -242,7 +242,7 @@
     /// Summarizes a tally.
     pub fn of(tally: &Tally) -> Self {
         let names: BTreeMap<usize, &str> =
-            tally.engines.named().map(|(name, number, _)| (number, name)).collect();
+            tally.engines.named().map(|(name, index, _)| (index, name)).collect();
         let step_ms = tally.timeline.step_ms();
         let last = tally.timeline.steps().last().map(|(time, _)| time + step_ms);
         Self {
@@ -383,7 +383,7 @@
 }
 
 fn summarize_sends(tally: &Tally) -> Sends {
-    let named = tally.failed_attempts.named().map(|(why, _, count)| (why.to_owned(), *count));
+    let named = tally.failed_attempts.named().map(|(reason, _, count)| (reason.to_owned(), *count));
     let others = tally.failed_attempts.others().map(|count| (OTHERS_NAME.to_owned(), *count));
     Sends {
         answered: tally.sends,
@@ -409,8 +409,8 @@
         over_ms: step.excess_pause.quantiles(),
         failed_attempts: step.failed_attempts,
         engines: engines
-            .filter_map(|(number, r)| {
-                Some(((*names.get(&number)?).to_owned(), [r.short_ms, r.long_ms]))
+            .filter_map(|(index, r)| {
+                Some(((*names.get(&index)?).to_owned(), [r.short_ms, r.long_ms]))
             })
             .collect(),
     }
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -155,8 +155,9 @@
 }
 
 /// Lists failed attempts by reason.
-pub(crate) fn list_attempts(summary: &Summary) -> Table {
-    let rows = summary.sends.failed.iter().map(|(why, n)| vec![why.clone(), n.to_string()]);
+pub(crate) fn list_failed_attempts(summary: &Summary) -> Table {
+    let rows =
+        summary.sends.failed.iter().map(|(reason, count)| vec![reason.clone(), count.to_string()]);
     Table::new("Failed attempts", &["why", "count"], rows.collect())
 }
 
--- a/crates/report/src/tally.rs
+++ b/crates/report/src/tally.rs
@@ -212,7 +212,7 @@
             Event::CallerGone(prompt) => self.add_end(line, Class::of(*prompt), Outcome::Gone),
             Event::Placed(placed) => self.add_placed(line, placed),
             Event::WaitStarted => self.began_to_wait += 1,
-            Event::AttemptFailed(attempt) => self.add_attempt(line, attempt),
+            Event::AttemptFailed(attempt) => self.add_failed_attempt(line, attempt),
             Event::RetriesExhausted => self.retries_exhausted += 1,
             Event::Dropped(count) => self.lines.dropped += count,
             Event::NodeEvent(name) => self.add_node_event(line, name),
@@ -323,7 +323,7 @@
         }
     }
 
-    fn add_attempt(&mut self, line: &Line, attempt: &FailedAttempt) {
+    fn add_failed_attempt(&mut self, line: &Line, attempt: &FailedAttempt) {
         *self.failed_attempts.get(&attempt.reason) += 1;
         self.timeline.step_at(line.time_ms).failed_attempts += 1;
         if let Some(target) = &attempt.target {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -101,23 +101,23 @@
 /// Parses and checks settings and returns all findings and warnings.
 pub fn check_settings(text: &str) -> Check {
     let mut parsed = read_document::<Settings>(text);
-    let mut later = Vec::new();
+    let mut value_findings = Vec::new();
     let mut warnings = Vec::new();
     if let Some(settings) = &parsed.value {
-        check_name("node", settings.node.as_str(), &mut later);
-        check_name("zone", settings.zone.as_str(), &mut later);
-        check_addresses(settings, &mut later, &mut warnings);
-        check_secrets(settings, &mut later, &mut warnings);
-        check_ranges(&settings.times, &mut later);
+        check_name("node", settings.node.as_str(), &mut value_findings);
+        check_name("zone", settings.zone.as_str(), &mut value_findings);
+        check_addresses(settings, &mut value_findings, &mut warnings);
+        check_secrets(settings, &mut value_findings, &mut warnings);
+        check_ranges(&settings.times, &mut value_findings);
         // Skipped if any time is invalid, since the comparison would use its default.
         if !RANGES.iter().any(|range| parsed.has_finding(&range.field())) {
-            check_contradictions(&settings.times, &mut later, &mut warnings);
+            check_contradictions(&settings.times, &mut value_findings, &mut warnings);
         }
     }
     // Drops warnings about defaults that replace invalid fields, because the user did not choose
     // these values.
     warnings.retain(|warning| !parsed.has_finding(&warning.field));
-    parsed.add_findings(later);
+    parsed.add_findings(value_findings);
     parsed.locations.locate(&mut warnings);
     match parsed.into_result() {
         Ok(settings) => Check { settings: Some(settings), findings: Vec::new(), warnings },
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -295,8 +295,8 @@
     }
 
     /// Sets the number of request contents under suspicion.
-    pub fn set_suspects(&self, known: usize) {
-        self.suspects.set(known as i64);
+    pub fn set_suspects(&self, count: usize) {
+        self.suspects.set(count as i64);
     }
 
     /// Counts a target that restarted as a new process.
@@ -427,19 +427,19 @@
     let opts = Opts::new("refusals_total", "Requests refused, by reason and whether they ran");
     let refusals = IntCounterVec::new(opts, &["reason", "ran"])?;
     registry.register(Box::new(refusals.clone()))?;
-    let open = |reason: &Reason, ran: Ran| {
+    let counter_of = |reason: &Reason, ran: Ran| {
         refusals.with_label_values(&[reason.to_string(), ran.to_string()])
     };
-    Ok(Reason::ALL.iter().map(|r| [open(r, Ran::No), open(r, Ran::Unknown)]).collect())
+    Ok(Reason::ALL.iter().map(|r| [counter_of(r, Ran::No), counter_of(r, Ran::Unknown)]).collect())
 }
 
 fn add_platform_calls(registry: &Registry) -> Result<Vec<Vec<IntCounter>>, Error> {
     let opts = Opts::new("platform_calls_total", "Calls to the platform, by kind and result");
     let calls = IntCounterVec::new(opts, &["call", "result"])?;
     registry.register(Box::new(calls.clone()))?;
-    let open = |call: &Call, result: &Outcome| {
+    let counter_of = |call: &Call, result: &Outcome| {
         calls.with_label_values(&[call.to_string(), result.to_string()])
     };
-    let results = |call: &Call| Outcome::ALL.iter().map(|r| open(call, r)).collect();
+    let results = |call: &Call| Outcome::ALL.iter().map(|r| counter_of(call, r)).collect();
     Ok(Call::ALL.iter().map(results).collect())
 }
