--- a/crates/release/src/configuration.rs
+++ b/crates/release/src/configuration.rs
@@ -113,7 +113,7 @@
 
 impl Configuration {
     /// Returns the version that an operation created, or `None` if the operation had no effect or
-    /// is no longer kept.
+    /// its id is no longer kept.
     ///
     /// Each accepted note adds one version and one operation, so the version follows from the
     /// operation's distance from the end of the list.
@@ -121,8 +121,8 @@
         if operation.is_empty() {
             return None;
         }
-        let later = self.operations.iter().rev().position(|known| known == operation)?;
-        Some(id::Release(self.version.0.saturating_sub(later as u64)))
+        let later_operations = self.operations.iter().rev().position(|known| known == operation)?;
+        Some(id::Release(self.version.0.saturating_sub(later_operations as u64)))
     }
 
     /// Returns the size of the configuration as JSON.
