--- a/apps/hickory-load/src/options.rs
+++ b/apps/hickory-load/src/options.rs
@@ -27,7 +27,8 @@
     /// Run one experiment with its own processes and print its figures.
     ///
     /// Nodes are started from the `hickory-node` program in the directory of
-    /// this one; build all programs first. Every process is ended by its id.
+    /// this one; build all programs first. Processes are killed
+    /// by their id, never by name.
     Experiment {
         /// One of stream-server, short-beside-long, first-token, zone,
         /// shares, overload, relay, control-cost or config.
@@ -47,7 +48,7 @@
 
 #[derive(Debug, Args)]
 pub(crate) struct Run {
-    /// Node to ask which address to use; may be repeated.
+    /// Address of a node to query for the entry address; may be repeated.
     #[arg(long = "entry", required = true, value_name = "IP:PORT")]
     pub(crate) entries: Vec<SocketAddr>,
     /// Account and its token; may be repeated, in order of decreasing load.
--- a/apps/hickory-node/tests/proofs/main.rs
+++ b/apps/hickory-node/tests/proofs/main.rs
@@ -1,6 +1,5 @@
-//! Failure tests with real processes: nodes and stand-ins on loopback, under the
-//! failures that the project's brief names. Tests wait for conditions, never for
-//! estimated times.
+//! Failure tests with nodes as real processes and stand-ins on loopback. Tests wait
+//! for conditions, never for estimated times.
 
 mod burst;
 mod cold;
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -27,6 +27,7 @@
         counts.map(|counts| counts.cache_hits + counts.cache_misses).sum()
     }
 
+    /// Sends requests through all nodes, each of which must get a complete answer.
     async fn load(&self, rounds: usize) {
         for round in 0..rounds {
             let requests = self.nodes.iter().enumerate().map(|(i, node)| async move {
@@ -42,7 +43,7 @@
 }
 
 /// A zone is taken out of service under load and put back. No request fails, no
-/// request reaches the zone once the bound has passed, and requests reach it again
+/// request reaches the zone after [`PROPAGATION_BOUND`], and requests reach it again
 /// after it is put back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_taken_out_gets_no_new_work() {
@@ -64,7 +65,7 @@
 
 /// The key-value service goes down just after a zone was taken out through one
 /// node. The other nodes learn of it from their peers, and no request reaches the
-/// zone once the bound has passed.
+/// zone after [`PROPAGATION_BOUND`].
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_although_the_platform_goes_down() {
     let cluster = Cluster::start(3, options()).await;
@@ -77,8 +78,8 @@
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
-/// The platform lists an engine as leaving. No request reaches it once the bound
-/// has passed, and no request fails.
+/// The platform lists an engine as leaving. No request reaches it after
+/// [`PROPAGATION_BOUND`], and no request fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
@@ -162,8 +163,8 @@
 
 /// A node loses its link to the platform and a zone is taken out of service, either
 /// at once or after the node's lease has expired. The node owns the zone's engine
-/// and would keep granting permits by its old configuration. Once the bound has
-/// passed, neither this node nor the others send new requests there.
+/// and would keep granting permits by its old configuration. After
+/// [`PROPAGATION_BOUND`], neither this node nor the others send new requests there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_sends_nothing_to_a_zone_taken_out() {
     let delays = [Duration::ZERO, Duration::from_millis(2_000)];
--- a/apps/hickory-soak/src/caller.rs
+++ b/apps/hickory-soak/src/caller.rs
@@ -1,5 +1,4 @@
-//! Simulated callers, which reuse their connections until the process at the other
-//! end is gone.
+//! Simulated callers, which reuse most of their connections for further requests.
 
 use crate::check::{Kind, Record, Request};
 use crate::run::Run;
--- a/apps/hickory-soak/src/fault.rs
+++ b/apps/hickory-soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from the seed: single ones, in series and overlapping.
+//! Random faults, drawn from the seed, which may overlap.
 
 use crate::proxy::{Mode, Proxy};
 use crate::run::Run;
--- a/apps/hickory-standin/src/argument.rs
+++ b/apps/hickory-standin/src/argument.rs
@@ -107,7 +107,7 @@
     #[arg(long, value_parser = parse_weights)]
     loaded: Vec<Weights>,
 
-    /// Address of the weight store; without it weights load at once.
+    /// Address of the weight store; without it weights load instantly.
     #[arg(long)]
     weights: Option<SocketAddr>,
 
@@ -226,7 +226,7 @@
     #[arg(long, default_value = "orders")]
     service: id::Service,
 
-    /// Zones, to which targets are assigned in turn.
+    /// Zones, to which targets are assigned round robin.
     #[arg(long, value_delimiter = ',', default_value = "a,b,c", num_args = 1..)]
     zones: Vec<id::Zone>,
 
--- a/crates/load/src/configuration.rs
+++ b/crates/load/src/configuration.rs
@@ -44,7 +44,7 @@
     let max = everywhere.max_ms();
     sheet.judge("in force on nine nodes max", max, "ms", Goal::AtMost(1_000.0));
     sheet.note(format!(
-        "{NOTES} notes, from before the present one is read until all nodes show it"
+        "{NOTES} notes, from reading the current configuration until all nodes report the new one"
     ));
     Ok(())
 }
--- a/crates/load/src/control_cost.rs
+++ b/crates/load/src/control_cost.rs
@@ -56,8 +56,8 @@
         let whole = samples.iter().filter(|s| s.outcome.end == crate::outcome::End::Whole).count();
         sheet.add(format!("{label}: whole of sent"), whole as f64 / samples.len() as f64, "");
     }
-    sheet.note("2 engines and 34 completions of 1k prompts a second for each node, 1 order");
-    sheet.note("bytes: sent and received on connections still open at the end of the measure");
+    sheet.note("for each node: 2 engines, 34 completions of 1k prompts and 1 order per second");
+    sheet.note("bytes: sent and received on connections still open at the end of the measurement");
     sheet.note("with targets under load: not measured, since each stream closes its connection");
     Ok(())
 }
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -115,7 +115,7 @@
         sheet.add(format!("{server} end"), arrival.end_ms, "ms");
         sheet.add(format!("{server} reads"), arrival.reads as f64, "");
     }
-    sheet.note("100 tokens, one each 20 ms; no seed is used");
+    sheet.note("100 tokens, one every 20 ms; no seed is used");
     Ok(())
 }
 
@@ -133,8 +133,8 @@
 /// Adds a note that describes the baselines.
 pub(crate) fn note_baselines(sheet: &mut Sheet) {
     sheet.note(
-        "baselines: straight to the engines, first in, first out there; fifo: each engine in \
-         turn; least_loaded: the least by reports read each 250 ms",
+        "baselines: sent directly to the engines, which queue first in, first out; fifo: engines \
+         round robin; least_loaded: the least loaded by reports polled every 250 ms",
     );
 }
 
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -140,12 +140,12 @@
         self.standins.engines.iter().map(|engine| engine.address()).collect()
     }
 
-    /// Returns the addresses of the nodes for callers.
+    /// Returns the nodes' addresses for callers.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.address.callers).collect()
     }
 
-    /// Returns the address of the first node for operators.
+    /// Returns the first node's address for operators.
     pub fn admin_address(&self) -> SocketAddr {
         self.nodes[0].address.admin
     }
--- a/crates/load/src/overload.rs
+++ b/crates/load/src/overload.rs
@@ -35,7 +35,7 @@
         add_outcomes(sheet, &policy.to_string(), &options, &samples);
     }
     sheet.note("prompts of 10k tokens, answers of 16; capacity: a burst with a long deadline");
-    sheet.note("goodput: whole answers that ended in time, by when they ended");
+    sheet.note("goodput: whole answers in time, counted at the time when they ended");
     note_baselines(sheet);
     Ok(())
 }
--- a/crates/load/src/relay.rs
+++ b/crates/load/src/relay.rs
@@ -129,6 +129,8 @@
     let whole = samples.iter().filter(|s: &&Sample| s.outcome.end == End::Whole).count();
     sheet.add("streams whole", whole as f64, "");
     sheet.add("streams sent", samples.len() as f64, "");
-    sheet.note("tokens for one core: by processor time; the node was not saturated");
+    sheet.note(
+        "tokens for one core: tokens per second of processor time; the node was not saturated",
+    );
     Ok(())
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -250,5 +250,5 @@
     for (cause, count) in &report.failures {
         writeln!(f, "failure {cause}: {count}")?;
     }
-    writeln!(f, "sent again {}, streams taken up again {}", report.resends, report.resumes)
+    writeln!(f, "retries {}, stream resumptions {}", report.resends, report.resumes)
 }
--- a/crates/load/src/share.rs
+++ b/crates/load/src/share.rs
@@ -44,7 +44,9 @@
         add_figures(sheet, policy, "turned shares", &samples, SWAPPED_WINDOW_SECONDS, 0.3);
         add_outcomes(sheet, &policy.to_string(), &options, &samples);
     }
-    sheet.note("service: prompt and answer tokens of answers, spread from first token to end");
+    sheet.note(
+        "service: prompt tokens at the first token, answer tokens evenly from there to the end",
+    );
     note_baselines(sheet);
     Ok(())
 }
--- a/crates/load/src/socket.rs
+++ b/crates/load/src/socket.rs
@@ -1,4 +1,4 @@
-//! Network traffic of the node processes by kind of peer.
+//! Network traffic of the node processes by kind of remote end.
 //!
 //! The kernel counts the bytes of each connection, and `ss` prints the counts.
 
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// Bytes sent and received by one node, by kind of peer.
+/// Bytes sent and received by one node, by kind of remote end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// With other nodes.
--- a/crates/load/src/zone_change.rs
+++ b/crates/load/src/zone_change.rs
@@ -28,8 +28,8 @@
 /// Interval between two reads of the reports of the zone's engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the experiment with the product's policy only. The baselines differ from it
-/// just in placement.
+/// Runs the experiment only with the product's policy, since the baselines differ from
+/// it only in placement.
 pub(crate) async fn measure(sheet: &mut Sheet) -> Result<()> {
     let options = fleet::Options { engines: 9, ..fleet::Options::default() };
     let fleet = start_fleet(options, Policy::Fair).await?;
@@ -58,7 +58,9 @@
     sheet.add("streams begun in the zone after the note", changed.started as f64, "");
     sheet.add("first new work in the zone after its return", changed.first_after_return, "s");
     add_outcomes(sheet, "all", &options, &samples);
-    sheet.note("9 engines in 3 zones at a third of their rate; orders run beside");
+    sheet.note(
+        "9 engines in 3 zones at a third of their rate; calls of orders run at the same time",
+    );
     Ok(())
 }
 
@@ -77,9 +79,13 @@
     Options { parts, calls: vec![order], ..Options::empty(seed, DURATION) }
 }
 
+/// The streams that began in the zone after the two changes.
 struct ZoneChange {
+    /// Time from taking the zone out until the last new stream in it.
     last_started: Duration,
+    /// Number of new streams while the zone was out of service.
     started: usize,
+    /// Seconds from the zone's return until the first new stream; NaN if there was none.
     first_after_return: f64,
 }
 
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -29,6 +29,7 @@
     evictable: BTreeSet<(u64, Reverse<u32>, u64)>,
     /// Pinned prefixes, each with the blocks that it references now.
     pins: BTreeMap<u64, Vec<u64>>,
+    /// Logical clock that orders blocks by their last use.
     use_count: u64,
 }
 
@@ -82,8 +83,8 @@
         shared.iter().for_each(|hash| self.release_block(*hash));
     }
 
-    /// Moves the prefilled blocks from index `from` on into the prefix cache, out
-    /// of the tokens reserved for them; the caller then references them.
+    /// Moves the prefilled blocks from index `from` on out of a stream's reserved
+    /// tokens into the prefix cache, and references them for the stream.
     pub fn share_blocks(&mut self, now: Instant, blocks: &[u64], from: usize, log: &mut Log) {
         for (depth, hash) in blocks.iter().enumerate().skip(from) {
             self.reserved -= BLOCK_TOKENS.0;
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -81,7 +81,7 @@
     CrashMarker(Option<String>),
     /// Key-value service: while on, reads return the state at the time of the switch.
     Stale(bool),
-    /// Key-value service: limits the calls per second, excess calls wait; zero means no limit.
+    /// Key-value service: limits the calls per second; excess calls wait. Zero means no limit.
     Rate {
         /// Gets, lists and watches.
         reads: u32,
@@ -123,6 +123,7 @@
 #[derive(Debug)]
 struct Inner {
     frozen: AtomicBool,
+    /// Connections with a lower number are silenced.
     silent_below: AtomicU64,
     next_connection: AtomicU64,
     incarnation: AtomicU64,
@@ -130,6 +131,7 @@
     state: Mutex<State>,
     acknowledged: Condvar,
     run_state: watch::Sender<RunState>,
+    /// Connections with a lower number are cut.
     cut_below: watch::Sender<u64>,
     thawed: watch::Sender<bool>,
 }
@@ -329,8 +331,8 @@
             return false;
         }
         let mut state = self.lock();
-        // Checked again under the lock: after a thaw in between, which has already woken and
-        // removed the wakers, this connection would never be woken.
+        // Checked again under the lock: if a thaw has taken the wakers in the meantime, a waker
+        // added now would never be woken.
         if !self.inner.frozen.load(Ordering::SeqCst) {
             return false;
         }
@@ -361,8 +363,8 @@
         self.inner.acknowledged.notify_all();
     }
 
-    /// Serializes kills and restarts. The accept loop sees only the last of two simultaneous
-    /// changes, so the caller of the first would wait forever for its confirmation.
+    /// Serializes kills and restarts. If two changes were simultaneous, the accept loop would see
+    /// only the last one, and the caller of the first would wait forever for its confirmation.
     fn lock_transition(&self) -> MutexGuard<'_, ()> {
         self.inner.transition.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standin/src/memory.rs
+++ b/crates/standin/src/memory.rs
@@ -12,14 +12,14 @@
     pub down: bool,
     /// Every call ends without an answer and has no effect, as after a timeout.
     pub silent: bool,
-    /// Number of next writes that take effect but whose answers are lost.
+    /// Number of upcoming writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// Number of next writes that are lost before they take effect; the caller sees an unknown
-    /// outcome.
+    /// Number of upcoming writes that are lost before they take effect; the caller sees an
+    /// unknown outcome.
     pub lose_writes: u32,
     /// Delay before each call.
     pub delay: Duration,
-    /// Snapshot that answers gets and lists; see [`Memory::set_stale`].
+    /// Snapshot from which gets and lists are answered; see [`Memory::set_stale`].
     pub stale: Option<Snapshot>,
 }
 
--- a/crates/standin/src/reader.rs
+++ b/crates/standin/src/reader.rs
@@ -10,7 +10,8 @@
 use std::collections::HashMap;
 use tokio::sync::mpsc;
 
-/// Minimum number of readers at which those of removed streams are swept.
+/// Minimum number of readers before the readers of streams that the engine has forgotten are
+/// removed.
 const MIN_SWEEP_THRESHOLD: usize = 1_024;
 
 /// The readers of one engine.
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -162,7 +162,7 @@
         (sender, Self { status: 200, content: Content::Stream(receiver), cut: false })
     }
 
-    /// Creates a reply that cuts the connection instead of an answer.
+    /// Creates a reply that cuts the connection instead of answering.
     pub fn cut() -> Self {
         Self { status: 0, content: Content::Whole(None), cut: true }
     }
@@ -177,7 +177,7 @@
     }
 }
 
-/// The calls and specific faults of a stand-in.
+/// The calls that a stand-in answers, and the faults that are specific to it.
 pub trait Service: Clone + Send + Sync + 'static {
     /// Answers a call.
     fn call(&self, call: Call) -> impl Future<Output = Reply> + Send;
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -127,8 +127,8 @@
         self.lock_warmth().0.turn_cold(now);
     }
 
-    /// Updates the warmth and returns the speed relative to a warm replica with `running` calls.
-    /// Returns `None` if the replica crashes from overload.
+    /// Updates the warmth and returns the speed, relative to a warm replica. Returns `None` if the
+    /// replica crashes because `running` calls overload it.
     fn update_speed(&self, running: u32) -> Option<f64> {
         let now = self.faults.now();
         let (warmth, model) = &mut *self.lock_warmth();
