--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -28,7 +28,7 @@
     }
 
     /// Sends requests through all nodes, each of which must get a complete answer.
-    async fn load(&self, rounds: usize) {
+    async fn send_rounds(&self, rounds: usize) {
         for round in 0..rounds {
             let requests = self.nodes.iter().enumerate().map(|(i, node)| async move {
                 let prompt = format!("round {round} node {i}");
@@ -48,16 +48,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_taken_out_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
-    cluster.load(5).await;
+    cluster.send_rounds(5).await;
     let note = zone_note(1, true);
-    let ((), ()) = tokio::join!(cluster.apply_note(&note), cluster.load(5));
+    let ((), ()) = tokio::join!(cluster.apply_note(&note), cluster.send_rounds(5));
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
     cluster.apply_note(&zone_note(2, false)).await;
     eventually("the zone gets requests again", || async {
-        cluster.load(1).await;
+        cluster.send_rounds(1).await;
         (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
     .await;
@@ -74,7 +74,7 @@
     cluster.standins.store.faults().kill();
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
@@ -83,11 +83,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
-    cluster.load(3).await;
+    cluster.send_rounds(3).await;
     cluster.standins.hosts.service().set_standing(&"engine-1".into(), Standing::Leaving);
-    let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.load(5));
+    let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.send_rounds(5));
     let before = cluster.count_prompt_tokens(&[1]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[1]), before);
 }
 
@@ -150,7 +150,7 @@
 impl Cluster {
     /// Sends requests through one node, which may refuse those that it can't place.
     /// Each must get a complete answer or a refusal that says it didn't run.
-    async fn load_or_expect_refusals(&self, node: usize, count: usize) {
+    async fn send_or_expect_refusals(&self, node: usize, count: usize) {
         for i in 0..count {
             let (at, prompt) = (self.nodes[node].callers, format!("perhaps {i}"));
             let mut stream = self.complete(at, &prompt, 3).await.unwrap();
@@ -182,7 +182,7 @@
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
     for node in 0..3 {
-        cluster.load_or_expect_refusals(node, 10).await;
+        cluster.send_or_expect_refusals(node, 10).await;
     }
     // The owner itself reports this: it got the note from its peers.
     eventually("the owner accepts no requests for the zone", || async {
@@ -193,7 +193,7 @@
     })
     .await;
     for node in 0..3 {
-        cluster.load_or_expect_refusals(node, 10).await;
+        cluster.send_or_expect_refusals(node, 10).await;
     }
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
--- a/apps/hickory-soak/src/proxy.rs
+++ b/apps/hickory-soak/src/proxy.rs
@@ -56,7 +56,8 @@
     let mut watched = mode.clone();
     let (near_socket, far_socket) = (socket2::SockRef::from(&near), socket2::SockRef::from(&far));
     // Duplicated sockets allow a reset while both directions are being copied.
-    let (Ok(near_twin), Ok(far_twin)) = (near_socket.try_clone(), far_socket.try_clone()) else {
+    let (Ok(near_duplicate), Ok(far_duplicate)) = (near_socket.try_clone(), far_socket.try_clone())
+    else {
         return;
     };
     let (near_read, near_write) = near.into_split();
@@ -67,8 +68,8 @@
         // A direction ends when its sender closes; the connection ends with both.
         _ = async { tokio::join!(out, back) } => {}
         _ = watched.wait_for(|mode| *mode == Mode::Reset) => {
-            for twin in [&near_twin, &far_twin] {
-                let _ = twin.set_linger(Some(Duration::ZERO));
+            for duplicate in [&near_duplicate, &far_duplicate] {
+                let _ = duplicate.set_linger(Some(Duration::ZERO));
             }
         }
     }
@@ -83,7 +84,7 @@
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
     mut mode: watch::Receiver<Mode>,
-    outward: bool,
+    is_outgoing: bool,
 ) {
     let mut buffer = vec![0; 16 << 10];
     loop {
@@ -93,7 +94,7 @@
         };
         let passes = |mode: &Mode| match mode {
             Mode::Pass | Mode::Delay(_) | Mode::Reset => true,
-            Mode::OneWay => outward,
+            Mode::OneWay => is_outgoing,
             Mode::Silence => false,
         };
         let now = *mode.borrow();
--- a/apps/hickory-standin/src/main.rs
+++ b/apps/hickory-standin/src/main.rs
@@ -31,7 +31,7 @@
     match &arguments.kind {
         Kind::Store => serve(arguments, "store", store::spawn(listen)?),
         Kind::Hosts(list) => serve(arguments, "hosts", hosts::spawn(listen, list.read()?)?),
-        Kind::Weights(limit) => serve(arguments, "weights", weights::spawn(listen, limit.limit())?),
+        Kind::Weights(store) => serve(arguments, "weights", weights::spawn(listen, store.limit())?),
         Kind::Engine(engine) => {
             serve(arguments, "engine", engine::spawn(listen, engine.options())?)
         }
@@ -47,9 +47,9 @@
     name: &str,
     handle: server::Handle<S>,
 ) -> eyre::Result<()> {
-    let mut board = Switchboard::default();
-    board.add(name, &handle);
-    let control = board.spawn(arguments.control)?;
+    let mut switchboard = Switchboard::default();
+    switchboard.add(name, &handle);
+    let control = switchboard.spawn(arguments.control)?;
     run_until_signal(&Ready::for_standin(name, handle.address(), control.address()))
 }
 
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -226,11 +226,11 @@
     fn start_node(&self, index: usize) -> Result<Node> {
         let settings = self.folder.join(format!("node-{index}.json"));
         std::fs::write(&settings, settings_json(&self.standins, index))?;
-        let errors = self.folder.join(format!("node-{index}.log"));
+        let log = self.folder.join(format!("node-{index}.log"));
         let path = settings.to_string_lossy();
         let binary = crate::process::find_binary("hickory-node")?;
-        let started = Process::spawn(&binary, &[&path, "--log", "warn"], &errors);
-        let (process, line) = started.with_context(|| read_first_lines(&errors))?;
+        let started = Process::spawn(&binary, &[&path, "--log", "warn"], &log);
+        let (process, line) = started.with_context(|| read_first_lines(&log))?;
         let address = serde_json::from_str(&line).with_context(|| {
             format!("expected the listen addresses of the node as JSON, got {line:?}")
         })?;
--- a/crates/load/src/zone_change.rs
+++ b/crates/load/src/zone_change.rs
@@ -53,10 +53,14 @@
     let refused = samples.iter().filter(|s| matches!(s.outcome.end, End::Refused(_))).count();
     sheet.judge("requests lost", lost as f64, "", Goal::AtMost(0.0));
     sheet.judge("requests refused", refused as f64, "", Goal::AtMost(0.0));
-    let last = changed.last_started.as_secs_f64();
+    let last = changed.last_start_delay.as_secs_f64();
     sheet.judge("last new work in the zone after the note", last, "s", Goal::AtMost(3.0));
-    sheet.add("streams begun in the zone after the note", changed.started as f64, "");
-    sheet.add("first new work in the zone after its return", changed.first_after_return, "s");
+    sheet.add("streams begun in the zone after the note", changed.new_while_out as f64, "");
+    sheet.add(
+        "first new work in the zone after its return",
+        changed.first_after_return_seconds,
+        "s",
+    );
     add_outcomes(sheet, "all", &options, &samples);
     sheet.note(
         "9 engines in 3 zones at a third of their rate; calls of orders run at the same time",
@@ -82,11 +86,11 @@
 /// The streams that began in the zone after the two changes.
 struct ZoneChange {
     /// Time from taking the zone out until the last new stream in it.
-    last_started: Duration,
+    last_start_delay: Duration,
     /// Number of new streams while the zone was out of service.
-    started: usize,
+    new_while_out: usize,
     /// Seconds from the zone's return until the first new stream; NaN if there was none.
-    first_after_return: f64,
+    first_after_return_seconds: f64,
 }
 
 async fn change_zone(fleet: &Fleet) -> Result<ZoneChange> {
@@ -98,21 +102,24 @@
     fleet.set_zone(ZONE, true).await?;
     let mut seen = HashSet::new();
     count_new_streams(&targets, &engines, &mut seen).await;
-    let mut changed =
-        ZoneChange { last_started: Duration::ZERO, started: 0, first_after_return: f64::NAN };
+    let mut changed = ZoneChange {
+        last_start_delay: Duration::ZERO,
+        new_while_out: 0,
+        first_after_return_seconds: f64::NAN,
+    };
     while start.elapsed() < BACK_AT {
         let new = count_new_streams(&targets, &engines, &mut seen).await;
         if new > 0 {
-            changed.started += new;
-            changed.last_started = accepted.elapsed();
+            changed.new_while_out += new;
+            changed.last_start_delay = accepted.elapsed();
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
     let returned = Instant::now();
     fleet.set_zone(ZONE, false).await?;
-    while start.elapsed() < DURATION && changed.first_after_return.is_nan() {
+    while start.elapsed() < DURATION && changed.first_after_return_seconds.is_nan() {
         if count_new_streams(&targets, &engines, &mut seen).await > 0 {
-            changed.first_after_return = returned.elapsed().as_secs_f64();
+            changed.first_after_return_seconds = returned.elapsed().as_secs_f64();
         }
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/model/src/memory.rs
+++ b/crates/model/src/memory.rs
@@ -30,7 +30,7 @@
     /// Pinned prefixes, each with the blocks that it references now.
     pins: BTreeMap<u64, Vec<u64>>,
     /// Logical clock that orders blocks by their last use.
-    use_count: u64,
+    lru_clock: u64,
 }
 
 impl Memory {
@@ -42,7 +42,7 @@
             blocks: HashMap::new(),
             evictable: BTreeSet::new(),
             pins: BTreeMap::new(),
-            use_count: 0,
+            lru_clock: 0,
         }
     }
 
@@ -79,7 +79,7 @@
     /// Frees `tokens` that were reserved and releases the references to `shared`.
     pub fn release(&mut self, shared: &[u64], tokens: u64) {
         self.reserved -= tokens;
-        self.use_count += 1;
+        self.lru_clock += 1;
         shared.iter().for_each(|hash| self.release_block(*hash));
     }
 
@@ -95,7 +95,7 @@
 
     /// Caches blocks without referencing them, as long as there is free memory.
     pub fn cache_blocks(&mut self, now: Instant, blocks: &[u64], log: &mut Log) {
-        self.use_count += 1;
+        self.lru_clock += 1;
         for (depth, hash) in blocks.iter().enumerate() {
             if self.used_tokens() + self.cached_tokens() + BLOCK_TOKENS.0 > self.capacity {
                 return;
@@ -116,7 +116,7 @@
 
     /// Unpins a prefix.
     pub fn unpin(&mut self, hash: u64) {
-        self.use_count += 1;
+        self.lru_clock += 1;
         for held in self.pins.remove(&hash).unwrap_or_default() {
             self.release_block(held);
         }
@@ -141,8 +141,8 @@
             return;
         }
         let parent = depth.checked_sub(1).map(|above| blocks[above]);
-        let block = Block { parent, depth: depth as u32, ref_count: 0, last_used: self.use_count };
-        self.evictable.insert((self.use_count, Reverse(block.depth), hash));
+        let block = Block { parent, depth: depth as u32, ref_count: 0, last_used: self.lru_clock };
+        self.evictable.insert((self.lru_clock, Reverse(block.depth), hash));
         self.blocks.insert(hash, block);
         log.push(now, hash, true);
         if self.pins.get(&hash).is_some_and(Vec::is_empty) {
@@ -173,7 +173,7 @@
         if let Some(block) = self.blocks.get_mut(&hash) {
             block.ref_count -= 1;
             if block.ref_count == 0 {
-                block.last_used = self.use_count;
+                block.last_used = self.lru_clock;
                 self.evictable.insert((block.last_used, Reverse(block.depth), hash));
             }
         }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -56,7 +56,7 @@
     faults: Faults,
     state: Mutex<ProcessState>,
     ticked: watch::Sender<u64>,
-    work: Notify,
+    engine_changed: Notify,
     peers: Peers,
 }
 
@@ -82,7 +82,7 @@
         faults: faults.clone(),
         state: Mutex::new(state),
         ticked: watch::Sender::new(0),
-        work: Notify::new(),
+        engine_changed: Notify::new(),
         peers: Peers::open(),
     };
     let simulator = Simulator { inner: Arc::new(inner) };
@@ -118,7 +118,7 @@
     pub fn stall(&self, stall: Stall) {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.set_stall(now, stall));
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
     }
 
     /// Runs each step of the cost model when it is due.
@@ -142,7 +142,7 @@
             };
             tokio::select! {
                 () = sleep => {}
-                () = self.inner.work.notified() => {}
+                () = self.inner.engine_changed.notified() => {}
                 Ok(()) = changes.changed() => if *changes.borrow_and_update() == RunState::Stopped {
                     self.inner.ticked.send_modify(|tick| *tick += 1);
                     return;
@@ -167,7 +167,7 @@
                 if self.inner.peers.export(link.at, &link.handle).await.is_none() {
                     let now = self.inner.faults.now();
                     self.with_engine(|engine| engine.lose_link(now, &link.handle));
-                    self.inner.work.notify_one();
+                    self.inner.engine_changed.notify_one();
                 }
             }
         }
@@ -196,7 +196,7 @@
         let ProcessState { engine, readers, .. } = &mut *state;
         readers.add(generate, engine);
         drop(state);
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
         self.read(&generate.stream, generate.from)
     }
 
@@ -223,7 +223,7 @@
         let cancelled = state.engine.cancel(self.inner.faults.now(), stream);
         state.readers.remove(stream);
         drop(state);
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
         self.inner.ticked.send_modify(|tick| *tick += 1);
         Reply::json(&cancelled)
     }
@@ -232,7 +232,7 @@
         let now = self.inner.faults.now();
         let result =
             self.with_engine(|engine| engine.apply_order(now, fenced.fence, &fenced.order));
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
         match result {
             Ok(None) => Reply::json(&()),
             Ok(Some(fetch)) => {
@@ -300,7 +300,7 @@
     fn drop_handle(&self, handle: &Cache) -> Reply {
         let now = self.inner.faults.now();
         self.with_engine(|engine| engine.drop_handle(now, handle));
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
         Reply::json(&())
     }
 
@@ -361,7 +361,7 @@
         state.readers = Readers::default();
         state.is_crash_handled = false;
         drop(state);
-        self.inner.work.notify_one();
+        self.inner.engine_changed.notify_one();
     }
 
     fn switch(&self, switch: &Switch) -> bool {
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct Weights {
     limit: Limit,
-    pipe: Arc<Mutex<ReadLimiter>>,
+    limiter: Arc<Mutex<ReadLimiter>>,
 }
 
 /// A running weight store.
@@ -21,14 +21,14 @@
 
 /// Starts a weight store with `limit`.
 pub fn spawn(listen: SocketAddr, limit: Limit) -> std::io::Result<Handle> {
-    let pipe = ReadLimiter::new(limit.bytes_per_second, limit.loads as usize);
-    server::spawn(listen, Weights { limit, pipe: Arc::new(Mutex::new(pipe)) })
+    let limiter = ReadLimiter::new(limit.bytes_per_second, limit.loads as usize);
+    server::spawn(listen, Weights { limit, limiter: Arc::new(Mutex::new(limiter)) })
 }
 
 impl Weights {
     fn reserve(&self, bytes: size::Bytes) -> Result<Duration, Busy> {
-        let mut pipe = self.pipe.lock().unwrap_or_else(PoisonError::into_inner);
-        pipe.start_read(Instant::now(), bytes)
+        let mut limiter = self.limiter.lock().unwrap_or_else(PoisonError::into_inner);
+        limiter.start_read(Instant::now(), bytes)
     }
 
     async fn read(&self, bytes: size::Bytes) -> Reply {
