--- a/apps/hickory-node/tests/proofs/cold.rs
+++ b/apps/hickory-node/tests/proofs/cold.rs
@@ -57,19 +57,19 @@
 async fn an_owner_killed_during_warm_up_overloads_no_engine() {
     let mut cluster = Cluster::start(3, cold_engines()).await;
     let dead = cluster.owner("engine-0").await;
-    let left = [(dead + 1) % 3, (dead + 2) % 3];
+    let survivors = [(dead + 1) % 3, (dead + 2) % 3];
     // These streams outlive the owner. The successor didn't grant them, but
     // must count them too.
     let mut running = Vec::new();
     while cluster.standins.engines[0].service().kv_used().0 == 0 {
         let prompt = format!("running {}", running.len());
-        let at = cluster.nodes[left[0]].callers;
+        let at = cluster.nodes[survivors[0]].callers;
         let mut stream = cluster.complete(at, &prompt, 1_000).await.unwrap();
         assert!(stream.next().await);
         running.push(stream);
     }
     cluster.nodes[dead].kill();
-    let completed = cluster.burst("second", 90, &left).await;
+    let completed = cluster.burst("second", 90, &survivors).await;
     assert_eq!(cluster.count_overloads(), 0);
     assert!(completed > 0);
     for (i, stream) in running.iter_mut().enumerate() {
--- a/apps/hickory-node/tests/proofs/logs.rs
+++ b/apps/hickory-node/tests/proofs/logs.rs
@@ -106,9 +106,9 @@
         for _ in 0..FLOOD_REQUESTS {
             cluster.send_expired_request(node).await;
         }
-        let waits = rustix::io::ioctl_fionread(output.get_ref())
+        let unread_bytes = rustix::io::ioctl_fionread(output.get_ref())
             .expect("the pipe reports its unread bytes");
-        assert!(waits >= FULL_PIPE_BYTES, "the pipe is not full: {waits} bytes");
+        assert!(unread_bytes >= FULL_PIPE_BYTES, "the pipe is not full: {unread_bytes} bytes");
         cluster.assert_serves(node).await;
     }
     let lines = read_lines(late_output);
@@ -186,10 +186,10 @@
     })
     .await;
     assert_eq!(line["level"], "WARN");
-    let about = &line["attributes"];
-    assert_eq!(about["request"], stream.request_id.as_str());
-    assert_eq!(about["attempt"], "0");
-    assert_eq!(about["target"], format!("engine-{engine}"));
-    assert_eq!(about["zone"], ["a", "b", "c"][engine % 3]);
-    assert!(about["account"].is_string(), "{line}");
+    let attributes = &line["attributes"];
+    assert_eq!(attributes["request"], stream.request_id.as_str());
+    assert_eq!(attributes["attempt"], "0");
+    assert_eq!(attributes["target"], format!("engine-{engine}"));
+    assert_eq!(attributes["zone"], ["a", "b", "c"][engine % 3]);
+    assert!(attributes["account"].is_string(), "{line}");
 }
--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -205,15 +205,15 @@
 async fn a_zone_is_taken_out_while_its_owner_dies() {
     let mut cluster = Cluster::start(3, options()).await;
     let owner = cluster.owner("engine-0").await;
-    let (dead, mut left) = (owner, vec![0, 1, 2]);
-    left.retain(|node| *node != dead);
+    let (dead, mut survivors) = (owner, vec![0, 1, 2]);
+    survivors.retain(|node| *node != dead);
     let note = zone_note(1, true);
     cluster.nodes[dead].kill();
-    let (status, answer) = cluster.post_note(&cluster.nodes[left[0]], &note).await;
+    let (status, answer) = cluster.post_note(&cluster.nodes[survivors[0]], &note).await;
     assert_eq!(status, 200, "{answer}");
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    for node in left {
+    for node in survivors {
         cluster.wait_until_ready(&cluster.nodes[node], 3).await;
         let at = cluster.nodes[node].callers;
         for i in 0..10 {
--- a/crates/load/src/content.rs
+++ b/crates/load/src/content.rs
@@ -119,11 +119,11 @@
     }
 
     /// Validates the end marker and the server's token count, if it sends one.
-    pub fn end(&mut self, told: Option<u64>) -> Result<(), Fault> {
+    pub fn end(&mut self, server_count: Option<u64>) -> Result<(), Fault> {
         if std::mem::replace(&mut self.ended, true) {
             return Err(Fault::AfterEnd);
         }
-        match told {
+        match server_count {
             _ if self.received < self.count => {
                 Err(Fault::Short { count: self.count, got: self.received })
             }
--- a/crates/load/tests/caller.rs
+++ b/crates/load/tests/caller.rs
@@ -139,11 +139,11 @@
             |end| matches!(end, End::Failed(Failure::Reported(refused)) if refused.reason == Reason::TargetFailed),
         ),
     ];
-    for (rest, right) in rows {
+    for (rest, is_expected) in rows {
         let body = tokens(0..2) + &rest;
         let node = node(move |_| respond(200, STREAM, &body));
         let outcome = complete(vec![node.address], &completion(0));
-        assert!(right(&outcome.end), "{rest:?}: {:?}", outcome.end);
+        assert!(is_expected(&outcome.end), "{rest:?}: {:?}", outcome.end);
     }
 }
 
--- a/crates/load/tests/content.rs
+++ b/crates/load/tests/content.rs
@@ -9,10 +9,10 @@
     format_compact!(" own{seq}")
 }
 
-fn check_tokens(tokens: &[&str], told: Option<u64>) -> Result<(), Fault> {
+fn check_tokens(tokens: &[&str], server_count: Option<u64>) -> Result<(), Fault> {
     let mut check = Check::open(COUNT, expected_token);
     tokens.iter().try_for_each(|token| check.token(token))?;
-    check.end(told)
+    check.end(server_count)
 }
 
 /// Each row: name, received tokens, the server's count, and the expected result.
@@ -44,8 +44,8 @@
             Err(Fault::Miscounted { told: 5, got: 4 }),
         ),
     ];
-    for (name, tokens, told, verdict) in rows {
-        assert_eq!(check_tokens(tokens, *told), *verdict, "{name}");
+    for (name, tokens, server_count, verdict) in rows {
+        assert_eq!(check_tokens(tokens, *server_count), *verdict, "{name}");
     }
 }
 
--- a/crates/model/tests/start.rs
+++ b/crates/model/tests/start.rs
@@ -41,9 +41,9 @@
 #[test]
 fn overloaded_cold_engine_crashes() {
     let mut test = TestEngine::new(cold());
-    let bears = test.engine.stream_capacity();
-    assert_eq!(bears, 7);
-    (0..u128::from(bears)).for_each(|n| test.begin(job(n, 100, 100)));
+    let capacity = test.engine.stream_capacity();
+    assert_eq!(capacity, 7);
+    (0..u128::from(capacity)).for_each(|n| test.begin(job(n, 100, 100)));
     assert_eq!(test.engine.begin(test.now, job(99, 100, 100)), Err(Refusal::Crashed));
     assert!(test.engine.is_crashed());
 }
