--- a/apps/hickory-node/tests/proofs/zone.rs
+++ b/apps/hickory-node/tests/proofs/zone.rs
@@ -27,7 +27,8 @@
         counts.map(|counts| counts.cache_hits + counts.cache_misses).sum()
     }
 
-    async fn load(&self, rounds: usize) {
+    /// Sends requests through all nodes, each of which must get a complete answer.
+    async fn send_rounds(&self, rounds: usize) {
         for round in 0..rounds {
             let requests = self.nodes.iter().enumerate().map(|(i, node)| async move {
                 let prompt = format!("round {round} node {i}");
@@ -42,21 +43,21 @@
 }
 
 /// A zone is taken out of service under load and put back. No request fails, no
-/// request reaches the zone once the bound has passed, and requests reach it again
+/// request reaches the zone after [`PROPAGATION_BOUND`], and requests reach it again
 /// after it is put back.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_taken_out_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
-    cluster.load(5).await;
+    cluster.send_rounds(5).await;
     let note = zone_note(1, true);
-    let ((), ()) = tokio::join!(cluster.apply_note(&note), cluster.load(5));
+    let ((), ()) = tokio::join!(cluster.apply_note(&note), cluster.send_rounds(5));
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
     cluster.apply_note(&zone_note(2, false)).await;
     eventually("the zone gets requests again", || async {
-        cluster.load(1).await;
+        cluster.send_rounds(1).await;
         (cluster.count_prompt_tokens(&[0]) > before).then_some(())
     })
     .await;
@@ -64,7 +65,7 @@
 
 /// The key-value service goes down just after a zone was taken out through one
 /// node. The other nodes learn of it from their peers, and no request reaches the
-/// zone once the bound has passed.
+/// zone after [`PROPAGATION_BOUND`].
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_is_taken_out_although_the_platform_goes_down() {
     let cluster = Cluster::start(3, options()).await;
@@ -73,20 +74,20 @@
     cluster.standins.store.faults().kill();
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
 
-/// The platform lists an engine as leaving. No request reaches it once the bound
-/// has passed, and no request fails.
+/// The platform lists an engine as leaving. No request reaches it after
+/// [`PROPAGATION_BOUND`], and no request fails.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
     let cluster = Cluster::start(3, options()).await;
-    cluster.load(3).await;
+    cluster.send_rounds(3).await;
     cluster.standins.hosts.service().set_standing(&"engine-1".into(), Standing::Leaving);
-    let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.load(5));
+    let ((), ()) = tokio::join!(tokio::time::sleep(PROPAGATION_BOUND), cluster.send_rounds(5));
     let before = cluster.count_prompt_tokens(&[1]);
-    cluster.load(10).await;
+    cluster.send_rounds(10).await;
     assert_eq!(cluster.count_prompt_tokens(&[1]), before);
 }
 
@@ -149,7 +150,7 @@
 impl Cluster {
     /// Sends requests through one node, which may refuse those that it can't place.
     /// Each must get a complete answer or a refusal that says it didn't run.
-    async fn load_or_expect_refusals(&self, node: usize, count: usize) {
+    async fn send_or_expect_refusals(&self, node: usize, count: usize) {
         for i in 0..count {
             let (at, prompt) = (self.nodes[node].callers, format!("perhaps {i}"));
             let mut stream = self.complete(at, &prompt, 3).await.unwrap();
@@ -162,8 +163,8 @@
 
 /// A node loses its link to the platform and a zone is taken out of service, either
 /// at once or after the node's lease has expired. The node owns the zone's engine
-/// and would keep granting permits by its old configuration. Once the bound has
-/// passed, neither this node nor the others send new requests there.
+/// and would keep granting permits by its old configuration. After
+/// [`PROPAGATION_BOUND`], neither this node nor the others send new requests there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_cut_off_from_the_platform_sends_nothing_to_a_zone_taken_out() {
     let delays = [Duration::ZERO, Duration::from_millis(2_000)];
@@ -181,7 +182,7 @@
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
     for node in 0..3 {
-        cluster.load_or_expect_refusals(node, 10).await;
+        cluster.send_or_expect_refusals(node, 10).await;
     }
     // The owner itself reports this: it got the note from its peers.
     eventually("the owner accepts no requests for the zone", || async {
@@ -192,7 +193,7 @@
     })
     .await;
     for node in 0..3 {
-        cluster.load_or_expect_refusals(node, 10).await;
+        cluster.send_or_expect_refusals(node, 10).await;
     }
     assert_eq!(cluster.count_prompt_tokens(&[0]), before);
 }
@@ -204,15 +205,15 @@
 async fn a_zone_is_taken_out_while_its_owner_dies() {
     let mut cluster = Cluster::start(3, options()).await;
     let owner = cluster.owner("engine-0").await;
-    let (dead, mut left) = (owner, vec![0, 1, 2]);
-    left.retain(|node| *node != dead);
+    let (dead, mut survivors) = (owner, vec![0, 1, 2]);
+    survivors.retain(|node| *node != dead);
     let note = zone_note(1, true);
     cluster.nodes[dead].kill();
-    let (status, answer) = cluster.post_note(&cluster.nodes[left[0]], &note).await;
+    let (status, answer) = cluster.post_note(&cluster.nodes[survivors[0]], &note).await;
     assert_eq!(status, 200, "{answer}");
     tokio::time::sleep(PROPAGATION_BOUND).await;
     let before = cluster.count_prompt_tokens(&[0]);
-    for node in left {
+    for node in survivors {
         cluster.wait_until_ready(&cluster.nodes[node], 3).await;
         let at = cluster.nodes[node].callers;
         for i in 0..10 {
