--- a/apps/hickory-entry/tests/logs.rs
+++ b/apps/hickory-entry/tests/logs.rs
@@ -77,9 +77,9 @@
         Self { daemon, callers: settings.callers, replicas }
     }
 
-    fn queue_for_service(&self, service: &str, act: &Action) {
+    fn enqueue_for_all(&self, service: &str, action: &Action) {
         for replica in self.replicas.iter().filter(|replica| replica.service == service) {
-            replica.enqueue(act.clone());
+            replica.enqueue(action.clone());
         }
     }
 
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn a_late_first_event_is_logged_with_its_target() {
     let harness = Harness::open("late").await;
-    harness.queue_for_service("model", &Action::PauseStream(1, 5));
+    harness.enqueue_for_all("model", &Action::PauseStream(1, 5));
     assert_eq!(harness.request("late-1", "/once/1").await.status, 200);
     let lines = harness.wait_for_lines("late-1", 1).await;
     let line = &lines[0];
@@ -130,7 +130,7 @@
 #[tokio::test]
 async fn a_request_without_an_answer_is_logged_as_possibly_executed() {
     let harness = Harness::open("order").await;
-    harness.queue_for_service("plain", &Action::Close);
+    harness.enqueue_for_all("plain", &Action::Close);
     assert_eq!(harness.request("order-1", "/pay/1").await.status, 502);
     let lines = harness.wait_for_lines("order-1", 2).await;
     assert!(lines[0]["message"].as_str().unwrap().starts_with("attempt failed: no answer"));
@@ -145,7 +145,7 @@
 #[tokio::test]
 async fn the_log_names_both_targets_that_failed_a_stream() {
     let harness = Harness::open("failed").await;
-    harness.queue_for_service("model", &Action::Status(500));
+    harness.enqueue_for_all("model", &Action::Status(500));
     assert_eq!(harness.request("failed-1", "/say/1").await.status, 500);
     let lines = harness.wait_for_lines("failed-1", 2).await;
     let [first, last] = &lines[..] else { panic!("{lines:?}") };
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -63,7 +63,7 @@
     pub(crate) client: Client,
     pub(crate) member: OnceLock<Member<Metered<S, C>, C>>,
     items: Mutex<Items>,
-    news: Mutex<LagTracker>,
+    lag_tracker: Mutex<LagTracker>,
     transfers: Mutex<Transfers>,
     view: RwLock<Arc<View>>,
     ledger: Mutex<Ledger>,
@@ -114,7 +114,7 @@
             client: Client::open(CONNECT_TIMEOUT).with_user_timeout(UNACKNOWLEDGED_TIMEOUT),
             member: OnceLock::new(),
             items: Mutex::default(),
-            news: Mutex::default(),
+            lag_tracker: Mutex::default(),
             transfers: Mutex::default(),
             view: RwLock::default(),
             ledger: Mutex::default(),
@@ -190,8 +190,12 @@
     }
 
     /// Changes the items and, if `change` returns true, decodes them into a new view. With
-    /// `may_lapse`, targets whose entries disappeared stay in use for a while.
-    pub(crate) fn update_items(&self, may_lapse: bool, change: impl FnOnce(&mut Items) -> bool) {
+    /// `may_have_lapsed`, targets whose entries disappeared stay in use for a while.
+    pub(crate) fn update_items(
+        &self,
+        may_have_lapsed: bool,
+        change: impl FnOnce(&mut Items) -> bool,
+    ) {
         let mut items = self.items();
         if !change(&mut items) {
             return;
@@ -201,8 +205,9 @@
             items.expire_tombstones(now, prefix);
         }
         let before = self.view();
-        let next = before.updated::<D>(&items, now, may_lapse);
-        let waited = lock(&self.news).note_known(now, items.newest_revision(D::OPERATOR_PREFIX));
+        let next = before.updated::<D>(&items, now, may_have_lapsed);
+        let waited =
+            lock(&self.lag_tracker).note_known(now, items.newest_revision(D::OPERATOR_PREFIX));
         if next.config_revision != before.config_revision {
             self.note_configuration(&next, waited);
         }
@@ -243,7 +248,7 @@
     pub(crate) fn note_operator_revision(&self, revision: Revision) {
         let (known, _) = self.revisions();
         if revision > known {
-            lock(&self.news).note_announced(self.now(), revision, known);
+            lock(&self.lag_tracker).note_announced(self.now(), revision, known);
         }
     }
 
@@ -251,7 +256,7 @@
     /// written; `None` if it is up to date.
     pub(crate) fn lag(&self) -> Option<Lag> {
         let known = self.items().newest_revision(D::OPERATOR_PREFIX);
-        lock(&self.news).lag(self.now(), known)
+        lock(&self.lag_tracker).lag(self.now(), known)
     }
 
     /// Records whether the store answered.
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -85,16 +85,11 @@
 
     /// Updates this node's own contact and spreads it if it changed.
     pub(crate) fn update_contact(&self) {
-        let (ready, settled, store_away) =
+        let (is_ready, is_synced, is_store_unreachable) =
             (self.is_ready(), self.is_settled(), self.is_store_unreachable());
         let mut membership = self.membership();
         let contact = membership.own_record().contact.clone();
-        membership.set_contact(Contact {
-            is_ready: ready,
-            is_synced: settled,
-            is_store_unreachable: store_away,
-            ..contact
-        });
+        membership.set_contact(Contact { is_ready, is_synced, is_store_unreachable, ..contact });
         drop(membership);
         self.notify_member_updates();
     }
@@ -249,20 +244,20 @@
     }
 
     /// Returns a channel that receives the answers to a placement request.
-    pub(crate) fn expect_answer(&self, number: AllocationId) -> UnboundedReceiver<Answer> {
+    pub(crate) fn expect_answer(&self, id: AllocationId) -> UnboundedReceiver<Answer> {
         let (sender, receiver) = unbounded_channel();
-        self.pending_answers().insert(number, sender);
+        self.pending_answers().insert(id, sender);
         receiver
     }
 
     /// Stops expecting answers to a placement request.
-    pub(crate) fn forget_answer(&self, number: AllocationId) {
-        self.pending_answers().remove(&number);
+    pub(crate) fn forget_answer(&self, id: AllocationId) {
+        self.pending_answers().remove(&id);
     }
 
     /// Delivers an answer to the task that waits for it.
-    pub(crate) fn deliver_answer(&self, number: AllocationId, answer: Answer) {
-        if let Some(sender) = self.pending_answers().get(&number) {
+    pub(crate) fn deliver_answer(&self, id: AllocationId, answer: Answer) {
+        if let Some(sender) = self.pending_answers().get(&id) {
             // The receiver may have been dropped in the meantime.
             let _ = sender.send(answer);
         }
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -81,11 +81,11 @@
         prompt.0 == 0 || (*is_short && *phase == Phase::Decode)
     }
 
-    fn pending_read(&self, writes: bool) -> PendingPrefill {
+    fn pending_prefill(&self, is_primary: bool) -> PendingPrefill {
         PendingPrefill {
             placed_at: self.placed,
             chunk_time: self.allocation.prefill_time,
-            is_primary: writes,
+            is_primary,
             notification_delay: FIRST_TOKEN_REPORT_DELAY,
         }
     }
@@ -110,7 +110,7 @@
     last_id: u32,
     sends: HashMap<Tag, VecDeque<Instant>>,
     /// When each engine was last seen to end a forward pass, which a first token shows.
-    pass_ends: HashMap<Tag, Instant>,
+    iteration_ends: HashMap<Tag, Instant>,
     /// Moving averages of how long a request of a plain service, or a short stream, takes.
     typical_times: HashMap<id::Service, Duration>,
 }
@@ -135,7 +135,7 @@
     pub fn begin_decode(&mut self, now: Instant, id: AllocationId) {
         if let Some(entry) = self.own.get_mut(&id) {
             entry.allocation.phase = Phase::Decode;
-            self.pass_ends.insert(entry.allocation.target, now);
+            self.iteration_ends.insert(entry.allocation.target, now);
         }
     }
 
@@ -196,7 +196,7 @@
             self.peers.get_mut(node).and_then(|allocations| allocations.get_mut(&id))
         {
             entry.allocation.phase = Phase::Decode;
-            self.pass_ends.insert(entry.allocation.target, now);
+            self.iteration_ends.insert(entry.allocation.target, now);
         }
     }
 
@@ -219,7 +219,8 @@
             });
         }
         self.peers.retain(|_, allocations| !allocations.is_empty());
-        self.pass_ends.retain(|_, at| now.saturating_duration_since(*at) < PEER_ALLOCATION_TTL);
+        self.iteration_ends
+            .retain(|_, at| now.saturating_duration_since(*at) < PEER_ALLOCATION_TTL);
         self.sends.retain(|_, times| {
             times.retain(|at| now.saturating_duration_since(*at) < COLD_SEND_WINDOW);
             !times.is_empty()
@@ -258,7 +259,7 @@
             for ((load, engine), target) in loads.iter_mut().zip(&mut engines).zip(targets) {
                 engine.decoding_streams = load.decoding_streams;
                 engine.decode_context = load.decode_context;
-                engine.last_iteration_end = self.pass_ends.get(&target.tag).copied();
+                engine.last_iteration_end = self.iteration_ends.get(&target.tag).copied();
                 let backlog = engine.backlog(now, profile);
                 load.prefill_backlog = backlog.prefill_left;
                 load.prefill_start_delay = backlog.prefill_start_delay;
@@ -292,7 +293,7 @@
                 load.decoding_streams += 1;
                 load.decode_context += allocation.prompt + allocation.expected_answer;
             }
-            Phase::Prefill => engines[target].pending_prefills.push(entry.pending_read(true)),
+            Phase::Prefill => engines[target].pending_prefills.push(entry.pending_prefill(true)),
         }
         if allocation.memory.is_empty() {
             loads[target].kv_used += allocation.prompt + allocation.expected_answer;
@@ -308,6 +309,6 @@
     }
     for index in allocation.helpers.iter().filter_map(|tag| indexes.get(tag)) {
         loads[*index].helper_chunks += 1;
-        engines[*index].pending_prefills.push(entry.pending_read(false));
+        engines[*index].pending_prefills.push(entry.pending_prefill(false));
     }
 }
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -45,7 +45,7 @@
 struct QueuedRequest {
     requester: Requester,
     request: Request,
-    turn: Priority,
+    priority: Priority,
     received: Instant,
 }
 
@@ -86,8 +86,8 @@
         self.queues.iter().map(|(group, queue)| (group.clone(), queue.in_order())).collect()
     }
 
-    fn ahead(&self, group: &Group, ticket: &Ticket, turn: Priority) -> Ahead {
-        self.queues.get(group).map(|queue| queue.ahead_of(ticket, turn)).unwrap_or_default()
+    fn ahead(&self, group: &Group, ticket: &Ticket, priority: Priority) -> Ahead {
+        self.queues.get(group).map(|queue| queue.ahead_of(ticket, priority)).unwrap_or_default()
     }
 
     fn has_short_queued(&self, group: &Group) -> bool {
@@ -95,9 +95,9 @@
     }
 }
 
-/// Returns the turn of a request in the queue: by the time left until the goal for a short prompt,
+/// Returns the priority of a request in the queue: by the time left until the goal for a short prompt,
 /// by the prefill time for a long one. `None` if the request has no prompt to queue.
-fn queue_turn(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Priority> {
+fn queue_priority(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Priority> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
         true => Priority::Short(received + request.goal_left),
@@ -122,21 +122,21 @@
     let scope = Scope::Group(request.group);
     let Some(snapshot) = Snapshot::capture(core, now, &request.service, scope) else { return };
     let group = request.group();
-    let turn = queue_turn(&snapshot, &request, now);
-    let is_long = matches!(turn, Some(Priority::Long(_)));
+    let priority = queue_priority(&snapshot, &request, now);
+    let is_long = matches!(priority, Some(Priority::Long(_)));
     let is_immediate = !is_long && !core.owner().has_short_queued(&group);
     if is_immediate && let Decision::Answered(answer) = snapshot.decide(&request, Ahead::default())
     {
         commit_decision(core, now, &requester, answer);
         return;
     }
-    let Some(turn) = turn else { return };
-    let queued = QueuedRequest { requester: requester.clone(), request, turn, received: now };
+    let Some(priority) = priority else { return };
+    let queued = QueuedRequest { requester: requester.clone(), request, priority, received: now };
     let mut owner = core.owner();
     owner.queues.entry(group).or_default().insert_or_refresh(
         now,
         requester.ticket.clone(),
-        turn,
+        priority,
         queued,
     );
     drop(owner);
@@ -178,13 +178,13 @@
         let mut is_full = false;
         for (ticket, queued) in entries {
             let Some(current) = &snapshot else { break };
-            let is_short = matches!(queued.turn, Priority::Short(_));
+            let is_short = matches!(queued.priority, Priority::Short(_));
             let is_newly_queued = newly_queued == Some(&ticket);
             if is_short && is_full && !is_newly_queued {
                 continue;
             }
             let request = queued.request.aged(now.saturating_duration_since(queued.received));
-            let ahead = core.owner().ahead(&group, &ticket, queued.turn);
+            let ahead = core.owner().ahead(&group, &ticket, queued.priority);
             match current.decide(&request, ahead) {
                 Decision::Wait(time, survey) => {
                     is_full |= is_short;
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -176,8 +176,8 @@
     pub(crate) fn decide(&self, request: &Request, ahead: Ahead) -> Decision {
         let indexes = self.candidate_indexes(request);
         let load = |&index: &usize| {
-            let near = self.targets[index].entry.zone == request.zone;
-            Load { is_same_zone: near, ..self.loads[index].clone() }
+            let is_same_zone = self.targets[index].entry.zone == request.zone;
+            Load { is_same_zone, ..self.loads[index].clone() }
         };
         let loads: Vec<Load> = indexes.iter().map(load).collect();
         match (self.profile(&request.service), request.prompt) {
@@ -271,8 +271,8 @@
         let slots = indexes.iter().map(|&index| self.targets[index].entry.slots);
         let candidates = loads.iter().zip(slots).map(|(load, slots)| Candidate { load, slots });
         let candidates: Vec<Candidate<'_>> = candidates.collect();
-        let usual = self.typical_time.unwrap_or(request.goal / TYPICAL_TIME_GOAL_DIVISOR);
-        let first = match replica::choose_replica(&candidates, usual) {
+        let typical_time = self.typical_time.unwrap_or(request.goal / TYPICAL_TIME_GOAL_DIVISOR);
+        let first = match replica::choose_replica(&candidates, typical_time) {
             Ok(first) => first,
             Err(time) => return Decision::rejected(RejectReason::Busy(time), survey),
         };
@@ -283,7 +283,7 @@
             goal_left: request.goal_left,
             limit_left: request.limit_left,
             ahead: Ahead::default(),
-            typical_stream_time: usual,
+            typical_stream_time: typical_time,
         };
         let plan = Plan {
             primary: first,
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -21,7 +21,7 @@
             return;
         }
         log_decision!(
-            &self.known(self.queue_wait, place.survey),
+            &self.decision_context(self.queue_wait, place.survey),
             {
                 request = self.job.head.attempt.as_str(),
                 target_id = place.target.id.as_str(),
@@ -38,7 +38,7 @@
     /// Logs that the request is queued for engines.
     pub(crate) fn log_queued(&self, survey: Survey) {
         log_decision!(
-            &self.known(self.queue_wait, survey),
+            &self.decision_context(self.queue_wait, survey),
             {
                 request = self.job.head.attempt.as_str(),
                 age_ms = self.age().as_millis() as u64,
@@ -48,7 +48,7 @@
     }
 
     /// Returns what a decision about the request is based on at this moment.
-    pub(crate) fn known(&self, waited: Duration, survey: Survey) -> DecisionContext {
+    pub(crate) fn decision_context(&self, waited: Duration, survey: Survey) -> DecisionContext {
         let now = self.core.now();
         DecisionContext {
             prompt: self.job.head.prompt.map_or(Tokens(0), |prompt| prompt.tokens),
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -30,7 +30,7 @@
     /// The size of the prompt, if the head was read.
     pub(crate) prompt: Tokens,
     /// What the placement decision was based on, if the request found no place.
-    pub(crate) known: Option<Box<DecisionContext>>,
+    pub(crate) decision_context: Option<Box<DecisionContext>>,
 }
 
 impl Refusal {
@@ -44,7 +44,7 @@
             retry_after: None,
             ran: Ran::No,
             prompt: Tokens(0),
-            known: None,
+            decision_context: None,
         }
     }
 
@@ -123,9 +123,9 @@
     let config_age = view.configured_at.map(|at| core.now().saturating_duration_since(at));
     let config_age_ms = config_age.unwrap_or_default().as_millis() as u64;
     let behind_ms = core.lag().map_or(0, |lag| lag.time.as_millis() as u64);
-    if let Some(known) = &refusal.known {
+    if let Some(context) = &refusal.decision_context {
         log_decision!(
-            known,
+            context,
             {
                 request = attempt,
                 reason:% = refusal.reason,
--- a/crates/path/src/reply.rs
+++ b/crates/path/src/reply.rs
@@ -22,29 +22,29 @@
 
 impl std::error::Error for Interrupted {}
 
-/// Length-prefixed pieces of a value. Each is encoded only when the connection is ready for it, so
+/// Length-prefixed chunks of a value. Each is encoded only when the connection is ready for it, so
 /// that a large value isn't copied as a whole for each peer that requests it.
 #[derive(Debug)]
-pub struct Pieces {
+pub struct Chunks {
     value: Arc<ChunkedValue>,
     remaining: VecDeque<chunk::Id>,
     /// Bytes that the connection hasn't accepted yet.
     unsent: watch::Sender<size::Bytes>,
 }
 
-impl Pieces {
-    /// Selects those of the requested pieces that the value has, without duplicates.
-    pub(crate) fn new(value: Arc<ChunkedValue>, pieces: &[chunk::Id]) -> Self {
+impl Chunks {
+    /// Selects those of the requested chunks that the value has, without duplicates.
+    pub(crate) fn new(value: Arc<ChunkedValue>, chunks: &[chunk::Id]) -> Self {
         let mut requested = HashSet::new();
         let is_wanted = |id: &chunk::Id| value.chunk(*id).is_some() && requested.insert(*id);
-        let remaining: VecDeque<_> = pieces.iter().copied().filter(is_wanted).collect();
+        let remaining: VecDeque<_> = chunks.iter().copied().filter(is_wanted).collect();
         let sizes =
-            remaining.iter().filter_map(|id| value.chunk(*id)).map(|piece| piece.len() as u64);
+            remaining.iter().filter_map(|id| value.chunk(*id)).map(|chunk| chunk.len() as u64);
         let unsent = watch::channel(size::Bytes(sizes.sum())).0;
         Self { value, remaining, unsent }
     }
 
-    /// Returns the number of remaining pieces.
+    /// Returns the number of remaining chunks.
     pub(crate) fn len(&self) -> usize {
         self.remaining.len()
     }
@@ -55,11 +55,11 @@
     }
 
     fn next(&mut self) -> Option<Result<Bytes, Interrupted>> {
-        let piece = self.value.chunk(self.remaining.pop_front()?)?;
-        let size = size::Bytes(piece.len() as u64);
+        let chunk = self.value.chunk(self.remaining.pop_front()?)?;
+        let size = size::Bytes(chunk.len() as u64);
         self.unsent.send_modify(|unsent| *unsent = unsent.saturating_sub(size));
         let mut frame = BytesMut::new();
-        let written = LengthDelimitedCodec::new().encode(Bytes::copy_from_slice(piece), &mut frame);
+        let written = LengthDelimitedCodec::new().encode(Bytes::copy_from_slice(chunk), &mut frame);
         Some(written.map(|()| frame.freeze()).map_err(|_| Interrupted))
     }
 }
@@ -71,8 +71,8 @@
     Whole(Full<Bytes>),
     /// A stream of events.
     Events(mpsc::Receiver<Result<Bytes, Interrupted>>),
-    /// Pieces of a value, for a peer.
-    Pieces(Pieces),
+    /// Chunks of a value, for a peer.
+    Chunks(Chunks),
 }
 
 impl Body for Reply {
@@ -92,21 +92,21 @@
                 let event = ready!(events.poll_recv(cx));
                 Poll::Ready(event.map(|event| event.map(Frame::data)))
             }
-            Self::Pieces(pieces) => Poll::Ready(pieces.next().map(|piece| piece.map(Frame::data))),
+            Self::Chunks(chunks) => Poll::Ready(chunks.next().map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(body) => body.is_end_stream(),
-            Self::Events(_) | Self::Pieces(_) => false,
+            Self::Events(_) | Self::Chunks(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Whole(body) => body.size_hint(),
-            Self::Events(_) | Self::Pieces(_) => SizeHint::default(),
+            Self::Events(_) | Self::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -54,7 +54,7 @@
     not_run_attempts: u32,
     tried: Vec<Tag>,
     /// Whether a target has died while it ran the request. The first death doesn't count as a send.
-    has_survived_death: bool,
+    has_target_died: bool,
     /// Whether the request may have run.
     may_have_run: bool,
     /// The ID of the last event that the caller has received.
@@ -62,7 +62,7 @@
     /// The time from the arrival to the first event.
     pub(crate) first_event_time: Option<Duration>,
     /// Counts the request as admitted until it is dropped.
-    _admitted: InFlightGuard,
+    _in_flight: InFlightGuard,
     /// The total time that the request waited in queues for a place.
     pub(crate) queue_wait: Duration,
     /// The longest time between two events so far.
@@ -102,11 +102,11 @@
         unsent_attempts: 0,
         not_run_attempts: 0,
         tried: Vec::new(),
-        has_survived_death: false,
+        has_target_died: false,
         may_have_run: false,
         resume_after,
         first_event_time: None,
-        _admitted: core.metrics.begin_request(work),
+        _in_flight: core.metrics.begin_request(work),
         queue_wait: Duration::ZERO,
         longest_pause: Duration::ZERO,
     };
@@ -194,16 +194,16 @@
     /// Returns the urgency at the engine: by the caller's rank first. Within a rank, short prompts
     /// go first, since they occupy an engine for the least time.
     fn urgency(&self, place: &Place<D, S, C>) -> u8 {
-        let rank = self.job.account.as_ref().and_then(|account| account.priority);
-        let rank = rank.unwrap_or(self.job.route.priority).min(MAX_URGENCY_RANK) as u8;
-        rank * 2 + u8::from(!place.helpers.is_empty())
+        let priority = self.job.account.as_ref().and_then(|account| account.priority);
+        let priority = priority.unwrap_or(self.job.route.priority).min(MAX_URGENCY_PRIORITY) as u8;
+        priority * 2 + u8::from(!place.helpers.is_empty())
     }
 
     fn refuse_placement(&self, rejection: Rejection, began: Instant) -> Refusal {
         let queue_wait = self.queue_wait + self.core.now().saturating_duration_since(began);
-        let known = self.known(queue_wait, rejection.survey);
+        let decision_context = self.decision_context(queue_wait, rejection.survey);
         Refusal {
-            known: Some(Box::new(known)),
+            decision_context: Some(Box::new(decision_context)),
             ..Refusal::rejected(rejection.reason).after_possible_run(self.may_have_run)
         }
     }
@@ -339,7 +339,7 @@
             let refusal = Refusal::new(Reason::Quarantined, "it crashed the targets that ran it");
             return Err(Refusal { ran: Ran::Unknown, ..refusal });
         }
-        if !std::mem::replace(&mut self.has_survived_death, true) {
+        if !std::mem::replace(&mut self.has_target_died, true) {
             self.counted_sends -= 1;
         }
         Ok(())
@@ -419,7 +419,7 @@
 }
 
 /// The maximum rank at an engine. Two urgencies per rank fit into the ten that engines distinguish.
-const MAX_URGENCY_RANK: u32 = 4;
+const MAX_URGENCY_PRIORITY: u32 = 4;
 
 /// The minimum time to wait for a target's first response or event before trying another target.
 /// Shorter silences are forward passes of a busy engine.
--- a/crates/path/src/sync_server.rs
+++ b/crates/path/src/sync_server.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::dialect::Dialect;
 use crate::items::Update;
-use crate::reply::{self, Pieces, Reply};
+use crate::reply::{self, Chunks, Reply};
 use hickory_policy::spread::{Busy, Recipients, Ticket, UploadMeter};
 use hickory_store::store::{Revision, Store};
 use hickory_telemetry::label::{Fetch, TransferDirection};
@@ -106,8 +106,8 @@
     let Some((revision, value)) = find_chunked_value(core, request.key) else {
         return Ok(reply::plain(StatusCode::NOT_FOUND, "no such value"));
     };
-    let pieces = Pieces::new(value, &request.chunks);
-    let size = *pieces.unsent().borrow();
+    let chunks = Chunks::new(value, &request.chunks);
+    let size = *chunks.unsent().borrow();
     let admitted = admit(core, revision, size);
     let ticket = match admitted {
         Ok(ticket) => ticket,
@@ -115,9 +115,9 @@
     };
     core.metrics.count_fetch(Fetch::Sent);
     core.metrics.count_fetch_bytes(TransferDirection::Sent, size);
-    let transfer = Transfer { ticket, revision, to: request.from, chunk_count: pieces.len(), size };
-    tokio::spawn(track_transfer(core.clone(), transfer, pieces.unsent()));
-    Ok(Response::new(Reply::Pieces(pieces)))
+    let transfer = Transfer { ticket, revision, to: request.from, chunk_count: chunks.len(), size };
+    tokio::spawn(track_transfer(core.clone(), transfer, chunks.unsent()));
+    Ok(Response::new(Reply::Chunks(chunks)))
 }
 
 /// Admits an answer, or returns when to ask again and which other nodes have the value.
--- a/crates/path/src/view.rs
+++ b/crates/path/src/view.rs
@@ -259,9 +259,9 @@
     Some(Arc::new(Target { lapsed_until: Some(lapsed_until), ..Target::clone(previous) }))
 }
 
-fn compute_tag(id: &str, born: u64) -> Tag {
+fn compute_tag(id: &str, incarnation: u64) -> Tag {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(id.as_bytes()).update(&born.to_le_bytes());
+    hasher.update(id.as_bytes()).update(&incarnation.to_le_bytes());
     let hash = hasher.finalize();
     Tag(u64::from_le_bytes(*hash.as_bytes().first_chunk().unwrap_or(&[0; 8])))
 }
