--- a/apps/hickory-entry/src/main.rs
+++ b/apps/hickory-entry/src/main.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The timeout of a call to the platform's store: some hundred times its usual duration.
+/// The timeout of a call to the platform's store: about a hundred times its usual duration.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The interval at which the settings file is checked for changes that came without a
--- a/crates/path/src/ask.rs
+++ b/crates/path/src/ask.rs
@@ -238,8 +238,8 @@
         }
     }
 
-    /// Opens the granted place; returns `None` and returns the grant if this node knows that it is
-    /// unusable.
+    /// Opens the granted place. If this node knows that the grant is unusable, gives it back and
+    /// returns `None`.
     fn open_place(&mut self, grant: Grant, decider: Decider) -> Option<Place<D, S, C>> {
         let core = &self.run.core;
         let view = core.view();
@@ -256,7 +256,7 @@
         Some(place)
     }
 
-    /// Returns a grant, so that the next request excludes its unusable target.
+    /// Gives a grant back, and excludes its unusable target from the next request.
     fn return_grant(&mut self, unusable: Option<Tag>) {
         let core = &self.run.core;
         log::info!(
--- a/crates/path/src/config.rs
+++ b/crates/path/src/config.rs
@@ -144,8 +144,8 @@
 const ABANDONMENT_GAP_FACTOR: u32 = 8;
 
 impl Route {
-    /// Returns how long callers wait for the first event of a stream before they
-    /// disconnect.
+    /// Returns how long callers wait for the next event of a stream before they disconnect; `None`
+    /// if the answer is not a stream.
     pub fn abandonment_timeout(&self) -> Option<Duration> {
         let pause = self.event_gap_goal.unwrap_or_default() * ABANDONMENT_GAP_FACTOR;
         let longest = MIN_ABANDONMENT_TIMEOUT.max(self.goal * ABANDONMENT_GOAL_FACTOR).max(pause);
--- a/crates/path/src/core.rs
+++ b/crates/path/src/core.rs
@@ -78,7 +78,7 @@
     is_store_unreachable: AtomicBool,
     draining_since: OnceLock<Instant>,
     revisions: Mutex<(Revision, Revision)>,
-    /// How long this node has received reports of allocations without a break.
+    /// How long this node has received reports of allocations without interruption.
     uptime: Mutex<Uptime>,
     outgoing: UnboundedSender<Outgoing>,
     /// Held until the sending task takes it.
--- a/crates/path/src/dialect.rs
+++ b/crates/path/src/dialect.rs
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// A value that can't be parsed, with the header's name.
+    /// Returns the header's name and the cause if a header can't be parsed.
     fn parse_request_head(parts: &Parts) -> Result<RequestHead, Finding>;
 
     /// Turns the caller's headers into those for a target: removes the ones that aren't meant for
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// A value that can't be parsed, with its position.
+    /// Returns the location and the cause if the configuration can't be parsed.
     fn parse_configuration(text: &str) -> Result<Configuration, Finding>;
 
     /// Parses a target's registry entry; `None` if it describes no usable target.
--- a/crates/path/src/fleet.rs
+++ b/crates/path/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How a node addresses the other nodes: the owners of a group, or all of them.
+//! The other nodes as this node knows them: their addresses, and which of them own a group.
 
 use crate::core::Core;
 use crate::dialect::Dialect;
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStates {
     peers: HashMap<id::Node, PeerState>,
-    /// The newest revision of the operators' data that peers have and this node lacks.
+    /// The newest revision of the operators' data that peers have and this node doesn't.
     newest_operator_revision: Revision,
     /// The first nodes that were announced to have this revision.
     holders: Vec<id::Node>,
--- a/crates/path/src/intake.rs
+++ b/crates/path/src/intake.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// An address that can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn bind(settings: &Settings) -> io::Result<Self> {
         let sync = TcpListener::bind(settings.sync).await?;
         Self::bind_with(settings, sync, UdpSocket::bind(settings.peers).await?).await
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// An address that can't be bound.
+    /// Returns an error if an address can't be bound.
     pub async fn bind_with(
         settings: &Settings,
         sync: TcpListener,
--- a/crates/path/src/lag.rs
+++ b/crates/path/src/lag.rs
@@ -8,7 +8,7 @@
 /// announcement must not make a node defer its refusals forever.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(10);
 
-/// Tracks the newest announced revision of the operators' data that this node lacks.
+/// Tracks the newest announced revision of the operators' data that this node doesn't have.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LagTracker {
     announcement: Option<Announcement>,
--- a/crates/path/src/ledger.rs
+++ b/crates/path/src/ledger.rs
@@ -22,8 +22,8 @@
 /// The window for counting the requests sent to a cold target.
 const COLD_SEND_WINDOW: Duration = Duration::from_secs(1);
 
-/// The maximum delay until a first token is reported: one stride of decode steps, the network
-/// latency to its node and a datagram.
+/// The maximum delay until a first token is reported: the decode steps of one engine iteration, the
+/// network latency from the engine to the requesting node, and a datagram.
 const FIRST_TOKEN_REPORT_DELAY: Duration = Duration::from_millis(100);
 
 /// The divisor of the exponential moving average of answer times: the latest time has a weight of
@@ -109,7 +109,7 @@
     peers: HashMap<id::Node, HashMap<AllocationId, Entry>>,
     last_id: u32,
     sends: HashMap<Tag, VecDeque<Instant>>,
-    /// When each engine was last seen to end a forward pass, which a first token shows.
+    /// When each engine last ended an iteration, as observed by the arrival of a first token.
     iteration_ends: HashMap<Tag, Instant>,
     /// Moving averages of how long a request of a plain service, or a short stream, takes.
     typical_times: HashMap<id::Service, Duration>,
--- a/crates/path/src/owner.rs
+++ b/crates/path/src/owner.rs
@@ -95,8 +95,9 @@
     }
 }
 
-/// Returns the priority of a request in the queue: by the time left until the goal for a short prompt,
-/// by the prefill time for a long one. `None` if the request has no prompt to queue.
+/// Returns the priority of a request in the queue: that of a short prompt depends on the time left
+/// until its goal, that of a long one on its prefill time. `None` if the request has no prompt to
+/// queue.
 fn queue_priority(snapshot: &Snapshot, request: &Request, received: Instant) -> Option<Priority> {
     let (profile, prompt) = snapshot.profile(&request.service).zip(request.prompt)?;
     Some(match plan::is_short(profile, prompt.tokens, request.goal) {
@@ -162,7 +163,7 @@
     }
 }
 
-/// Lets all queued prompts choose in order. Returns the time after which one may be placeable. The
+/// Decides on all queued prompts in order. Returns the time after which to decide again. The
 /// requester of `newly_queued` is notified if its prompt stays queued. If one short prompt finds no
 /// slot, those behind it wouldn't either and are skipped.
 fn serve_queues<D: Dialect, S: Store, C: Clock>(
--- a/crates/path/src/record.rs
+++ b/crates/path/src/record.rs
@@ -1,6 +1,6 @@
 //! The log lines of a request, from placement to answer.
-use crate::decision::{DecisionContext, log_decision};
 
+use crate::decision::{DecisionContext, log_decision};
 use crate::dialect::Dialect;
 use crate::place::Place;
 use crate::run::Run;
@@ -47,7 +47,7 @@
         );
     }
 
-    /// Returns what a decision about the request is based on at this moment.
+    /// Returns the current inputs of a decision about the request.
     pub(crate) fn decision_context(&self, waited: Duration, survey: Survey) -> DecisionContext {
         let now = self.core.now();
         DecisionContext {
--- a/crates/path/src/refusal.rs
+++ b/crates/path/src/refusal.rs
@@ -29,7 +29,7 @@
     pub(crate) ran: Ran,
     /// The size of the prompt, if the head was read.
     pub(crate) prompt: Tokens,
-    /// What the placement decision was based on, if the request found no place.
+    /// The inputs of the placement decision, if the request found no place.
     pub(crate) decision_context: Option<Box<DecisionContext>>,
 }
 
--- a/crates/path/src/run.rs
+++ b/crates/path/src/run.rs
@@ -29,8 +29,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The maximum number of attempts of a request that targets refuse to run, or helpers to prefill.
-/// These don't count against the route's limit of targets.
+/// The maximum number of attempts of a request that end because a target refuses to run it, or a
+/// helper refuses to prefill its part. These don't count against the route's limit of targets.
 const MAX_NOT_RUN_ATTEMPTS: u32 = 4;
 
 /// The maximum number of attempts that end before any byte reaches the target. Each costs a few
@@ -61,7 +61,7 @@
     pub(crate) resume_after: Option<u64>,
     /// The time from the arrival to the first event.
     pub(crate) first_event_time: Option<Duration>,
-    /// Counts the request as admitted until it is dropped.
+    /// Counts the request as in flight until it is dropped.
     _in_flight: InFlightGuard,
     /// The total time that the request waited in queues for a place.
     pub(crate) queue_wait: Duration,
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Returns the urgency at the engine: by the caller's rank first. Within a rank, short prompts
-    /// go first, since they occupy an engine for the least time.
+    /// Returns the urgency at the engine: the caller's priority comes first. Within a priority,
+    /// short prompts go first, since they occupy an engine for the least time.
     fn urgency(&self, place: &Place<D, S, C>) -> u8 {
         let priority = self.job.account.as_ref().and_then(|account| account.priority);
         let priority = priority.unwrap_or(self.job.route.priority).min(MAX_URGENCY_PRIORITY) as u8;
@@ -418,11 +418,12 @@
     }
 }
 
-/// The maximum rank at an engine. Two urgencies per rank fit into the ten that engines distinguish.
+/// The numerically largest priority that engines distinguish. With two urgencies for each, these
+/// are the ten urgencies of an engine.
 const MAX_URGENCY_PRIORITY: u32 = 4;
 
 /// The minimum time to wait for a target's first response or event before trying another target.
-/// Shorter silences are forward passes of a busy engine.
+/// Shorter silences are iterations of a busy engine.
 const MIN_FIRST_STALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Takes the head out of an exchange.
--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -26,7 +26,7 @@
     pub peers: SocketAddr,
     /// The bandwidth of the host's network link, if it is configured.
     pub link: Option<rate::BytesPerSecond>,
-    /// The capacity of the host besides its callers' requests, as a criterion for owning groups.
+    /// The capacity of the host to serve other nodes. Nodes with little capacity own no groups.
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
--- a/crates/path/src/store_watch.rs
+++ b/crates/path/src/store_watch.rs
@@ -29,7 +29,7 @@
 /// How long a node must have been unneeded as a watcher before it stops watching.
 const MIN_RELIEF_TIME: Duration = Duration::from_secs(1);
 
-/// The interval at which this is checked.
+/// The interval at which a watching node checks whether it is still needed.
 const RELIEF_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a node watches before it registers. Nodes that start together all watch until
@@ -52,10 +52,10 @@
 /// changes in quick succession cost one call.
 const WATCH_JITTER: Duration = Duration::from_millis(40);
 
-/// The same delay after a change of targets, on watching nodes other than the leader.
-/// Targets' entries change several times per second, and each change ends the watches of
-/// all watching nodes, which costs a call each. If the leader is partitioned, changes
-/// arrive later by this delay, out of the seconds for which a draining target still serves.
+/// The same delay after a change of targets, on watching nodes other than the leader. Targets'
+/// entries change several times per second, and each change ends the watches of all watching nodes,
+/// which costs a call each. If the leader is partitioned, changes arrive later by this delay, while
+/// a draining target still serves for a few seconds.
 const FOLLOWER_WATCH_JITTER: Duration = Duration::from_millis(400);
 
 /// The interval at which registered nodes are looked up while no peer is known.
--- a/crates/path/src/stream.rs
+++ b/crates/path/src/stream.rs
@@ -20,8 +20,8 @@
 /// The number of chunks buffered for a slow caller.
 const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// A stream counts as stalled after this multiple of its longest wanted inter-token latency.
-/// Callers give up after eight times that latency.
+/// A stream counts as stalled if the gap after an event exceeds this multiple of the route's goal
+/// for gaps. Callers give up after eight times that goal.
 const STALL_GAP_MULTIPLE: u32 = 4;
 
 /// The minimum silence after which a stream counts as stalled. Callers give up after two seconds at
--- a/crates/path/tests/watcher.rs
+++ b/crates/path/tests/watcher.rs
@@ -58,7 +58,7 @@
     assert!(delays[4] <= Duration::from_secs(5), "{delays:?}");
 }
 
-/// Checks that a node that is cut off from its peers watches itself.
+/// Checks that a node that is cut off from its peers watches the store itself.
 #[test]
 fn an_isolated_node_watches() {
     let all = nodes(9);
