--- a/crates/path/src/settings.rs
+++ b/crates/path/src/settings.rs
@@ -30,7 +30,7 @@
     pub capacity: Capacity,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// Addresses of other nodes to contact at the start.
+    /// Addresses of other nodes to contact at the start; their ports are ignored.
     pub seeds: Vec<SocketAddr>,
     /// The address of the platform's key-value store.
     pub store: SocketAddr,
