--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -45,7 +45,7 @@
 
     fn accept(&self, note: &Note) -> Result<Accepted, Failure> {
         let known = self.find_known(&note.operation);
-        match self.runtime.block_on(self.core.keeper.accept(note)) {
+        match self.runtime.block_on(self.core.configuration_manager.accept(note)) {
             Ok(configuration) => {
                 let present = configuration.version;
                 let version = configuration.find_operation(&note.operation).unwrap_or(present);
--- a/crates/node/src/call.rs
+++ b/crates/node/src/call.rs
@@ -110,7 +110,7 @@
         claim::Answer::Granted(_) => label::Claim::Claimed,
         claim::Answer::Repeated { .. } | claim::Answer::Reused => label::Claim::AlreadyClaimed,
         claim::Answer::NotDone(_) => label::Claim::NotDone,
-        claim::Answer::TooOld | claim::Answer::Unknown(_) => label::Claim::Unknown,
+        claim::Answer::KeyRefused | claim::Answer::Unknown(_) => label::Claim::Unknown,
     }
 }
 
@@ -132,7 +132,7 @@
         claim::Answer::Reused => {
             Err(refuse(Reason::KeyReused, "the key was used with another content"))
         }
-        claim::Answer::TooOld => unknown(Reason::KeyTooOld, "the key is not kept any more"),
+        claim::Answer::KeyRefused => unknown(Reason::KeyTooOld, "the key is not kept any more"),
         claim::Answer::NotDone(detail) => Err(Refusal {
             retry_after: Some(REPEATED_RETRY_AFTER),
             ..refuse(Reason::LedgerDown, detail)
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -65,7 +65,7 @@
     pub(crate) links: Arc<OnceLock<Links>>,
     pub(crate) fetch_locks: FetchLocks,
     pub(crate) member: Member<MeteredPlatform, System>,
-    pub(crate) keeper: Manager<MeteredPlatform, System>,
+    pub(crate) configuration_manager: Manager<MeteredPlatform, System>,
     pub(crate) owners: Owners<MeteredPlatform, System, LinkProbe>,
     pub(crate) ledger: Ledger<MeteredPlatform, System>,
     pub(crate) view: View,
@@ -90,7 +90,7 @@
     }
 
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
-        self.keeper.current()
+        self.configuration_manager.current()
     }
 
     /// Returns whether a live peer has a newer configuration than this node.
--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -103,7 +103,7 @@
     let now = core.now();
     core.table.with(&host.target, |owned| {
         let is_capacity_known = owned.capacity.streams > 0;
-        owned.set_terms(
+        owned.set_availability(
             now,
             is_answering && is_in_service && is_wait_over && is_capacity_known,
             is_confirmed,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -123,7 +123,11 @@
     ///
     /// Returns why the note was rejected, or that its outcome is unknown.
     pub async fn accept(&self, note: &Note) -> Result<id::Release, Rejection> {
-        self.core.keeper.accept(note).await.map(|configuration| configuration.version)
+        self.core
+            .configuration_manager
+            .accept(note)
+            .await
+            .map(|configuration| configuration.version)
     }
 
     /// Returns the number of targets that accept new work, by this node's view.
@@ -184,7 +188,7 @@
         targets: Targets::open(SHORT_CALL_TIMEOUT),
         links,
         fetch_locks: peers::FetchLocks::default(),
-        keeper: Manager::spawn(platform.clone(), clock),
+        configuration_manager: Manager::spawn(platform.clone(), clock),
         ledger: Ledger::new(platform.clone(), clock, node_id, claim::Options::default()),
         member,
         owners,
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -139,7 +139,12 @@
     /// Sets whether the target accepts new work, and whether this owner is confirmed as the
     /// only one. If it accepts none, queued asks are refused at once, so that the askers can
     /// try other targets in time.
-    pub(crate) fn set_terms(&mut self, now: Instant, is_accepting: bool, is_confirmed: bool) {
+    pub(crate) fn set_availability(
+        &mut self,
+        now: Instant,
+        is_accepting: bool,
+        is_confirmed: bool,
+    ) {
         self.is_accepting = is_accepting;
         self.limiter.set_lease_confirmed(now, is_confirmed);
         for (ticket, reason) in self.limiter.set_accepting(now, is_accepting) {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -153,7 +153,7 @@
         && let Ok(Some(document)) = links.fetch_configuration(info.peers, core.peer_timeout()).await
         && let Ok(configuration) = serde_json::from_str(&document.text)
     {
-        core.keeper.apply_if_newer(configuration);
+        core.configuration_manager.apply_if_newer(configuration);
     }
 }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -160,7 +160,7 @@
     find: impl Fn(&Configuration) -> Result<T, Refusal>,
 ) -> Result<T, Refusal> {
     let end = core.now() + MAX_CONFIGURATION_WAIT.min(time_left / 4);
-    let mut changes = core.keeper.subscribe();
+    let mut changes = core.configuration_manager.subscribe();
     loop {
         // Read before the configuration: one that arrives in between must not be mistaken for
         // the outdated one.
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -25,7 +25,7 @@
 }
 
 impl<F: Fn(&id::Node) -> bool> SweepContext<F> {
-    fn is_long_ago(&self, at: Instant) -> bool {
+    fn has_resume_window_passed(&self, at: Instant) -> bool {
         self.now.saturating_duration_since(at) > self.resume_window
     }
 
@@ -143,7 +143,8 @@
             self.foreign.insert(stream.clone(), Foreign { orphaned_since });
         }
         let orphans = self.foreign.iter().filter(|(stream, foreign)| {
-            let is_orphaned = foreign.orphaned_since.is_some_and(|at| context.is_long_ago(at));
+            let is_orphaned =
+                foreign.orphaned_since.is_some_and(|at| context.has_resume_window_passed(at));
             context.is_overdue(stream) || is_orphaned
         });
         self.pending_cancels.extend(orphans.map(|(stream, _)| stream.clone()));
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -64,7 +64,7 @@
     /// The key is older than the ledger's retention, or in the future: `ran: unknown`.
     /// The page of an old key may be gone with its claim; a key that is too early for
     /// this node's clock may have been valid by another node's clock.
-    TooOld,
+    KeyRefused,
     /// No attempt with this key has begun, and this one never will: `ran: no`.
     NotDone(String),
     /// `ran: unknown`.
@@ -167,7 +167,7 @@
             Ok(name) => name,
             Err(unfit) => {
                 log::info!(node:% = self.inner.node, key:%, unfit:%; "key refused");
-                return Answer::TooOld;
+                return Answer::KeyRefused;
             }
         };
         let claim = Uuid::new_v4();
