--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -27,8 +27,8 @@
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Number of consecutive failed reads of a load report after which a target gets no new work. A
-/// single failure may be transient; three take less time than the limit for new work to a dead
-/// target.
+/// single failure may be transient; three in a row still take less time than a dead target may
+/// continue to get new work.
 const MAX_MISSED_REPORTS: u32 = 3;
 
 /// Runs one task for each owned target.
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -54,8 +54,8 @@
     pub(crate) is_dead: bool,
     /// Loads of weights onto the engine.
     pub(crate) loads: Loads,
-    /// Fingerprints of the requests under which nodes reported the target's death. The next
-    /// load report clears them; a detected death records them.
+    /// Fingerprints of the requests that nodes reported as running when the target died. The
+    /// next load report clears them; [`Target::record_death`] returns them.
     pub(crate) reported_deaths: Vec<u64>,
     /// The configuration from which the limiter's shares and weights were set.
     pub(crate) release: id::Release,
@@ -136,8 +136,8 @@
         self.limiter.set_weights(accounts.map(|(name, account)| (name.clone(), account.weight)));
     }
 
-    /// Sets whether the target accepts new work, and whether this owner is confirmed as the
-    /// only one. If it accepts none, queued asks are refused at once, so that the askers can
+    /// Sets whether the target accepts new work, and whether this node is confirmed as its
+    /// only owner. If the target accepts none, queued asks are refused at once, so that the askers can
     /// try other targets in time.
     pub(crate) fn set_availability(
         &mut self,
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -19,9 +19,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Maximum number of asks in one attempt that end in a full queue or without an answer. Each
-/// "queue too long" answer shows that placement used outdated states; after three of them, the
-/// fleet is more likely full than the choice unlucky.
+/// Maximum number of asks in one attempt that end in a full queue or without an answer. A full
+/// queue shows that placement used outdated states; after three, the fleet is probably full.
 const MAX_COUNTED_ASKS: usize = 4;
 
 /// Retry delay for callers if no target accepts work.
@@ -113,9 +112,8 @@
         }
     }
 
-    /// Waits before the next attempt; returns whether there may be one. The cause that kept an
-    /// attempt from starting usually lasts for a moment, so immediate retries would fail as
-    /// well.
+    /// Waits before the next attempt; returns whether there may be one. What kept an attempt from
+    /// starting usually lasts for a moment, so an immediate retry would fail as well.
     pub(crate) async fn wait_before_retry(&self) -> bool {
         let has_attempts_left =
             self.runs < MAX_STARTED_ATTEMPTS && self.unstarted < MAX_UNSTARTED_ATTEMPTS;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -152,8 +152,8 @@
 
 /// Looks up what a request may use in the current configuration.
 ///
-/// If a peer has a newer configuration, waits briefly for it: a refusal by the old one would be
-/// final for something that operators have just allowed, since callers don't retry it.
+/// If a peer has a newer configuration, waits briefly for it: the old one may refuse what operators
+/// have just allowed, and callers don't retry such a refusal.
 async fn resolve_entitlement<T>(
     core: &Core,
     time_left: Duration,
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -208,8 +208,8 @@
     }
 
     /// Records that the target died, detected by a closed port or a new incarnation. Returns
-    /// the fingerprints of the requests that ran on it: those that this owner granted once for
-    /// each death, and those that nodes have reported since.
+    /// the fingerprints of the requests that ran on it: those that nodes have reported since
+    /// the last call and, on the first call for each death, those that this owner granted.
     pub(crate) fn record_death(&mut self) -> Vec<u64> {
         let reported = std::mem::take(&mut self.reported_deaths);
         if std::mem::replace(&mut self.is_dead, true) {
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -82,8 +82,8 @@
     /// Returns the states that changed after version `since`, and the version that a peer has
     /// after applying them.
     ///
-    /// Only changes are sent: sending all states in every exchange made up two thirds of a
-    /// node's control traffic, almost none of it changed on an idle fleet.
+    /// Only changes are sent: on an idle fleet almost no state changes, and sending all states in
+    /// every exchange made up two thirds of a node's control traffic.
     pub(crate) fn states_since(&self, since: u64) -> (u64, Vec<TargetState>) {
         let mut changed = Vec::new();
         for shard in &self.shards {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Answers an ask for a permit as owner: immediately, when its turn comes, or with
+/// Answers an ask for a permit as the target's owner: immediately, when its turn comes, or with
 /// [`QUEUED_REASON`] after half a permit's lifetime.
 pub(crate) async fn permit(core: &Core, ask: &PermitRequest) -> Result<Permit, Refusal> {
     let answer = decide_permit(core, ask).await;
--- a/crates/state/src/allowance.rs
+++ b/crates/state/src/allowance.rs
@@ -10,11 +10,11 @@
 use crate::table::{Entry, Holder};
 use std::time::{Duration, Instant};
 
-/// A longer interval between two ticks means that the process was paused, since a busy
-/// process ticks more often.
+/// An interval between two ticks that exceeds this shows that the process was paused,
+/// since even a busy process ticks more often.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// When to decide again if the wait has no known end.
+/// Time until the next decision if it is unknown when the owner may grant.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What this node knows about itself.
@@ -45,8 +45,8 @@
     /// Whether this node certainly owns what the document says: its lease is valid, and
     /// the service confirmed the document within `max_age`.
     ///
-    /// A takeover that was decided while this node was lost may be written after it came
-    /// back. The new owner therefore waits for `max_age` as well.
+    /// A takeover that was decided while this node counted as lost may be written after
+    /// the node has come back. The new owner therefore waits for `max_age` as well.
     pub(crate) fn is_confirmed(&self, now: Instant, max_age: Duration) -> bool {
         self.is_lease_valid
             && self.confirmed_at.is_some_and(|confirmed_at| now < confirmed_at + max_age)
@@ -98,9 +98,9 @@
 
 /// Whether this node has no contact with any other node, although there are some.
 ///
-/// It handles a node that loses the service and all peers, but not its targets and
-/// callers: others take its targets over, and it doesn't learn of it. While the service
-/// is down but the nodes have contact with each other, owners continue.
+/// This stops an owner that loses the service and all peers, but not its targets and
+/// callers: others take its targets over without its knowledge. While the service is down
+/// but the nodes have contact with each other, owners continue.
 fn is_alone(assigner: &Assigner, now: Instant) -> bool {
     let local = &assigner.info.node;
     let has_others = assigner.nodes.keys().chain(assigner.missing.keys()).any(|node| node != local);
@@ -130,7 +130,7 @@
     holder: &Holder,
     acquisition: &Acquisition,
 ) -> bool {
-    // A later process with its name is running.
+    // A later process with the same node name is running.
     let present = assigner.nodes.get(&holder.node);
     if present.is_some_and(|info| info.incarnation != holder.incarnation) {
         return true;
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -107,7 +107,7 @@
     pub(crate) options: Options,
     pub(crate) document: Document,
     pub(crate) revision: Revision,
-    /// Whether the service has no document.
+    /// Whether the service was found to have no document.
     pub(crate) is_absent: bool,
     pub(crate) status: Status,
     pub(crate) targets: BTreeSet<id::Target>,
--- a/crates/state/src/claim.rs
+++ b/crates/state/src/claim.rs
@@ -61,13 +61,13 @@
     },
     /// The key was used with different content; this content has not run.
     Reused,
-    /// The key is older than the ledger's retention, or in the future: `ran: unknown`.
-    /// The page of an old key may be gone with its claim; a key that is too early for
-    /// this node's clock may have been valid by another node's clock.
+    /// The key is not a UUIDv7, older than the ledger's retention, or in the future:
+    /// `ran: unknown`. The page of an old key may be gone with its claim; a key in the
+    /// future by this node's clock may be valid by another node's clock.
     KeyRefused,
     /// No attempt with this key has begun, and this one never will: `ran: no`.
     NotDone(String),
-    /// `ran: unknown`.
+    /// The ledger can't tell whether a request with this key has run: `ran: unknown`.
     Unknown(LedgerError),
 }
 
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -64,8 +64,8 @@
         manager
     }
 
-    /// Returns the configuration in force; `None` until one is known, during which time
-    /// this node is not ready to serve.
+    /// Returns the configuration in force; `None` until one is known. Without one, this
+    /// node is not ready to serve.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.borrow().clone()
     }
--- a/crates/state/src/group_commit.rs
+++ b/crates/state/src/group_commit.rs
@@ -122,9 +122,9 @@
     /// Starts a claim; `claim` is its unique id.
     ///
     /// The send window counts from `now`, which precedes every write of the claim and isn't later
-    /// than the check of the key's age. A process that is paused between that check and its write
-    /// until the page is gone creates a new, empty page and claims the key, although the request
-    /// ran elsewhere. The page outlives the send window of every accepted key, so it can't send.
+    /// than the check of the key's age. If the process is paused after that check until the page
+    /// has expired, its write creates a new page and claims the key again, although the request ran
+    /// elsewhere. By then the send window is over, because a page outlives that of all its keys.
     pub fn claim(
         &mut self,
         now: Instant,
@@ -331,7 +331,7 @@
             // The same claims are written again under the same condition. If the write
             // without a reply took effect, the new one conflicts and gets a page with
             // these claims; otherwise the new one takes effect and the first no longer
-            // can. A read would not do, as the first write may still be in flight.
+            // can. A read can't tell, because the first write may still be in flight.
             Err(Error::Unknown(_) | Error::NotDone(_)) => self.retry_after_failure(now),
         }
     }
--- a/crates/state/src/head.rs
+++ b/crates/state/src/head.rs
@@ -16,8 +16,8 @@
 /// Minimum and maximum retry delay after a failed call.
 const RETRY_DELAYS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
 
-/// Reads of a version lower than the one that the note names. After these the note is
-/// rejected, since it may name a version that never existed.
+/// Maximum number of reads that return a lower version than the note names. After that
+/// the note is rejected, since it may name a version that never existed.
 const MAX_STALE_READS: u32 = 3;
 
 /// Whether `next` may replace `current`, which requires a higher version.
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -6,9 +6,9 @@
 use hickory_unit::id;
 use std::time::{Duration, Instant};
 
-/// Lease renewals per second of the whole fleet. The service handles several hundred
-/// writes per second; half of them are for renewals, claims, ownership and configuration
-/// together, and renewals get half of that.
+/// Maximum number of lease renewals per second of the whole fleet. The service handles
+/// several hundred writes per second. Half of them are reserved for renewals, claims,
+/// ownership and configuration together, and half of these for renewals.
 const MAX_FLEET_RENEWALS_PER_SECOND: f64 = 76.0;
 
 /// Renewals within one time to live, so that two lost renewals in a row do no harm.
@@ -156,8 +156,8 @@
         if self.is_replaced || self.next_call_at.is_some_and(|at| now < at) {
             return None;
         }
-        // A lease that is much shorter than the size of the fleet requires is left to
-        // expire, and the registration moves to a new one.
+        // A lease whose time to live is much too short for the size of the fleet is left to
+        // expire, and the registration moves to a new lease.
         let held = self.held.filter(|held| held.ttl * 5 / 4 >= self.fleet_ttl());
         let Some(held) = held else {
             return Some(Call::Grant(self.fleet_ttl()));
--- a/crates/state/src/member.rs
+++ b/crates/state/src/member.rs
@@ -72,7 +72,8 @@
     has_left: bool,
 }
 
-/// The running registration of this node, with the registrations of the others.
+/// This node's registration, which a background task keeps up to date, and those of the
+/// other nodes.
 #[derive(Clone, Debug)]
 pub struct Member<S, C> {
     store: S,
--- a/crates/state/src/operation.rs
+++ b/crates/state/src/operation.rs
@@ -19,14 +19,14 @@
     pub(crate) key: Uuid,
     pub(crate) claim: Uuid,
     pub(crate) task: Task,
-    /// Not written before this time.
+    /// Earliest time at which it is written.
     pub(crate) not_before: Instant,
-    /// Given up at this time.
+    /// Time at which it is given up.
     pub(crate) deadline: Instant,
     /// The number of reads of the page before this operation started. A later read shows
     /// the page as it was during the operation.
     pub(crate) read_count: u64,
-    /// Whether it was part of a write.
+    /// Whether a write that contains it was sent.
     pub(crate) is_sent: bool,
     /// Whether its result is no longer awaited.
     pub(crate) is_detached: bool,
--- a/crates/state/src/owner.rs
+++ b/crates/state/src/owner.rs
@@ -67,7 +67,8 @@
     pub allowance: Allowance,
 }
 
-/// The running ownership of targets on this node.
+/// This node's part in the ownership of targets: its background tasks and its copy of
+/// the document.
 #[derive(Clone, Debug)]
 pub struct Owners<S, C, P> {
     store: S,
@@ -124,7 +125,7 @@
         self.revision.subscribe()
     }
 
-    /// Returns the revision of the document known.
+    /// Returns the revision of the known document.
     pub fn revision(&self) -> u64 {
         self.lock().revision().0
     }
--- a/crates/state/src/plan.rs
+++ b/crates/state/src/plan.rs
@@ -116,11 +116,10 @@
     /// the owner's lease has expired, and a probe over a new connection failed. Returns
     /// `None` while this is not certain.
     ///
-    /// Without the grace period and the probe, targets of healthy owners would be taken
-    /// over, and nothing would be granted for them meanwhile, after an outage of the
-    /// service that let all leases expire, or when an owner lost only the service. An
-    /// owner that is running either registers again within the grace period or answers
-    /// the probe.
+    /// The grace period and the probe protect owners that are running after an outage of
+    /// the service in which all leases expired, and owners that lost only the service:
+    /// they register again within the grace period or answer the probe. Otherwise their
+    /// targets would be taken over, and nothing would be granted for these meanwhile.
     fn lost_since(&mut self, now: Instant, entry: &Entry, plan: &mut Plan) -> Option<Instant> {
         let holder = &entry.holder;
         let info = self.find_info(&holder.node)?;
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -57,7 +57,7 @@
         params: login::EnterParams,
         mut results: login::EnterResults,
     ) -> Result<(), capnp::Error> {
-        let denied = || capnp::Error::failed("proof does not hold".into());
+        let denied = || capnp::Error::failed("the proof does not match the fleet key".into());
         let (client_nonce, nonce) = self.nonces.borrow_mut().take().ok_or_else(denied)?;
         let expected = self.key.compute_proof(Side::Client, &client_nonce, &nonce);
         if !is_valid_proof(params.get()?.get_proof()?, expected) {
