--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -82,7 +82,7 @@
                     version: peer.map_or(id::Release(0), |peer| peer.release),
                     draining: info.draining || peer.is_some_and(|peer| peer.draining),
                     reachable: peer.is_some_and(|peer| {
-                        now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE
+                        now.saturating_duration_since(peer.last_gossip_at) < MAX_PEER_SILENCE
                     }),
                     owned: owners.iter().filter(|owner| owner.node == info.node).count(),
                 }
@@ -144,9 +144,9 @@
         let now = self.core.now();
         let is_reachable = |at| now.saturating_duration_since(at) < MAX_PEER_SILENCE;
         let others = self.core.view.peer_views();
-        let others = others
-            .iter()
-            .filter(|(node, peer)| *node != self.core.node_id() && is_reachable(peer.last_heard));
+        let others = others.iter().filter(|(node, peer)| {
+            *node != self.core.node_id() && is_reachable(peer.last_gossip_at)
+        });
         metrics.set_connected_peers(others.count());
         metrics.set_suspects(self.core.retry_control.count_suspects(now));
         metrics.render()
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -30,12 +30,12 @@
         return;
     }
     let keep = core.duration_ms(core.settings.times.entry_keep_ms + core.settings.times.gossip_ms);
-    let kept_until = core.now() + keep;
+    let entry_expires_at = core.now() + keep;
     // While the platform is unavailable, both of these fail: peers learn of the stop by gossip,
     // and this node remains owner until the last stream has ended.
     core.member.set_draining().await;
     core.owners.release_all().await;
-    tokio::time::sleep_until(kept_until.into()).await;
+    tokio::time::sleep_until(entry_expires_at.into()).await;
     while core.active.load(Ordering::Acquire) > 0 {
         tokio::time::sleep(ACTIVE_POLL_INTERVAL).await;
     }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -39,7 +39,8 @@
         .filter(|info| info.node != *core.node_id() && !info.draining)
         .filter_map(|info| {
             let peer = peer_views.get(&info.node)?;
-            let is_reachable = now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE;
+            let is_reachable =
+                now.saturating_duration_since(peer.last_gossip_at) < MAX_PEER_SILENCE;
             (is_reachable && !peer.draining).then_some((info.callers, peer.connections))
         })
         .collect();
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -145,8 +145,8 @@
 /// is answered: a resend through another node must not kill a third target.
 pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
-    let condemned = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
-    lock(&core.retry_control.suspects).merge(now, [condemned]);
+    let quarantined = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
+    lock(&core.retry_control.suspects).merge(now, [quarantined]);
     core.metrics.count_quarantine();
     peers::gossip_with_all_peers(core).await;
     refuse_quarantined()
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -48,7 +48,7 @@
 /// What a node knows of a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerView {
-    pub(crate) last_heard: Instant,
+    pub(crate) last_gossip_at: Instant,
     pub(crate) release: id::Release,
     pub(crate) connections: u32,
     pub(crate) draining: bool,
@@ -108,9 +108,9 @@
     pub(crate) fn note_nodes(&self, now: Instant, nodes: &BTreeMap<id::Node, Info>) {
         let peers = self.peers();
         let is_reachable = |node: &id::Node| {
-            peers
-                .get(node)
-                .is_some_and(|p| now.saturating_duration_since(p.last_heard) < MAX_KNOWN_NODE_AGE)
+            peers.get(node).is_some_and(|p| {
+                now.saturating_duration_since(p.last_gossip_at) < MAX_KNOWN_NODE_AGE
+            })
         };
         let mut known = self.known_nodes.lock().unwrap_or_else(PoisonError::into_inner);
         known.retain(|node, _| is_reachable(node));
@@ -127,7 +127,7 @@
         let mut peers = self.peers();
         let known = peers.get(&gossip.node).filter(|k| k.incarnation == gossip.incarnation);
         let view = PeerView {
-            last_heard: now,
+            last_gossip_at: now,
             release: gossip.configuration_version,
             connections: gossip.connections,
             draining: gossip.is_draining,
@@ -304,7 +304,7 @@
 }
 
 fn is_alive(now: Instant, peer: &PeerView) -> bool {
-    now.saturating_duration_since(peer.last_heard) < MAX_PEER_SILENCE
+    now.saturating_duration_since(peer.last_gossip_at) < MAX_PEER_SILENCE
 }
 
 fn is_in_service(host: &Host, configuration: &Configuration) -> bool {
