--- a/crates/node/src/complete.rs
+++ b/crates/node/src/complete.rs
@@ -84,7 +84,7 @@
     Retry(RetryReason),
     /// The target died while it ran.
     TargetDied,
-    /// The caller has disconnected; no work is left.
+    /// The caller has disconnected, or another node serves its stream; no work is left.
     CallerGone,
     /// The completion is refused.
     Refused(Refusal),
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -31,7 +31,7 @@
     }
     let keep = core.duration_ms(core.settings.times.entry_keep_ms + core.settings.times.gossip_ms);
     let entry_expires_at = core.now() + keep;
-    // While the platform is unavailable, both of these fail: peers learn of the stop by gossip,
+    // While the platform is unavailable, both calls fail: peers learn of the stop by gossip,
     // and this node remains owner until the last stream has ended.
     core.member.set_draining().await;
     core.owners.release_all().await;
--- a/crates/node/src/granted.rs
+++ b/crates/node/src/granted.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Time after its deadline for which a stream may remain on a target before it is swept: the
-/// sender ends it at the deadline, and that message may still be in transit.
+/// Time for which a stream may remain on a target after its deadline before it is swept: the
+/// sender cancels it at the deadline, and the cancel may still be in transit.
 pub(crate) const SWEEP_GRACE: Duration = Duration::from_secs(2);
 
 /// A stream on the target that was granted by a previous owner.
--- a/crates/node/src/owned.rs
+++ b/crates/node/src/owned.rs
@@ -137,8 +137,8 @@
     }
 
     /// Sets whether the target accepts new work, and whether this node is confirmed as its
-    /// only owner. If the target accepts none, queued asks are refused at once, so that the askers can
-    /// try other targets in time.
+    /// only owner. If the target accepts none, queued asks are refused at once, so that the
+    /// askers can try other targets in time.
     pub(crate) fn set_availability(
         &mut self,
         now: Instant,
--- a/crates/node/src/resume.rs
+++ b/crates/node/src/resume.rs
@@ -91,7 +91,8 @@
     result
 }
 
-/// Informs the target's owner, as soon as there is one, that this node serves the rest of the stream.
+/// Informs the target's owner, as soon as there is one, that this node serves the rest of the
+/// stream.
 async fn adopt(core: &Core, position: &Position) -> Option<Permit> {
     let (target, stream) = (position.target.clone(), position.stream.clone());
     let adopt = Adoption { target, stream, node: core.node_id().clone(), is_renewal: false };
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -101,7 +101,7 @@
         }
     };
     if core.stage() != Stage::Serving {
-        // A caller with a keep-alive connection then asks again which node to use.
+        // Closing the connection makes the caller ask again which node to use.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -141,8 +141,8 @@
     matches!(connect.await, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Quarantines a request that was running on two targets when they died. All peers are informed before the caller
-/// is answered: a resend through another node must not kill a third target.
+/// Quarantines a request that was running on two targets when they died. All peers are informed
+/// before the caller is answered: a resend through another node must not kill a third target.
 pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
     let quarantined = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
