--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -41,7 +41,7 @@
             let peer = peer_views.get(&info.node)?;
             let is_reachable =
                 now.saturating_duration_since(peer.last_gossip_at) < MAX_PEER_SILENCE;
-            (is_reachable && !peer.draining).then_some((info.callers, peer.connections))
+            (is_reachable && !peer.draining).then_some((info.callers, peer.active_requests))
         })
         .collect();
     if core.stage() == Stage::Serving {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -86,7 +86,7 @@
         owners_revision: core.owners.revision(),
         is_draining: core.stage() != Stage::Serving,
         suspects: core.retry_control.suspects_for_peer(core.now(), since == 0),
-        connections: core.active.load(Ordering::Acquire) as u32,
+        active_requests: core.active.load(Ordering::Acquire) as u32,
     }
 }
 
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -50,7 +50,7 @@
 pub(crate) struct PeerView {
     pub(crate) last_gossip_at: Instant,
     pub(crate) release: id::Release,
-    pub(crate) connections: u32,
+    pub(crate) active_requests: u32,
     pub(crate) draining: bool,
     incarnation: id::Incarnation,
     /// The version of the peer's targets that this node has.
@@ -129,7 +129,7 @@
         let view = PeerView {
             last_gossip_at: now,
             release: gossip.configuration_version,
-            connections: gossip.connections,
+            active_requests: gossip.active_requests,
             draining: gossip.is_draining,
             incarnation: gossip.incarnation,
             // The version must not decrease when answers arrive out of order.
--- a/crates/node/tests/peers.rs
+++ b/crates/node/tests/peers.rs
@@ -103,7 +103,7 @@
             acknowledged_version: 0,
             targets: Vec::new(),
             suspects: Vec::new(),
-            connections: 0,
+            active_requests: 0,
         }
     }
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -228,7 +228,7 @@
     to.set_release(gossip.configuration_version.0);
     to.set_owners(gossip.owners_revision);
     to.set_draining(gossip.is_draining);
-    to.set_connections(gossip.connections);
+    to.set_connections(gossip.active_requests);
     to.set_version(gossip.version);
     to.set_seen(gossip.acknowledged_version);
     let mut targets = to.reborrow().init_targets(gossip.targets.len() as u32);
@@ -258,7 +258,7 @@
         is_draining: from.get_draining(),
         targets: from.get_targets()?.iter().map(read_state).collect::<Result<_>>()?,
         suspects: suspects.collect(),
-        connections: from.get_connections(),
+        active_requests: from.get_connections(),
         version: from.get_version(),
         acknowledged_version: from.get_seen(),
     })
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -184,7 +184,7 @@
     /// Requests that are suspected of crashing targets.
     pub suspects: Vec<Suspect>,
     /// Number of callers connected to the sender.
-    pub connections: u32,
+    pub active_requests: u32,
 }
 
 /// A versioned document, fetched from a peer while the platform is unreachable.
--- a/crates/wire/tests/peers.rs
+++ b/crates/wire/tests/peers.rs
@@ -139,7 +139,7 @@
         acknowledged_version: 5,
         targets: vec![state],
         suspects: vec![Suspect { fingerprint: 6, deaths: 1, age: Duration::from_millis(7) }],
-        connections: 8,
+        active_requests: 8,
     }
 }
 
