--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -165,12 +165,12 @@
         Some(Owner { node: entry.holder.node.clone(), epoch: entry.epoch })
     }
 
-    /// Returns the document known.
+    /// Returns the known document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Returns the revision of the document known.
+    /// Returns the revision of the known document.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -252,7 +252,7 @@
         self.adopt(now, entry.revision, document)
     }
 
-    /// Records that the service confirmed the document known.
+    /// Records that the service confirmed the known document.
     pub fn confirm_document(&mut self, sent: Instant) {
         self.status.confirmed_at = Some(sent);
     }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Accepts a release note, or rejects it after about five seconds.
+    /// Accepts a release note or returns why not; tries for about five seconds.
     pub async fn accept(&self, note: &Note) -> Result<Arc<Configuration>, Rejection> {
         let mut note = note.clone();
         if note.operation.is_empty() {
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -407,7 +407,7 @@
     let server_nonce = challenge.get_nonce().map_err(connect_error)?;
     let proof = challenge.get_proof().map_err(connect_error)?;
     if !is_valid_proof(proof, key.compute_proof(Side::Server, &nonce, server_nonce)) {
-        return Err(Error::Connect("the peer does not have the fleet's key".into()));
+        return Err(Error::Connect("the peer does not have the fleet key".into()));
     }
     let mut request = login.enter_request();
     request.get().set_proof(key.compute_proof(Side::Client, &nonce, server_nonce).as_bytes());
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -183,7 +183,7 @@
     pub targets: Vec<TargetState>,
     /// Requests that are suspected of crashing targets.
     pub suspects: Vec<Suspect>,
-    /// Number of callers connected to the sender.
+    /// Number of requests that the sender is serving.
     pub active_requests: u32,
 }
 
