--- a/crates/state/tests/claim_walk.rs
+++ b/crates/state/tests/claim_walk.rs
@@ -29,7 +29,8 @@
 
 struct Node {
     group: GroupCommit,
-    /// How far its wall clock is ahead; the sum of two is within the skew.
+    /// How far its wall clock is ahead, at most by `max_clock_skew`, so that the two nodes'
+    /// clocks differ by no more than that.
     skew_ms: u64,
     attempt: Attempt,
     pending_reply: Option<Reply>,
@@ -100,7 +101,8 @@
         self.take_completions(index);
     }
 
-    /// Advances the caller's attempt at a node. Any pause may precede each arm.
+    /// Advances the caller's attempt at a node by one step. Any time may pass before each
+    /// step, as if the process was paused.
     fn step_attempt(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
--- a/crates/state/tests/drive.rs
+++ b/crates/state/tests/drive.rs
@@ -98,8 +98,8 @@
 }
 
 /// A note accepted at one node, whose first reply is lost, comes into force at a second
-/// node by its watch and at a third, which has lost the service, by a peer. A second note
-/// against the same version conflicts.
+/// node through its watch, and at a third, which has lost the service, through a peer. A
+/// second note against the same version conflicts.
 #[tokio::test]
 async fn accepted_note_reaches_all_nodes() {
     let service = Memory::default();
