--- a/crates/node/src/drive.rs
+++ b/crates/node/src/drive.rs
@@ -27,8 +27,8 @@
 const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Number of consecutive failed reads of a load report after which a target gets no new work. A
-/// single failure may be transient; three take less time than the limit for new work to a dead
-/// target.
+/// single failure may be transient; three in a row still take less time than a dead target may
+/// continue to get new work.
 const MAX_MISSED_REPORTS: u32 = 3;
 
 /// Runs one task for each owned target.
@@ -103,7 +103,7 @@
     let now = core.now();
     core.table.with(&host.target, |owned| {
         let is_capacity_known = owned.capacity.streams > 0;
-        owned.set_terms(
+        owned.set_availability(
             now,
             is_answering && is_in_service && is_wait_over && is_capacity_known,
             is_confirmed,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -86,7 +86,7 @@
         owners_revision: core.owners.revision(),
         is_draining: core.stage() != Stage::Serving,
         suspects: core.retry_control.suspects_for_peer(core.now(), since == 0),
-        connections: core.active.load(Ordering::Acquire) as u32,
+        active_requests: core.active.load(Ordering::Acquire) as u32,
     }
 }
 
@@ -153,7 +153,7 @@
         && let Ok(Some(document)) = links.fetch_configuration(info.peers, core.peer_timeout()).await
         && let Ok(configuration) = serde_json::from_str(&document.text)
     {
-        core.keeper.apply_if_newer(configuration);
+        core.configuration_manager.apply_if_newer(configuration);
     }
 }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -101,7 +101,7 @@
         }
     };
     if core.stage() != Stage::Serving {
-        // A caller with a keep-alive connection then asks again which node to use.
+        // Closing the connection makes the caller ask again which node to use.
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
@@ -152,15 +152,15 @@
 
 /// Looks up what a request may use in the current configuration.
 ///
-/// If a peer has a newer configuration, waits briefly for it: a refusal by the old one would be
-/// final for something that operators have just allowed, since callers don't retry it.
+/// If a peer has a newer configuration, waits briefly for it: the old one may refuse what operators
+/// have just allowed, and callers don't retry such a refusal.
 async fn resolve_entitlement<T>(
     core: &Core,
     time_left: Duration,
     find: impl Fn(&Configuration) -> Result<T, Refusal>,
 ) -> Result<T, Refusal> {
     let end = core.now() + MAX_CONFIGURATION_WAIT.min(time_left / 4);
-    let mut changes = core.keeper.subscribe();
+    let mut changes = core.configuration_manager.subscribe();
     loop {
         // Read before the configuration: one that arrives in between must not be mistaken for
         // the outdated one.
--- a/crates/node/src/suspect.rs
+++ b/crates/node/src/suspect.rs
@@ -141,12 +141,12 @@
     matches!(connect.await, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Quarantines a request under which two targets died. All peers are informed before the caller
-/// is answered: a resend through another node must not kill a third target.
+/// Quarantines a request that was running on two targets when they died. All peers are informed
+/// before the caller is answered: a resend through another node must not kill a third target.
 pub(crate) async fn quarantine(core: &Arc<Core>, fingerprint: u64) -> Refusal {
     let now = core.now();
-    let condemned = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
-    lock(&core.retry_control.suspects).merge(now, [condemned]);
+    let quarantined = Suspect { fingerprint, deaths: QUARANTINE_DEATHS, age: Duration::ZERO };
+    lock(&core.retry_control.suspects).merge(now, [quarantined]);
     core.metrics.count_quarantine();
     peers::gossip_with_all_peers(core).await;
     refuse_quarantined()
--- a/crates/node/src/sweep.rs
+++ b/crates/node/src/sweep.rs
@@ -25,7 +25,7 @@
 }
 
 impl<F: Fn(&id::Node) -> bool> SweepContext<F> {
-    fn is_long_ago(&self, at: Instant) -> bool {
+    fn has_resume_window_passed(&self, at: Instant) -> bool {
         self.now.saturating_duration_since(at) > self.resume_window
     }
 
@@ -143,7 +143,8 @@
             self.foreign.insert(stream.clone(), Foreign { orphaned_since });
         }
         let orphans = self.foreign.iter().filter(|(stream, foreign)| {
-            let is_orphaned = foreign.orphaned_since.is_some_and(|at| context.is_long_ago(at));
+            let is_orphaned =
+                foreign.orphaned_since.is_some_and(|at| context.has_resume_window_passed(at));
             context.is_overdue(stream) || is_orphaned
         });
         self.pending_cancels.extend(orphans.map(|(stream, _)| stream.clone()));
@@ -207,8 +208,8 @@
     }
 
     /// Records that the target died, detected by a closed port or a new incarnation. Returns
-    /// the fingerprints of the requests that ran on it: those that this owner granted once for
-    /// each death, and those that nodes have reported since.
+    /// the fingerprints of the requests that ran on it: those that nodes have reported since
+    /// the last call and, on the first call for each death, those that this owner granted.
     pub(crate) fn record_death(&mut self) -> Vec<u64> {
         let reported = std::mem::take(&mut self.reported_deaths);
         if std::mem::replace(&mut self.is_dead, true) {
--- a/crates/state/src/assign.rs
+++ b/crates/state/src/assign.rs
@@ -107,7 +107,7 @@
     pub(crate) options: Options,
     pub(crate) document: Document,
     pub(crate) revision: Revision,
-    /// Whether the service has no document.
+    /// Whether the service was found to have no document.
     pub(crate) is_absent: bool,
     pub(crate) status: Status,
     pub(crate) targets: BTreeSet<id::Target>,
@@ -165,12 +165,12 @@
         Some(Owner { node: entry.holder.node.clone(), epoch: entry.epoch })
     }
 
-    /// Returns the document known.
+    /// Returns the known document.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Returns the revision of the document known.
+    /// Returns the revision of the known document.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -252,7 +252,7 @@
         self.adopt(now, entry.revision, document)
     }
 
-    /// Records that the service confirmed the document known.
+    /// Records that the service confirmed the known document.
     pub fn confirm_document(&mut self, sent: Instant) {
         self.status.confirmed_at = Some(sent);
     }
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -64,8 +64,8 @@
         manager
     }
 
-    /// Returns the configuration in force; `None` until one is known, during which time
-    /// this node is not ready to serve.
+    /// Returns the configuration in force; `None` until one is known. Without one, this
+    /// node is not ready to serve.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.borrow().clone()
     }
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Accepts a release note, or rejects it after about five seconds.
+    /// Accepts a release note or returns why not; tries for about five seconds.
     pub async fn accept(&self, note: &Note) -> Result<Arc<Configuration>, Rejection> {
         let mut note = note.clone();
         if note.operation.is_empty() {
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -183,8 +183,8 @@
     pub targets: Vec<TargetState>,
     /// Requests that are suspected of crashing targets.
     pub suspects: Vec<Suspect>,
-    /// Number of callers connected to the sender.
-    pub connections: u32,
+    /// Number of requests that the sender is serving.
+    pub active_requests: u32,
 }
 
 /// A versioned document, fetched from a peer while the platform is unreachable.
