--- a/crates/node/src/parts.rs
+++ b/crates/node/src/parts.rs
@@ -15,7 +15,7 @@
 use hickory_policy::cost::Cost;
 use hickory_policy::place::Candidate;
 use hickory_policy::refuse::{Reason, Refusal};
-use hickory_policy::reserve::{Impossible, Part, Reservation, Step, backoff, plan_parts};
+use hickory_policy::reserve::{Chunk, Impossible, Reservation, Step, backoff, plan_chunks};
 use hickory_target::Error;
 use hickory_target::engine::{Engines, Event, Generate, Handle, Priority};
 use hickory_unit::size::BYTES_PER_TOKEN;
@@ -40,7 +40,7 @@
 /// A part with its placement.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacedPart {
-    part: Part,
+    part: Chunk,
     placement: Placement,
 }
 
@@ -72,7 +72,7 @@
                 .ok_or_else(|| refuse(Reason::NoTarget, "no engine takes work at present"))?;
             let left = self.completion.deadline.saturating_duration_since(self.core.now());
             let pause = backoff(round, rand::random());
-            match plan_parts(self.completion.cost, left, &candidates) {
+            match plan_chunks(self.completion.cost, left, &candidates) {
                 Ok(parts) => {
                     if let Some(placed) = self.reserve(parts, &candidates).await {
                         return Ok(placed);
@@ -89,12 +89,16 @@
         Err(refuse(Reason::Deadline, "the caller is gone"))
     }
 
-    async fn reserve(&self, parts: Vec<Part>, candidates: &[Candidate]) -> Option<Vec<PlacedPart>> {
+    async fn reserve(
+        &self,
+        parts: Vec<Chunk>,
+        candidates: &[Candidate],
+    ) -> Option<Vec<PlacedPart>> {
         let mut reservation = Reservation::open(parts);
         let mut placements: HashMap<u32, Placement> = HashMap::new();
         loop {
             match reservation.next_step() {
-                Step::Ask(part) => {
+                Step::Request(part) => {
                     let placement = self.ask(&part, candidates).await;
                     let granted = placement.as_ref().map(|placement| placement.permit.id);
                     placements.extend(placement.map(|placement| (part.index, placement)));
@@ -118,7 +122,7 @@
     }
 
     /// Asks for a permit for one part, without queueing.
-    async fn ask(&self, part: &Part, candidates: &[Candidate]) -> Option<Placement> {
+    async fn ask(&self, part: &Chunk, candidates: &[Candidate]) -> Option<Placement> {
         let completion = self.completion;
         let number = self.attempt * STREAMS_PER_ATTEMPT + part.index;
         let stream =
@@ -194,7 +198,7 @@
 }
 
 /// Returns the prompt up to the end of a part, which is the input for that part's prefill.
-fn cut_prompt<'a>(prompt: &'a str, part: &Part) -> &'a str {
+fn cut_prompt<'a>(prompt: &'a str, part: &Chunk) -> &'a str {
     let end = (part.prompt_offset + part.cost.prefill).0.saturating_mul(BYTES_PER_TOKEN);
     let mut end = usize::try_from(end).unwrap_or(usize::MAX).min(prompt.len());
     while !prompt.is_char_boundary(end) {
--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -7,7 +7,8 @@
 use crate::view::{Capability, View};
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{
-    MAX_IMMEDIATE_ASKS, Prefix, Query, choose_target, counts_as_ask, wants_immediate_answer,
+    MAX_IMMEDIATE_REQUESTS, Prefix, Query, choose_target, counts_as_permit_request,
+    wants_immediate_answer,
 };
 use hickory_policy::refuse::{Reason, Refusal, RetryReason};
 use hickory_target::engine;
@@ -155,7 +156,7 @@
     let mut counted_asks = 0;
     while counted_asks < MAX_COUNTED_ASKS {
         // Targets that were asked without queueing may queue the ask now.
-        if counted_asks >= MAX_IMMEDIATE_ASKS {
+        if counted_asks >= MAX_IMMEDIATE_REQUESTS {
             full_targets.clear();
         }
         let excluded: Vec<id::Target> = rejected.iter().chain(&full_targets).cloned().collect();
@@ -195,7 +196,7 @@
             }
             Err(Some(refused)) => {
                 core.metrics.count_retry(RetryReason::QueueLong);
-                let is_full = counts_as_ask(refused.reason);
+                let is_full = counts_as_permit_request(refused.reason);
                 counted_asks += usize::from(is_full);
                 if is_immediate && is_full {
                     full_targets.push(target);
--- a/crates/path/src/gossip.rs
+++ b/crates/path/src/gossip.rs
@@ -262,7 +262,7 @@
         }
         Event::Outcome { target, served } => core.ejection().record_outcome(now, target, served),
         Event::Down(target) => core.ejection().record_unreachable(now, target),
-        Event::PrefillRefused(target) => core.ejection().record_part_refusal(now, target),
+        Event::PrefillRefused(target) => core.ejection().record_chunk_refusal(now, target),
         Event::PoisonSuspect { fingerprint, deaths } => {
             let suspect = Suspect { fingerprint, deaths, age: Duration::ZERO };
             core.suspects().merge(now, [suspect]);
--- a/crates/path/src/place.rs
+++ b/crates/path/src/place.rs
@@ -123,7 +123,7 @@
 
     /// Records that a target refused to prefill a part of the prompt.
     pub(crate) fn note_prefill_refused(&self, target: Tag) {
-        self.core.ejection().record_part_refusal(self.core.now(), target);
+        self.core.ejection().record_chunk_refusal(self.core.now(), target);
         self.notify_owners(&Event::PrefillRefused(target));
     }
 }
--- a/crates/path/src/placement.rs
+++ b/crates/path/src/placement.rs
@@ -358,6 +358,6 @@
             false => group::node_specific_order(&core.settings.node, target.tag),
         };
         load.penalty = cost;
-        load.is_refusing_chunks = ejection.refuses_parts(now, target.tag);
+        load.is_refusing_chunks = ejection.refuses_chunks(now, target.tag);
     }
 }
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -49,7 +49,8 @@
 
 fn print(name: &str, mut times: Vec<Duration>) {
     times.sort_unstable();
-    let at = |part: f64| times[(times.len() as f64 * part) as usize].as_nanos() as f64 / 1e3;
+    let at =
+        |quantile: f64| times[(times.len() as f64 * quantile) as usize].as_nanos() as f64 / 1e3;
     let (p50, p99, p999) = (at(0.5), at(0.99), at(0.999));
     println!("{name:<18} p50 {p50:7.2} us   p99 {p99:7.2} us   p99.9 {p999:7.2} us");
 }
--- a/crates/policy/examples/experiment/figure.rs
+++ b/crates/policy/examples/experiment/figure.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 /// Returns a percentile of times in milliseconds, by the nearest-rank method.
-pub fn percentile(times: &mut [Duration], part: f64) -> f64 {
+pub fn percentile(times: &mut [Duration], quantile: f64) -> f64 {
     times.sort_unstable();
-    let rank = (times.len() as f64 * part).ceil() as usize;
+    let rank = (times.len() as f64 * quantile).ceil() as usize;
     times.get(rank.max(1) - 1).map_or(f64::NAN, |time| time.as_secs_f64() * 1e3)
 }
 
@@ -27,10 +27,10 @@
     pub fn first_token(
         &self,
         span: (f64, f64),
-        part: f64,
+        quantile: f64,
         filter: impl Fn(&Record) -> bool,
     ) -> f64 {
-        percentile(&mut self.first_tokens(span, filter), part)
+        percentile(&mut self.first_tokens(span, filter), quantile)
     }
 
     /// Returns the records of the requests that arrived within a span of seconds.
--- a/crates/policy/examples/experiment/main.rs
+++ b/crates/policy/examples/experiment/main.rs
@@ -158,9 +158,9 @@
         let both = run::<L, P>(&load(short, long), &[], 400_000);
         let mut figures = Figures::new();
         let mut put = |name: &str, value: f64| figures.insert(name.into(), json!(value));
-        for (name, part) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-            let before = alone.first_token(span, part, is_short);
-            let beside = both.first_token(span, part, is_short);
+        for (name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
+            let before = alone.first_token(span, quantile, is_short);
+            let beside = both.first_token(span, quantile, is_short);
             put(&format!("short {name} alone ms"), before);
             put(&format!("short {name} beside ms"), beside);
             put(&format!("short {name} slowdown"), beside / before);
@@ -212,9 +212,9 @@
             ("350k", 200_000, 500_000),
         ] {
             let of_length = |r: &Record| (least..most).contains(&r.request.cost.prefill.0);
-            for (part_name, part) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
-                let value = run.first_token((10.0, 120.0), part, of_length);
-                figures.insert(format!("{name} {part_name} ms"), json!(value));
+            for (quantile_name, quantile) in [("p50", 0.5), ("p95", 0.95), ("p99", 0.99)] {
+                let value = run.first_token((10.0, 120.0), quantile, of_length);
+                figures.insert(format!("{name} {quantile_name} ms"), json!(value));
             }
         }
         figures.insert("refused or broken".into(), json!(run.records.len() - ended(&run)));
--- a/crates/policy/examples/spread.rs
+++ b/crates/policy/examples/spread.rs
@@ -62,9 +62,9 @@
     }
 }
 
-fn mean_time(outcomes: &[Outcome], part: f64) -> String {
+fn mean_time(outcomes: &[Outcome], fraction: f64) -> String {
     let times: Option<Vec<Duration>> =
-        outcomes.iter().map(|outcome| outcome.time_of_part(part)).collect();
+        outcomes.iter().map(|outcome| outcome.time_of_fraction(fraction)).collect();
     times.map_or("-".into(), |times| {
         let sum = times.iter().sum::<Duration>().as_secs_f64();
         format!("{:.2}", sum / times.len() as f64)
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -33,7 +33,7 @@
 const MIN_RATE: f64 = 0.01;
 
 /// Backoff after a refused part; each further refusal doubles it.
-const PART_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
+const CHUNK_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
 /// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PartRefusals {
+struct ChunkRefusals {
     count: u32,
     until: Instant,
 }
@@ -61,12 +61,12 @@
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
-    part_refusals: HashMap<K, PartRefusals>,
+    chunk_refusals: HashMap<K, ChunkRefusals>,
 }
 
 impl<K> Default for Ejection<K> {
     fn default() -> Self {
-        Self { rates: HashMap::new(), part_refusals: HashMap::new() }
+        Self { rates: HashMap::new(), chunk_refusals: HashMap::new() }
     }
 }
 
@@ -107,21 +107,21 @@
 
     /// Records that a target refused to prefill a part for another engine. Refusals during a
     /// backoff are ignored, so several prompts refused at the same moment count once.
-    pub fn record_part_refusal(&mut self, now: Instant, target: K) {
-        let known = self.part_refusals.get(&target);
-        if known.is_some_and(|part_refusals| now < part_refusals.until) {
+    pub fn record_chunk_refusal(&mut self, now: Instant, target: K) {
+        let known = self.chunk_refusals.get(&target);
+        if known.is_some_and(|chunk_refusals| now < chunk_refusals.until) {
             return;
         }
-        let count = known.map_or(0, |part_refusals| part_refusals.count + 1);
-        let until = now + PART_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
-        self.part_refusals.insert(target, PartRefusals { count, until });
-        self.part_refusals
-            .retain(|_, part_refusals| part_refusals.until + PART_REFUSAL_BACKOFF * 4 > now);
+        let count = known.map_or(0, |chunk_refusals| chunk_refusals.count + 1);
+        let until = now + CHUNK_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
+        self.chunk_refusals.insert(target, ChunkRefusals { count, until });
+        self.chunk_refusals
+            .retain(|_, chunk_refusals| chunk_refusals.until + CHUNK_REFUSAL_BACKOFF * 4 > now);
     }
 
     /// Returns whether a target is in backoff and receives no parts.
-    pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
-        self.part_refusals.get(&target).is_some_and(|part_refusals| now < part_refusals.until)
+    pub fn refuses_chunks(&self, now: Instant, target: K) -> bool {
+        self.chunk_refusals.get(&target).is_some_and(|chunk_refusals| now < chunk_refusals.until)
     }
 }
 
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -185,7 +185,7 @@
     }
 
     /// Returns the number of waiting requests of a partner.
-    pub fn waiting_asks_of(&self, partner: &id::Partner) -> usize {
+    pub fn waiting_requests_of(&self, partner: &id::Partner) -> usize {
         let flow = self.partner_index.get(partner).map(|&i| &self.partners[i as usize].flow);
         flow.map_or(0, |flow| flow.waiting.iter().sum::<u32>() as usize)
     }
@@ -196,7 +196,7 @@
         let own_weight = weight_of(&self.shares, partner);
         let other_weights =
             self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
-        let is_waiting = self.waiting_asks_of(partner) > 0;
+        let is_waiting = self.waiting_requests_of(partner) > 0;
         own_weight / (other_weights.sum::<f64>() + if is_waiting { 0.0 } else { own_weight })
     }
 
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -62,11 +62,12 @@
     /// Returns the capacity to hold for the next long request, once it has waited for slots or
     /// memory that short requests keep taking.
     fn starvation_claim(&self, now: Instant, bound: Bound) -> Claim {
-        let long_ask = self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
-            let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
-            has_waited.then_some((self.waiting.get(&ticket)?.request.cost, lane))
-        });
-        let Some((cost, lane)) = long_ask else { return Claim::default() };
+        let long_request =
+            self.queue.peek(now, Lanes::ALL.only_long()).and_then(|(ticket, lane)| {
+                let has_waited = self.queue.wait_time(now, ticket)? >= MIN_WAIT_FOR_CLAIM;
+                has_waited.then_some((self.waiting.get(&ticket)?.request.cost, lane))
+            });
+        let Some((cost, lane)) = long_request else { return Claim::default() };
         match self.room.fits(bound, lane, cost, Claim::default()) {
             Err(Full::Slots | Full::Memory) => Claim { slots: 1, kv: cost.kv() },
             Ok(()) | Err(Full::Prefill) => Claim::default(),
@@ -74,9 +75,9 @@
     }
 
     /// Holds capacity for an urgent long request, unless it is held for another one.
-    pub(crate) fn hold_claim(&mut self, now: Instant, ask: &PermitRequest) {
-        if ask.cost.is_long() && self.active_claim(now).is_none() {
-            let claim = Claim { slots: 1, kv: ask.cost.kv() };
+    pub(crate) fn hold_claim(&mut self, now: Instant, request: &PermitRequest) {
+        if request.cost.is_long() && self.active_claim(now).is_none() {
+            let claim = Claim { slots: 1, kv: request.cost.kv() };
             self.held_claim = Some((claim, now + CLAIM_LIFETIME));
         }
     }
@@ -87,32 +88,36 @@
 
     /// Whether an urgent request fits into the capacity that is held.
     pub(crate) fn fits_in_claim(&self, now: Instant, ticket: Ticket) -> bool {
-        let is_alone_running =
+        let is_exclusive_running =
             self.granted.values().next().is_some_and(|grant| grant.request.is_exclusive);
-        let Some(Waiting { request: ask, .. }) =
+        let Some(Waiting { request, .. }) =
             self.waiting.get(&ticket).filter(|w| !w.request.is_exclusive)
         else {
             return false;
         };
-        let fits = self.room.fits(self.current_bound(), ask.lane(), ask.cost, Claim::default());
-        self.can_grant(now) && !is_alone_running && self.active_claim(now).is_some() && fits.is_ok()
+        let fits =
+            self.room.fits(self.current_bound(), request.lane(), request.cost, Claim::default());
+        self.can_grant(now)
+            && !is_exclusive_running
+            && self.active_claim(now).is_some()
+            && fits.is_ok()
     }
 
     pub(crate) fn grant(&mut self, now: Instant, ticket: Ticket) {
         self.queue.grant(ticket);
-        let Some(ask) = self.dequeue(ticket) else { return };
-        if ask.is_urgent && ask.cost.is_long() {
+        let Some(request) = self.dequeue(ticket) else { return };
+        if request.is_urgent && request.cost.is_long() {
             self.held_claim = None;
         }
         if !self.queue.is_empty() {
-            self.pace.record_grant(ask.cost.work(), ask.cost.is_long());
+            self.throughput.record_grant(request.cost.work(), request.cost.is_long());
         }
         let prefill_ahead = size::Tokens(
             self.room.prefill_in_flight(false) as u64 + self.room.prefill_in_flight(true) as u64,
         );
-        let expected = self.pace.time_to_first_token(ask.cost.prefill + prefill_ahead);
-        self.room.acquire(ticket, ask.lane(), ask.cost);
-        self.expiry.insert((ask.deadline + CANCEL_GRACE, ticket));
-        self.granted.insert(ticket, Grant { request: ask, at: now, expected });
+        let expected = self.throughput.time_to_first_token(request.cost.prefill + prefill_ahead);
+        self.room.acquire(ticket, request.lane(), request.cost);
+        self.expiry.insert((request.deadline + CANCEL_GRACE, ticket));
+        self.granted.insert(ticket, Grant { request, at: now, expected });
     }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -61,7 +61,7 @@
     capacity: Capacity,
     ramp: Ramp,
     pub(crate) room: Room,
-    pub(crate) pace: Throughput,
+    pub(crate) throughput: Throughput,
     pub(crate) queue: Queue,
     pub(crate) waiting: HashMap<Ticket, Waiting>,
     pub(crate) exclusive_queue: VecDeque<(Ticket, Instant)>,
@@ -86,7 +86,7 @@
     pub fn new(capacity: Capacity) -> Self {
         Self {
             ramp: Ramp::new(capacity.streams),
-            pace: Throughput::open(capacity.prefill_rate, capacity.streams),
+            throughput: Throughput::open(capacity.prefill_rate, capacity.streams),
             capacity,
             room: Room::default(),
             queue: Queue::open(),
@@ -171,7 +171,7 @@
                 );
             }
         }
-        self.pace.set_warmth(observed.sample.warmth);
+        self.throughput.set_warmth(observed.sample.warmth);
         self.ramp.observe(now, observed.sample)
     }
 
@@ -288,7 +288,7 @@
             Outcome::Completed(first_token) => {
                 let first = first_token.unwrap_or(grant.expected);
                 let decode = now.saturating_duration_since(grant.at).saturating_sub(first);
-                self.pace.record_decode(grant.request.cost.decode, decode);
+                self.throughput.record_decode(grant.request.cost.decode, decode);
                 self.ramp.record_success(now, first_token.map(|took| (took, grant.expected)))
             }
         }
@@ -332,7 +332,7 @@
 
     /// Returns the prefill rate in prompt tokens per second at the target's current warmth.
     pub fn prefill_rate(&self) -> u64 {
-        self.pace.current_prefill_rate()
+        self.throughput.current_prefill_rate()
     }
 
     /// Returns the fraction of the full limit that the slow start allows, from 0 to 1.
@@ -346,19 +346,19 @@
     }
 
     pub(crate) fn current_bound(&self) -> Bound {
-        let parts = if self.is_lease_confirmed { 1 } else { 2 };
+        let owners = if self.is_lease_confirmed { 1 } else { 2 };
         Bound {
-            slots: self.ramp.stream_limit() / parts,
-            kv: size::Tokens(self.capacity.kv.0 / u64::from(parts)),
-            prefill_rate: self.pace.shared_prefill_rate(),
+            slots: self.ramp.stream_limit() / owners,
+            kv: size::Tokens(self.capacity.kv.0 / u64::from(owners)),
+            prefill_rate: self.throughput.shared_prefill_rate(),
         }
     }
 
     fn advance(&mut self, now: Instant) {
         self.last_advanced = Some(now);
-        self.room.advance_prefill(now, self.pace.shared_prefill_rate());
+        self.room.advance_prefill(now, self.throughput.shared_prefill_rate());
         let waits = [false, true].map(|is_long| self.queue.queued_work(is_long) > 0);
-        self.pace.advance(now, waits);
+        self.throughput.advance(now, waits);
         while let Some(&(at, ticket)) = self.expiry.first() {
             if at > now {
                 break;
@@ -369,7 +369,7 @@
 
     fn enqueue(&mut self, now: Instant, ticket: Ticket, request: PermitRequest) {
         let initial_time_left = request.deadline.saturating_duration_since(now);
-        let time = self.pace.service_time(request.cost, initial_time_left);
+        let time = self.throughput.service_time(request.cost, initial_time_left);
         let latest_start = request.deadline.checked_sub(time).unwrap_or(now).max(now);
         self.latest_starts.insert((latest_start, ticket));
         if request.is_exclusive {
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -25,7 +25,7 @@
 /// Delay that an engine step with a full chunk of a long prefill adds to the first token of a short
 /// prompt, in seconds. On average the prompt waits for half of a running step, and its own step
 /// carries the rest of the chunk.
-const LONG_CHUNK_COST_S: f64 = 0.09;
+const LONG_STEP_COST_S: f64 = 0.09;
 
 /// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps
 /// at 40,000 tokens per second. It is counted in prefill tokens so that it grows on a target that
@@ -57,7 +57,7 @@
 const MIN_PACK_WAIT_S: u64 = 1;
 
 /// Number of permit requests of an attempt that ask for an immediate answer; later ones may queue.
-pub const MAX_IMMEDIATE_ASKS: usize = 2;
+pub const MAX_IMMEDIATE_REQUESTS: usize = 2;
 
 /// Cost of requesting the permit from another node, in seconds. It covers the round trip and the
 /// age of that node's load report; the state of an owned target is exact.
@@ -140,7 +140,7 @@
         }
     }
     let mut best: Option<(f64, &Candidate)> = None;
-    let mut hash_owner: Option<(u64, &Candidate)> = None;
+    let mut hash_choice: Option<(u64, &Candidate)> = None;
     for candidate in eligible {
         let base_score =
             estimate_cost(query, candidate, f64::from(u8::from(candidate.has_cached_prefix)));
@@ -152,15 +152,15 @@
         }
         if let Some(prefix) = query.prefix {
             let rank = mix_hashes(candidate.hash, prefix.hash);
-            if hash_owner.is_none_or(|(highest, _)| rank > highest) {
-                hash_owner = Some((rank, candidate));
+            if hash_choice.is_none_or(|(highest, _)| rank > highest) {
+                hash_choice = Some((rank, candidate));
             }
         }
     }
-    let hash_owner = hash_owner.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
-    let hash_owner = hash_owner
+    let hash_choice = hash_choice.filter(|(_, c)| !c.has_cached_prefix).map(|(_, c)| c);
+    let hash_choice = hash_choice
         .map(|c| (estimate_cost(query, c, UNCONFIRMED_CACHE_WEIGHT) + random_spread(query, c), c));
-    let chosen = best.into_iter().chain(hash_owner).min_by(|(a, _), (b, _)| a.total_cmp(b));
+    let chosen = best.into_iter().chain(hash_choice).min_by(|(a, _), (b, _)| a.total_cmp(b));
     chosen.map(|(_, candidate)| candidate)
 }
 
@@ -173,15 +173,15 @@
 /// the report didn't show costs a whole prefill. Later permit requests choose among all targets
 /// again, including those whose owners refused: otherwise the best targets would never have a
 /// queue, and partner shares are enforced only in the queue.
-pub fn wants_immediate_answer(cost: Cost, asked: usize, candidates: usize) -> bool {
-    !cost.is_long() && asked < MAX_IMMEDIATE_ASKS && candidates > 1
+pub fn wants_immediate_answer(cost: Cost, earlier_requests: usize, candidates: usize) -> bool {
+    !cost.is_long() && earlier_requests < MAX_IMMEDIATE_REQUESTS && candidates > 1
 }
 
 /// Whether a refusal counts against the permit requests of an attempt. Refusals of a target that
 /// accepts no new work don't count: when a zone is taken out of service, all of its targets refuse
 /// until the load reports are updated, and a request that used up its attempts on them would fail
 /// although other zones have room. Each such target is excluded from then on.
-pub fn counts_as_ask(refused: Reason) -> bool {
+pub fn counts_as_permit_request(refused: Reason) -> bool {
     refused != Reason::NoTarget
 }
 
@@ -207,7 +207,7 @@
     let mut seconds = 0.0;
     if !cost.is_long() {
         tokens_ahead = tokens_ahead.saturating_sub(candidate.queued_long.0);
-        seconds += LONG_CHUNK_COST_S * f64::from(u8::from(candidate.queued_long.0 > 0));
+        seconds += LONG_STEP_COST_S * f64::from(u8::from(candidate.queued_long.0 > 0));
     }
     if candidate.running >= candidate.max_streams || candidate.kv_free < cost.kv() {
         let rounds = f64::from(candidate.waiting + 1) / f64::from(candidate.max_streams.max(1));
--- a/crates/policy/src/probe.rs
+++ b/crates/policy/src/probe.rs
@@ -17,7 +17,7 @@
     sequence: u32,
     node: id::Node,
     sent: Instant,
-    is_relayed: bool,
+    has_indirect_probes: bool,
 }
 
 /// A probe sent on behalf of another node.
@@ -41,7 +41,7 @@
     /// Registers a probe and returns its sequence number.
     pub(crate) fn begin(&mut self, now: Instant, node: id::Node) -> u32 {
         let sequence = self.next_sequence();
-        self.own.push(Probe { sequence, node, sent: now, is_relayed: false });
+        self.own.push(Probe { sequence, node, sent: now, has_indirect_probes: false });
         sequence
     }
 
@@ -77,12 +77,13 @@
     /// Returns the unanswered probes that other nodes should assist, once each.
     pub(crate) fn take_unanswered(&mut self, now: Instant) -> Vec<(u32, id::Node)> {
         let is_unanswered = |probe: &&mut Probe| {
-            !probe.is_relayed && now.saturating_duration_since(probe.sent) >= INDIRECT_AFTER
+            !probe.has_indirect_probes
+                && now.saturating_duration_since(probe.sent) >= INDIRECT_AFTER
         };
         let silent = self.own.iter_mut().filter(is_unanswered);
         silent
             .map(|probe| {
-                probe.is_relayed = true;
+                probe.has_indirect_probes = true;
                 (probe.sequence, probe.node.clone())
             })
             .collect()
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -209,6 +209,6 @@
 
 /// Returns the streams that a target of this warmth can run, at least [`COLD_STREAM_LIMIT`].
 fn limit_at_warmth(full: u32, warmth: u8) -> u32 {
-    let part = u64::from(full) * u64::from(warmth.min(100)) / 100;
-    (part as u32).max(COLD_STREAM_LIMIT).min(full)
+    let streams = u64::from(full) * u64::from(warmth.min(100)) / 100;
+    (streams as u32).max(COLD_STREAM_LIMIT).min(full)
 }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -8,11 +8,11 @@
 
 /// Fraction of the common extra repeats that the nodes use in total. The rest is a reserve for
 /// nodes that count too few peers for about a second after a partition.
-const USED_EXTRA_PART: f64 = 0.7;
+const USED_EXTRA_FRACTION: f64 = 0.7;
 
 /// Fraction of the per-request allowance that is used. The window of the party that checks the
 /// limit can begin at any time, also right after a burst of requests.
-const USED_RATIO_PART: f64 = 0.6;
+const USED_RATIO_FRACTION: f64 = 0.6;
 
 /// A limit on repeats: a number per request, plus an extra number for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,8 +42,8 @@
     /// Spends one repeat; returns false if this node's share is used up.
     pub fn try_spend(&mut self, now: Instant, limit: &Bound, nodes: usize) -> bool {
         self.expire(now, limit.window);
-        let earned = self.requests.len() as f64 * limit.ratio * USED_RATIO_PART;
-        let extra = limit.extra * USED_EXTRA_PART / nodes.max(1) as f64;
+        let earned = self.requests.len() as f64 * limit.ratio * USED_RATIO_FRACTION;
+        let extra = limit.extra * USED_EXTRA_FRACTION / nodes.max(1) as f64;
         let is_allowed = (self.repeats.len() as f64) + 1.0 <= earned + extra;
         if is_allowed {
             self.repeats.push_back(now);
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -20,28 +20,28 @@
 impl Limiter {
     /// Refuses a request on arrival that could not end before its deadline behind the work ahead of
     /// it, or for which the queue has no room.
-    pub(crate) fn refuse_late(&self, now: Instant, ask: &PermitRequest) -> Option<Answer> {
-        let is_long = ask.cost.is_long();
-        let work_ahead = self.queue.work_ahead(&ask.partner, &ask.account, is_long);
+    pub(crate) fn refuse_late(&self, now: Instant, request: &PermitRequest) -> Option<Answer> {
+        let is_long = request.cost.is_long();
+        let work_ahead = self.queue.work_ahead(&request.partner, &request.account, is_long);
         let hold = self
             .grants_held_until
             .map_or(Duration::ZERO, |until| until.saturating_duration_since(now));
         let wait = hold
             + self
-                .pace
+                .throughput
                 .queue_time(work_ahead + self.room.prefill_in_flight(is_long) as u64, is_long);
-        let service_time = self.pace.service_time(ask.cost, ask.deadline - now);
+        let service_time = self.throughput.service_time(request.cost, request.deadline - now);
         let lateness = (now + wait.mul_f64(WAIT_SAFETY_FACTOR) + service_time)
-            .checked_duration_since(ask.deadline);
+            .checked_duration_since(request.deadline);
         if let Some(lateness) = lateness.filter(|lateness| !lateness.is_zero()) {
             return Some(Answer::Refused(Reason::Overloaded, lateness.max(MIN_RETRY_AFTER)));
         }
         // A partner that fills the queue must not exclude the others. Beyond the bound, only
         // partners that use less than their part of the queue are admitted.
-        let own_asks = self.queue.waiting_asks_of(&ask.partner) as f64;
+        let own_requests = self.queue.waiting_requests_of(&request.partner) as f64;
         let is_full = self.waiting.len() >= self.max_queue_length;
         let is_over_share =
-            own_asks >= self.max_queue_length as f64 * self.queue.share_of(&ask.partner);
+            own_requests >= self.max_queue_length as f64 * self.queue.share_of(&request.partner);
         (is_full && (is_over_share || self.waiting.len() >= 2 * self.max_queue_length))
             .then(|| Answer::Refused(Reason::Overloaded, wait.max(MIN_RETRY_AFTER)))
     }
@@ -50,11 +50,9 @@
     /// since it arrived. If started, it would be cut off half-finished and its share would be
     /// wasted.
     pub(crate) fn is_late(&self, now: Instant, ticket: Ticket) -> bool {
-        self.waiting.get(&ticket).is_some_and(
-            |Waiting { request: ask, initial_time_left: came_with, .. }| {
-                now + self.pace.service_time(ask.cost, *came_with) > ask.deadline
-            },
-        )
+        self.waiting.get(&ticket).is_some_and(|Waiting { request, initial_time_left, .. }| {
+            now + self.throughput.service_time(request.cost, *initial_time_left) > request.deadline
+        })
     }
 
     /// Refuses queued requests that have become too late because the target slowed down or the
@@ -72,7 +70,7 @@
         let sizes = [false, true].into_iter();
         let late: Vec<Ticket> = sizes
             .flat_map(|is_long| {
-                self.queue.find_late(is_long, self.pace.grant_rate(is_long), time_left)
+                self.queue.find_late(is_long, self.throughput.grant_rate(is_long), time_left)
             })
             .collect();
         for &ticket in &late {
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -82,14 +82,14 @@
 /// Guards against a series of failing long prompts: engines that shut down unannounced look idle
 /// and refuse each part.
 #[test]
-fn an_engine_that_refuses_parts_receives_none_during_the_backoff() {
+fn an_engine_that_refuses_chunks_receives_none_during_the_backoff() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
-    ejection.record_part_refusal(now, 1);
-    ejection.record_part_refusal(now + ms(5), 1);
-    assert!(ejection.refuses_parts(now + ms(2_900), 1) && !ejection.refuses_parts(now, 2));
-    assert!(!ejection.refuses_parts(now + ms(3_100), 1), "simultaneous refusals count once");
-    ejection.record_part_refusal(now + ms(3_100), 1);
-    assert!(ejection.refuses_parts(now + ms(9_000), 1), "a further refusal doubles the backoff");
+    ejection.record_chunk_refusal(now, 1);
+    ejection.record_chunk_refusal(now + ms(5), 1);
+    assert!(ejection.refuses_chunks(now + ms(2_900), 1) && !ejection.refuses_chunks(now, 2));
+    assert!(!ejection.refuses_chunks(now + ms(3_100), 1), "simultaneous refusals count once");
+    ejection.record_chunk_refusal(now + ms(3_100), 1);
+    assert!(ejection.refuses_chunks(now + ms(9_000), 1), "a further refusal doubles the backoff");
 }
 
 /// Guards against requests that try one target after another in a zone that is down.
--- a/crates/policy/tests/fair.rs
+++ b/crates/policy/tests/fair.rs
@@ -176,7 +176,7 @@
     let now = Instant::now();
     queue.push(now, (&"mawe".into(), &account), SHORT, 1, 1);
     queue.push(now, (&"caucao".into(), &account), SHORT, 1, 2);
-    assert_eq!(queue.waiting_asks_of(&"mawe".into()), 1);
+    assert_eq!(queue.waiting_requests_of(&"mawe".into()), 1);
     assert!(queue.grant(1) && queue.grant(2));
     assert!(queue.is_empty());
 }
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -229,8 +229,8 @@
         }
     }
     assert_eq!(refused_late, 0);
-    let part = completed["mawe"] / completed.values().sum::<f64>();
-    assert!((part - 0.25).abs() < 0.02, "{part}");
+    let fraction = completed["mawe"] / completed.values().sum::<f64>();
+    assert!((fraction - 0.25).abs() < 0.02, "{fraction}");
 }
 
 /// The target decodes five times more slowly than estimated when a request arrived. By the time of
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -5,7 +5,7 @@
 use common::{CAPACITY, ask, batch, cost, ms, warm};
 use hickory_policy::limit::{Answer, Limiter, Outcome, PermitRequest, Ticket};
 use hickory_policy::place::{Candidate, hash_target};
-use hickory_policy::reserve::{Impossible, Part, Reservation, Step, backoff, plan_parts};
+use hickory_policy::reserve::{Chunk, Impossible, Reservation, Step, backoff, plan_chunks};
 use hickory_unit::{id, size};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -35,28 +35,28 @@
 
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// A million tokens on engines of 450,000 must give three parts that together cover the prompt,
+/// A million tokens on engines of 450,000 must give three chunks that together cover the prompt,
 /// with the answer on the last one and an eighth of each engine left free.
 #[test]
 fn million_tokens_need_three_engines() {
     let fleet = engines(&[450_000; 16]);
-    let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
-    assert_eq!(parts.len(), 3);
+    let chunks = plan_chunks(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
+    assert_eq!(chunks.len(), 3);
     let mut prompt_offset = size::Tokens(0);
-    for part in &parts {
-        assert_eq!(part.prompt_offset, prompt_offset);
-        assert!(part.cost.kv() <= size::Tokens(450_000 / 8 * 7 + 1));
-        prompt_offset += part.cost.prefill;
+    for chunk in &chunks {
+        assert_eq!(chunk.prompt_offset, prompt_offset);
+        assert!(chunk.cost.kv() <= size::Tokens(450_000 / 8 * 7 + 1));
+        prompt_offset += chunk.cost.prefill;
     }
     assert_eq!(prompt_offset, size::Tokens(1_000_000));
-    assert_eq!(parts[2].cost.decode, size::Tokens(1_000));
+    assert_eq!(chunks[2].cost.decode, size::Tokens(1_000));
 }
 
 /// Prompts are refused with the right reason: more than the fleet can hold, more than the remaining
 /// time allows, or not enough memory at present.
 #[test]
 fn impossible_prompts_are_refused_with_the_right_reason() {
-    let plan = |fleet: &[u64], left| plan_parts(cost(1_000_000, 1_000), left, &engines(fleet));
+    let plan = |fleet: &[u64], left| plan_chunks(cost(1_000_000, 1_000), left, &engines(fleet));
     assert_eq!(plan(&[450_000, 450_000], HOUR), Err(Impossible::TooLong));
     assert_eq!(plan(&[450_000, 450_000, 100_000], HOUR), Err(Impossible::NoMemory));
     let late = plan(&[450_000; 4], Duration::from_secs(20));
@@ -68,15 +68,15 @@
 #[test]
 fn engines_are_reserved_in_id_order_all_or_none() {
     let fleet = engines(&[300_000, 350_000, 390_000, 380_000]);
-    let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
-    let planned: Vec<_> = parts.iter().map(|part| part.target.as_str()).collect();
+    let chunks = plan_chunks(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
+    let planned: Vec<_> = chunks.iter().map(|chunk| chunk.target.as_str()).collect();
     assert_eq!(planned, ["engine-2", "engine-3", "engine-1"]);
-    let mut reservation = Reservation::open(parts.clone());
+    let mut reservation = Reservation::open(chunks.clone());
     let mut asked = Vec::new();
     for ticket in 1..=2 {
-        let Step::Ask(part) = reservation.next_step() else { panic!("a part is missing") };
+        let Step::Request(chunk) = reservation.next_step() else { panic!("a chunk is missing") };
         assert_eq!(reservation.answer(Some(ticket)), []);
-        asked.push(part.target);
+        asked.push(chunk.target);
     }
     let back = reservation.answer(None);
     assert_eq!(back, [(asked[0].clone(), 1), (asked[1].clone(), 2)]);
@@ -84,19 +84,19 @@
     assert_eq!(reservation.release(), [], "no permit is held");
 }
 
-/// Runs one step of a reservation: requests its next part. Returns all parts with their permits
+/// Runs one step of a reservation: requests its next chunk. Returns all chunks with their permits
 /// once they are held.
 fn run_step(
     limiters: &mut BTreeMap<id::Target, Limiter>,
     now: Instant,
     reservation: &mut Reservation,
-) -> Option<Vec<(Part, Ticket)>> {
-    let part = match reservation.next_step() {
+) -> Option<Vec<(Chunk, Ticket)>> {
+    let chunk = match reservation.next_step() {
         Step::Complete(held) => return Some(held),
-        Step::Ask(part) => part,
+        Step::Request(chunk) => chunk,
     };
-    let limiter = limiters.get_mut(&part.target).expect("known");
-    let ask = PermitRequest { cost: part.cost, is_urgent: true, ..batch(now, "mawe", 0) };
+    let limiter = limiters.get_mut(&chunk.target).expect("known");
+    let ask = PermitRequest { cost: chunk.cost, is_urgent: true, ..batch(now, "mawe", 0) };
     let granted = match limiter.request_permit(now, ask) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
@@ -113,7 +113,7 @@
 
     /// Guards against deadlock and starvation when several prompts of a million tokens contend for
     /// three engines, with their steps interleaved in any order beside other work. After each round
-    /// a prompt must hold all of its parts or none, and all prompts must be served in time.
+    /// a prompt must hold all of its chunks or none, and all prompts must be served in time.
     #[test]
     fn contending_reservations_all_complete(seed in prop::collection::vec(0usize..3, 40), random: u64) {
         let start = Instant::now();
@@ -125,8 +125,8 @@
             now = at;
             limiters.insert(engine.target.clone(), limiter);
         }
-        let parts = plan_parts(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
-        let mut open: Vec<_> = (0..3).map(|_| Some(Reservation::open(parts.clone()))).collect();
+        let chunks = plan_chunks(cost(1_000_000, 1_000), HOUR, &fleet).expect("room");
+        let mut open: Vec<_> = (0..3).map(|_| Some(Reservation::open(chunks.clone()))).collect();
         let mut rounds = [0_u32; 3];
         let mut retry_at = [now; 3];
         let mut turns = 0;
@@ -145,12 +145,12 @@
             };
             if let Some(held) = run_step(&mut limiters, now, reservation) {
                 prop_assert_eq!(held.len(), 3);
-                for (part, ticket) in held {
-                    let limiter = limiters.get_mut(&part.target).expect("known");
+                for (chunk, ticket) in held {
+                    let limiter = limiters.get_mut(&chunk.target).expect("known");
                     limiter.complete(now, ticket, Outcome::Completed(None));
                 }
                 open[index] = None;
-            } else if reservation.next_step() == Step::Ask(first_part_by_target(&parts)) {
+            } else if reservation.next_step() == Step::Request(first_chunk_by_target(&chunks)) {
                 rounds[index] += 1;
                 retry_at[index] = now + backoff(rounds[index], random ^ turns as u64);
             }
@@ -163,6 +163,6 @@
     }
 }
 
-fn first_part_by_target(parts: &[Part]) -> Part {
-    parts.iter().min_by(|a, b| a.target.cmp(&b.target)).expect("parts").clone()
+fn first_chunk_by_target(chunks: &[Chunk]) -> Chunk {
+    chunks.iter().min_by(|a, b| a.target.cmp(&b.target)).expect("chunks").clone()
 }
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -106,7 +106,7 @@
 /// again after the time that the link needs for the transfer.
 #[test]
 fn receivers_stop_reading() {
-    let fault = Fault::StopReading { part: 0.05, time: Duration::from_secs(5) };
+    let fault = Fault::StopReading { fraction: 0.05, time: Duration::from_secs(5) };
     check_bounds(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
--- a/crates/policy/tests/spread/case.rs
+++ b/crates/policy/tests/spread/case.rs
@@ -28,7 +28,7 @@
     },
     /// Some requesters stop reading from their first answer on, for a time.
     StopReading {
-        part: f64,
+        fraction: f64,
         time: Duration,
     },
     /// A third of the nodes, none of them an initial holder, is cut off from the others.
@@ -98,12 +98,12 @@
 impl Outcome {
     /// Returns when the last requester had the configuration.
     pub fn last_time(&self) -> Option<Duration> {
-        self.time_of_part(1.0)
+        self.time_of_fraction(1.0)
     }
 
     /// Returns when this fraction of the requesters had the configuration.
-    pub fn time_of_part(&self, part: f64) -> Option<Duration> {
-        let count = (self.requesters as f64 * part).ceil() as usize;
+    pub fn time_of_fraction(&self, fraction: f64) -> Option<Duration> {
+        let count = (self.requesters as f64 * fraction).ceil() as usize;
         self.completion_times.get(count - 1).copied()
     }
 
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -108,7 +108,7 @@
 pub fn draw(case: &Case, random: &mut StdRng) -> Vec<Node> {
     let requesters = case.nodes - case.initial_holders;
     let affected = match case.fault {
-        Fault::StopReading { part, .. } => (requesters as f64 * part).ceil() as usize,
+        Fault::StopReading { fraction, .. } => (requesters as f64 * fraction).ceil() as usize,
         Fault::Cut { .. } => case.nodes / 3,
         Fault::None | Fault::Death { .. } => 0,
     };
