--- a/crates/policy/examples/regret/main.rs
+++ b/crates/policy/examples/regret/main.rs
@@ -44,7 +44,7 @@
     forget: Option<Duration>,
 }
 
-/// Returns the cases for sixteen engines times `size`.
+/// Returns the cases, with the numbers of engines multiplied by `scale`.
 fn cases(scale: f64) -> Vec<Case> {
     let alternating = || alternate_phases([0.35, 1.3, 2.8], [2.4, 0.5, 0.05]);
     let mut burst = alternating();
--- a/crates/policy/src/baseline.rs
+++ b/crates/policy/src/baseline.rs
@@ -20,7 +20,7 @@
 pub struct State {
     /// Prompt tokens granted or queued.
     pub queued_prefill: size::Tokens,
-    /// The part of them that belongs to long prompts.
+    /// Those of them that belong to long prompts.
     pub queued_long: size::Tokens,
     /// KV cache in use.
     pub kv_used: size::Tokens,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Returns why a request can't be admitted regardless of the load, if so.
+/// Returns why a request must be refused regardless of the load, or `None` if it can be admitted.
 fn find_refusal(
     now: Instant,
     request: &PermitRequest,
--- a/crates/policy/src/cost.rs
+++ b/crates/policy/src/cost.rs
@@ -1,5 +1,5 @@
 //! Cost of a request: tokens to prefill, tokens to generate, and KV memory over time. Requests are
-//! never weighed by their count.
+//! always weighted by this cost and never just counted.
 
 use hickory_unit::size;
 
@@ -24,7 +24,7 @@
 pub enum Class {
     /// A person waits for the answer.
     Interactive,
-    /// It may wait, but must complete.
+    /// The request may wait, but must complete.
     Batch,
 }
 
--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -6,7 +6,7 @@
 //! have most of its replicas ejected at any time. Each rate is compared with the median rate of the
 //! service, so at most half of the targets are avoided, even if all of them fail.
 //!
-//! A target that refuses to prefill parts of prompts for other engines receives no parts for a
+//! A target that refuses to prefill chunks of prompts for other engines receives no chunks for a
 //! backoff period, whatever the outcomes of its own streams. Such a target is shutting down without
 //! having announced it, and it looks idle because it refuses everything sent to it.
 
@@ -32,7 +32,7 @@
 /// Failure rates below this are dropped.
 const MIN_RATE: f64 = 0.01;
 
-/// Backoff after a refused part; each further refusal doubles it.
+/// Backoff after a refused chunk; each further refusal doubles it.
 const CHUNK_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
 /// Maximum number of doublings of the backoff.
@@ -57,7 +57,7 @@
     until: Instant,
 }
 
-/// Failure rates and part refusals of the targets.
+/// Failure rates and chunk refusals of the targets.
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
@@ -105,7 +105,7 @@
         rates.into_iter().map(|rate| cost(rate, median)).collect()
     }
 
-    /// Records that a target refused to prefill a part for another engine. Refusals during a
+    /// Records that a target refused to prefill a chunk for another engine. Refusals during a
     /// backoff are ignored, so several prompts refused at the same moment count once.
     pub fn record_chunk_refusal(&mut self, now: Instant, target: K) {
         let known = self.chunk_refusals.get(&target);
@@ -119,7 +119,7 @@
             .retain(|_, chunk_refusals| chunk_refusals.until + CHUNK_REFUSAL_BACKOFF * 4 > now);
     }
 
-    /// Returns whether a target is in backoff and receives no parts.
+    /// Returns whether a target is in backoff and receives no chunks.
     pub fn refuses_chunks(&self, now: Instant, target: K) -> bool {
         self.chunk_refusals.get(&target).is_some_and(|chunk_refusals| now < chunk_refusals.until)
     }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -14,20 +14,20 @@
     pub slots: u32,
     /// KV memory.
     pub kv_capacity: Tokens,
-    /// Time of a decode step without streams.
+    /// Time of a decode step, not counting the time per stream and per token of context.
     pub base_step_time: Duration,
     /// Time that each decoding stream adds to a step.
     pub step_time_per_stream: Duration,
     /// Time that each thousand tokens of context of the decoding streams add to a step.
     pub step_time_per_kilotoken: Duration,
-    /// Prompt tokens prefilled per second, without attention.
+    /// Prompt tokens prefilled per second, not counting the time for attention.
     pub prefill_rate: f64,
     /// Time that attention adds to a prefill, per million pairs of a token with an earlier one.
     pub attention_time_per_megapair: Duration,
-    /// Decode steps of an iteration with decoding streams.
+    /// Number of decode steps in an iteration while streams are decoding.
     pub steps_per_iteration: u32,
-    /// Time that a prompt whose KV cache is held by several engines adds to each step of the
-    /// primary one.
+    /// Time that a prompt whose KV cache is held by several engines adds to each decode step of the
+    /// primary engine.
     pub remote_kv_step_time: Duration,
     /// Mean number of answer tokens, used as the expected answer length.
     pub mean_answer: Tokens,
@@ -54,7 +54,7 @@
         step * self.steps_per_iteration.max(1)
     }
 
-    /// Returns the time of a stream with an answer of mean length beside `other_streams`.
+    /// Returns the decode time of an answer of mean length beside `other_streams`.
     pub fn stream_time(&self, other_streams: u32) -> Duration {
         let step =
             self.iteration_time(other_streams + 1, Tokens(0)) / self.steps_per_iteration.max(1);
--- a/crates/policy/src/fair.rs
+++ b/crates/policy/src/fair.rs
@@ -190,8 +190,8 @@
         flow.map_or(0, |flow| flow.waiting.iter().sum::<u32>() as usize)
     }
 
-    /// Returns the partner's part of the target's capacity, by its share among the waiting partners
-    /// and itself.
+    /// Returns the fraction of the target's capacity that the partner is entitled to: its share
+    /// relative to those of all waiting partners and itself.
     pub fn share_of(&self, partner: &id::Partner) -> f64 {
         let own_weight = weight_of(&self.shares, partner);
         let other_weights =
@@ -225,8 +225,8 @@
     }
 
     /// Returns the short or long requests that can't start in time. The work before each one in the
-    /// queue of its account, divided by the account's part of `rate`, is compared with `time_left`.
-    /// Returned requests don't count as work before the others.
+    /// queue of its account, divided by the account's fraction of `rate`, is compared with
+    /// `time_left`. Returned requests don't count as work before the others.
     pub fn find_late(
         &self,
         is_long: bool,
@@ -254,7 +254,7 @@
         late
     }
 
-    /// Returns the part of the capacity of a partner with waiting requests.
+    /// Returns the fraction of the capacity that a partner with waiting requests is entitled to.
     fn waiting_share(&self, flow: &Flow) -> f64 {
         let total_weight =
             self.partners.iter().filter(|p| p.flow.has_waiting()).map(|p| p.flow.weight);
--- a/crates/policy/src/grant.rs
+++ b/crates/policy/src/grant.rs
@@ -1,5 +1,6 @@
 //! Selection of the next permit request to grant at a target, and the capacity that is held for
 //! requests that short ones would starve.
+
 use crate::fair::Lanes;
 use crate::limit::{CANCEL_GRACE, CLAIM_LIFETIME, Grant, Limiter, Waiting};
 use crate::permit::{PermitRequest, Ticket};
--- a/crates/policy/src/lane.rs
+++ b/crates/policy/src/lane.rs
@@ -1,4 +1,4 @@
-//! The lanes: kinds of permit requests that are admitted or held back separately.
+//! The lanes: groups of permit requests that are admitted or blocked separately.
 
 use crate::cost::Class;
 
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,7 +1,7 @@
 //! Assignment of model weights (a model with version and adapter) to engines.
 //!
 //! The number of replicas follows demand with hysteresis. Concurrent loads are bounded by what the
-//! weight store can serve and go first to the weights that have the smallest part of their wanted
+//! weight store can serve and go first to the weights with the lowest ratio of present to wanted
 //! replicas. Weights are unloaded from an engine only if no stream runs on them and enough other
 //! replicas are ready.
 //!
@@ -61,7 +61,7 @@
 /// A change to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<W> {
-    /// Load weights onto an engine; uses one of the concurrent loads.
+    /// Load weights onto an engine; counts as one of the concurrent loads.
     Load(id::Target, W),
     /// Unload weights that no stream runs on.
     Unload(id::Target, W),
@@ -98,8 +98,8 @@
         self.demand.retain(|_, demand| *demand > 1e-3);
     }
 
-    /// Sets the wanted number of replicas of each deployment: its minimum, plus a part of the
-    /// remaining weight slots by demand.
+    /// Sets the wanted number of replicas of each deployment: its minimum, plus a share of the
+    /// remaining weight slots in proportion to its demand.
     pub fn plan(
         &mut self,
         deployments: &[Deployment<W>],
@@ -216,9 +216,9 @@
         unloads.into_iter().map(|(target, weights)| Change::Unload(target, weights)).collect()
     }
 
-    /// Returns the most urgent load: the weights with the smallest part of their wanted replicas,
-    /// on the engine with the fewest loaded weights in the zone that has the fewest of these
-    /// replicas.
+    /// Returns the most urgent load: the weights with the lowest ratio of present to wanted
+    /// replicas, on the engine with the fewest loaded weights in the zone that has the fewest of
+    /// these replicas.
     fn next_load(
         &self,
         deployments: &[Deployment<W>],
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -21,18 +21,18 @@
 pub const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Time after the deadline for which a permit keeps its capacity. The sender cancels at the
-/// deadline, and a cancel that arrives at all does so within this time. Without an end, an owner
-/// that never receives the outcome would lose the capacity forever.
+/// deadline, and a cancel that arrives at all does so within this time. Without this limit, an
+/// owner that never receives the outcome would lose the capacity forever.
 pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
 
 /// Maximum number of queued requests. Even with the shortest requests, about 10 ms of an engine's
 /// time each, more could not start within the longest usual deadline.
 pub const MAX_QUEUE_LENGTH: usize = 4_096;
 
-/// How long capacity is held for an urgent long request that was refused or whose permit was
-/// returned unused. Such a request is one part of a prompt that needs several engines at the same
-/// time and can't queue at any of them. Without held capacity, short work would take each slot as
-/// it becomes free and the prompt would never start. Its node retries within a second.
+/// Time for which capacity is held for an urgent long request that was refused or whose permit was
+/// returned unused. Such a request is for one chunk of a prompt that needs several engines at the
+/// same time and can't queue at any of them. Without held capacity, short work would take each slot
+/// as it becomes free and the prompt would never start. Its node retries within a second.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(3);
 
 /// Minimum retry delay sent with a refusal.
@@ -43,7 +43,7 @@
     pub(crate) request: PermitRequest,
     /// Time left until the deadline when the request arrived.
     pub(crate) initial_time_left: Duration,
-    /// Latest start that still meets the deadline, by the pace at arrival.
+    /// Latest start that still meets the deadline, by the throughput at arrival.
     pub(crate) latest_start: Instant,
 }
 
@@ -138,9 +138,9 @@
         self.is_lease_confirmed = is_confirmed;
     }
 
-    /// Sets whether the target accepts new work. When it stops accepting because its zone is out,
-    /// it leaves or its owner drains, queued requests are refused immediately, so that their nodes
-    /// can still use another target before the deadline.
+    /// Sets whether the target accepts new work. When it stops, because its zone is out of service,
+    /// the target leaves or its owner drains, queued requests are refused immediately, so that
+    /// their nodes can still use another target before the deadline.
     pub fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
         self.advance(now);
         self.is_accepting = accepting;
@@ -314,7 +314,8 @@
         size::Tokens(self.room.kv())
     }
 
-    /// Returns the prompt tokens that are queued, or granted and by estimate not prefilled yet.
+    /// Returns the prompt tokens that are queued, plus those that are granted but by estimate not
+    /// prefilled yet.
     pub fn prefill_queued(&self) -> size::Tokens {
         self.prefill_queued_of(false) + self.prefill_queued_of(true)
     }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -31,7 +31,7 @@
 /// Interval between requests to a suspect to refute the suspicion.
 const REMINDER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long dead nodes are remembered, so that late records don't revive them.
+/// Time for which dead nodes are remembered, so that late records don't revive them.
 const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
 /// Interval between attempts to reach a dead node, which rejoin the sides of a partition.
--- a/crates/policy/src/permit.rs
+++ b/crates/policy/src/permit.rs
@@ -70,10 +70,10 @@
 pub struct Observed {
     /// Warmth of the target.
     pub sample: Sample,
-    /// Streams that this owner has no permit for and did not release within the reporting delay:
-    /// streams of a former owner, or orphans.
+    /// Streams without a permit from this owner: streams of a former owner, or orphans. Streams
+    /// whose permit was released within the reporting delay are left out.
     pub foreign_streams: u32,
-    /// KV cache used by those streams and by held handles.
+    /// KV cache used by those streams and by the handles that the target holds.
     pub foreign_kv: size::Tokens,
     /// Remaining prompt tokens to prefill, by granted ticket.
     pub prefill_left: Vec<(Ticket, size::Tokens)>,
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -22,9 +22,9 @@
 /// Cost of a target in another zone, in seconds: one network round trip.
 const CROSS_ZONE_COST_S: f64 = 0.002;
 
-/// Delay that an engine step with a full chunk of a long prefill adds to the first token of a short
-/// prompt, in seconds. On average the prompt waits for half of a running step, and its own step
-/// carries the rest of the chunk.
+/// Delay that an engine step filled with long prefill work adds to the first token of a short
+/// prompt, in seconds. On average the prompt waits for half of a running step, and the step that
+/// prefills it also processes tokens of the long prompt.
 const LONG_STEP_COST_S: f64 = 0.09;
 
 /// Cost of the engine steps up to a first token, beside the prompt itself: about three 13 ms steps
@@ -71,7 +71,7 @@
 pub struct Candidate {
     /// The target.
     pub target: id::Target,
-    /// Hash of the target, by [`hash_target`].
+    /// Hash of the target, computed by [`hash_target`].
     pub hash: u64,
     /// Whether it is in the choosing node's zone.
     pub is_same_zone: bool,
@@ -231,7 +231,7 @@
 }
 
 /// Estimates the seconds to first token, including the costs of another zone and of a remote owner.
-/// `cached_fraction` is the part of the prefix that counts as cached.
+/// `cached_fraction` is the fraction of the prefix that counts as cached.
 fn estimate_cost(query: &Query, candidate: &Candidate, cached_fraction: f64) -> f64 {
     let saved_tokens = query.prefix.map_or(0.0, |prefix| prefix.tokens.0 as f64 * cached_fraction);
     let zone_cost = CROSS_ZONE_COST_S * f64::from(u8::from(!candidate.is_same_zone));
@@ -239,7 +239,7 @@
     first_token_seconds(query.cost, candidate, saved_tokens) + zone_cost + owner_cost
 }
 
-/// Returns the random part of an estimate.
+/// Returns the random spread that is added to an estimate.
 fn random_spread(query: &Query, candidate: &Candidate) -> f64 {
     let estimate = first_token_seconds(query.cost, candidate, FIRST_TOKEN_STEP_TOKENS);
     estimate.mul_add(SPREAD_FRACTION, MIN_SPREAD_S)
--- a/crates/policy/src/plan.rs
+++ b/crates/policy/src/plan.rs
@@ -19,7 +19,7 @@
 /// Maximum number of engines that prefill chunks beside the primary one.
 pub const MAX_HELPERS: usize = 15;
 
-/// Prompts with a shorter prefill on one engine are short: they are prefilled whole and
+/// Prompts that one engine prefills in less time than this are short: they are prefilled whole and
 /// immediately. Short streams on the same engine tolerate a pause of this length.
 const MAX_SHORT_PREFILL: Duration = Duration::from_millis(100);
 
@@ -35,7 +35,8 @@
 /// find no slot.
 const PACK_SLOT_FRACTION: f64 = 0.9;
 
-/// Time to first token beside the engine's work: network round trip and host scheduling.
+/// Part of the time to first token that is spent outside of the engine: network round trip and host
+/// scheduling.
 const OVERHEAD: Duration = Duration::from_millis(10);
 
 /// First tokens that differ by less than this arrive at the same time for the caller.
@@ -48,8 +49,8 @@
 /// Maximum prefill time of a chunk for which a long prompt doesn't wait for more idle engines.
 const MAX_PREFILL_CHUNK_TIME: Duration = Duration::from_millis(500);
 
-/// Fraction of the engines without short streams that is enough for any chunk time. Waiting for the
-/// last engines would leave the others idle.
+/// Fraction of the engines without short streams that is enough for a prompt to be split over,
+/// whatever the chunk time. Waiting for the last engines would leave the others idle.
 const MIN_CLEAR_FRACTION: f64 = 0.6;
 
 /// Fraction of the inter-token target that one iteration may take. The rest allows for prediction
@@ -83,7 +84,7 @@
     pub prefill_backlog: Duration,
     /// Time until it starts to prefill another prompt.
     pub prefill_start_delay: Duration,
-    /// Prefill time in its next iteration of what is placed there.
+    /// Prefill time of the prompts and chunks placed there that its next iteration includes.
     pub next_iteration_prefill: Duration,
     /// Requests that run or wait there.
     pub requests: u32,
@@ -344,8 +345,8 @@
         (total + self.query.ahead.prefill_time) / engines.len().max(1) as u32
     }
 
-    /// Splits over the fewest idle engines that keep the chunks small, or over most engines where
-    /// chunks can't be small.
+    /// Splits the prompt over the fewest idle engines that keep the chunks small, or over most
+    /// engines if chunks can't be small.
     fn split_in_time(&self, idle: &[usize], clear: usize) -> Option<Plan> {
         let most_clear = ((clear as f64 * MIN_CLEAR_FRACTION).ceil() as usize).min(MAX_HELPERS + 1);
         let mut best = None;
--- a/crates/policy/src/poison.rs
+++ b/crates/policy/src/poison.rs
@@ -8,8 +8,9 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a suspicion or a quarantine lasts without another death: long enough to stop a caller
-/// that resends all day, short enough that requests are admitted again after an engine is fixed.
+/// Time for which a suspicion or a quarantine lasts without another death: long enough to stop a
+/// caller that resends all day, short enough that requests are admitted again after an engine is
+/// fixed.
 pub const RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Number of deaths after which a fingerprint is quarantined.
--- a/crates/policy/src/preempt.rs
+++ b/crates/policy/src/preempt.rs
@@ -10,7 +10,8 @@
 use hickory_unit::size;
 use std::time::{Duration, Instant};
 
-/// Minimum wait for a preemption: the cancel, its confirmation and the new grant take this long.
+/// Minimum expected wait that justifies a preemption: the cancel, its confirmation and the new
+/// grant take this long.
 const MIN_PREEMPTION_WAIT: Duration = Duration::from_millis(250);
 
 /// Minimum ratio of the wait to the time for redoing the work. A ratio of one would exchange equal
--- a/crates/policy/src/probe.rs
+++ b/crates/policy/src/probe.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time without an answer after which other nodes are asked to probe.
+/// Time without an answer after which other nodes are asked to probe the node too.
 const INDIRECT_AFTER: Duration = Duration::from_millis(200);
 
 /// Time without an answer after which the node is suspected.
@@ -74,7 +74,7 @@
         failed.map(|probe| probe.node).collect()
     }
 
-    /// Returns the unanswered probes that other nodes should assist, once each.
+    /// Returns the unanswered probes for which other nodes should be asked to probe too, once each.
     pub(crate) fn take_unanswered(&mut self, now: Instant) -> Vec<(u32, id::Node)> {
         let is_unanswered = |probe: &&mut Probe| {
             !probe.has_indirect_probes
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -2,12 +2,13 @@
 //!
 //! Load pattern: prompts arrive faster than engines have room for them. Short prompts are placed
 //! first, by the due time of their first token, since each needs only a slot. Long prompts follow,
-//! the smallest first, since it needs the fewest engines for the shortest time; larger ones take
-//! the remaining engines. An entry whose node stops refreshing it is dropped.
+//! the smallest first, since small ones need the fewest engines for the shortest time; larger ones
+//! get the remaining engines. An entry whose node stops refreshing it is dropped.
 
 use std::time::{Duration, Instant};
 
-/// Time until an entry expires that isn't refreshed: its caller has gone or its node has died.
+/// Time until an entry that isn't refreshed expires, since its caller has gone or its node has
+/// died.
 const ENTRY_TTL: Duration = Duration::from_secs(1);
 
 /// Maximum number of waiting prompts; further ones are refused.
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -22,9 +22,9 @@
 /// drops are noise.
 const COLD_WARMTH_DROP: u8 = 20;
 
-/// Number of consecutive late first tokens after which a target counts as cold; a token is late
-/// above [`LATE_FACTOR`] times the expected time and [`MIN_LATE_TIME`]. One late token can be
-/// caused by a long step, three in a row can't.
+/// Number of consecutive late first tokens after which a target counts as cold; a token is late if
+/// it takes more than [`LATE_FACTOR`] times the expected time and more than [`MIN_LATE_TIME`]. One
+/// late token can be caused by a long step, three in a row can't.
 const COLD_LATE_FIRST_TOKENS: u32 = 3;
 const LATE_FACTOR: u32 = 4;
 const MIN_LATE_TIME: Duration = Duration::from_millis(250);
--- a/crates/policy/src/refuse.rs
+++ b/crates/policy/src/refuse.rs
@@ -68,8 +68,8 @@
     Quarantined = "quarantined", 422;
     /// The node has no configuration yet.
     NotReady = "not-ready", 503;
-    /// The node knows of a configuration newer than its own, and by its own the request has no
-    /// route, account or capacity, or may not use what it names.
+    /// The node knows that a newer configuration exists. Under its present one the request has no
+    /// route, account or capacity, or may not use the model or service that it names.
     Behind = "behind", 503;
     /// The node is shutting down.
     Draining = "draining", 503;
--- a/crates/policy/src/resume.rs
+++ b/crates/policy/src/resume.rs
@@ -6,8 +6,8 @@
 
 use std::time::{Duration, Instant};
 
-/// Longest pause before a stream is resumed, as a multiple of the wanted maximum gap. Callers give
-/// up at eight.
+/// Longest pause before a stream is resumed, as a multiple of the longest pause that the caller
+/// wants. Callers give up at eight times that pause.
 const MAX_PAUSE_FACTOR: u32 = 4;
 
 /// The pause may take at most the remaining time divided by this; the rest is for generating the
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -18,8 +18,8 @@
 /// work little, since that is limited by prefill.
 const HEADROOM_DIVISOR: u32 = 8;
 
-/// One of this many stream slots may hold long prompts: KV memory runs out before, and streams with
-/// a long decode slow down each step for all others.
+/// One of this many stream slots may hold long prompts: KV memory runs out before that, and streams
+/// with a long decode slow down each step for all others.
 const LONG_SLOTS_DIVISOR: u32 = 4;
 
 /// Maximum prefill work that is sent to the engine ahead of time. It covers one engine step and the
@@ -185,7 +185,7 @@
         self.finish_prefill(ticket, lane);
     }
 
-    /// Ends the prefill of a request, when its first token came.
+    /// Ends the prefill of a request when its first token has arrived.
     pub fn finish_prefill(&mut self, ticket: u64, lane: Lane) {
         self.prefills[usize::from(lane.is_long)].retain(|p| p.ticket != ticket);
     }
--- a/crates/policy/src/roster.rs
+++ b/crates/policy/src/roster.rs
@@ -57,8 +57,8 @@
         others.chain([&self.own]).cloned().collect()
     }
 
-    /// Returns the record of a node that just sent a message if the record does not say that it is
-    /// alive. The node can then refute it.
+    /// Returns the record of a node that just sent a message if its state is not alive, so that the
+    /// node can refute it.
     pub(crate) fn find_refutable(&self, node: &id::Node) -> Option<Record> {
         let record = self.peers.get(node).map(|peer| &peer.record)?;
         (record.state != State::Alive).then(|| record.clone())
--- a/crates/policy/src/rumor.rs
+++ b/crates/policy/src/rumor.rs
@@ -1,4 +1,4 @@
-//! Updates of members that a node still has to disseminate.
+//! Changed member records that a node still has to disseminate.
 
 use crate::member::Record;
 use crate::roster::Roster;
@@ -10,10 +10,10 @@
 /// Number of times that a record is sent, in addition to the logarithm of the number of nodes.
 const BASE_SENDS: u32 = 8;
 
-/// Number of sends saved for each peer found to have the same table.
+/// Number of sends that are skipped for each peer found to have the same table.
 const EQUAL_DIGEST_SENDS: u32 = 3;
 
-/// The record of a node that is still to be sent.
+/// A changed record that is still to be sent, by the name of its node.
 #[derive(Clone, Debug)]
 struct Update {
     node: id::Node,
@@ -46,7 +46,7 @@
         self.updates.iter().any(|update| !update.is_sent)
     }
 
-    /// Returns the least sent records and counts them as sent.
+    /// Returns the records that were sent the fewest times and counts them as sent.
     pub(crate) fn take(&mut self, roster: &Roster) -> Vec<Record> {
         self.updates.sort_by_key(|update| std::cmp::Reverse(update.sends_left));
         let mut records = Vec::new();
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,5 +1,5 @@
-//! A node's share of a fleet-wide limit on repeats: its part by the number of nodes, counted over a
-//! sliding window.
+//! A node's share of a fleet-wide limit on repeated requests. A node may repeat a fraction of its
+//! own requests, plus its share of the extra repeats of all nodes, within a sliding window.
 //!
 //! Load pattern: targets fail, and every node has requests to send again.
 
@@ -10,8 +10,8 @@
 /// nodes that count too few peers for about a second after a partition.
 const USED_EXTRA_FRACTION: f64 = 0.7;
 
-/// Fraction of the per-request allowance that is used. The window of the party that checks the
-/// limit can begin at any time, also right after a burst of requests.
+/// Fraction of the per-request allowance that is used. The window over which the limit is checked
+/// can begin at any time, also right after a burst of requests.
 const USED_RATIO_FRACTION: f64 = 0.6;
 
 /// A limit on repeats: a number per request, plus an extra number for all nodes together.
--- a/crates/policy/src/shedding.rs
+++ b/crates/policy/src/shedding.rs
@@ -36,8 +36,8 @@
         if let Some(lateness) = lateness.filter(|lateness| !lateness.is_zero()) {
             return Some(Answer::Refused(Reason::Overloaded, lateness.max(MIN_RETRY_AFTER)));
         }
-        // A partner that fills the queue must not exclude the others. Beyond the bound, only
-        // partners that use less than their part of the queue are admitted.
+        // A partner that fills the queue must not exclude the others. Beyond the maximum length,
+        // only partners that use less than their share of the queue are admitted.
         let own_requests = self.queue.waiting_requests_of(&request.partner) as f64;
         let is_full = self.waiting.len() >= self.max_queue_length;
         let is_over_share =
--- a/crates/policy/src/spread.rs
+++ b/crates/policy/src/spread.rs
@@ -131,7 +131,7 @@
     }
 
     /// Returns how long the link is busy with accepted transfers. Transfers whose reader has
-    /// stopped, or reads for longer than requesters do, are dropped.
+    /// stopped, or takes longer than requesters read, are dropped.
     fn backlog(&mut self, now: Instant, link: rate::BytesPerSecond) -> Duration {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.transfers.retain(|transfer| {
@@ -175,7 +175,7 @@
 /// Nodes that recently received a document and can serve it.
 #[derive(Clone, Debug)]
 pub struct Recipients<K> {
-    /// With the time at which each has the document, oldest first.
+    /// Each node with the time from which it has the document, oldest first.
     nodes: VecDeque<(Instant, K)>,
 }
 
--- a/crates/policy/src/throughput.rs
+++ b/crates/policy/src/throughput.rs
@@ -26,7 +26,7 @@
 /// must not refuse all later requests.
 const MIN_RATE_FRACTION: f64 = 0.05;
 
-/// Initially assumed calls per second and slot of a plain service.
+/// Calls per second that are assumed initially for each slot of a plain service.
 const INITIAL_CALLS_PER_SLOT: f64 = 20.0;
 
 /// Weight of a new measurement in the moving average.
@@ -79,7 +79,7 @@
         (self.current_prefill_rate() as f64 * PREFILL_FRACTION) as u64
     }
 
-    /// Returns the time to first token with `tokens` to prefill before it.
+    /// Returns the time to first token after a prefill of `tokens`.
     pub fn time_to_first_token(&self, tokens: size::Tokens) -> Duration {
         rate::TokensPerSecond(self.shared_prefill_rate().max(1) as f64).time_for(tokens)
             + self.token_time
--- a/crates/policy/tests/ejection.rs
+++ b/crates/policy/tests/ejection.rs
@@ -80,7 +80,7 @@
 }
 
 /// Guards against a series of failing long prompts: engines that shut down unannounced look idle
-/// and refuse each part.
+/// and refuse each chunk.
 #[test]
 fn an_engine_that_refuses_chunks_receives_none_during_the_backoff() {
     let (mut ejection, now) = (Ejection::default(), Instant::now());
--- a/crates/policy/tests/engines/mod.rs
+++ b/crates/policy/tests/engines/mod.rs
@@ -114,8 +114,9 @@
             true => Duration::ZERO,
             false => self.profile.iteration_time(state.decoding.len() as u32, Tokens(context)),
         };
-        // Without decoding streams an iteration is one small chunk, so that a newer request is
-        // prefilled next. Prefilling the newest chunk whole approximates this.
+        // Without decoding streams, an engine prefills only a small piece of a prompt per
+        // iteration, so that a newer request is prefilled next. Prefilling the newest chunk whole
+        // approximates this.
         let started: Vec<(usize, Duration)> = match state.decoding.is_empty() {
             true => state.chunks.pop().into_iter().collect(),
             false => std::mem::take(&mut state.chunks),
@@ -185,7 +186,7 @@
         let chunks: Duration = chunks.map(|(_, time)| *time).sum();
         let decoding: Vec<usize> =
             engine.decoding.iter().copied().filter(|&stream| self.is_known(stream)).collect();
-        // If the owner takes the engine for empty, it knows of no running iteration.
+        // If the owner considers the engine empty, it knows of no running iteration.
         let iteration_left = match chunks.is_zero() && decoding.is_empty() {
             true if self.known_since.is_zero() => engine.busy_until.saturating_sub(now),
             true => Duration::ZERO,
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -234,7 +234,8 @@
 }
 
 /// The target decodes five times more slowly than estimated when a request arrived. By the time of
-/// its turn the pace is known, so it must be refused rather than started and cut off.
+/// its turn the slower rate has been measured, so it must be refused rather than started and cut
+/// off.
 #[test]
 fn request_made_late_by_a_slower_pace_is_not_started() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
@@ -328,7 +329,7 @@
 }
 
 /// One target takes four times as long as it reports. Requests that could not finish in time must
-/// be refused by the measured pace, not by the reported one.
+/// be refused by the measured rate, not by the reported one.
 #[test]
 fn slow_target_refuses_by_its_measured_pace() {
     let (mut now, mut limiter) = warm(Instant::now(), CAPACITY);
--- a/crates/policy/tests/plan.rs
+++ b/crates/policy/tests/plan.rs
@@ -119,7 +119,7 @@
     assert_eq!(expect_plan(plan::choose_engines(&short_query(), &profile(), &loads)).primary, 1);
 }
 
-/// Guards against short streams that are spread over all engines, though a few could serve them.
+/// Guards against short streams that are spread over all engines although a few could serve them.
 #[test]
 fn short_prompts_follow_the_engine_preference() {
     for short in [5, 0] {
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -88,8 +88,8 @@
 }
 
 /// Two of the three nodes with the configuration die silently while they send it. Their receivers
-/// must detect this by a timeout, keep the chunks, and request the rest from the third node or from
-/// its receivers.
+/// must detect this by a timeout, keep what they received, and request the rest from the third node
+/// or from its receivers.
 #[test]
 fn senders_die_during_transfer() {
     check_bounds(&SIZES[..3], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
