--- a/crates/policy/examples/regret/bound.rs
+++ b/crates/policy/examples/regret/bound.rs
@@ -93,12 +93,12 @@
 }
 
 impl Spans {
-    fn new(grains: usize, engines: usize) -> Self {
-        let grain = SLICE.as_secs_f64() * engines as f64;
-        let free = (0..grains).flat_map(|begin| {
-            (1..=grains).map(move |end| end.saturating_sub(begin) as f64 * grain)
+    fn new(slices: usize, engines: usize) -> Self {
+        let slice_capacity = SLICE.as_secs_f64() * engines as f64;
+        let free = (0..slices).flat_map(|begin| {
+            (1..=slices).map(move |end| end.saturating_sub(begin) as f64 * slice_capacity)
         });
-        Self { slices: grains, free: free.collect() }
+        Self { slices, free: free.collect() }
     }
 
     /// Reserves as much of a task as all spans around it have capacity for, and returns that
--- a/crates/policy/tests/spread/link.rs
+++ b/crates/policy/tests/spread/link.rs
@@ -54,12 +54,12 @@
     /// Transmits until `now`.
     pub fn run(&mut self, now: Duration) {
         let time = (now - self.last_run).as_secs_f64();
-        let short_bytes = (self.short_bytes / self.rate).min(time);
-        self.short_bytes -= short_bytes * self.rate;
+        let short_time = (self.short_bytes / self.rate).min(time);
+        self.short_bytes -= short_time * self.rate;
         self.last_run = now;
-        let share = self.share_rate();
+        let rate = self.rate_per_answer();
         for answer in self.answers.iter_mut().filter(|answer| answer.silent_since.is_none()) {
-            let bytes = (share.min(answer.down_rate) * (time - short_bytes)).min(answer.remaining);
+            let bytes = (rate.min(answer.down_rate) * (time - short_time)).min(answer.remaining);
             answer.remaining -= bytes;
             self.sent += bytes;
         }
@@ -107,16 +107,16 @@
 
     /// Returns when the next answer will be complete if nothing changes before.
     pub fn next_end(&self) -> Option<Duration> {
-        let share = self.share_rate();
+        let rate = self.rate_per_answer();
         let flowing = self.answers.iter().filter(|answer| answer.silent_since.is_none());
         let time = flowing
-            .map(|answer| answer.remaining / share.min(answer.down_rate))
+            .map(|answer| answer.remaining / rate.min(answer.down_rate))
             .min_by(f64::total_cmp);
         let after = Duration::from_secs_f64(time? + self.short_bytes / self.rate);
         Some(self.last_run + after + Duration::from_nanos(1))
     }
 
-    fn share_rate(&self) -> f64 {
+    fn rate_per_answer(&self) -> f64 {
         let flowing = self.answers.iter().filter(|answer| answer.silent_since.is_none()).count();
         self.rate / flowing.max(1) as f64
     }
--- a/crates/policy/tests/spread/mod.rs
+++ b/crates/policy/tests/spread/mod.rs
@@ -246,8 +246,8 @@
         referrals.retain(|other| *other != requester);
         let after = node.link.add_short(self.now, BUSY_ANSWER_BYTES);
         let wait = busy.map(|busy| busy.wait);
-        let refusal = Event::Rejection { requester, number, wait, referrals };
-        self.queue.push(self.now + after + LATENCY, refusal);
+        let rejection = Event::Rejection { requester, number, wait, referrals };
+        self.queue.push(self.now + after + LATENCY, rejection);
         self.schedule_next_end(source);
     }
 
@@ -349,8 +349,8 @@
             || self.nodes[self.case.initial_holders..].iter().filter(|node| node.is_alive);
         let times = |only_unaffected: bool| {
             let counted = requesters().filter(|node| node.is_unaffected || !only_unaffected);
-            let had = counted.filter(|node| node.version == self.case.versions);
-            let mut times: Vec<Duration> = had.map(|node| node.completed_at).collect();
+            let completed = counted.filter(|node| node.version == self.case.versions);
+            let mut times: Vec<Duration> = completed.map(|node| node.completed_at).collect();
             times.sort();
             times
         };
