--- a/crates/policy/examples/experiment/fleet.rs
+++ b/crates/policy/examples/experiment/fleet.rs
@@ -65,7 +65,7 @@
     pub(crate) flights: Vec<Flight>,
     pub(crate) deadlines: BTreeSet<(Duration, usize)>,
     crashes: u32,
-    /// When work was last sent to a zone that was out.
+    /// Time from taking a zone out of service to the last work sent to it, if any was sent.
     pub(crate) late_send: Option<Duration>,
     pub(crate) out_zone: Option<(usize, Duration)>,
 }
--- a/crates/policy/tests/membership.rs
+++ b/crates/policy/tests/membership.rs
@@ -7,8 +7,8 @@
 
 const FLEET_SIZES: [usize; 4] = [2, 9, 79, 195];
 
-/// A node may name a dead node to callers for at most six seconds; callers cache an answer for one
-/// of them.
+/// A dead node may be named to callers for at most six seconds, one of which is the time for which
+/// callers cache an answer.
 const MAX_DETECTION_TIME: Duration = Duration::from_secs(5);
 
 fn ms(ms: u64) -> Duration {
--- a/crates/policy/tests/phases/mod.rs
+++ b/crates/policy/tests/phases/mod.rs
@@ -18,11 +18,11 @@
     pub events: f64,
     pub goal: Duration,
     pub inter_token_target: Duration,
-    /// Credit for an answer of mean size in time.
+    /// Credit for an answer of mean size that is completed in time.
     pub credit: f64,
 }
 
-/// A mix of callers and the tokens of each event.
+/// A mix of request kinds, and the number of tokens per event.
 #[derive(Clone, Copy, Debug)]
 pub struct Mix {
     pub kinds: [Kind; 3],
--- a/crates/policy/tests/poison.rs
+++ b/crates/policy/tests/poison.rs
@@ -11,8 +11,8 @@
 const POISON: u64 = 7;
 
 /// A request crashes the engine that runs it beside thirty others and is resent forever. It may run
-/// once more, alone, and must be refused from then on; the others run again alone and are cleared.
-/// Only two engines are lost.
+/// once more, alone, and must be refused from then on. The others must each run again alone and be
+/// cleared. Only two engines are lost.
 #[test]
 fn poison_kills_two_engines_and_no_innocent_request() {
     let mut now = Instant::now();
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -7,10 +7,9 @@
 use hickory_policy::ramp::{COLD_STREAM_LIMIT, ColdCause, Ramp};
 use std::time::{Duration, Instant};
 
-/// Callers of all nodes send 200 requests to a target that has just started. It can run the
-/// fraction of its streams given by its reported warmth, which grows by 10 points per second.
-/// Without the ramp all 64 slots would fill at once, and the overloaded target would fail all of
-/// them.
+/// Callers of all nodes send 200 requests to a target that has just started. Its reported warmth is
+/// the percentage of its streams that it can run, and grows by 10 points per second. Without the
+/// ramp all 64 slots would fill at once, and the overloaded target would fail all of them.
 #[test]
 fn burst_on_cold_target_stays_within_reported_warmth() {
     let mut now = Instant::now();
--- a/crates/policy/tests/replay/mod.rs
+++ b/crates/policy/tests/replay/mod.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Returns the mean time of the last short streams that ended.
+/// Returns the mean time of the latest short streams that have ended.
 fn typical_stream_time(fleet: &Fleet) -> Duration {
     const LAST: usize = 16;
     let finished = fleet
--- a/crates/policy/tests/spread.rs
+++ b/crates/policy/tests/spread.rs
@@ -66,7 +66,7 @@
     assert!(meter.admit(begin + ms(960), DOCUMENT, LINK).is_ok());
 }
 
-/// The same, with connections that buffer bytes the link has not sent yet.
+/// The same with connections that buffer bytes that the link has not sent yet.
 #[test]
 fn buffered_bytes_do_not_count_as_sent() {
     const BUFFERED_BYTES: u64 = 60_000;
@@ -110,8 +110,8 @@
     }
 }
 
-/// A requester reads nothing, or a byte now and then. Other requesters must be rejected only for a
-/// limited time, not for as long as it does so.
+/// A requester reads no bytes, or one now and then. Other requesters must be rejected only for a
+/// limited time, not until that requester ends.
 #[test]
 fn a_stalled_reader_holds_its_place_for_a_limited_time() {
     let (begin, mut meter) = (Instant::now(), UploadMeter::default());
--- a/crates/policy/tests/spread/case.rs
+++ b/crates/policy/tests/spread/case.rs
@@ -78,14 +78,14 @@
 /// Outcome of a replay.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// Sorted times at which the living requesters had the last configuration; those that never got
-    /// it are left out.
+    /// Sorted times at which the requesters that are alive had the last configuration; those that
+    /// never received it are left out.
     pub completion_times: Vec<Duration>,
-    /// The same for the requesters that no fault kept from it.
+    /// The same for the requesters that are unaffected by the fault.
     pub unaffected_times: Vec<Duration>,
-    /// Number of living requesters.
+    /// Number of requesters that are alive.
     pub requesters: usize,
-    /// Number of living requesters that no fault kept from it.
+    /// Number of requesters that are alive and unaffected by the fault.
     pub unaffected_requesters: usize,
     /// Bytes of configurations sent.
     pub bytes_sent: f64,
@@ -107,7 +107,8 @@
         self.completion_times.get(count - 1).copied()
     }
 
-    /// Returns when the last requester had it that no fault kept from it.
+    /// Returns when the last of the requesters that are unaffected by the fault had the
+    /// configuration.
     pub fn last_unaffected_time(&self) -> Option<Duration> {
         self.unaffected_times.get(self.unaffected_requesters - 1).copied()
     }
--- a/crates/policy/tests/spread/link.rs
+++ b/crates/policy/tests/spread/link.rs
@@ -18,7 +18,7 @@
     /// Rate of the requester's down-link, in bytes per second. A requester asks one source at a
     /// time, so it does not share this link.
     pub down_rate: f64,
-    /// Time since which no byte has been transmitted, if the answer is stopped.
+    /// When the answer stalled; `None` while bytes are transmitted.
     pub silent_since: Option<Duration>,
     /// Ticket of the source's upload meter.
     pub ticket: Option<Ticket>,
@@ -32,7 +32,7 @@
     /// Bytes of documents sent.
     pub sent: f64,
     pub answers: Vec<Answer>,
-    /// Incremented by every change, so that ends scheduled earlier are ignored.
+    /// Incremented by every change; scheduled ends of an older generation are ignored.
     pub generation: u64,
     /// Bytes of queued short answers, which are sent first.
     short_bytes: f64,
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -26,7 +26,7 @@
     pub completed_at: Duration,
     /// Newest version announced to it.
     pub wanted_version: u32,
-    /// Version and number of the bytes kept from an interrupted answer.
+    /// Version that an interrupted answer was sending, and the number of bytes kept of it.
     pub partial: (u32, f64),
     pub request: Option<Request>,
     /// Time of the next extra poll.
@@ -37,7 +37,7 @@
     /// Versions announced by the other nodes.
     versions: Vec<u32>,
     pub is_alive: bool,
-    /// Whether no fault keeps it from the document.
+    /// Whether the case's fault does not prevent it from receiving the document.
     pub is_unaffected: bool,
     pub is_cut_off: bool,
     pub has_stopped_reading: bool,
