--- a/crates/policy/benches/common/mod.rs
+++ b/crates/policy/benches/common/mod.rs
@@ -53,7 +53,7 @@
     Query { cost, class: Class::Interactive, prefix: Some(prefix), random }
 }
 
-pub fn ask(now: Instant, query: &Query) -> PermitRequest {
+pub fn permit_request(now: Instant, query: &Query) -> PermitRequest {
     let account = query.random % ACCOUNTS;
     PermitRequest {
         partner: format!("partner-{}", account % PARTNERS).as_str().into(),
@@ -85,7 +85,9 @@
     let mut index = 0;
     while limiter.waiting() < QUEUED {
         index += 1;
-        if let Answer::Granted(ticket) = limiter.request_permit(now, ask(now, &query(index))) {
+        if let Answer::Granted(ticket) =
+            limiter.request_permit(now, permit_request(now, &query(index)))
+        {
             running.push(ticket);
         }
         now += Duration::from_micros(100);
--- a/crates/policy/benches/decision.rs
+++ b/crates/policy/benches/decision.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, candidates, limiter, query};
+use common::{candidates, limiter, permit_request, query};
 use criterion::{BatchSize, Criterion, criterion_group, criterion_main};
 use hickory_policy::limit::{Answer, Outcome};
 use hickory_policy::place::choose_target;
@@ -28,11 +28,11 @@
             || {
                 index += 1;
                 now += Duration::from_micros(10);
-                (now, ask(now, &query(index)))
+                (now, permit_request(now, &query(index)))
             },
-            |(now, ask)| {
+            |(now, request)| {
                 if let Answer::Granted(ticket) | Answer::Queued(ticket) =
-                    limiter.request_permit(now, ask)
+                    limiter.request_permit(now, request)
                 {
                     limiter.cancel(ticket);
                 }
@@ -52,7 +52,7 @@
             let ended = running.swap_remove(index as usize % running.len());
             limiter.complete(now, ended, Outcome::Completed(None));
             running.extend(limiter.poll(now).into_iter().map(|(ticket, _)| ticket));
-            black_box(limiter.request_permit(now, ask(now, &query(index))));
+            black_box(limiter.request_permit(now, permit_request(now, &query(index))));
         });
     });
 }
--- a/crates/policy/benches/percentile.rs
+++ b/crates/policy/benches/percentile.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{ask, candidates, limiter, query};
+use common::{candidates, limiter, permit_request, query};
 use hickory_policy::limit::{Answer, Outcome};
 use hickory_policy::place::choose_target;
 use std::hint::black_box;
@@ -16,18 +16,18 @@
 fn main() {
     let candidates = candidates();
     let (mut now, mut limiter, mut running) = limiter(Instant::now());
-    let (mut choices, mut asks, mut both, mut polls) = (vec![], vec![], vec![], vec![]);
+    let (mut choices, mut permits, mut both, mut polls) = (vec![], vec![], vec![], vec![]);
     for index in 0..ROUNDS {
         now += Duration::from_micros(50);
         let query = query(index);
-        let wanted = ask(now, &query);
+        let request = permit_request(now, &query);
         let began = Instant::now();
         black_box(choose_target(&query, &candidates).map(|c| c.hash));
         let chosen = began.elapsed();
-        let answer = limiter.request_permit(now, wanted);
+        let answer = limiter.request_permit(now, request);
         let answered = began.elapsed();
         choices.push(chosen);
-        asks.push(answered - chosen);
+        permits.push(answered - chosen);
         both.push(answered);
         if let Answer::Granted(ticket) = answer {
             running.push(ticket);
@@ -42,7 +42,7 @@
     }
     println!("{ROUNDS} rounds, {} asks queued at the end", limiter.waiting());
     print("choose a target", choices);
-    print("ask its owner", asks);
+    print("ask its owner", permits);
     print("both", both);
     print("poll", polls);
 }
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, batch, cost, granted, ms, observed, ticket, warm};
+use common::{batch, cost, granted, interactive, ms, observed, ticket, warm};
 use hickory_policy::cost::Class;
 use hickory_policy::fair::MAX_BATCH_OVERTAKING;
 use hickory_policy::limit::{Answer, CANCEL_GRACE, Capacity, Limiter, Outcome, PermitRequest};
@@ -29,21 +29,21 @@
         let mut running: BTreeMap<u64, PermitRequest> = BTreeMap::new();
         for (op, which, size) in ops {
             now += ms(size % 900);
-            running.retain(|_, ask| ask.deadline + CANCEL_GRACE > now);
+            running.retain(|_, request| request.deadline + CANCEL_GRACE > now);
             let before = running.len();
             match op {
                 0..=4 => {
-                    let ask = PermitRequest {
+                    let request = PermitRequest {
                         cost: cost(size, size % 100),
                         class: if which % 2 == 0 { Class::Interactive } else { Class::Batch },
                         is_exclusive: which == 7,
                         is_urgent: which == 6,
                         deadline: now + ms(size % 40_000),
-                        ..ask(now, ["a", "b", "c"][which % 3], 0)
+                        ..interactive(now, ["a", "b", "c"][which % 3], 0)
                     };
-                    match limiter.request_permit(now, ask.clone()) {
-                        Answer::Granted(t) => prop_assert!(running.insert(t, ask).is_none()),
-                        Answer::Queued(t) => prop_assert!(!ask.is_urgent && queued.insert(t, ask).is_none()),
+                    match limiter.request_permit(now, request.clone()) {
+                        Answer::Granted(t) => prop_assert!(running.insert(t, request).is_none()),
+                        Answer::Queued(t) => prop_assert!(!request.is_urgent && queued.insert(t, request).is_none()),
                         Answer::Refused(..) => {}
                     }
                 }
@@ -69,17 +69,17 @@
                 }
             }
             for (t, answer) in limiter.poll(now) {
-                let ask = queued.remove(&t);
-                prop_assert!(ask.is_some(), "answered twice");
+                let request = queued.remove(&t);
+                prop_assert!(request.is_some(), "answered twice");
                 if answer.is_ok() {
-                    running.insert(t, ask.unwrap());
+                    running.insert(t, request.unwrap());
                 }
             }
             prop_assert_eq!((limiter.running(), limiter.waiting()), (running.len(), queued.len()));
             prop_assert!(running.len() <= before.max(limiter.stream_limit() as usize));
-            let kv: size::Tokens = running.values().map(|ask| ask.cost.kv()).sum();
+            let kv: size::Tokens = running.values().map(|request| request.cost.kv()).sum();
             prop_assert!(kv <= capacity.kv);
-            prop_assert!(running.len() <= 1 || running.values().all(|ask| !ask.is_exclusive));
+            prop_assert!(running.len() <= 1 || running.values().all(|request| !request.is_exclusive));
         }
         now += Duration::from_secs(50);
         limiter.poll(now);
@@ -93,27 +93,27 @@
     fn batch_starts_within_its_maximum_wait(load in 1usize..6, size in 100u64..4_000) {
         let (mut now, mut limiter) = warm(Instant::now(), FOUR_SLOTS);
         let mut running = std::collections::VecDeque::new();
-        let mut ask_for = |limiter: &mut Limiter, now, ask| match limiter.request_permit(now, ask) {
+        let mut submit = |limiter: &mut Limiter, now, request| match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push_back(t),
             Answer::Queued(_) | Answer::Refused(..) => {}
         };
-        (0..8).for_each(|_| ask_for(&mut limiter, now, ask(now, "mawe", size)));
-        let asked = now;
-        let waits = ticket(limiter.request_permit(now, batch(now, "mawe", size)));
+        (0..8).for_each(|_| submit(&mut limiter, now, interactive(now, "mawe", size)));
+        let requested_at = now;
+        let waiting_ticket = ticket(limiter.request_permit(now, batch(now, "mawe", size)));
         loop {
             now += ms(100);
             prop_assert!(
-                now <= asked + MAX_BATCH_OVERTAKING + ms(1_000),
+                now <= requested_at + MAX_BATCH_OVERTAKING + ms(1_000),
                 "the batch request starved"
             );
             for _ in 0..load {
-                limiter.request_permit(now, ask(now, "mawe", size));
+                limiter.request_permit(now, interactive(now, "mawe", size));
             }
             if let Some(t) = running.pop_front() {
                 limiter.complete(now, t, Outcome::Completed(None));
             }
             let got = granted(&mut limiter, now);
-            if got.contains(&waits) {
+            if got.contains(&waiting_ticket) {
                 break;
             }
             running.extend(got);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -19,7 +19,7 @@
 }
 
 /// An interactive request with a deadline in one minute.
-pub fn ask(now: Instant, partner: &str, prefill: u64) -> PermitRequest {
+pub fn interactive(now: Instant, partner: &str, prefill: u64) -> PermitRequest {
     PermitRequest {
         partner: partner.into(),
         account: format!("{partner}-account").as_str().into(),
@@ -32,7 +32,7 @@
 }
 
 pub fn batch(now: Instant, partner: &str, prefill: u64) -> PermitRequest {
-    PermitRequest { class: Class::Batch, ..ask(now, partner, prefill) }
+    PermitRequest { class: Class::Batch, ..interactive(now, partner, prefill) }
 }
 
 pub fn sample(incarnation: u64, warmth: u8) -> Sample {
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{CAPACITY, ask, batch, cost, granted, ms, observed, ticket, warm};
+use common::{CAPACITY, batch, cost, granted, interactive, ms, observed, ticket, warm};
 use hickory_policy::limit::{
     Answer, CANCEL_GRACE, Capacity, Limiter, Observed, Outcome, PERMIT_LIFETIME, PermitRequest,
 };
@@ -28,7 +28,7 @@
             let (now, mut owner) = warm(start, capacity);
             owner.set_lease_confirmed(now, false);
             for _ in 0..100 {
-                owner.request_permit(now, ask(now, "mawe", 10));
+                owner.request_permit(now, interactive(now, "mawe", 10));
             }
             total += owner.running();
         }
@@ -44,7 +44,7 @@
 fn new_owner_waits_one_permit_lifetime() {
     let now = Instant::now();
     let mut limiter = Limiter::new_after_takeover(now, CAPACITY);
-    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    let waiting = ticket(limiter.request_permit(now, interactive(now, "mawe", 500)));
     assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME - ms(1)), []);
     assert_eq!(granted(&mut limiter, now + PERMIT_LIFETIME), [waiting]);
 }
@@ -57,8 +57,8 @@
     let report =
         Observed { foreign_streams: 3, foreign_kv: size::Tokens(1_000), ..observed(1, 100) };
     limiter.observe(now, &report);
-    limiter.request_permit(now, ask(now, "mawe", 10));
-    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    limiter.request_permit(now, interactive(now, "mawe", 10));
+    let waiting = ticket(limiter.request_permit(now, interactive(now, "mawe", 10)));
     assert_eq!((limiter.running(), limiter.waiting()), (1, 1));
     limiter.observe(now + ms(10), &observed(1, 100));
     assert_eq!(granted(&mut limiter, now + ms(10)), [waiting]);
@@ -69,11 +69,11 @@
 #[test]
 fn permit_without_outcome_expires() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let short = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 10) };
+    let short = PermitRequest { deadline: now + ms(3_000), ..interactive(now, "mawe", 10) };
     for _ in 0..4 {
         limiter.request_permit(now, short.clone());
     }
-    let waiting = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
+    let waiting = ticket(limiter.request_permit(now, interactive(now, "mawe", 10)));
     assert_eq!(granted(&mut limiter, now + ms(2_999) + CANCEL_GRACE), []);
     assert_eq!(granted(&mut limiter, now + ms(3_000) + CANCEL_GRACE), [waiting]);
 }
@@ -83,12 +83,14 @@
 #[test]
 fn exclusive_request_runs_alone() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let first = ticket(limiter.request_permit(now, ask(now, "mawe", 10)));
-    let suspect = ticket(
-        limiter.request_permit(now, PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) }),
-    );
+    let first = ticket(limiter.request_permit(now, interactive(now, "mawe", 10)));
+    let suspect =
+        ticket(limiter.request_permit(
+            now,
+            PermitRequest { is_exclusive: true, ..interactive(now, "mawe", 10) },
+        ));
     let now = now + ms(1_500);
-    let behind = ticket(limiter.request_permit(now, ask(now, "caucao", 10)));
+    let behind = ticket(limiter.request_permit(now, interactive(now, "caucao", 10)));
     assert_eq!(
         granted(&mut limiter, now),
         [],
@@ -108,13 +110,13 @@
 #[test]
 fn no_permit_is_granted_after_a_death_until_the_next_load_report() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let suspect = |now| PermitRequest { is_exclusive: true, ..ask(now, "mawe", 10) };
+    let suspect = |now| PermitRequest { is_exclusive: true, ..interactive(now, "mawe", 10) };
     let crashing = ticket(limiter.request_permit(now, suspect(now)));
     let innocent = ticket(limiter.request_permit(now, suspect(now)));
     limiter.complete(now, crashing, Outcome::Failed);
     assert_eq!(granted(&mut limiter, now + ms(100)), []);
     for is_urgent in [false, true] {
-        let elsewhere = PermitRequest { is_urgent, ..ask(now, "caucao", 10) };
+        let elsewhere = PermitRequest { is_urgent, ..interactive(now, "caucao", 10) };
         let answer = limiter.request_permit(now + ms(100), elsewhere);
         assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     }
@@ -130,16 +132,19 @@
 fn target_that_stops_accepting_refuses_its_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     let tickets: Vec<_> =
-        (0..9).map(|_| ticket(limiter.request_permit(now, ask(now, "mawe", 10)))).collect();
+        (0..9).map(|_| ticket(limiter.request_permit(now, interactive(now, "mawe", 10)))).collect();
     let refused = limiter.set_accepting(now, false);
     assert_eq!(refused, tickets[4..].iter().map(|&t| (t, Reason::NoTarget)).collect::<Vec<_>>());
-    let answer = limiter.request_permit(now, ask(now, "mawe", 10));
+    let answer = limiter.request_permit(now, interactive(now, "mawe", 10));
     assert_eq!(answer, Answer::Refused(Reason::NoTarget, Duration::ZERO));
     assert_eq!(limiter.running(), 4, "running streams are not cancelled");
     tickets[..4].iter().for_each(|&t| limiter.cancel(t));
     assert_eq!(granted(&mut limiter, now), []);
     limiter.set_accepting(now, true);
-    assert!(matches!(limiter.request_permit(now, ask(now, "mawe", 10)), Answer::Granted(_)));
+    assert!(matches!(
+        limiter.request_permit(now, interactive(now, "mawe", 10)),
+        Answer::Granted(_)
+    ));
 }
 
 /// At about twice the load that the target can serve, requests with 3 s until their deadline must
@@ -153,7 +158,7 @@
     for _ in 0..4_000 {
         now += ms(5);
         // 60,000 prompt tokens per second arrive; the engine can prefill 30,000.
-        let request = PermitRequest { deadline: now + ms(3_000), ..ask(now, "mawe", 300) };
+        let request = PermitRequest { deadline: now + ms(3_000), ..interactive(now, "mawe", 300) };
         match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
@@ -198,7 +203,8 @@
         for partner in ["mawe", "caucao"] {
             let size = if partner == "mawe" { 1_000 } else { 1_000 + step * 7_919 % 4_000 };
             let deadline = now + ms(30_000);
-            let request = PermitRequest { cost: cost(size, 64), deadline, ..ask(now, partner, 0) };
+            let request =
+                PermitRequest { cost: cost(size, 64), deadline, ..interactive(now, partner, 0) };
             match limiter.request_permit(now, request.clone()) {
                 Answer::Granted(t) => {
                     requests.insert(t, request);
@@ -239,7 +245,7 @@
 #[test]
 fn request_made_late_by_a_slower_pace_is_not_started() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
-    let slow = PermitRequest { cost: cost(10, 64), ..ask(now, "mawe", 0) };
+    let slow = PermitRequest { cost: cost(10, 64), ..interactive(now, "mawe", 0) };
     let running: Vec<_> =
         (0..4).map(|_| ticket(limiter.request_permit(now, slow.clone()))).collect();
     let waiting = PermitRequest { deadline: now + ms(6_000), ..slow };
@@ -259,11 +265,14 @@
 fn flooding_partner_does_not_keep_others_out_of_the_queue() {
     let (now, mut limiter) = warm(Instant::now(), NARROW);
     limiter.set_max_queue_length(100);
-    let flood = (0..300).map(|_| limiter.request_permit(now, ask(now, "mawe", 10)));
+    let flood = (0..300).map(|_| limiter.request_permit(now, interactive(now, "mawe", 10)));
     let refused = flood.filter(|a| matches!(a, Answer::Refused(Reason::Overloaded, _))).count();
     assert_eq!((refused, limiter.waiting()), (196, 100));
-    assert!(matches!(limiter.request_permit(now, ask(now, "caucao", 10)), Answer::Queued(_)));
-    let urgent = PermitRequest { is_urgent: true, ..ask(now, "caucao", 10) };
+    assert!(matches!(
+        limiter.request_permit(now, interactive(now, "caucao", 10)),
+        Answer::Queued(_)
+    ));
+    let urgent = PermitRequest { is_urgent: true, ..interactive(now, "caucao", 10) };
     assert!(matches!(limiter.request_permit(now, urgent), Answer::Refused(Reason::Overloaded, _)));
     assert_eq!(limiter.waiting(), 101);
 }
@@ -291,7 +300,7 @@
             ended.for_each(|(_, t)| limiter.record_first_token(now, t));
         }
         assert_eq!(limiter.running(), running);
-        let question = ask(now, "caucao", 1_000);
+        let question = interactive(now, "caucao", 1_000);
         assert!(matches!(limiter.request_permit(now, question), Answer::Granted(_)));
     }
 }
@@ -303,10 +312,10 @@
 fn long_request_gets_capacity_under_short_load() {
     let capacity = Capacity { kv: size::Tokens(100_000), streams: 64, ..NARROW };
     let (mut now, mut limiter) = warm(Instant::now(), capacity);
-    let short = |now| ask(now, "caucao", 2_400);
+    let short = |now| interactive(now, "caucao", 2_400);
     let mut running: std::collections::VecDeque<_> =
         (0..41).map(|_| ticket(limiter.request_permit(now, short(now)))).collect();
-    let Answer::Queued(long) = limiter.request_permit(now, ask(now, "mawe", 60_000)) else {
+    let Answer::Queued(long) = limiter.request_permit(now, interactive(now, "mawe", 60_000)) else {
         panic!("expected the request to be queued: the memory is full")
     };
     let requested_at = now;
@@ -338,7 +347,7 @@
     let mut refused = 0;
     for _ in 0..4_000 {
         now += ms(10);
-        let request = PermitRequest { deadline: now + ms(8_000), ..ask(now, "mawe", 400) };
+        let request = PermitRequest { deadline: now + ms(8_000), ..interactive(now, "mawe", 400) };
         match limiter.request_permit(now, request) {
             Answer::Granted(t) => running.push((now, t)),
             Answer::Queued(_) => {}
--- a/crates/policy/tests/ramp.rs
+++ b/crates/policy/tests/ramp.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, granted, ms, observed, sample, ticket, warm};
+use common::{granted, interactive, ms, observed, sample, ticket, warm};
 use hickory_policy::limit::{Answer, Limiter, Outcome};
 use hickory_policy::ramp::{COLD_STREAM_LIMIT, ColdCause, Ramp};
 use std::time::{Duration, Instant};
@@ -17,7 +17,7 @@
     let mut running: Vec<(Instant, u64)> = Vec::new();
     let mut completed = 0;
     for _ in 0..200 {
-        if let Answer::Granted(t) = limiter.request_permit(now, ask(now, "mawe", 500)) {
+        if let Answer::Granted(t) = limiter.request_permit(now, interactive(now, "mawe", 500)) {
             running.push((now, t));
         }
     }
@@ -109,7 +109,7 @@
 #[test]
 fn failure_halves_the_limit() {
     let (now, mut limiter) = warm(Instant::now(), common::CAPACITY);
-    let t = ticket(limiter.request_permit(now, ask(now, "mawe", 500)));
+    let t = ticket(limiter.request_permit(now, interactive(now, "mawe", 500)));
     limiter.complete(now, t, Outcome::Failed);
     assert_eq!(limiter.stream_limit(), 32);
     limiter.observe(now, &observed(1, 30));
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{CAPACITY, ask, batch, cost, ms, warm};
+use common::{CAPACITY, batch, cost, interactive, ms, warm};
 use hickory_policy::limit::{Answer, Limiter, Outcome, PermitRequest, Ticket};
 use hickory_policy::place::{Candidate, hash_target};
 use hickory_policy::reserve::{Chunk, Impossible, Reservation, Step, backoff, plan_chunks};
@@ -96,8 +96,8 @@
         Step::Request(chunk) => chunk,
     };
     let limiter = limiters.get_mut(&chunk.target).expect("known");
-    let ask = PermitRequest { cost: chunk.cost, is_urgent: true, ..batch(now, "mawe", 0) };
-    let granted = match limiter.request_permit(now, ask) {
+    let request = PermitRequest { cost: chunk.cost, is_urgent: true, ..batch(now, "mawe", 0) };
+    let granted = match limiter.request_permit(now, request) {
         Answer::Granted(ticket) => Some(ticket),
         Answer::Refused(..) => None,
         Answer::Queued(_) => panic!("an urgent request was queued"),
@@ -136,7 +136,7 @@
             prop_assert!(turns < 5_000, "a reservation starved");
             now += ms(20);
             limiters.values_mut().for_each(|limiter| {
-                limiter.request_permit(now, PermitRequest { deadline: now + ms(400), ..ask(now, "caucao", 500) });
+                limiter.request_permit(now, PermitRequest { deadline: now + ms(400), ..interactive(now, "caucao", 500) });
                 limiter.poll(now);
             });
             let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now)
