--- a/crates/node/src/permit.rs
+++ b/crates/node/src/permit.rs
@@ -7,8 +7,7 @@
 use crate::view::{Capability, View};
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{
-    MAX_IMMEDIATE_REQUESTS, Prefix, Query, choose_target, counts_as_permit_request,
-    wants_immediate_answer,
+    MAX_IMMEDIATE_REQUESTS, Prefix, Query, choose_target, counts_as_request, wants_immediate_answer,
 };
 use hickory_policy::refuse::{Reason, Refusal, RetryReason};
 use hickory_target::engine;
@@ -196,7 +195,7 @@
             }
             Err(Some(refused)) => {
                 core.metrics.count_retry(RetryReason::QueueLong);
-                let is_full = counts_as_permit_request(refused.reason);
+                let is_full = counts_as_request(refused.reason);
                 counted_asks += usize::from(is_full);
                 if is_immediate && is_full {
                     full_targets.push(target);
--- a/crates/policy/examples/experiment/placement.rs
+++ b/crates/policy/examples/experiment/placement.rs
@@ -7,7 +7,7 @@
 use hickory_policy::baseline::{Limit, Place};
 use hickory_policy::limit::{Answer, PermitRequest, Ticket};
 use hickory_policy::place::{
-    Candidate, MAX_IMMEDIATE_REQUESTS, Query, counts_as_permit_request, wants_immediate_answer,
+    Candidate, MAX_IMMEDIATE_REQUESTS, Query, counts_as_request, wants_immediate_answer,
 };
 use hickory_policy::refuse::Reason;
 use hickory_target::engine::Priority;
@@ -66,8 +66,8 @@
                 }
                 Answer::Refused(refusal, _) => {
                     reason = refusal;
-                    requests += usize::from(counts_as_permit_request(refusal));
-                    let list = if is_urgent && counts_as_permit_request(refusal) {
+                    requests += usize::from(counts_as_request(refusal));
+                    let list = if is_urgent && counts_as_request(refusal) {
                         &mut full
                     } else {
                         &mut self.flights[index].tried_targets
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -181,7 +181,7 @@
 /// accepts no new work don't count: when a zone is taken out of service, all of its targets refuse
 /// until the load reports are updated, and a request that used up its attempts on them would fail
 /// although other zones have room. Each such target is excluded from then on.
-pub fn counts_as_permit_request(refused: Reason) -> bool {
+pub fn counts_as_request(refused: Reason) -> bool {
     refused != Reason::NoTarget
 }
 
--- a/crates/policy/tests/bound.rs
+++ b/crates/policy/tests/bound.rs
@@ -43,7 +43,9 @@
                     };
                     match limiter.request_permit(now, request.clone()) {
                         Answer::Granted(t) => prop_assert!(running.insert(t, request).is_none()),
-                        Answer::Queued(t) => prop_assert!(!request.is_urgent && queued.insert(t, request).is_none()),
+                        Answer::Queued(t) => {
+                            prop_assert!(!request.is_urgent && queued.insert(t, request).is_none())
+                        }
                         Answer::Refused(..) => {}
                     }
                 }
@@ -79,7 +81,7 @@
             prop_assert!(running.len() <= before.max(limiter.stream_limit() as usize));
             let kv: size::Tokens = running.values().map(|request| request.cost.kv()).sum();
             prop_assert!(kv <= capacity.kv);
-            prop_assert!(running.len() <= 1 || running.values().all(|request| !request.is_exclusive));
+            prop_assert!(running.len() <= 1 || running.values().all(|other| !other.is_exclusive));
         }
         now += Duration::from_secs(50);
         limiter.poll(now);
@@ -93,10 +95,11 @@
     fn batch_starts_within_its_maximum_wait(load in 1usize..6, size in 100u64..4_000) {
         let (mut now, mut limiter) = warm(Instant::now(), FOUR_SLOTS);
         let mut running = std::collections::VecDeque::new();
-        let mut submit = |limiter: &mut Limiter, now, request| match limiter.request_permit(now, request) {
-            Answer::Granted(t) => running.push_back(t),
-            Answer::Queued(_) | Answer::Refused(..) => {}
-        };
+        let mut submit =
+            |limiter: &mut Limiter, now, request| match limiter.request_permit(now, request) {
+                Answer::Granted(t) => running.push_back(t),
+                Answer::Queued(_) | Answer::Refused(..) => {}
+            };
         (0..8).for_each(|_| submit(&mut limiter, now, interactive(now, "mawe", size)));
         let requested_at = now;
         let waiting_ticket = ticket(limiter.request_permit(now, batch(now, "mawe", size)));
--- a/crates/policy/tests/place.rs
+++ b/crates/policy/tests/place.rs
@@ -5,8 +5,7 @@
 use common::cost;
 use hickory_policy::cost::{Class, Cost};
 use hickory_policy::place::{
-    Candidate, Prefix, Query, choose_target, counts_as_permit_request, hash_target,
-    wants_immediate_answer,
+    Candidate, Prefix, Query, choose_target, counts_as_request, hash_target, wants_immediate_answer,
 };
 use hickory_policy::refuse::Reason;
 use hickory_unit::{id, size};
@@ -180,8 +179,6 @@
 /// targets refuse one after the other, and these refusals must not use up the attempts.
 #[test]
 fn refusals_of_stopped_targets_do_not_count() {
-    assert!(!counts_as_permit_request(Reason::NoTarget));
-    assert!(
-        counts_as_permit_request(Reason::Overloaded) && counts_as_permit_request(Reason::Deadline)
-    );
+    assert!(!counts_as_request(Reason::NoTarget));
+    assert!(counts_as_request(Reason::Overloaded) && counts_as_request(Reason::Deadline));
 }
--- a/crates/policy/tests/reserve.rs
+++ b/crates/policy/tests/reserve.rs
@@ -136,7 +136,10 @@
             prop_assert!(turns < 5_000, "a reservation starved");
             now += ms(20);
             limiters.values_mut().for_each(|limiter| {
-                limiter.request_permit(now, PermitRequest { deadline: now + ms(400), ..interactive(now, "caucao", 500) });
+                limiter.request_permit(
+                    now,
+                    PermitRequest { deadline: now + ms(400), ..interactive(now, "caucao", 500) },
+                );
                 limiter.poll(now);
             });
             let Some(reservation) = open[index].as_mut().filter(|_| retry_at[index] <= now)
