--- a/crates/policy/src/ejection.rs
+++ b/crates/policy/src/ejection.rs
@@ -6,7 +6,7 @@
 //! have most of its replicas ejected at any time. Each rate is compared with the median rate of the
 //! service, so at most half of the targets are avoided, even if all of them fail.
 //!
-//! A target that refuses to prefill parts of prompts for other engines receives no parts for a
+//! A target that refuses to prefill chunks of prompts for other engines receives no chunks for a
 //! backoff period, whatever the outcomes of its own streams. Such a target is shutting down without
 //! having announced it, and it looks idle because it refuses everything sent to it.
 
@@ -32,8 +32,8 @@
 /// Failure rates below this are dropped.
 const MIN_RATE: f64 = 0.01;
 
-/// Backoff after a refused part; each further refusal doubles it.
-const PART_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
+/// Backoff after a refused chunk; each further refusal doubles it.
+const CHUNK_REFUSAL_BACKOFF: Duration = Duration::from_secs(3);
 
 /// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
@@ -52,21 +52,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PartRefusals {
+struct ChunkRefusals {
     count: u32,
     until: Instant,
 }
 
-/// Failure rates and part refusals of the targets.
+/// Failure rates and chunk refusals of the targets.
 #[derive(Clone, Debug)]
 pub struct Ejection<K> {
     rates: HashMap<K, Rate>,
-    part_refusals: HashMap<K, PartRefusals>,
+    chunk_refusals: HashMap<K, ChunkRefusals>,
 }
 
 impl<K> Default for Ejection<K> {
     fn default() -> Self {
-        Self { rates: HashMap::new(), part_refusals: HashMap::new() }
+        Self { rates: HashMap::new(), chunk_refusals: HashMap::new() }
     }
 }
 
@@ -105,23 +105,23 @@
         rates.into_iter().map(|rate| cost(rate, median)).collect()
     }
 
-    /// Records that a target refused to prefill a part for another engine. Refusals during a
+    /// Records that a target refused to prefill a chunk for another engine. Refusals during a
     /// backoff are ignored, so several prompts refused at the same moment count once.
-    pub fn record_part_refusal(&mut self, now: Instant, target: K) {
-        let known = self.part_refusals.get(&target);
-        if known.is_some_and(|part_refusals| now < part_refusals.until) {
+    pub fn record_chunk_refusal(&mut self, now: Instant, target: K) {
+        let known = self.chunk_refusals.get(&target);
+        if known.is_some_and(|chunk_refusals| now < chunk_refusals.until) {
             return;
         }
-        let count = known.map_or(0, |part_refusals| part_refusals.count + 1);
-        let until = now + PART_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
-        self.part_refusals.insert(target, PartRefusals { count, until });
-        self.part_refusals
-            .retain(|_, part_refusals| part_refusals.until + PART_REFUSAL_BACKOFF * 4 > now);
+        let count = known.map_or(0, |chunk_refusals| chunk_refusals.count + 1);
+        let until = now + CHUNK_REFUSAL_BACKOFF * 2_u32.pow(count.min(MAX_BACKOFF_DOUBLINGS));
+        self.chunk_refusals.insert(target, ChunkRefusals { count, until });
+        self.chunk_refusals
+            .retain(|_, chunk_refusals| chunk_refusals.until + CHUNK_REFUSAL_BACKOFF * 4 > now);
     }
 
-    /// Returns whether a target is in backoff and receives no parts.
-    pub fn refuses_parts(&self, now: Instant, target: K) -> bool {
-        self.part_refusals.get(&target).is_some_and(|part_refusals| now < part_refusals.until)
+    /// Returns whether a target is in backoff and receives no chunks.
+    pub fn refuses_chunks(&self, now: Instant, target: K) -> bool {
+        self.chunk_refusals.get(&target).is_some_and(|chunk_refusals| now < chunk_refusals.until)
     }
 }
 
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -21,18 +21,18 @@
 pub const PERMIT_LIFETIME: Duration = Duration::from_secs(2);
 
 /// Time after the deadline for which a permit keeps its capacity. The sender cancels at the
-/// deadline, and a cancel that arrives at all does so within this time. Without an end, an owner
-/// that never receives the outcome would lose the capacity forever.
+/// deadline, and a cancel that arrives at all does so within this time. Without this limit, an
+/// owner that never receives the outcome would lose the capacity forever.
 pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
 
 /// Maximum number of queued requests. Even with the shortest requests, about 10 ms of an engine's
 /// time each, more could not start within the longest usual deadline.
 pub const MAX_QUEUE_LENGTH: usize = 4_096;
 
-/// How long capacity is held for an urgent long request that was refused or whose permit was
-/// returned unused. Such a request is one part of a prompt that needs several engines at the same
-/// time and can't queue at any of them. Without held capacity, short work would take each slot as
-/// it becomes free and the prompt would never start. Its node retries within a second.
+/// Time for which capacity is held for an urgent long request that was refused or whose permit was
+/// returned unused. Such a request is for one chunk of a prompt that needs several engines at the
+/// same time and can't queue at any of them. Without held capacity, short work would take each slot
+/// as it becomes free and the prompt would never start. Its node retries within a second.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(3);
 
 /// Minimum retry delay sent with a refusal.
@@ -43,7 +43,7 @@
     pub(crate) request: PermitRequest,
     /// Time left until the deadline when the request arrived.
     pub(crate) initial_time_left: Duration,
-    /// Latest start that still meets the deadline, by the pace at arrival.
+    /// Latest start that still meets the deadline, by the throughput at arrival.
     pub(crate) latest_start: Instant,
 }
 
@@ -61,7 +61,7 @@
     capacity: Capacity,
     ramp: Ramp,
     pub(crate) room: Room,
-    pub(crate) pace: Throughput,
+    pub(crate) throughput: Throughput,
     pub(crate) queue: Queue,
     pub(crate) waiting: HashMap<Ticket, Waiting>,
     pub(crate) exclusive_queue: VecDeque<(Ticket, Instant)>,
@@ -86,7 +86,7 @@
     pub fn new(capacity: Capacity) -> Self {
         Self {
             ramp: Ramp::new(capacity.streams),
-            pace: Throughput::open(capacity.prefill_rate, capacity.streams),
+            throughput: Throughput::open(capacity.prefill_rate, capacity.streams),
             capacity,
             room: Room::default(),
             queue: Queue::open(),
@@ -138,9 +138,9 @@
         self.is_lease_confirmed = is_confirmed;
     }
 
-    /// Sets whether the target accepts new work. When it stops accepting because its zone is out,
-    /// it leaves or its owner drains, queued requests are refused immediately, so that their nodes
-    /// can still use another target before the deadline.
+    /// Sets whether the target accepts new work. When it stops, because its zone is out of service,
+    /// the target leaves or its owner drains, queued requests are refused immediately, so that
+    /// their nodes can still use another target before the deadline.
     pub fn set_accepting(&mut self, now: Instant, accepting: bool) -> Vec<(Ticket, Reason)> {
         self.advance(now);
         self.is_accepting = accepting;
@@ -171,7 +171,7 @@
                 );
             }
         }
-        self.pace.set_warmth(observed.sample.warmth);
+        self.throughput.set_warmth(observed.sample.warmth);
         self.ramp.observe(now, observed.sample)
     }
 
@@ -288,7 +288,7 @@
             Outcome::Completed(first_token) => {
                 let first = first_token.unwrap_or(grant.expected);
                 let decode = now.saturating_duration_since(grant.at).saturating_sub(first);
-                self.pace.record_decode(grant.request.cost.decode, decode);
+                self.throughput.record_decode(grant.request.cost.decode, decode);
                 self.ramp.record_success(now, first_token.map(|took| (took, grant.expected)))
             }
         }
@@ -314,7 +314,8 @@
         size::Tokens(self.room.kv())
     }
 
-    /// Returns the prompt tokens that are queued, or granted and by estimate not prefilled yet.
+    /// Returns the prompt tokens that are queued, plus those that are granted but by estimate not
+    /// prefilled yet.
     pub fn prefill_queued(&self) -> size::Tokens {
         self.prefill_queued_of(false) + self.prefill_queued_of(true)
     }
@@ -332,7 +333,7 @@
 
     /// Returns the prefill rate in prompt tokens per second at the target's current warmth.
     pub fn prefill_rate(&self) -> u64 {
-        self.pace.current_prefill_rate()
+        self.throughput.current_prefill_rate()
     }
 
     /// Returns the fraction of the full limit that the slow start allows, from 0 to 1.
@@ -346,19 +347,19 @@
     }
 
     pub(crate) fn current_bound(&self) -> Bound {
-        let parts = if self.is_lease_confirmed { 1 } else { 2 };
+        let owners = if self.is_lease_confirmed { 1 } else { 2 };
         Bound {
-            slots: self.ramp.stream_limit() / parts,
-            kv: size::Tokens(self.capacity.kv.0 / u64::from(parts)),
-            prefill_rate: self.pace.shared_prefill_rate(),
+            slots: self.ramp.stream_limit() / owners,
+            kv: size::Tokens(self.capacity.kv.0 / u64::from(owners)),
+            prefill_rate: self.throughput.shared_prefill_rate(),
         }
     }
 
     fn advance(&mut self, now: Instant) {
         self.last_advanced = Some(now);
-        self.room.advance_prefill(now, self.pace.shared_prefill_rate());
+        self.room.advance_prefill(now, self.throughput.shared_prefill_rate());
         let waits = [false, true].map(|is_long| self.queue.queued_work(is_long) > 0);
-        self.pace.advance(now, waits);
+        self.throughput.advance(now, waits);
         while let Some(&(at, ticket)) = self.expiry.first() {
             if at > now {
                 break;
@@ -369,7 +370,7 @@
 
     fn enqueue(&mut self, now: Instant, ticket: Ticket, request: PermitRequest) {
         let initial_time_left = request.deadline.saturating_duration_since(now);
-        let time = self.pace.service_time(request.cost, initial_time_left);
+        let time = self.throughput.service_time(request.cost, initial_time_left);
         let latest_start = request.deadline.checked_sub(time).unwrap_or(now).max(now);
         self.latest_starts.insert((latest_start, ticket));
         if request.is_exclusive {
--- a/crates/policy/tests/rounds.rs
+++ b/crates/policy/tests/rounds.rs
@@ -88,8 +88,8 @@
 }
 
 /// Two of the three nodes with the configuration die silently while they send it. Their receivers
-/// must detect this by a timeout, keep the chunks, and request the rest from the third node or from
-/// its receivers.
+/// must detect this by a timeout, keep what they received, and request the rest from the third node
+/// or from its receivers.
 #[test]
 fn senders_die_during_transfer() {
     check_bounds(&SIZES[..3], Duration::ZERO, with_fault(Fault::Death { at: ms(100) }));
@@ -106,7 +106,7 @@
 /// again after the time that the link needs for the transfer.
 #[test]
 fn receivers_stop_reading() {
-    let fault = Fault::StopReading { part: 0.05, time: Duration::from_secs(5) };
+    let fault = Fault::StopReading { fraction: 0.05, time: Duration::from_secs(5) };
     check_bounds(&SIZES, Duration::from_secs(5), with_fault(fault));
 }
 
--- a/crates/policy/tests/spread/node.rs
+++ b/crates/policy/tests/spread/node.rs
@@ -26,7 +26,7 @@
     pub completed_at: Duration,
     /// Newest version announced to it.
     pub wanted_version: u32,
-    /// Version and number of the bytes kept from an interrupted answer.
+    /// Version that an interrupted answer was sending, and the number of bytes kept of it.
     pub partial: (u32, f64),
     pub request: Option<Request>,
     /// Time of the next extra poll.
@@ -37,7 +37,7 @@
     /// Versions announced by the other nodes.
     versions: Vec<u32>,
     pub is_alive: bool,
-    /// Whether no fault keeps it from the document.
+    /// Whether the case's fault does not prevent it from receiving the document.
     pub is_unaffected: bool,
     pub is_cut_off: bool,
     pub has_stopped_reading: bool,
@@ -108,7 +108,7 @@
 pub fn draw(case: &Case, random: &mut StdRng) -> Vec<Node> {
     let requesters = case.nodes - case.initial_holders;
     let affected = match case.fault {
-        Fault::StopReading { part, .. } => (requesters as f64 * part).ceil() as usize,
+        Fault::StopReading { fraction, .. } => (requesters as f64 * fraction).ceil() as usize,
         Fault::Cut { .. } => case.nodes / 3,
         Fault::None | Fault::Death { .. } => 0,
     };
